--- /dev/null
+++ b/crates/cells/tests/stored_bytes.rs
@@ -0,0 +1,137 @@
+//! Datagrams of the cells and what their processes store keep their bytes: they are compared with what an earlier
+//! release wrote.
+
+use recorded::{hex, Recorded};
+use serde::{de::DeserializeOwned, Serialize};
+use shelfgrade_cells::{
+    fleet, read, write, Action, Ballot, Cell, CellId, Change, ChangeFault, Delta, Kept, Key, Member, Message,
+    Paxos, Record, Scope, Stored, Value, Version, Vote,
+};
+use std::fmt::Debug;
+
+#[path = "../../../tests/support/recorded.rs"]
+mod recorded;
+
+const RECORDED: Recorded = Recorded(include_str!("fixtures/stored.hex"));
+const BALLOT: Ballot = Ballot { round: 300, by: 4 };
+
+/// One of each kind of change.
+fn batch() -> Vec<Change> {
+    let (cell, name, address) = (CellId(300), || "n1".to_owned(), "127.0.0.1:7400".parse().unwrap());
+    let actions = [
+        Action::AddCell { cell, region: 2, places: 40, quota: 100_000 },
+        Action::Add { cell, name: name(), address, incarnation: 70_000 },
+        Action::Replace { cell, name: name(), address, incarnation: 70_001 },
+        Action::Remove { cell, name: name() },
+        Action::Ended { cell, name: name(), incarnation: 70_001 },
+        Action::Put { key: "k".into(), value: vec![1, 255] },
+        Action::Delete { key: "k".into() },
+        Action::Grow { cell, by: 5 },
+        Action::Shrink { cell, by: 6 },
+        Action::Release { cell, at: Version::at(9, 2) },
+    ];
+    actions.into_iter().zip(1 << 40..).map(|(action, id)| Change { id, action }).collect()
+}
+
+/// One of each kind of record.
+fn records() -> Vec<Record> {
+    let address = "[::1]:7400".parse().unwrap();
+    let cell = Cell {
+        region: 2,
+        quota: 100_000,
+        escrow: 6,
+        shrunk: Version::at(9, 2),
+        places: 40,
+        members: 1,
+        contacts: vec![address],
+    };
+    let member = Member { address, incarnation: 70_000, place: 3, removed: true };
+    let values = [
+        (Key::Cell(CellId(300)), Some(Value::Cell(cell))),
+        (Key::Done(1 << 40), Some(Value::Done)),
+        (Key::Entry("k".into()), Some(Value::Entry(vec![1, 255]))),
+        (Key::Entry("gone".into()), None),
+        (Key::Member(CellId(300), "n1".into()), Some(Value::Member(member))),
+    ];
+    values
+        .into_iter()
+        .zip(1..)
+        .map(|((key, value), place)| Record { key, version: Version::at(9, place), value })
+        .collect()
+}
+
+fn delta() -> Delta {
+    Delta {
+        after: Version::at(8, 0),
+        to: Version::end_of(9),
+        head: Version::end_of(10),
+        horizon: Version::at(3, 0),
+        digest: u64::MAX,
+        records: records(),
+    }
+}
+
+#[test]
+fn each_kind_of_datagram_is_written_and_read_as_an_earlier_release_wrote_it() {
+    let slot = 70_000;
+    let kinds = [
+        ("swim", Message::Swim(vec![1, 2, 255])),
+        ("pull all", Message::Pull { scope: Scope::All, after: Version(0), anew: true }),
+        (
+            "pull cell",
+            Message::Pull { scope: Scope::Cell(CellId(300)), after: Version::at(8, 0), anew: false },
+        ),
+        ("delta", Message::Delta(delta())),
+        ("push", Message::Push(delta())),
+        (
+            "ack",
+            Message::Ack {
+                cell: CellId(300),
+                name: "n1".into(),
+                incarnation: 70_000,
+                version: Version::at(9, 2),
+            },
+        ),
+        ("submit", Message::Submit(batch()[0].clone())),
+        ("outcome done", Message::Outcome { id: 1 << 40, outcome: Ok(()) }),
+        ("outcome refused", Message::Outcome { id: 1 << 40, outcome: Err(ChangeFault::OverBound) }),
+        ("prepare", Message::Paxos(Paxos::Prepare { slot, ballot: BALLOT })),
+        (
+            "promise",
+            Message::Paxos(Paxos::Promise { slot, ballot: BALLOT, accepted: Some((BALLOT, batch())) }),
+        ),
+        ("accept", Message::Paxos(Paxos::Accept { slot, ballot: BALLOT, batch: batch() })),
+        ("accepted", Message::Paxos(Paxos::Accepted { slot, ballot: BALLOT })),
+        ("conflict", Message::Paxos(Paxos::Conflict { slot, promised: BALLOT })),
+        ("chosen", Message::Paxos(Paxos::Chosen { slot, batch: batch() })),
+        ("ask part", Message::Paxos(Paxos::AskPart { number: 300 })),
+        ("took part", Message::Paxos(Paxos::TookPart { number: 300, slot })),
+    ];
+    let dar = fleet("dar");
+    for (name, message) in kinds {
+        assert_eq!(hex(&write(dar, &message)), RECORDED.digits(name), "{name}");
+        assert_eq!(read(dar, &RECORDED.bytes(name)), Ok(message), "{name}");
+    }
+}
+
+fn keeps<T: Serialize + DeserializeOwned + Debug>(name: &str, value: &T) {
+    assert_eq!(hex(&postcard::to_stdvec(value).unwrap()), RECORDED.digits(name), "{name}");
+    let read = postcard::from_bytes::<T>(&RECORDED.bytes(name)).unwrap();
+    assert_eq!(format!("{read:?}"), format!("{value:?}"), "{name}");
+}
+
+#[test]
+fn what_is_stored_is_written_and_read_as_an_earlier_release_wrote_it() {
+    let vote = || Vote { slot: 70_000, promised: BALLOT, accepted: Some((BALLOT, batch())) };
+    let (to, horizon) = (Version::end_of(9), Version::at(3, 0));
+    keeps("stored founded", &Stored::Founded);
+    keeps("stored recovering", &Stored::Recovering);
+    keeps("stored votes from", &Stored::VotesFrom(70_000));
+    keeps("stored vote", &Stored::Vote(vote()));
+    keeps("stored chosen", &Stored::Chosen { slot: 70_000, batch: batch() });
+    let records = records();
+    let checkpoint =
+        Stored::Checkpoint { records: records.clone(), to, horizon, votes_from: Some(7), vote: vote() };
+    keeps("stored checkpoint", &checkpoint);
+    keeps("kept", &Kept { records, to, horizon });
+}
--- a/crates/fleet/src/packet.rs
+++ b/crates/fleet/src/packet.rs
@@ -107,3 +107,7 @@
         }
     }
 }
+
+#[cfg(test)]
+#[path = "../tests/unit/packet.rs"]
+mod tests;
