--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -4,7 +4,7 @@
 
 use anyhow::{bail, Context, Result};
 use shelfgrade::choice::Chooser;
-use shelfgrade::host::{Arrival, CircuitId, Ending, Host, Listed, ServerId, Standing};
+use shelfgrade::host::{Arrival, Ending, Host, Listed, ServerId, SessionId, Standing};
 use shelfgrade::time::{Point, Span};
 use shelfgrade_terms::Terms;
 use std::collections::BTreeMap;
@@ -23,7 +23,7 @@
     }
 }
 
-/// One instance: its decisions, and the names by which its circuits call offerings.
+/// One instance: its decisions, and the names by which its sessions call offerings.
 struct Instance {
     chooser: Chooser,
     offerings: Vec<String>,
@@ -144,15 +144,15 @@
             }
             "REQUEST" => chooser.arrived(&arrival(line, offerings)?, now, host),
             "PREEXISTING" => chooser.open_already(&arrival(line, offerings)?, line.required("server")?, now),
-            "FLOWING" => chooser.stands(line.circuit()?, now),
-            "FINISHED" => chooser.ended(line.circuit()?, ending(line)?, line.flag("last")?, now, host),
+            "FLOWING" => chooser.stands(line.session()?, now),
+            "FINISHED" => chooser.ended(line.session()?, ending(line)?, line.flag("last")?, now, host),
             "HEARTBEAT" => match line.whole("what")? {
-                1 => chooser.load_is(line.circuit()?, line.number("value")?),
-                2 => chooser.messages_take(line.circuit()?, line.span("value")?, now, host),
+                1 => chooser.load_is(line.session()?, line.number("value")?),
+                2 => chooser.messages_take(line.session()?, line.span("value")?, now, host),
                 // A kind of note that is not known tells nothing.
                 _ => {}
             },
-            "HANGUP" => chooser.left(line.circuit()?),
+            "HANGUP" => chooser.left(line.session()?),
             "FIRED" => {
                 line.whole("label")?;
                 chooser.woke(now, host);
@@ -207,7 +207,7 @@
 fn arrival<'a>(line: &Line<'a>, offerings: &[String]) -> Result<Arrival<'a>> {
     let priority = line.required("priority")?;
     Ok(Arrival {
-        circuit: line.circuit()?,
+        session: line.session()?,
         offering: offerings.iter().position(|o| o == priority),
         key: line.optional("object"),
         group: line.optional("group"),
@@ -261,21 +261,21 @@
 }
 
 impl Host for Reply {
-    fn connect(&mut self, circuit: CircuitId, server: &ServerId, time_out: Span) {
+    fn connect(&mut self, session: SessionId, server: &ServerId, time_out: Span) {
         let wait = time_out.as_ms();
-        self.say(format_args!("SUBMIT_TO ref={:016x} server={server} max_wait_ms={wait}", circuit.0));
+        self.say(format_args!("SUBMIT_TO ref={:016x} server={server} max_wait_ms={wait}", session.0));
     }
 
-    fn push_back(&mut self, circuit: CircuitId, pause: Span) {
-        self.say(format_args!("SHED ref={:016x} wait_ms={}", circuit.0, pause.as_ms()));
+    fn push_back(&mut self, session: SessionId, pause: Span) {
+        self.say(format_args!("SHED ref={:016x} wait_ms={}", session.0, pause.as_ms()));
     }
 
-    fn forfeit(&mut self, circuit: CircuitId) {
-        self.say(format_args!("RESPOND_ERROR ref={:016x}", circuit.0));
+    fn forfeit(&mut self, session: SessionId) {
+        self.say(format_args!("RESPOND_ERROR ref={:016x}", session.0));
     }
 
-    fn send_away(&mut self, circuit: CircuitId) {
-        self.say(format_args!("MIGRATE ref={:016x}", circuit.0));
+    fn send_away(&mut self, session: SessionId) {
+        self.say(format_args!("MIGRATE ref={:016x}", session.0));
     }
 
     fn subscribe(&mut self) {
--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -1,7 +1,7 @@
 //! The wire's lines: a name, then `name=value` parts set apart by single spaces.
 
 use anyhow::{bail, Context, Result};
-use shelfgrade::host::CircuitId;
+use shelfgrade::host::SessionId;
 use shelfgrade::time::{Point, Span};
 use std::str::FromStr;
 
@@ -73,9 +73,9 @@
         }
     }
 
-    pub fn circuit(&self) -> Result<CircuitId> {
+    pub fn session(&self) -> Result<SessionId> {
         let value = self.required("ref")?;
         let id = u64::from_str_radix(value, 16).ok().filter(|_| value.len() == 16);
-        id.map(CircuitId).with_context(|| format!("ref={value} is not 16 hex digits"))
+        id.map(SessionId).with_context(|| format!("ref={value} is not 16 hex digits"))
     }
 }
--- a/crates/maintenance/src/plan.rs
+++ b/crates/maintenance/src/plan.rs
@@ -161,9 +161,9 @@
     now - since >= due as i64
 }
 
-/// By how much the lead is too short, in milliseconds, for so many circuits at so many a second that the other sites bear.
-pub fn short_by(circuits: usize, a_second: f64, lead_ms: i64) -> Option<i64> {
-    let needed = (circuits as f64 / a_second.max(1e-9) * 1000.0).min(i64::MAX as f64) as i64;
+/// By how much the lead is too short, in milliseconds, for so many sessions at so many a second that the other sites bear.
+pub fn short_by(sessions: usize, a_second: f64, lead_ms: i64) -> Option<i64> {
+    let needed = (sessions as f64 / a_second.max(1e-9) * 1000.0).min(i64::MAX as f64) as i64;
     (needed > lead_ms).then_some(needed - lead_ms)
 }
 
--- a/crates/namespaces/src/table.rs
+++ b/crates/namespaces/src/table.rs
@@ -1,4 +1,4 @@
-//! What a circuit finds: its own customer's rules, and nothing of anybody else's.
+//! What a session finds: its own customer's rules, and nothing of anybody else's.
 
 use crate::rules::{Grant, Grants, Rule, Space, SpaceFault};
 use shelfgrade::host::{Listed, ServerId};
@@ -34,13 +34,13 @@
         self.space.version
     }
 
-    /// Servers that any of the customer's circuits may go to.
+    /// Servers that any of the customer's sessions may go to.
     pub fn granted(&self) -> &Rc<[ServerId]> {
         &self.granted
     }
 }
 
-/// A circuit's rule, with the version of the namespace that it is of: what it was decided by stays what it was.
+/// A session's rule, with the version of the namespace that it is of: what it was decided by stays what it was.
 #[derive(Clone)]
 pub struct Ruled {
     pub space: Rc<InForce>,
@@ -63,7 +63,7 @@
     }
 }
 
-/// What a circuit finds.
+/// What a session finds.
 pub enum Found {
     /// It names no customer, or one without a namespace: all is as without namespaces.
     NoSpace,
@@ -132,12 +132,12 @@
         Ok(space)
     }
 
-    /// A customer's namespace is no more: its circuits go as those without one.
+    /// A customer's namespace is no more: its sessions go as those without one.
     pub fn remove(&mut self, customer: &str) {
         self.spaces.remove(customer);
     }
 
-    /// The list of servers has changed. Guards against ten thousand namespaces holding up a circuit for it: each is cut
+    /// The list of servers has changed. Guards against ten thousand namespaces holding up a session for it: each is cut
     /// anew when it is next looked up.
     pub fn follow(&mut self, list: Vec<Listed>) {
         self.list = list;
@@ -154,7 +154,7 @@
         Some(space)
     }
 
-    /// The part of the whole that a customer's circuits may use of what cold servers bear: its room of all that is
+    /// The part of the whole that a customer's sessions may use of what cold servers bear: its room of all that is
     /// granted. Guards against a cold server that two share being sent two shares.
     pub fn share(&self, customer: &str) -> f64 {
         self.grants.get(customer).map_or(0.0, |grant| f64::from(grant.room) / self.all_rooms())
@@ -174,7 +174,7 @@
         (granted + f64::from(self.others)).max(1.0)
     }
 
-    /// Which rule decides a circuit: looked up in its customer's namespace and nowhere else, the first that matches.
+    /// Which rule decides a session: looked up in its customer's namespace and nowhere else, the first that matches.
     pub fn look_up(&mut self, customer: Option<&str>, offering: &str, group: Option<&str>) -> Found {
         let Some(space) = customer.and_then(|customer| self.get(customer)) else { return Found::NoSpace };
         match space.space.rules.iter().position(|rule| rule.matches(offering, group)) {
--- a/crates/proxy/src/caller.rs
+++ b/crates/proxy/src/caller.rs
@@ -1,5 +1,5 @@
 //! A connection whose client has yet to send its first line. It costs one descriptor and the bytes of that
-//! line: it has no circuit and no rings until the line is there and can be used.
+//! line: it has no session and no rings until the line is there and can be used.
 
 use crate::line::{whole, Open, LONGEST};
 use crate::proxy::Proxy;
--- a/crates/proxy/src/choosers.rs
+++ b/crates/proxy/src/choosers.rs
@@ -1,9 +1,9 @@
-//! The decisions of one process: one set for all circuits, and one for each customer that has a namespace, so that no
+//! The decisions of one process: one set for all sessions, and one for each customer that has a namespace, so that no
 //! customer's storm, jam or strain is another's. Each is the same decision module.
 
 use shelfgrade::choice::Chooser;
 use shelfgrade::handover::Remembered;
-use shelfgrade::host::{Arrival, CircuitId, Ending, Host, Listed, ServerId, Standing};
+use shelfgrade::host::{Arrival, Ending, Host, Listed, ServerId, SessionId, Standing};
 use shelfgrade::time::{Point, Span};
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -16,7 +16,7 @@
     /// What its customer is granted, in the order of the ids, and the part of the whole.
     granted: Rc<[ServerId]>,
     share: f64,
-    /// Since when it has had no circuit.
+    /// Since when it has had no session.
     idle_since: Option<Point>,
 }
 
@@ -25,10 +25,10 @@
     common_share: f64,
     make: Make,
     seed: u64,
-    /// By customer, for those that had a circuit since their namespace came.
+    /// By customer, for those that had a session since their namespace came.
     own: BTreeMap<Rc<str>, Own>,
-    /// Whose circuits are not the common ones'.
-    owner: BTreeMap<CircuitId, Rc<str>>,
+    /// Whose sessions are not the common ones'.
+    owner: BTreeMap<SessionId, Rc<str>>,
     list: BTreeMap<ServerId, Listed>,
     /// What an earlier life remembered, and until when that is of use.
     remembered: Vec<(Remembered, Point)>,
@@ -103,7 +103,7 @@
         self.own.contains_key(customer)
     }
 
-    /// A customer with a namespace has its first circuit in a while: from here on it has decisions of its own, over what
+    /// A customer with a namespace has its first session in a while: from here on it has decisions of its own, over what
     /// it is granted. Guards against ten thousand namespaces taking memory for customers who never come.
     pub fn begin(
         &mut self,
@@ -142,8 +142,8 @@
         self.common.proxies()
     }
 
-    fn of(&mut self, circuit: CircuitId) -> &mut Chooser {
-        let own = self.owner.get(&circuit).and_then(|customer| self.own.get_mut(customer));
+    fn of(&mut self, session: SessionId) -> &mut Chooser {
+        let own = self.owner.get(&session).and_then(|customer| self.own.get_mut(customer));
         own.map_or(&mut self.common, |own| &mut own.chooser)
     }
 
@@ -160,37 +160,37 @@
         host: &mut dyn Host,
     ) {
         if let Some(customer) = customer {
-            self.owner.insert(arrival.circuit, customer.clone());
+            self.owner.insert(arrival.session, customer.clone());
         }
-        self.of(arrival.circuit).arrived(arrival, now, host);
+        self.of(arrival.session).arrived(arrival, now, host);
     }
 
     pub fn open_already(&mut self, arrival: &Arrival, server: &str, now: Point) {
-        self.of(arrival.circuit).open_already(arrival, server, now);
+        self.of(arrival.session).open_already(arrival, server, now);
     }
 
-    pub fn stands(&mut self, circuit: CircuitId, now: Point) {
-        self.of(circuit).stands(circuit, now);
+    pub fn stands(&mut self, session: SessionId, now: Point) {
+        self.of(session).stands(session, now);
     }
 
-    pub fn may_begin(&mut self, circuit: CircuitId, now: Point) -> bool {
-        self.of(circuit).may_begin(circuit, now)
+    pub fn may_begin(&mut self, session: SessionId, now: Point) -> bool {
+        self.of(session).may_begin(session, now)
     }
 
-    pub fn ended(&mut self, circuit: CircuitId, ending: Ending, done: bool, now: Point, host: &mut dyn Host) {
-        self.of(circuit).ended(circuit, ending, done, now, host);
+    pub fn ended(&mut self, session: SessionId, ending: Ending, done: bool, now: Point, host: &mut dyn Host) {
+        self.of(session).ended(session, ending, done, now, host);
     }
 
-    pub fn left(&mut self, circuit: CircuitId) {
-        self.of(circuit).left(circuit);
+    pub fn left(&mut self, session: SessionId) {
+        self.of(session).left(session);
     }
 
-    pub fn load_is(&mut self, circuit: CircuitId, load: f64) {
-        self.of(circuit).load_is(circuit, load);
+    pub fn load_is(&mut self, session: SessionId, load: f64) {
+        self.of(session).load_is(session, load);
     }
 
-    pub fn messages_take(&mut self, circuit: CircuitId, took: Span, now: Point, host: &mut dyn Host) {
-        self.of(circuit).messages_take(circuit, took, now, host);
+    pub fn messages_take(&mut self, session: SessionId, took: Span, now: Point, host: &mut dyn Host) {
+        self.of(session).messages_take(session, took, now, host);
     }
 
     pub fn woke(&mut self, now: Point, host: &mut dyn Host) {
@@ -220,14 +220,14 @@
         self.all().fold(false, |known, chooser| chooser.remember(remembered, within, now) | known)
     }
 
-    /// Called once a second: forgets whose circuits those were that are no more, and the decisions of who has had none
+    /// Called once a second: forgets whose sessions those were that are no more, and the decisions of who has had none
     /// for as long as their table would know a connection.
-    pub fn sweep(&mut self, there: impl Fn(&CircuitId) -> bool, now: Point) {
+    pub fn sweep(&mut self, there: impl Fn(&SessionId) -> bool, now: Point) {
         const IDLE: Span = Span::millis(60_000);
         if self.own.is_empty() {
             return;
         }
-        self.owner.retain(|circuit, _| there(circuit));
+        self.owner.retain(|session, _| there(session));
         let busy: BTreeSet<Rc<str>> = self.owner.values().cloned().collect();
         self.own.retain(|customer, own| {
             own.idle_since = own.idle_since.or(Some(now)).filter(|_| !busy.contains(customer));
--- a/crates/proxy/src/client.rs
+++ b/crates/proxy/src/client.rs
@@ -1,13 +1,13 @@
-//! The client's side of a circuit: from its first line to the final answer.
+//! The client's side of a session: from its first line to the final answer.
 
-use crate::circuit::{Circuit, Stage};
 use crate::hands::Hands;
 use crate::proxy::Proxy;
+use crate::session::{Session, Stage};
 use crate::socket::End;
 use shelfgrade::host::Ending;
 use shelfgrade::time::Span;
 
-impl Circuit {
+impl Session {
     /// Whether the client still waits for its answer, and does nothing else. Guards against an attempt for one that
     /// has gone, by a close, a reset or an end of its sending alone, with no event of that heard yet, and against
     /// serving whoever does not wait. An end of its sending cannot be told from a close: it has its answer all the same.
--- a/crates/proxy/src/comeback.rs
+++ b/crates/proxy/src/comeback.rs
@@ -1,10 +1,10 @@
 //! The proxy among its fellows, where the fleet file is named: what the return asks of it, and what it tells the return.
 
-use crate::circuit::{Circuit, Stage};
 use crate::fellows::{Company, Fellows};
 use crate::fleet_file::{FleetFault, FleetFile};
 use crate::listing::{Entry, Health, Listing};
 use crate::proxy::Proxy;
+use crate::session::{Session, Stage};
 use crate::spaces::{Changed, Decided, Shared, Spaces};
 use crate::windows::WINDOWS;
 use serde::{de::DeserializeOwned, Serialize};
@@ -124,10 +124,10 @@
         self.fellows.as_ref().is_none_or(|fellows| fellows.watches())
     }
 
-    /// A circuit's turn, where there is a crowd that comes back.
-    pub fn turn(&mut self, circuit: &Circuit) -> Option<Turn> {
+    /// A session's turn, where there is a crowd that comes back.
+    pub fn turn(&mut self, session: &Session) -> Option<Turn> {
         let fellows = self.fellows.clone()?;
-        let opening = &circuit.opening;
+        let opening = &session.opening;
         let customer = opening.customer.as_ref().and_then(|t| self.customers.iter().position(|c| c == t));
         fellows.turn((Some(opening.offering), customer), xxh3_64(opening.key.as_bytes()), self)
     }
@@ -183,7 +183,7 @@
         let list: Vec<_> = self.told.values().map(|(line, _)| line.clone()).collect();
         let site_of = |server: &ServerId| self.told.get(server).map(|(line, _)| line.zone.clone());
         let standing: Vec<_> =
-            self.hands.circuits.values().filter(|c| c.stage.get() == Stage::Standing).collect();
+            self.hands.sessions.values().filter(|c| c.stage.get() == Stage::Standing).collect();
         let at: Vec<_> = standing
             .iter()
             .filter_map(|c| Some((c.id, site_of(&c.connect.borrow().as_ref()?.server.id)?)))
@@ -193,10 +193,10 @@
         if look.changed {
             self.go_by_lines(self.told.values().cloned().collect(), true);
         }
-        for (circuit, site) in at {
+        for (session, site) in at {
             if look.begun.contains(&site) {
                 self.hands.tally.count("moved as their site's window began");
-                self.hands.send_away(circuit);
+                self.hands.send_away(session);
             }
         }
         self.settle();
@@ -210,9 +210,9 @@
         self.chooser.common_has(self.spaces.common_share());
     }
 
-    /// What the namespace of its customer decides of a circuit, where there is one.
-    pub fn rule_for(&mut self, circuit: &Circuit) -> Option<Decided> {
-        let opening = &circuit.opening;
+    /// What the namespace of its customer decides of a session, where there is one.
+    pub fn rule_for(&mut self, session: &Session) -> Option<Decided> {
+        let opening = &session.opening;
         let offering = self.offerings.get(opening.offering).map_or("", String::as_str);
         self.spaces.decide(opening.customer.as_deref(), offering, opening.group.as_deref())
     }
--- a/crates/proxy/src/discovery.rs
+++ b/crates/proxy/src/discovery.rs
@@ -191,7 +191,7 @@
         Span::from_ms((part * (least + (most - least) * luck)).floor())
     }
 
-    /// Takes in what has come but was not heard of yet. Guards against placing a circuit, or writing its first byte, by
+    /// Takes in what has come but was not heard of yet. Guards against placing a session, or writing its first byte, by
     /// a list that is no longer the last one told: the news may lie unread in the same turn of the loop.
     pub fn look(self: &Rc<Self>, follower: &mut F) {
         if self.call.borrow().is_some() {
--- a/crates/proxy/src/disk.rs
+++ b/crates/proxy/src/disk.rs
@@ -1,4 +1,4 @@
-//! The disk that outlives the process, on a thread of its own: no circuit waits for it.
+//! The disk that outlives the process, on a thread of its own: no session waits for it.
 
 use crate::transient::is_transient;
 use shelfgrade_recovery::snapshot::{generation, GENERATIONS};
--- a/crates/proxy/src/door.rs
+++ b/crates/proxy/src/door.rs
@@ -24,7 +24,7 @@
     /// The one not heard of for longest comes first.
     callers: BTreeMap<u64, Rc<Caller>>,
     last_number: u64,
-    /// The last ids that circuits came with, in their order and by their value.
+    /// The last ids that sessions came with, in their order and by their value.
     ids: (VecDeque<u64>, BTreeSet<u64>),
 }
 
--- a/crates/proxy/src/due.rs
+++ b/crates/proxy/src/due.rs
@@ -1,27 +1,27 @@
-//! Circuits that wait for something no event comes for. Guards against a walk over all that are at rest, which are
+//! Sessions that wait for something no event comes for. Guards against a walk over all that are at rest, which are
 //! tens of thousands where few of them wait.
 
-use crate::circuit::Circuit;
-use shelfgrade::host::CircuitId;
+use crate::session::Session;
+use shelfgrade::host::SessionId;
 use std::collections::BTreeMap;
 use std::rc::{Rc, Weak};
 
-/// In the order in which circuits came; who no longer waits is dropped with the next look.
+/// In the order in which sessions came; who no longer waits is dropped with the next look.
 #[derive(Default)]
-pub struct Due(BTreeMap<CircuitId, Weak<Circuit>>);
+pub struct Due(BTreeMap<SessionId, Weak<Session>>);
 
 impl Due {
-    pub fn add(&mut self, circuit: &Circuit) {
-        self.0.insert(circuit.id, circuit.me.clone());
+    pub fn add(&mut self, session: &Session) {
+        self.0.insert(session.id, session.me.clone());
     }
 
     /// Those that still wait.
-    pub fn look(&mut self, waits: impl Fn(&Circuit) -> bool) -> Vec<Rc<Circuit>> {
+    pub fn look(&mut self, waits: impl Fn(&Session) -> bool) -> Vec<Rc<Session>> {
         let mut due = Vec::with_capacity(self.0.len());
-        self.0.retain(|_, circuit| {
-            let circuit = circuit.upgrade().filter(|circuit| waits(circuit));
-            due.extend(circuit.clone());
-            circuit.is_some()
+        self.0.retain(|_, session| {
+            let session = session.upgrade().filter(|session| waits(session));
+            due.extend(session.clone());
+            session.is_some()
         });
         due
     }
--- a/crates/proxy/src/early.rs
+++ b/crates/proxy/src/early.rs
@@ -1,10 +1,10 @@
 //! What comes before the list has been heard, where the list is pushed: what its service has counts as told from
 //! the first moment of a process, so nobody is placed by the old list while the new one is on its way.
 
-use crate::circuit::{Circuit, Stage};
 use crate::clock::duration;
 use crate::hands::Hands;
 use crate::proxy::Proxy;
+use crate::session::{Session, Stage};
 use calloop::timer::{TimeoutAction, Timer};
 use shelfgrade::host::{Arrival, Turn};
 use shelfgrade::time::{Point, Span};
@@ -21,12 +21,12 @@
 #[derive(Default)]
 pub struct Early {
     until: Option<Point>,
-    circuits: Vec<Weak<Circuit>>,
+    sessions: Vec<Weak<Session>>,
 }
 
 impl Early {
     pub fn until_the_list_is_heard(now: Point) -> Self {
-        Early { until: Some(now + WAITS), circuits: Vec::new() }
+        Early { until: Some(now + WAITS), sessions: Vec::new() }
     }
 
     /// Where the list is asked for, and this proxy's turn to ask comes late among many. Guards against serving by a list
@@ -36,22 +36,22 @@
         // An answer takes milliseconds, or is one among many that come at once; refused, it serves by the list it has.
         const ANSWERED_IN: Span = Span::millis(500);
         let late = asks_at.since(now) > WAITS;
-        Early { until: late.then_some(asks_at + ANSWERED_IN), circuits: Vec::new() }
+        Early { until: late.then_some(asks_at + ANSWERED_IN), sessions: Vec::new() }
     }
 
     /// Where the return says when: it has a bound of its own, and this one is for the case that it fails.
     pub fn until_the_return_serves(now: Point, wait: Span) -> Self {
-        Early { until: Some(now + wait + WAITS), circuits: Vec::new() }
+        Early { until: Some(now + wait + WAITS), sessions: Vec::new() }
     }
 
     pub fn waits(&self) -> bool {
         self.until.is_some()
     }
 
-    /// Keeps a circuit until then, and no longer than half of its patience.
-    pub fn holds(&mut self, circuit: &Rc<Circuit>, hands: &Hands) {
-        self.circuits.push(Rc::downgrade(circuit));
-        let timer = Timer::from_duration(duration(longest_wait(circuit)));
+    /// Keeps a session until then, and no longer than half of its patience.
+    pub fn holds(&mut self, session: &Rc<Session>, hands: &Hands) {
+        self.sessions.push(Rc::downgrade(session));
+        let timer = Timer::from_duration(duration(longest_wait(session)));
         let set = hands.handle.insert_source(timer, |_, _, proxy| {
             proxy.end_of_waiting();
             TimeoutAction::Drop
@@ -60,9 +60,9 @@
     }
 }
 
-/// How long a circuit may wait for the list.
-fn longest_wait(circuit: &Circuit) -> Span {
-    circuit.opening.patience.times(0.5)
+/// How long a session may wait for the list.
+fn longest_wait(session: &Session) -> Span {
+    session.opening.patience.times(0.5)
 }
 
 impl Proxy {
@@ -71,14 +71,14 @@
         if self.early.until.take().is_none() {
             return;
         }
-        for circuit in std::mem::take(&mut self.early.circuits) {
-            circuit.upgrade().inspect(|circuit| self.place(circuit));
+        for session in std::mem::take(&mut self.early.sessions) {
+            session.upgrade().inspect(|session| self.place(session));
         }
         let ready = self.is_ready();
         self.door.callers().for_each(|caller| caller.answer_sign(ready));
     }
 
-    /// Called with each tick, and for each circuit when its time is up: nobody waits past the bound, and no circuit past
+    /// Called with each tick, and for each session when its time is up: nobody waits past the bound, and no session past
     /// half of its patience.
     pub fn end_of_waiting(&mut self) {
         let now = self.now();
@@ -87,22 +87,22 @@
             log::warn!("no list has come yet: serving with the one known at the start");
             return self.list_is_here();
         }
-        let impatient = |c: &Rc<Circuit>| now.since(c.since.get()) >= longest_wait(c);
-        let due = self.early.circuits.extract_if(.., |c| c.upgrade().as_ref().is_none_or(impatient));
-        for circuit in due.collect::<Vec<_>>().iter().filter_map(Weak::upgrade) {
-            self.place(&circuit);
+        let impatient = |c: &Rc<Session>| now.since(c.since.get()) >= longest_wait(c);
+        let due = self.early.sessions.extract_if(.., |c| c.upgrade().as_ref().is_none_or(impatient));
+        for session in due.collect::<Vec<_>>().iter().filter_map(Weak::upgrade) {
+            self.place(&session);
         }
     }
 
-    /// Hands a circuit to the decisions; its patience counts from when it came.
-    pub fn place(&mut self, circuit: &Rc<Circuit>) {
-        if circuit.stage.get() == Stage::Asking {
+    /// Hands a session to the decisions; its patience counts from when it came.
+    pub fn place(&mut self, session: &Rc<Session>) {
+        if session.stage.get() == Stage::Asking {
             let now = self.now();
-            let mut turn = self.turn(circuit);
-            let ruled = self.rule_for(circuit);
+            let mut turn = self.turn(session);
+            let ruled = self.rule_for(session);
             if let Some(ruled) = ruled.as_ref().filter(|ruled| ruled.full) {
-                log::debug!("circuit {}: no room for {}", circuit.id.0, ruled.customer);
-                self.hands.tally.count("circuits without room in their namespace");
+                log::debug!("session {}: no room for {}", session.id.0, ruled.customer);
+                self.hands.tally.count("sessions without room in their namespace");
                 turn = Some(turn.unwrap_or(Turn { before: 2.0, again: NO_ROOM }))
                     .map(|t| Turn { before: 2.0, ..t });
             }
@@ -112,11 +112,11 @@
             }
             let among = ruled.as_ref().map(|ruled| &ruled.among);
             let whose = ruled.as_ref().map(|ruled| &ruled.customer);
-            let arrival = crate::proxy::arrival(circuit, circuit.since.get() + circuit.opening.patience);
-            *circuit.place.borrow_mut() = ruled.as_ref().map(|ruled| ruled.place.clone());
+            let arrival = crate::proxy::arrival(session, session.since.get() + session.opening.patience);
+            *session.place.borrow_mut() = ruled.as_ref().map(|ruled| ruled.place.clone());
             self.chooser.arrived(whose, &Arrival { turn, among, ..arrival }, now, &mut self.hands);
             // Not turned away: it was let in, or is about to be.
-            let let_in = turn.is_some() && circuit.stage.get() == Stage::Asking;
+            let let_in = turn.is_some() && session.stage.get() == Stage::Asking;
             self.fellows.iter().filter(|_| let_in).for_each(|fellows| fellows.let_in());
             self.settle();
         }
--- a/crates/proxy/src/ending.rs
+++ b/crates/proxy/src/ending.rs
@@ -1,8 +1,8 @@
 //! The end: what comes is still taken and answered, and what stands is moved, until nothing is left or time
 //! runs out.
 
-use crate::circuit::{Circuit, Stage};
 use crate::proxy::{Proxy, TICK};
+use crate::session::{Session, Stage};
 use shelfgrade::time::{Point, Span};
 use std::rc::Rc;
 
@@ -48,10 +48,10 @@
     pub fn told_to_end(&mut self) {
         let now = self.now();
         self.told_to_end.get_or_insert(now);
-        log::info!("told to end, with {} connections", self.hands.circuits.len());
+        log::info!("told to end, with {} connections", self.hands.sessions.len());
     }
 
-    /// Called with each tick: ends when no more circuits come, all that came are answered, and none stands.
+    /// Called with each tick: ends when no more sessions come, all that came are answered, and none stands.
     pub fn end_when_done(&mut self) {
         // Clients go on coming for a little while after the signal.
         const QUIET_FOR: Span = Span::millis(500);
@@ -63,12 +63,12 @@
             self.chooser.ends((ticks_left / TICK.as_millis() as f64) as usize, &mut self.hands);
             self.settle();
         }
-        let circuits: Vec<Rc<Circuit>> = self.hands.circuits.values().cloned().collect();
-        let in_stage = |stage| circuits.iter().filter(move |c| c.stage.get() == stage);
+        let sessions: Vec<Rc<Session>> = self.hands.sessions.values().cloned().collect();
+        let in_stage = |stage| sessions.iter().filter(move |c| c.stage.get() == stage);
         if past >= open_for {
-            for circuit in in_stage(Stage::Asking) {
+            for session in in_stage(Stage::Asking) {
                 self.hands.tally.count("forfeited at the end");
-                circuit.answer("ERR", &mut self.hands);
+                session.answer("ERR", &mut self.hands);
             }
         }
         let open = in_stage(Stage::Asking).chain(in_stage(Stage::Standing)).next().is_some();
@@ -90,7 +90,7 @@
     }
 
     /// Who is at the door, or still in its queue, is told to come again: a connection closed without a word is a client
-    /// lost. A circuit that comes that late is answered too.
+    /// lost. A session that comes that late is answered too.
     fn last_answers(&mut self) {
         // More turns than come in the time that all this takes.
         const TURNS: usize = 64;
@@ -107,9 +107,9 @@
                 caller.refuse("BUSY", "callers at the end", self);
             }
         }
-        for circuit in self.hands.circuits.values().cloned().collect::<Vec<_>>() {
-            if circuit.stage.get() == Stage::Asking {
-                circuit.answer("ERR", &mut self.hands);
+        for session in self.hands.sessions.values().cloned().collect::<Vec<_>>() {
+            if session.stage.get() == Stage::Asking {
+                session.answer("ERR", &mut self.hands);
             }
         }
     }
--- a/crates/proxy/src/fellows.rs
+++ b/crates/proxy/src/fellows.rs
@@ -249,7 +249,7 @@
         taken
     }
 
-    /// A circuit has come: what it is owed. Guards against parts of the fleet's rights that ran out while this process
+    /// A session has come: what it is owed. Guards against parts of the fleet's rights that ran out while this process
     /// was stopped: they are asked for again with each.
     pub fn turn(&self, of: (Option<usize>, Option<usize>), key: u64, company: &mut C) -> Option<Turn> {
         let now = company.now();
--- a/crates/proxy/src/hands.rs
+++ b/crates/proxy/src/hands.rs
@@ -1,18 +1,18 @@
-//! What carries out the decisions: the servers and circuits that there are, and the calls of the module.
+//! What carries out the decisions: the servers and sessions that there are, and the calls of the module.
 
-use crate::circuit::{Circuit, Stage, TAKE_OVER_WITHIN};
 use crate::client::busy;
 use crate::clock::{duration, Clock};
 use crate::due::Due;
 use crate::lingering::LingeringCloses;
 use crate::proxy::Proxy;
 use crate::server::{Connect, Server};
+use crate::session::{Session, Stage, TAKE_OVER_WITHIN};
 use crate::socket::Socket;
 use crate::start::Limits;
 use crate::tally::Tally;
 use calloop::timer::{TimeoutAction, Timer};
 use calloop::LoopHandle;
-use shelfgrade::host::{CircuitId, Ending, Host, Listed, ServerId, Standing};
+use shelfgrade::host::{Ending, Host, Listed, ServerId, SessionId, Standing};
 use shelfgrade::time::{Point, Span};
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -30,7 +30,7 @@
     pub clock: Clock,
     pub servers: BTreeMap<ServerId, Rc<Server>>,
     /// The door: from the module's names to connections.
-    pub circuits: BTreeMap<CircuitId, Rc<Circuit>>,
+    pub sessions: BTreeMap<SessionId, Rc<Session>>,
     /// The ids that these came with.
     pub open_ids: BTreeSet<u64>,
     /// Those that are looked after with each tick, and those whose client waits for something to come back.
@@ -40,12 +40,12 @@
     pub lingering: LingeringCloses,
     pub last_id: u64,
     /// What waits for the list to name the server that held it before the start.
-    pub unplaced: Vec<Weak<Circuit>>,
+    pub unplaced: Vec<Weak<Session>>,
     /// Discovery has answered since the start.
     pub list_heard: Cell<bool>,
     pub sockets: usize,
     /// What came of a call while the module was speaking, to be told when it has finished.
-    pub untold: VecDeque<(CircuitId, Ending, bool)>,
+    pub untold: VecDeque<(SessionId, Ending, bool)>,
     pub wants_list: Cell<bool>,
     /// What the module asked to be woken at, last.
     pub wakes_at: Point,
@@ -67,7 +67,7 @@
             tells_delay,
             clock: Clock::start(),
             servers: BTreeMap::new(),
-            circuits: BTreeMap::new(),
+            sessions: BTreeMap::new(),
             open_ids: BTreeSet::new(),
             due: Due::default(),
             unanswered: Due::default(),
@@ -83,9 +83,9 @@
         }
     }
 
-    pub fn next_id(&mut self) -> CircuitId {
+    pub fn next_id(&mut self) -> SessionId {
         self.last_id += 1;
-        CircuitId(self.last_id)
+        SessionId(self.last_id)
     }
 
     /// What is kept for callers, whatever else is held: a few of them find room even then.
@@ -93,20 +93,20 @@
         self.sockets / 16
     }
 
-    /// Descriptors that are spoken for: each circuit's two, one a server for its probe, and our own.
+    /// Descriptors that are spoken for: each session's two, one a server for its probe, and our own.
     fn spoken_for(&self, probes: usize) -> usize {
         // For the listener, discovery, the loop and the log.
         const SPARE: usize = 24;
-        2 * self.circuits.len() + probes + SPARE
+        2 * self.sessions.len() + probes + SPARE
     }
 
     /// How many probes there may be at the least.
     fn probes_wanted(&self) -> usize {
-        // Only servers that hold a circuit are probed, or three for a new one, however long the list.
-        self.servers.len().min(3 * (self.circuits.len() + 1))
+        // Only servers that hold a session are probed, or three for a new one, however long the list.
+        self.servers.len().min(3 * (self.sessions.len() + 1))
     }
 
-    /// Their connections stay when the circuits that they were for have gone.
+    /// Their connections stay when the sessions that they were for have gone.
     fn probes(&self) -> usize {
         let held = self.servers.values().filter(|server| server.probe.borrow().is_some()).count();
         held.max(self.probes_wanted())
@@ -119,7 +119,7 @@
         left.clamp(self.kept_for_callers(), self.sockets / 4)
     }
 
-    /// Whether one more circuit might find no descriptor.
+    /// Whether one more session might find no descriptor.
     pub fn is_full(&self) -> bool {
         let is_full = |probes| self.spoken_for(probes) + 2 + self.kept_for_callers() > self.sockets;
         let full = is_full(self.probes_wanted());
@@ -129,7 +129,7 @@
         full
     }
 
-    /// Makes room for one more probe. Guards against those of circuits that have gone holding all descriptors.
+    /// Makes room for one more probe. Guards against those of sessions that have gone holding all descriptors.
     pub fn make_room_for_probe(&self) {
         let others = self.spoken_for(0) + self.kept_for_callers();
         self.hang_up(self.sockets.saturating_sub(others).max(self.probes_wanted()).saturating_sub(1));
@@ -150,16 +150,16 @@
         self.lingering.close(client, now);
     }
 
-    pub fn forget(&mut self, circuit: &Circuit) {
-        self.circuits.remove(&circuit.id);
-        self.open_ids.remove(&circuit.opening.id);
+    pub fn forget(&mut self, session: &Session) {
+        self.sessions.remove(&session.id);
+        self.open_ids.remove(&session.opening.id);
     }
 
-    /// Has a circuit go on after the others had their turn.
-    pub fn call_again(&self, circuit: &Circuit) {
-        let weak = circuit.me.clone();
+    /// Has a session go on after the others had their turn.
+    pub fn call_again(&self, session: &Session) {
+        let weak = session.me.clone();
         let again = self.handle.insert_source(Timer::immediate(), move |_, _, proxy| {
-            weak.upgrade().inspect(|circuit| circuit.ready(proxy));
+            weak.upgrade().inspect(|session| session.ready(proxy));
             TimeoutAction::Drop
         });
         self.tally.must(again.is_ok(), "a timer can be set");
@@ -196,87 +196,87 @@
         self.servers.retain(|_, server| server.standing.get() != Standing::Gone);
     }
 
-    /// Connects a circuit to the server that its line names, or leaves it for when the list names that one.
-    pub fn take_over(&mut self, circuit: &Rc<Circuit>) {
-        if !circuit.still_asks(self) {
+    /// Connects a session to the server that its line names, or leaves it for when the list names that one.
+    pub fn take_over(&mut self, session: &Rc<Session>) {
+        if !session.still_asks(self) {
             return;
         }
-        let server = circuit.opening.at.as_ref().and_then(|at| self.servers.get(at.as_str()).cloned());
-        let Some(server) = server else { return self.unplaced.push(circuit.me.clone()) };
-        match Connect::begin(circuit, server, TAKE_OVER_WITHIN, self.clock.now(), self) {
-            Ok(connect) => drop(circuit.connect.replace(Some(connect))),
+        let server = session.opening.at.as_ref().and_then(|at| self.servers.get(at.as_str()).cloned());
+        let Some(server) = server else { return self.unplaced.push(session.me.clone()) };
+        match Connect::begin(session, server, TAKE_OVER_WITHIN, self.clock.now(), self) {
+            Ok(connect) => drop(session.connect.replace(Some(connect))),
             Err(fault) => {
-                log::warn!("circuit {}: {fault}", circuit.id.0);
-                circuit.answer("ERR", self);
+                log::warn!("session {}: {fault}", session.id.0);
+                session.answer("ERR", self);
             }
         }
     }
 
     pub fn take_over_waiting(&mut self) {
-        for circuit in std::mem::take(&mut self.unplaced).iter().filter_map(Weak::upgrade) {
-            if circuit.stage.get() == Stage::Asking {
-                self.take_over(&circuit);
+        for session in std::mem::take(&mut self.unplaced).iter().filter_map(Weak::upgrade) {
+            if session.stage.get() == Stage::Asking {
+                self.take_over(&session);
             }
         }
     }
 }
 
 impl Host for Hands {
-    fn connect(&mut self, circuit: CircuitId, server: &ServerId, time_out: Span) {
-        log::debug!("circuit {} connects to {server}, for {} ms", circuit.0, time_out.as_ms());
-        let (found, server) = (self.circuits.get(&circuit).cloned(), self.servers.get(server).cloned());
+    fn connect(&mut self, session: SessionId, server: &ServerId, time_out: Span) {
+        log::debug!("session {} connects to {server}, for {} ms", session.0, time_out.as_ms());
+        let (found, server) = (self.sessions.get(&session).cloned(), self.servers.get(server).cloned());
         self.tally
-            .must(found.is_some() && server.is_some(), "a connect is for a circuit and a server that are");
+            .must(found.is_some() && server.is_some(), "a connect is for a session and a server that are");
         let begun = match (&found, server) {
             (Some(found), _) if !found.still_asks(self) => {
-                return self.untold.push_back((circuit, Ending::CalledOff, true));
+                return self.untold.push_back((session, Ending::CalledOff, true));
             }
             (Some(found), Some(server)) => {
                 self.tally.must(found.connect.borrow().is_none(), "one connect at a time");
                 Connect::begin(found, server, time_out, self.clock.now(), self)
             }
-            _ => return self.untold.push_back((circuit, Ending::Moot, false)),
+            _ => return self.untold.push_back((session, Ending::Moot, false)),
         };
         match (begun, found) {
             (Ok(connect), Some(found)) => drop(found.connect.replace(Some(connect))),
             (Err(fault), _) => {
                 // Out of descriptors, or refused at once: nothing was sent.
-                log::warn!("circuit {}: {fault}", circuit.0);
+                log::warn!("session {}: {fault}", session.0);
                 let refused = fault.kind() == ErrorKind::ConnectionRefused;
                 let ending = if refused { Ending::Unreachable } else { Ending::Moot };
-                self.untold.push_back((circuit, ending, false));
+                self.untold.push_back((session, ending, false));
             }
             _ => {}
         }
     }
 
-    fn push_back(&mut self, circuit: CircuitId, pause: Span) {
+    fn push_back(&mut self, session: SessionId, pause: Span) {
         self.tally.count("pushed back");
-        log::debug!("circuit {} pushed back for {} ms", circuit.0, pause.as_ms());
-        if let Some(circuit) = self.circuits.get(&circuit).cloned() {
-            circuit.answer(&busy(pause), self);
+        log::debug!("session {} pushed back for {} ms", session.0, pause.as_ms());
+        if let Some(session) = self.sessions.get(&session).cloned() {
+            session.answer(&busy(pause), self);
         }
     }
 
-    fn forfeit(&mut self, circuit: CircuitId) {
+    fn forfeit(&mut self, session: SessionId) {
         self.tally.count("forfeited");
-        log::debug!("circuit {} forfeited", circuit.0);
-        if let Some(circuit) = self.circuits.get(&circuit).cloned() {
-            circuit.answer("ERR", self);
+        log::debug!("session {} forfeited", session.0);
+        if let Some(session) = self.sessions.get(&session).cloned() {
+            session.answer("ERR", self);
         }
     }
 
-    fn send_away(&mut self, circuit: CircuitId) {
+    fn send_away(&mut self, session: SessionId) {
         self.tally.count("sent away");
-        log::debug!("circuit {} sent away", circuit.0);
+        log::debug!("session {} sent away", session.0);
         let now = self.clock.now();
-        let Some(circuit) = self.circuits.get(&circuit).filter(|c| c.stage.get() == Stage::Standing) else {
+        let Some(session) = self.sessions.get(&session).filter(|c| c.stage.get() == Stage::Standing) else {
             return;
         };
-        circuit.leaving_line.set(Some(now));
-        self.due.add(circuit);
-        if circuit.try_moving(now) {
-            self.untold.push_back((circuit.id, Ending::CalledOff, true));
+        session.leaving_line.set(Some(now));
+        self.due.add(session);
+        if session.try_moving(now) {
+            self.untold.push_back((session.id, Ending::CalledOff, true));
         }
     }
 
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -7,7 +7,6 @@
 
 mod caller;
 mod choosers;
-mod circuit;
 mod client;
 mod clock;
 mod comeback;
@@ -32,6 +31,7 @@
 mod reload;
 mod ring;
 mod server;
+mod session;
 mod socket;
 mod spaces;
 mod start_times;
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -1,7 +1,6 @@
 //! The proxy: owns the decisions, hears from the sockets, and carries out what is decided.
 
 use crate::choosers::Choosers;
-use crate::circuit::{Circuit, Stage};
 use crate::comeback;
 use crate::discovery::{CallFault, Discovery, Follower, ASKED, PUSHED};
 use crate::door::Door;
@@ -15,6 +14,7 @@
 use crate::listing::Listing;
 use crate::probe::Probe;
 use crate::server::Server;
+use crate::session::{Session, Stage};
 use crate::socket::Socket;
 use crate::spaces::Spaces;
 use crate::start::{limit_descriptors, Limits, Start};
@@ -24,7 +24,7 @@
 use calloop::signals::{Signal, Signals};
 use calloop::timer::{TimeoutAction, Timer};
 use calloop::{EventLoop, LoopHandle, LoopSignal};
-use shelfgrade::host::{Arrival, CircuitId, Ending, Listed, ServerId};
+use shelfgrade::host::{Arrival, Ending, Listed, ServerId, SessionId};
 use shelfgrade::time::{Point, Span};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -59,7 +59,7 @@
     pulses_taken: Point,
     /// When it was told to read its files again, where that is still to be done.
     pub told_to_reload: Option<Point>,
-    /// Since when it has been told to end, and when the last circuit came.
+    /// Since when it has been told to end, and when the last session came.
     pub told_to_end: Option<Point>,
     pub course: Course,
     pub last_arrival: Point,
@@ -185,7 +185,7 @@
         self.hands.clock.now()
     }
 
-    /// Whether circuits can be taken: there is a list to choose from.
+    /// Whether sessions can be taken: there is a list to choose from.
     pub fn is_ready(&self) -> bool {
         !self.hands.servers.is_empty()
     }
@@ -194,55 +194,55 @@
     pub fn open(&mut self, open: Open, client: Rc<Socket<Proxy>>) {
         log::trace!("{open:?}");
         let now = self.now();
-        let circuit = Circuit::new(self.hands.next_id(), open, client, self.ring, now);
-        let weak = circuit.me.clone();
-        circuit.client.on_ready(move |proxy| {
-            weak.upgrade().inspect(|circuit| circuit.ready(proxy));
+        let session = Session::new(self.hands.next_id(), open, client, self.ring, now);
+        let weak = session.me.clone();
+        session.client.on_ready(move |proxy| {
+            weak.upgrade().inspect(|session| session.ready(proxy));
         });
-        self.hands.circuits.insert(circuit.id, circuit.clone());
-        self.hands.open_ids.insert(circuit.opening.id);
+        self.hands.sessions.insert(session.id, session.clone());
+        self.hands.open_ids.insert(session.opening.id);
         self.discovery.clone().look(self);
-        if circuit.is_taken_over() {
-            self.hands.due.add(&circuit);
-            self.hands.take_over(&circuit);
+        if session.is_taken_over() {
+            self.hands.due.add(&session);
+            self.hands.take_over(&session);
         } else {
-            self.hands.tally.count("circuits");
+            self.hands.tally.count("sessions");
             self.last_arrival = now;
             if self.early.waits() && self.fellows.is_none() {
-                self.early.holds(&circuit, &self.hands);
+                self.early.holds(&session, &self.hands);
             } else {
-                self.place(&circuit);
+                self.place(&session);
             }
         }
         // What came since its line was read, brings no event of its own.
-        circuit.ready(self);
+        session.ready(self);
         self.make_room();
     }
 
-    /// The circuit's connection is up.
-    pub fn stands(&mut self, circuit: &Circuit, server: &ServerId) {
+    /// The session's connection is up.
+    pub fn stands(&mut self, session: &Session, server: &ServerId) {
         let now = self.now();
-        if circuit.is_taken_over() {
-            self.chooser.open_already(&arrival(circuit, now), server, now);
+        if session.is_taken_over() {
+            self.chooser.open_already(&arrival(session, now), server, now);
         } else {
             self.hands.tally.count("connections up");
-            log::debug!("circuit {} stands at {server}", circuit.id.0);
-            self.chooser.stands(circuit.id, now);
+            log::debug!("session {} stands at {server}", session.id.0);
+            self.chooser.stands(session.id, now);
         }
     }
 
     /// A connect, or a standing connection, has ended; `done` where the client's side has its end by that.
-    pub fn ended(&mut self, circuit: CircuitId, ending: Ending, done: bool) {
-        log::debug!("circuit {} ended: {ending:?}, done {done}", circuit.0);
+    pub fn ended(&mut self, session: SessionId, ending: Ending, done: bool) {
+        log::debug!("session {} ended: {ending:?}, done {done}", session.0);
         let now = self.now();
-        self.chooser.ended(circuit, ending, done, now, &mut self.hands);
+        self.chooser.ended(session, ending, done, now, &mut self.hands);
         self.settle();
     }
 
     /// The client has left before its answer; the connect that was out has ended with it.
-    pub fn left(&mut self, circuit: CircuitId) {
-        self.chooser.left(circuit);
-        self.ended(circuit, Ending::CalledOff, true);
+    pub fn left(&mut self, session: SessionId) {
+        self.chooser.left(session);
+        self.ended(session, Ending::CalledOff, true);
     }
 
     /// A probe has come back, or was given up, after this long.
@@ -255,25 +255,25 @@
     }
 
     /// A server has told how long messages take there.
-    pub fn messages_take(&mut self, circuit: CircuitId, took: Span) {
+    pub fn messages_take(&mut self, session: SessionId, took: Span) {
         let now = self.now();
-        self.chooser.messages_take(circuit, took, now, &mut self.hands);
+        self.chooser.messages_take(session, took, now, &mut self.hands);
         self.settle();
     }
 
     /// Carries out a move that waited for the end of a line.
-    pub fn move_now(&mut self, circuit: &Circuit) {
+    pub fn move_now(&mut self, session: &Session) {
         let now = self.now();
-        if circuit.try_moving(now) {
-            self.ended(circuit.id, Ending::CalledOff, true);
+        if session.try_moving(now) {
+            self.ended(session.id, Ending::CalledOff, true);
         }
     }
 
     /// Tells the module what came of its own calls.
     pub fn settle(&mut self) {
-        while let Some((circuit, ending, done)) = self.hands.untold.pop_front() {
+        while let Some((session, ending, done)) = self.hands.untold.pop_front() {
             let now = self.now();
-            self.chooser.ended(circuit, ending, done, now, &mut self.hands);
+            self.chooser.ended(session, ending, done, now, &mut self.hands);
         }
         if self.hands.wants_list.take() && self.asks_discovery() {
             self.discovery.clone().ask(self);
@@ -284,9 +284,9 @@
     }
 
     fn tick(&mut self) {
-        for circuit in self.hands.due.look(Circuit::is_due) {
-            self.hands.tally.count("circuits looked after");
-            circuit.tick(self);
+        for session in self.hands.due.look(Session::is_due) {
+            self.hands.tally.count("sessions looked after");
+            session.tick(self);
         }
         self.sweep_callers();
         self.hands.lingering.sweep(self.now());
@@ -304,23 +304,23 @@
             return;
         }
         self.pulses_taken = now;
-        let there = &self.hands.circuits;
-        self.chooser.sweep(|circuit| there.contains_key(circuit), now);
+        let there = &self.hands.sessions;
+        self.chooser.sweep(|session| there.contains_key(session), now);
         self.look_at_windows();
         let servers: Vec<_> = self.hands.servers.values().cloned().collect();
         let waits =
-            |circuit: &Circuit| circuit.stage.get() == Stage::Standing && circuit.asked.get().is_some();
-        for circuit in self.hands.unanswered.look(waits) {
-            self.hands.tally.count("circuits looked after");
-            if let Some(asked) = circuit.asked.get().filter(|_| circuit.stage.get() == Stage::Standing) {
-                self.chooser.messages_take(circuit.id, now.since(asked), now, &mut self.hands);
+            |session: &Session| session.stage.get() == Stage::Standing && session.asked.get().is_some();
+        for session in self.hands.unanswered.look(waits) {
+            self.hands.tally.count("sessions looked after");
+            if let Some(asked) = session.asked.get().filter(|_| session.stage.get() == Stage::Standing) {
+                self.chooser.messages_take(session.id, now.since(asked), now, &mut self.hands);
                 self.settle();
             }
         }
         for server in servers {
-            if let Some((took, circuit)) = server.pulse.take() {
+            if let Some((took, session)) = server.pulse.take() {
                 log::debug!("messages at {} take {} ms", server.id, took.as_ms());
-                self.chooser.messages_take(circuit.id, took, now, &mut self.hands);
+                self.chooser.messages_take(session.id, took, now, &mut self.hands);
                 self.settle();
             }
         }
@@ -376,10 +376,10 @@
     }
 }
 
-pub fn arrival(circuit: &Circuit, patience_ends: Point) -> Arrival<'_> {
-    let opening = &circuit.opening;
+pub fn arrival(session: &Session, patience_ends: Point) -> Arrival<'_> {
+    let opening = &session.opening;
     Arrival {
-        circuit: circuit.id,
+        session: session.id,
         offering: Some(opening.offering),
         key: Some(&opening.key),
         group: opening.group.as_deref(),
--- a/crates/proxy/src/pulse.rs
+++ b/crates/proxy/src/pulse.rs
@@ -1,6 +1,6 @@
 //! How long messages take at a server: what the connections that stand there have seen of late.
 
-use crate::circuit::Circuit;
+use crate::session::Session;
 use shelfgrade::time::Span;
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -8,26 +8,26 @@
 
 #[derive(Default)]
 pub struct Pulse {
-    latest: RefCell<VecDeque<(Span, Weak<Circuit>)>>,
+    latest: RefCell<VecDeque<(Span, Weak<Session>)>>,
 }
 
 impl Pulse {
-    /// A message of this circuit has come back.
-    pub fn came_back(&self, circuit: &Circuit, took: Span) {
+    /// A message of this session has come back.
+    pub fn came_back(&self, session: &Session, took: Span) {
         // More than come back in a second, few enough to hold.
         const SAMPLES: usize = 64;
         let mut latest = self.latest.borrow_mut();
-        latest.push_back((took, circuit.me.clone()));
+        latest.push_back((took, session.me.clone()));
         if latest.len() > SAMPLES {
             latest.pop_front();
         }
     }
 
-    /// The middle one of what came back since this was last asked, with a circuit that still is.
-    pub fn take(&self) -> Option<(Span, Rc<Circuit>)> {
+    /// The middle one of what came back since this was last asked, with a session that still is.
+    pub fn take(&self) -> Option<(Span, Rc<Session>)> {
         let latest = std::mem::take(&mut *self.latest.borrow_mut());
         let mut standing: Vec<_> =
-            latest.into_iter().filter_map(|(took, circuit)| Some((took, circuit.upgrade()?))).collect();
+            latest.into_iter().filter_map(|(took, session)| Some((took, session.upgrade()?))).collect();
         standing.sort_by_key(|s| s.0);
         let middle = standing.len() / 2;
         (middle < standing.len()).then(|| standing.swap_remove(middle))
--- a/crates/proxy/src/ring.rs
+++ b/crates/proxy/src/ring.rs
@@ -1,4 +1,4 @@
-//! The bounded buffer of one direction of a circuit.
+//! The bounded buffer of one direction of a session.
 
 use std::io::{self, Read, Write};
 
--- a/crates/proxy/src/server.rs
+++ b/crates/proxy/src/server.rs
@@ -1,6 +1,5 @@
-//! The server's side of a circuit: one connect, from the dial to the end of the connection.
+//! The server's side of a session: one connect, from the dial to the end of the connection.
 
-use crate::circuit::{Circuit, Stage};
 use crate::clock::duration;
 use crate::hands::Hands;
 use crate::line::{text, Cutter};
@@ -9,6 +8,7 @@
 use crate::proxy::Proxy;
 use crate::pulse::Pulse;
 use crate::ring::Ring;
+use crate::session::{Session, Stage};
 use crate::socket::{End, Socket};
 use calloop::timer::{TimeoutAction, Timer};
 use calloop::{LoopHandle, RegistrationToken};
@@ -56,16 +56,16 @@
 impl Connect {
     /// Dials; the time-out covers the connect and the wait for the first answer.
     pub fn begin(
-        circuit: &Rc<Circuit>,
+        session: &Rc<Session>,
         server: Rc<Server>,
         time_out: Span,
         now: Point,
         hands: &Hands,
     ) -> io::Result<Rc<Self>> {
         let socket = Socket::dial(server.dial.get())?;
-        let weak = circuit.me.clone();
+        let weak = session.me.clone();
         socket.watch(&hands.handle, move |proxy| {
-            weak.upgrade().inspect(|circuit| circuit.ready(proxy));
+            weak.upgrade().inspect(|session| session.ready(proxy));
         })?;
         let connect = Rc::new(Connect {
             server,
@@ -78,9 +78,9 @@
             farewell: Cell::new(Ending::Broken),
         });
         // What was open before the start has only this one connect.
-        let dial = hands.dial_time_out.filter(|_| !circuit.is_taken_over());
+        let dial = hands.dial_time_out.filter(|_| !session.is_taken_over());
         let dial = dial.map_or(time_out, |dial| dial.min(time_out));
-        connect.give_up_in(dial, circuit, &hands.handle);
+        connect.give_up_in(dial, session, &hands.handle);
         Ok(connect)
     }
 
@@ -98,14 +98,14 @@
     }
 
     /// Guards against a stale alarm too: the new one takes the old one's place, and goes with the connect.
-    fn give_up_in(self: &Rc<Self>, wait: Span, circuit: &Circuit, handle: &LoopHandle<'static, Proxy>) {
+    fn give_up_in(self: &Rc<Self>, wait: Span, session: &Session, handle: &LoopHandle<'static, Proxy>) {
         self.stop_timer();
-        let (circuit, connect) = (circuit.me.clone(), Rc::downgrade(self));
+        let (session, connect) = (session.me.clone(), Rc::downgrade(self));
         let timer = Timer::from_duration(duration(wait));
         let token = handle.insert_source(timer, move |_, _, proxy| {
-            if let (Some(circuit), Some(connect)) = (circuit.upgrade(), connect.upgrade()) {
+            if let (Some(session), Some(connect)) = (session.upgrade(), connect.upgrade()) {
                 connect.timer.take();
-                connect.timed_out(&circuit, proxy);
+                connect.timed_out(&session, proxy);
             }
             TimeoutAction::Drop
         });
@@ -118,11 +118,11 @@
         }
     }
 
-    fn timed_out(self: &Rc<Self>, circuit: &Circuit, proxy: &mut Proxy) {
+    fn timed_out(self: &Rc<Self>, session: &Session, proxy: &mut Proxy) {
         // Guards against time running out just as the answer, or the client's end, comes in.
-        circuit.ready(proxy);
-        if circuit.current(self) && self.phase.get() != Phase::Up {
-            circuit.connect_ended(self, self.unrun_or(Ending::TimedOut), proxy);
+        session.ready(proxy);
+        if session.current(self) && self.phase.get() != Phase::Up {
+            session.connect_ended(self, self.unrun_or(Ending::TimedOut), proxy);
         }
     }
 
@@ -142,7 +142,7 @@
     }
 }
 
-impl Circuit {
+impl Session {
     /// Goes on with the connect, or reads once from the server; true if anything came.
     pub fn hear_server(&self, proxy: &mut Proxy) -> bool {
         let Some(connect) = self.connect.borrow().clone() else { return false };
@@ -239,7 +239,7 @@
     }
 
     fn server_says(&self, connect: &Rc<Connect>, line: &str, proxy: &mut Proxy) {
-        log::trace!("circuit {} at {}: {line}", self.id.0, connect.server.id);
+        log::trace!("session {} at {}: {line}", self.id.0, connect.server.id);
         if !self.current(connect) {
             return;
         }
@@ -288,7 +288,7 @@
 
     /// A connect has ended without a connection; the module says how it goes on.
     pub fn connect_ended(&self, connect: &Connect, ending: Ending, proxy: &mut Proxy) {
-        log::debug!("circuit {} at {}: {ending:?}", self.id.0, connect.server.id);
+        log::debug!("session {} at {}: {ending:?}", self.id.0, connect.server.id);
         self.connect.borrow_mut().take();
         self.down.borrow_mut().clear();
         if self.is_taken_over() {
--- a/crates/proxy/src/circuit.rs
+++ b/crates/proxy/src/session.rs
@@ -1,4 +1,4 @@
-//! A circuit on sockets: the client's side, the server's side, and the two rings between them.
+//! A session on sockets: the client's side, the server's side, and the two rings between them.
 //!
 //! Each direction ends by itself: `up_end` and `down_end` say how, once that is known, and the side that it
 //! leads to is ended the same way after the last byte of its ring.
@@ -9,7 +9,7 @@
 use crate::ring::Ring;
 use crate::server::Connect;
 use crate::socket::{End, Socket};
-use shelfgrade::host::{CircuitId, Ending};
+use shelfgrade::host::{Ending, SessionId};
 use shelfgrade::time::{Point, Span};
 use std::cell::{Cell, RefCell};
 use std::rc::{Rc, Weak};
@@ -32,8 +32,8 @@
     Closed,
 }
 
-pub struct Circuit {
-    pub id: CircuitId,
+pub struct Session {
+    pub id: SessionId,
     pub stage: Cell<Stage>,
     /// When that stage began.
     pub since: Cell<Point>,
@@ -51,12 +51,12 @@
     pub asked: Cell<Option<Point>>,
     /// Its place in its customer's room, for as long as it is here.
     pub place: RefCell<Option<Rc<()>>>,
-    pub me: Weak<Circuit>,
+    pub me: Weak<Session>,
 }
 
-impl Circuit {
-    pub fn new(id: CircuitId, opening: Open, client: Rc<Socket<Proxy>>, ring: usize, now: Point) -> Rc<Self> {
-        Rc::new_cyclic(|me| Circuit {
+impl Session {
+    pub fn new(id: SessionId, opening: Open, client: Rc<Socket<Proxy>>, ring: usize, now: Point) -> Rc<Self> {
+        Rc::new_cyclic(|me| Session {
             id,
             stage: Cell::new(Stage::Asking),
             since: Cell::new(now),
@@ -98,7 +98,7 @@
 
     /// One of its sockets may have become readable or writable.
     pub fn ready(&self, proxy: &mut Proxy) {
-        // Guards against one busy circuit starving the rest: it goes on after the others had their turn.
+        // Guards against one busy session starving the rest: it goes on after the others had their turn.
         const ROUNDS: usize = 32;
         for _ in 0..ROUNDS {
             if self.stage.get() == Stage::Closed {
@@ -140,7 +140,7 @@
         self.over_for_module(ending, proxy);
     }
 
-    /// The circuit has ended for the module, with all said that the client will hear of it.
+    /// The session has ended for the module, with all said that the client will hear of it.
     pub fn over_for_module(&self, ending: Ending, proxy: &mut Proxy) {
         if self.stage.get() == Stage::Standing {
             self.enter(Stage::Leaving, proxy.now());
@@ -149,7 +149,7 @@
         }
     }
 
-    /// A peer has broken the protocol: its connection ends, and the circuit with it, however the module is
+    /// A peer has broken the protocol: its connection ends, and the session with it, however the module is
     /// told that it ended.
     pub fn foul(&self, _: TooLong, ending: Ending, proxy: &mut Proxy) {
         proxy.hands.tally.complain("long lines");
@@ -183,7 +183,7 @@
         self.flush();
     }
 
-    /// Forgets the circuit once both sides have ended.
+    /// Forgets the session once both sides have ended.
     pub fn wind_up(&self, proxy: &mut Proxy) {
         let server_over = || self.connect.borrow().as_ref().is_none_or(|c| c.socket.is_over());
         if self.stage.get() == Stage::Leaving && self.client.is_over() && server_over() {
@@ -191,7 +191,7 @@
         }
     }
 
-    /// Closes both connections at once and forgets the circuit.
+    /// Closes both connections at once and forgets the session.
     pub fn close(&self, hands: &mut Hands) {
         self.connect.borrow_mut().take();
         self.stage.set(Stage::Closed);
--- a/crates/proxy/src/spaces.rs
+++ b/crates/proxy/src/spaces.rs
@@ -1,4 +1,4 @@
-//! Customers' namespaces in one process: read from a folder, spread over the fleet, and looked up for each circuit.
+//! Customers' namespaces in one process: read from a folder, spread over the fleet, and looked up for each session.
 //!
 //! The folder is the fleet file's `namespaces_dir`: `grants.toml` and a file for each customer. Whoever has a newer
 //! version of one spreads it; each is in force by itself, whole, or refused with its place.
@@ -23,11 +23,11 @@
     fn put<T: Serialize>(&self, key: &str, value: &T, version: u64) -> Result<(), String>;
 }
 
-/// What a circuit's rule says.
+/// What a session's rule says.
 pub struct Decided {
     pub customer: Rc<str>,
     pub among: Rc<[ServerId]>,
-    /// Held for as long as the circuit is: how many there are is how full the room is.
+    /// Held for as long as the session is: how many there are is how full the room is.
     pub place: Rc<()>,
     /// The room is full.
     pub full: bool,
@@ -150,7 +150,7 @@
         self.table.common_share()
     }
 
-    /// What decides a circuit; none where its customer has no namespace.
+    /// What decides a session; none where its customer has no namespace.
     pub fn decide(&mut self, customer: Option<&str>, offering: &str, group: Option<&str>) -> Option<Decided> {
         let customer = customer?;
         let (seat, seats) = self.seat;
--- a/crates/proxy/src/windows.rs
+++ b/crates/proxy/src/windows.rs
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Looks at the clock; `list` is the list as discovery has it, `held` how many circuits this process has at a site.
+    /// Looks at the clock; `list` is the list as discovery has it, `held` how many sessions this process has at a site.
     pub fn look(&mut self, now_ms: i64, list: &[Listed], held: impl Fn(&str) -> usize) -> Look {
         let Some(plan) = &mut self.plan else { return Look::default() };
         let mut sites: BTreeMap<String, Site> = BTreeMap::new();
--- a/crates/proxy/tests/sockets/crossing.rs
+++ b/crates/proxy/tests/sockets/crossing.rs
@@ -57,7 +57,7 @@
 
 /// The connect to a server that had been told to drain cost it a connection for nothing.
 #[test]
-fn a_circuit_that_comes_together_with_news_is_placed_by_the_news() {
+fn a_session_that_comes_together_with_news_is_placed_by_the_news() {
     for news_first in [true, false] {
         let (old, new) = (Place::new("s1"), Place::new("s2"));
         let program = Program::start(USUAL, &[&old]);
--- a/crates/proxy/tests/sockets/ending.rs
+++ b/crates/proxy/tests/sockets/ending.rs
@@ -36,7 +36,7 @@
     assert!(told.elapsed() < Duration::from_millis(1900), "{:?}", told.elapsed());
 }
 
-/// Callers were counted in no stage: the process ended as soon as no circuit was left, and closed on them.
+/// Callers were counted in no stage: the process ended as soon as no session was left, and closed on them.
 #[test]
 fn who_has_sent_nothing_yet_or_half_a_line_when_the_end_is_decided_is_served() {
     let server = Place::new("s1");
--- a/crates/proxy/tests/sockets/gone.rs
+++ b/crates/proxy/tests/sockets/gone.rs
@@ -1,4 +1,4 @@
-//! Stories of clients that have gone, in each place where a circuit waits between two turns: nothing begins for them any
+//! Stories of clients that have gone, in each place where a session waits between two turns: nothing begins for them any
 //! more, not even a connect. One that ends its sending alone has gone like one that closes, as a peer gives up in both ways;
 //! if it still reads it has its final answer.
 
--- a/crates/proxy/tests/sockets/leaving.rs
+++ b/crates/proxy/tests/sockets/leaving.rs
@@ -15,7 +15,7 @@
     assert_eq!(program.client().say("PING\r\n").line(), "PONG");
 }
 
-/// Takes a circuit's connect, at whichever of two servers it came to: its wire, and the other server.
+/// Takes a session's connect, at whichever of two servers it came to: its wire, and the other server.
 pub fn asked<'a>(one: &'a Place, two: &'a Place) -> (Wire, &'a Place) {
     let (mut wire, other) = within(LONG, || {
         let first = one.try_accept().map(|wire| (wire, two));
--- a/crates/proxy/tests/sockets/life.rs
+++ b/crates/proxy/tests/sockets/life.rs
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn a_circuit_still_unanswered_when_time_runs_out_is_forfeited() {
+fn a_session_still_unanswered_when_time_runs_out_is_forfeited() {
     let server = Place::new("s1");
     let program = Program::start(USUAL, &[&server]);
     let mut client = program.opens("lift-1", ",d=30000");
--- a/crates/proxy/tests/sockets/migration.rs
+++ b/crates/proxy/tests/sockets/migration.rs
@@ -99,7 +99,7 @@
     assert!(sent[before..].iter().all(|(place, ..)| place != "s1"), "{:?}", &sent[before..]);
     assert!(more["old"].len() >= 5 && more["new"].len() >= 8, "{} {}", more["old"].len(), more["new"].len());
 
-    // No circuit was taken up twice, whichever kind sent it.
+    // No session was taken up twice, whichever kind sent it.
     let mut taken: Vec<_> = sent.iter().filter(|s| s.2).map(|s| &s.1).collect();
     let all = taken.len();
     taken.sort();
--- a/crates/proxy/tests/sockets/peers.rs
+++ b/crates/proxy/tests/sockets/peers.rs
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn the_id_of_another_circuit_is_refused_while_that_is_open_and_after_it_was_pushed_back() {
+fn the_id_of_another_session_is_refused_while_that_is_open_and_after_it_was_pushed_back() {
     let server = Place::new("s1");
     let program = Program::start(USUAL, &[&server]);
     let line = "OPEN 0123456789abcdef lift-1 c=alarm,d=3000\r\n";
--- a/crates/proxy/tests/sockets/rest.rs
+++ b/crates/proxy/tests/sockets/rest.rs
@@ -1,4 +1,4 @@
-//! Stories of circuits at rest.
+//! Stories of sessions at rest.
 
 use crate::stand::{within, Place, Program, LONG, USUAL};
 
@@ -10,7 +10,7 @@
 
 /// A walk over all that stand, with each beat, costs a proxy of tens of thousands more than all their lines do.
 #[test]
-fn no_beat_looks_after_circuits_at_rest_however_many_stand() {
+fn no_beat_looks_after_sessions_at_rest_however_many_stand() {
     const CIRCUITS: usize = 40;
     let server = Place::new("s1");
     let program = Program::start(USUAL, &[&server]);
@@ -22,13 +22,13 @@
         assert_eq!(at_server.line(), "");
     }
     let log = program.ends();
-    let looked_after = counted(&log, "circuits looked after");
+    let looked_after = counted(&log, "sessions looked after");
     assert!(counted(&log, "connections up") == CIRCUITS && looked_after < CIRCUITS, "{log}");
 }
 
 /// What waits is looked after all the same: one that is to leave, and whose server never ends the line it began.
 #[test]
-fn a_circuit_that_waits_is_looked_after_among_many_at_rest() {
+fn a_session_that_waits_is_looked_after_among_many_at_rest() {
     let server = Place::new("s1");
     let program = Program::start(USUAL, &[&server]);
     let resting: Vec<_> = (0..8).map(|_| program.settles(&server)).collect();
@@ -45,7 +45,7 @@
 
 /// One whose server ended it, and whose client never ends its own side, keeps no descriptors for long.
 #[test]
-fn a_circuit_that_is_over_is_looked_after_until_its_descriptors_are_free() {
+fn a_session_that_is_over_is_looked_after_until_its_descriptors_are_free() {
     let server = Place::new("s1");
     let program = Program::start(USUAL, &[&server]);
     let _resting = program.settles(&server);
--- a/crates/proxy/tests/sockets/room.rs
+++ b/crates/proxy/tests/sockets/room.rs
@@ -1,4 +1,4 @@
-//! Stories of descriptors that are all but gone: idle clients, circuits or both hold them, by the limit of the settings or by
+//! Stories of descriptors that are all but gone: idle clients, sessions or both hold them, by the limit of the settings or by
 //! a lower one of the system's. Whatever must be dialled even then, still is.
 
 use crate::ready::own_address;
@@ -242,7 +242,7 @@
     });
 }
 
-/// Where the system's limit was the lower one, callers and circuits were let in up to the other, and no call could be dialled.
+/// Where the system's limit was the lower one, callers and sessions were let in up to the other, and no call could be dialled.
 #[test]
 fn discovery_is_asked_anew_after_a_reset_whoever_holds_the_descriptors() {
     for_all(
@@ -261,11 +261,11 @@
 }
 
 #[test]
-fn a_circuit_that_comes_among_idle_clients_or_after_another_is_dialled_a_server() {
+fn a_session_that_comes_among_idle_clients_or_after_another_is_dialled_a_server() {
     for_all(
         || USUAL,
         |full| {
-            // Where circuits hold all, one has to go first.
+            // Where sessions hold all, one has to go first.
             if full.standing.len() > 1 {
                 full.standing.pop();
             }
@@ -318,9 +318,9 @@
     }
 }
 
-/// Connections for signs of life stay open after the circuits that they were for, and were not counted.
+/// Connections for signs of life stay open after the sessions that they were for, and were not counted.
 #[test]
-fn signs_of_life_of_circuits_that_are_gone_take_no_descriptor_that_another_needs() {
+fn signs_of_life_of_sessions_that_are_gone_take_no_descriptor_that_another_needs() {
     let servers = Servers::begin(60);
     let known: Vec<_> = servers.places.iter().collect();
     let terms = Terms { probes: true, balancers: "300", aim_ms: 5000, sockets: ROOM, ..USUAL };
@@ -333,7 +333,7 @@
         gone += 1;
     }
     println!(
-        "{gone} circuits, {} servers probed, {} descriptors over",
+        "{gone} sessions, {} servers probed, {} descriptors over",
         probed(),
         program.descriptors() - before
     );
--- a/crates/recovery/src/comeback.rs
+++ b/crates/recovery/src/comeback.rs
@@ -122,13 +122,13 @@
         self.fleet.part(now)
     }
 
-    /// The turn of a circuit that has come, or none where all is as ever.
+    /// The turn of a session that has come, or none where all is as ever.
     pub fn turn(&mut self, of: (Option<usize>, Option<usize>), key: u64, now: Point) -> Option<Turn> {
         let luck = f64::from(self.chance.generate::<f32>());
         self.back.turn(of, key, luck, now)
     }
 
-    /// The circuit that came last was let in.
+    /// The session that came last was let in.
     pub fn let_in(&mut self) {
         self.back.let_in();
     }
--- a/crates/recovery/src/order.rs
+++ b/crates/recovery/src/order.rs
@@ -1,7 +1,7 @@
-//! In which order service comes back: the list, then rooms at cold servers, then circuits by what is owed first.
+//! In which order service comes back: the list, then rooms at cold servers, then sessions by what is owed first.
 //!
 //! The decision module goes on saying which server, whether to try again and what is turned away. It is handed, for each
-//! circuit, the part of the crowd that goes before it and a time to come again, and lets a cold server have those that
+//! session, the part of the crowd that goes before it and a time to come again, and lets a cold server have those that
 //! come before its share of the crowd is used up.
 
 use shelfgrade::host::Turn;
@@ -13,7 +13,7 @@
 pub enum State {
     /// The list has yet to be agreed, and a bound on the wait for it to pass.
     Waiting,
-    /// Servers are cold: circuits are let in as rooms come up.
+    /// Servers are cold: sessions are let in as rooms come up.
     Warming,
     /// All as ever.
     Serving,
@@ -62,7 +62,7 @@
     warm_up: Span,
     most_pause: Span,
     warm_at: Option<Point>,
-    /// When the first circuit came that might be let in.
+    /// When the first session came that might be let in.
     opened: Option<Point>,
     came: VecDeque<Came>,
 }
@@ -115,7 +115,7 @@
         over
     }
 
-    /// A circuit has come: its turn, or none where all is as ever. `key` is any number of the client's, by which those
+    /// A session has come: its turn, or none where all is as ever. `key` is any number of the client's, by which those
     /// that are owed alike take turns; `luck` is from 0 to 1.
     pub fn turn(
         &mut self,
@@ -146,12 +146,12 @@
         Some(Turn { before, again: self.again(luck, now) })
     }
 
-    /// The circuit that came last was let in.
+    /// The session that came last was let in.
     pub fn let_in(&mut self) {
         self.came.back_mut().into_iter().for_each(|came| came.let_in = true);
     }
 
-    /// The part of the crowd that goes before such a circuit, from 0 to 1; `whole` where that is a whole crowd's time.
+    /// The part of the crowd that goes before such a session, from 0 to 1; `whole` where that is a whole crowd's time.
     fn before(&self, (offering, customer): (Option<usize>, Option<usize>), whole: bool, key: u64) -> f64 {
         if whole && self.is_sure(customer) {
             return 0.0;
--- a/crates/terms/tests/unit/lib.rs
+++ b/crates/terms/tests/unit/lib.rs
@@ -1,7 +1,7 @@
 //! Stories of `lib.rs` from within.
 
 use super::*;
-use shelfgrade::host::{CircuitId, Host, ServerId};
+use shelfgrade::host::{Host, ServerId, SessionId};
 use shelfgrade::time::Point;
 
 fn settings(balancers: &str, cold_ms: &str) -> Result<Terms, TermsFault> {
@@ -70,10 +70,10 @@
 struct Alarms(Vec<Point>);
 
 impl Host for Alarms {
-    fn connect(&mut self, _: CircuitId, _: &ServerId, _: Span) {}
-    fn push_back(&mut self, _: CircuitId, _: Span) {}
-    fn forfeit(&mut self, _: CircuitId) {}
-    fn send_away(&mut self, _: CircuitId) {}
+    fn connect(&mut self, _: SessionId, _: &ServerId, _: Span) {}
+    fn push_back(&mut self, _: SessionId, _: Span) {}
+    fn forfeit(&mut self, _: SessionId) {}
+    fn send_away(&mut self, _: SessionId) {}
     fn subscribe(&mut self) {}
     fn probe(&mut self, _: &ServerId) -> bool {
         false
--- a/crates/trials/examples/standing.rs
+++ b/crates/trials/examples/standing.rs
@@ -1,4 +1,4 @@
-//! What standing circuits cost one real process, and how late their lines are: a JSON line for every point.
+//! What standing sessions cost one real process, and how late their lines are: a JSON line for every point.
 //!
 //! `cargo run --release --locked -p shelfgrade-trials --example standing -- [SECONDS [MEMORY_MB [CIRCUITS...]]]`
 //!
@@ -7,7 +7,7 @@
 //! given. Each size is measured at rest, and with a line from every client each 2 s and 1 s.
 
 use shelfgrade_trials::process::Limits;
-use shelfgrade_trials::standing::{descriptors, most_circuits, Size, Standing};
+use shelfgrade_trials::standing::{descriptors, most_sessions, Size, Standing};
 use std::time::Duration;
 
 const SERVERS: usize = 16;
@@ -19,12 +19,12 @@
     let seconds = given.first().copied().unwrap_or(20);
     let memory_mb = given.get(1).copied().unwrap_or(64);
     let sockets = descriptors();
-    let most = most_circuits(sockets, SERVERS);
+    let most = most_sessions(sockets, SERVERS);
     let sizes = given.get(2..).filter(|sizes| !sizes.is_empty());
     let sizes = sizes.map_or(vec![1000, 5000, most], |sizes| sizes.iter().map(|n| *n as usize).collect());
-    for circuits in sizes {
+    for sessions in sizes {
         let limits = Limits { memory_mb, sockets };
-        let standing = Standing::begin(Size { circuits: circuits.min(most), servers: SERVERS, limits }).await;
+        let standing = Standing::begin(Size { sessions: sessions.min(most), servers: SERVERS, limits }).await;
         for every in EVERY {
             println!("{}", standing.point(Duration::from_secs(seconds), every).await);
         }
--- a/crates/trials/src/decisions.rs
+++ b/crates/trials/src/decisions.rs
@@ -1,5 +1,5 @@
 //! The decisions alone, before a host that does nothing: what an arrival, an end, a message and a change of the list take
-//! with so many circuits standing at so many servers.
+//! with so many sessions standing at so many servers.
 
 use hdrhistogram::Histogram;
 use serde_json::{json, Value};
@@ -21,7 +21,7 @@
 
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
-    pub circuits: usize,
+    pub sessions: usize,
     pub groups: usize,
     pub servers: usize,
 }
@@ -29,10 +29,10 @@
 struct Idle;
 
 impl Host for Idle {
-    fn connect(&mut self, _: CircuitId, _: &ServerId, _: Span) {}
-    fn push_back(&mut self, _: CircuitId, _: Span) {}
-    fn forfeit(&mut self, _: CircuitId) {}
-    fn send_away(&mut self, _: CircuitId) {}
+    fn connect(&mut self, _: SessionId, _: &ServerId, _: Span) {}
+    fn push_back(&mut self, _: SessionId, _: Span) {}
+    fn forfeit(&mut self, _: SessionId) {}
+    fn send_away(&mut self, _: SessionId) {}
     fn subscribe(&mut self) {}
     fn probe(&mut self, _: &ServerId) -> bool {
         false
@@ -76,7 +76,7 @@
     }
 }
 
-/// One proxy's decisions with all its circuits standing.
+/// One proxy's decisions with all its sessions standing.
 pub struct Decisions {
     size: Size,
     list: Vec<Listed>,
@@ -85,7 +85,7 @@
     last_id: u64,
     standing: VecDeque<u64>,
     pub took: Took,
-    /// Bytes that each server and each circuit has added.
+    /// Bytes that each server and each session has added.
     pub bytes: (f64, f64),
 }
 
@@ -115,20 +115,20 @@
             chooser,
             now: Point::from_ms(60_000.0),
             last_id: 0,
-            standing: VecDeque::with_capacity(size.circuits),
+            standing: VecDeque::with_capacity(size.sessions),
             took: Took::default(),
             bytes: (0.0, 0.0),
         };
         let empty = allocated();
         decisions.chooser.start(&decisions.list, decisions.now, &mut Idle);
         let listed = allocated();
-        for _ in 0..size.circuits {
+        for _ in 0..size.sessions {
             decisions.last_id += 1;
             let id = decisions.last_id;
             decisions.standing.push_back(id);
             decisions.with_arrival(id, false, |decisions, arrival| {
                 // As a hash spreads them.
-                let mix = arrival.circuit.0.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 32;
+                let mix = arrival.session.0.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 32;
                 let at = decisions.list[mix as usize % decisions.size.servers].server.clone();
                 decisions.chooser.open_already(arrival, &at, decisions.now);
             });
@@ -137,19 +137,19 @@
         let part = |bytes: usize, of: usize| bytes as f64 / of.max(1) as f64;
         decisions.bytes = (
             part(listed.saturating_sub(empty), size.servers),
-            part(held.saturating_sub(listed), size.circuits),
+            part(held.saturating_sub(listed), size.sessions),
         );
         decisions
     }
 
     /// The largest group has its part here, and the others share the rest.
     fn with_arrival<T>(&mut self, id: u64, returned: bool, with: impl FnOnce(&mut Self, &Arrival) -> T) -> T {
-        let of_the_largest = LARGEST_GROUP * self.size.circuits / CONNECTIONS.max(1);
-        let place = id as usize % self.size.circuits.max(1);
+        let of_the_largest = LARGEST_GROUP * self.size.sessions / CONNECTIONS.max(1);
+        let place = id as usize % self.size.sessions.max(1);
         let group = if place < of_the_largest { 0 } else { 1 + place % (self.size.groups - 1).max(1) };
         let (key, group) = (format!("lift-{id}"), format!("g{group}"));
         let arrival = Arrival {
-            circuit: CircuitId(id),
+            session: SessionId(id),
             offering: Some(0),
             key: Some(&key),
             group: Some(&group),
@@ -162,14 +162,14 @@
         with(self, &arrival)
     }
 
-    /// So many circuits end, and as many come: every other one for the first time, and else back after a break.
-    pub fn turns_over(&mut self, circuits: usize) {
-        for turn in 0..circuits {
+    /// So many sessions end, and as many come: every other one for the first time, and else back after a break.
+    pub fn turns_over(&mut self, sessions: usize) {
+        for turn in 0..sessions {
             self.now = self.now + Span::millis(1);
             let Some(over) = self.standing.pop_front() else { return };
             let (chooser, now) = (&mut self.chooser, self.now);
             self.took.takes("end", || {
-                chooser.ended(CircuitId(over), Ending::Finished, true, now, &mut Idle);
+                chooser.ended(SessionId(over), Ending::Finished, true, now, &mut Idle);
             });
             self.last_id += 1;
             let (id, returned) = (self.last_id, turn % 2 == 1);
@@ -180,7 +180,7 @@
             });
             self.now = self.now + Span::millis(1);
             let (chooser, now) = (&mut self.chooser, self.now);
-            self.took.takes("stands", || chooser.stands(CircuitId(id), now));
+            self.took.takes("stands", || chooser.stands(SessionId(id), now));
             self.standing.push_back(id);
         }
     }
@@ -193,7 +193,7 @@
                 self.now = self.now + Span::millis(1000);
                 let id = self.standing[note * self.standing.len() / notes];
                 let (chooser, now) = (&mut self.chooser, self.now);
-                self.took.takes(what, || chooser.messages_take(CircuitId(id), delay, now, &mut Idle));
+                self.took.takes(what, || chooser.messages_take(SessionId(id), delay, now, &mut Idle));
             }
         }
     }
@@ -217,11 +217,11 @@
     pub fn point(&self) -> Value {
         json!({
             "trial": "decisions",
-            "circuits": self.size.circuits,
+            "sessions": self.size.sessions,
             "groups": self.size.groups,
             "servers": self.size.servers,
             "bytes_a_server": self.bytes.0.round(),
-            "bytes_a_circuit": self.bytes.1.round(),
+            "bytes_a_session": self.bytes.1.round(),
             "ns": self.took.shown(),
         })
     }
--- a/crates/trials/src/lib.rs
+++ b/crates/trials/src/lib.rs
@@ -6,7 +6,7 @@
 //! starts real processes on loopback: [`process`] the program itself, [`server`], [`discovery`], [`clients`] and
 //! [`relay`] stand-ins for what is round it, [`record`] what they saw, [`checks`] what must hold of that, [`rogue`] a
 //! proxy that is wrong on purpose, and [`trial`] all of it together. What a size costs is measured by [`standing`], one
-//! real process with many circuits, and [`decisions`], the decisions alone.
+//! real process with many sessions, and [`decisions`], the decisions alone.
 
 pub mod cells;
 pub mod checks;
--- a/crates/trials/src/standing.rs
+++ b/crates/trials/src/standing.rs
@@ -1,4 +1,4 @@
-//! One real process of the program that holds many circuits: what they cost it, at rest and with lines, and how late a
+//! One real process of the program that holds many sessions: what they cost it, at rest and with lines, and how late a
 //! line is. The other ends of all of them are in this program.
 
 use crate::clients::{CLASSES, CUSTOMERS};
@@ -29,9 +29,9 @@
     getrlimit(Resource::Nofile).current.unwrap_or(1 << 20)
 }
 
-/// The most circuits that a process takes which may open so many: two for each, one for each server's sign of life, some
+/// The most sessions that a process takes which may open so many: two for each, one for each server's sign of life, some
 /// of its own, and a sixteenth that it keeps for who has yet to send a first line.
-pub fn most_circuits(sockets: u64, servers: usize) -> usize {
+pub fn most_sessions(sockets: u64, servers: usize) -> usize {
     const SPARE: usize = 26;
     let sockets = sockets as usize;
     (sockets - sockets / 16).saturating_sub(SPARE + servers) / 2
@@ -39,7 +39,7 @@
 
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
-    pub circuits: usize,
+    pub sessions: usize,
     pub servers: usize,
     pub limits: Limits,
 }
@@ -102,7 +102,7 @@
     kb.unwrap_or_default() << 10
 }
 
-/// A process with all its circuits standing.
+/// A process with all its sessions standing.
 pub struct Standing {
     pub size: Size,
     process: Process,
@@ -116,7 +116,7 @@
 impl Standing {
     pub async fn begin(size: Size) -> Self {
         let record = Record::default();
-        let make = Make { room: size.circuits, work: Duration::ZERO, ..MAKE };
+        let make = Make { room: size.sessions, work: Duration::ZERO, ..MAKE };
         let mut servers = Vec::new();
         for index in 0..size.servers {
             servers.push(Server::begin(index, make, record.clone()).await);
@@ -131,7 +131,7 @@
             fleet: false,
             known: known(&servers),
             limits: size.limits,
-            // A sign of life that is late on a busy machine would have circuits sent away.
+            // A sign of life that is late on a busy machine would have sessions sent away.
             probes: false,
         };
         let mut process = Process::new(0, &given);
@@ -165,9 +165,9 @@
         // The program has no more connects out at once than this.
         const AT_ONCE: usize = 24;
         let turns = Arc::new(Semaphore::new(AT_ONCE));
-        for index in 0..self.size.circuits {
+        for index in 0..self.size.sessions {
             let (turns, seen, mut schedule) = (turns.clone(), self.seen.clone(), self.schedule.subscribe());
-            let (address, circuits) = (self.process.listen, self.size.circuits);
+            let (address, sessions) = (self.process.listen, self.size.sessions);
             tokio::spawn(async move {
                 let mut due = None;
                 loop {
@@ -183,7 +183,7 @@
                         }
                     };
                     seen.standing.fetch_add(1, Ordering::Relaxed);
-                    let part = index as f64 / circuits as f64;
+                    let part = index as f64 / sessions as f64;
                     stays(&mut up, (part, &mut due), &mut schedule, &seen).await;
                     // As a client does, it comes again.
                     seen.standing.fetch_sub(1, Ordering::Relaxed);
@@ -191,7 +191,7 @@
                 }
             });
         }
-        while self.standing() < self.size.circuits {
+        while self.standing() < self.size.sessions {
             sleep(Duration::from_millis(20)).await;
         }
     }
@@ -204,9 +204,9 @@
         self.process.pid().expect("it runs")
     }
 
-    /// Resident memory that each circuit has added, in bytes.
+    /// Resident memory that each session has added, in bytes.
     pub fn memory_each(&self) -> f64 {
-        resident(self.pid()).saturating_sub(self.empty) as f64 / self.size.circuits as f64
+        resident(self.pid()).saturating_sub(self.empty) as f64 / self.size.sessions as f64
     }
 
     /// One point: what it spends over a time, with a line from each client every so often, or at rest.
@@ -230,13 +230,13 @@
         let core_us = (after.ns - before.ns) as f64 / 1000.0 / took;
         let mut point = json!({
             "trial": "standing",
-            "circuits": self.size.circuits,
+            "sessions": self.size.sessions,
             "servers": self.size.servers,
             "memory_mb": self.size.limits.memory_mb,
             "every_ms": every.map(|every| every.as_millis() as u64),
             "seconds": round(took),
             "core_percent": round(core_us / 1e4),
-            "core_us_a_second_each": round(core_us / self.size.circuits as f64),
+            "core_us_a_second_each": round(core_us / self.size.sessions as f64),
             "user_ticks": after.user_ticks - before.user_ticks,
             "system_ticks": after.system_ticks - before.system_ticks,
             "resident_mb": round(resident(self.pid()) as f64 / f64::from(1 << 20)),
@@ -285,7 +285,7 @@
 
 type Up = (Lines<BufReader<OwnedReadHalf>>, OwnedWriteHalf);
 
-/// A client's circuit, up; else how long to stay away.
+/// A client's session, up; else how long to stay away.
 async fn opens(address: std::net::SocketAddr, index: usize) -> Result<Up, Duration> {
     // An id is new with every connection.
     static LAST_ID: AtomicU64 = AtomicU64::new(1 << 32);
--- a/crates/trials/tests/decisions.rs
+++ b/crates/trials/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! What decisions take, in the small: its shape over circuits and servers, and not a time. The example of the same name
+//! What decisions take, in the small: its shape over sessions and servers, and not a time. The example of the same name
 //! measures. One story alone is in this program, as others would be counted with it.
 
 use peak_alloc::PeakAlloc;
@@ -7,8 +7,8 @@
 #[global_allocator]
 static BYTES: PeakAlloc = PeakAlloc;
 
-fn measured(circuits: usize, servers: usize) -> Decisions {
-    let size = Size { circuits, groups: circuits * 7 / 8, servers };
+fn measured(sessions: usize, servers: usize) -> Decisions {
+    let size = Size { sessions, groups: sessions * 7 / 8, servers };
     let mut decisions = Decisions::begin(size, || BYTES.current_usage());
     decisions.turns_over(600);
     decisions.lists(40);
@@ -17,13 +17,13 @@
 }
 
 #[test]
-fn decisions_are_flat_in_circuits_and_no_more_than_linear_in_servers() {
+fn decisions_are_flat_in_sessions_and_no_more_than_linear_in_servers() {
     // A middle of hundreds, and a factor that is far from both the shape's own and the next one's.
     const SERVERS: [usize; 2] = [32, 512];
-    let [few, many] = [500, 16_000].map(|circuits| measured(circuits, SERVERS[0]));
+    let [few, many] = [500, 16_000].map(|sessions| measured(sessions, SERVERS[0]));
     for what in ["arrival", "arrival back", "stands", "end", "line", "whole list", "round"] {
         let (few, many) = (few.took.middle(what), many.took.middle(what));
-        assert!(many < 8 * few, "{what}: {few} ns at 500 circuits and {many} ns at 16,000");
+        assert!(many < 8 * few, "{what}: {few} ns at 500 sessions and {many} ns at 16,000");
     }
     assert!((many.bytes.1 / few.bytes.1 - 1.0).abs() < 0.25, "{:?} and {:?}", few.bytes, many.bytes);
 
--- a/crates/trials/tests/standing.rs
+++ b/crates/trials/tests/standing.rs
@@ -1,4 +1,4 @@
-//! What standing circuits cost one real process, in the small: its shape, and not its size. The example of the same name
+//! What standing sessions cost one real process, in the small: its shape, and not its size. The example of the same name
 //! measures.
 
 use shelfgrade_trials::process::Limits;
@@ -6,10 +6,10 @@
 use std::time::Duration;
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
-async fn memory_grows_with_circuits_by_as_much_for_each_and_a_line_costs_no_more_among_many() {
+async fn memory_grows_with_sessions_by_as_much_for_each_and_a_line_costs_no_more_among_many() {
     let mut points = Vec::new();
-    for circuits in [60, 420] {
-        let size = Size { circuits, servers: 4, limits: Limits { memory_mb: 64, sockets: 1024 } };
+    for sessions in [60, 420] {
+        let size = Size { sessions, servers: 4, limits: Limits { memory_mb: 64, sockets: 1024 } };
         let standing = Standing::begin(size).await;
         let point = standing.point(Duration::from_secs(2), Some(Duration::from_millis(500))).await;
         println!("{point}");
--- a/src/books.rs
+++ b/src/books.rs
@@ -2,12 +2,12 @@
 
 use crate::choice::Chooser;
 
-/// Connects that wait for a word, connections that stand, and circuits that are neither answered nor over.
+/// Connects that wait for a word, connections that stand, and sessions that are neither answered nor over.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Books {
     pub out: usize,
     pub held: usize,
-    pub circuits: usize,
+    pub sessions: usize,
 }
 
 impl Chooser {
@@ -16,7 +16,7 @@
         Books {
             out: servers.iter().map(|s| s.waiting.get() as usize).sum(),
             held: servers.iter().map(|s| s.held.borrow().len()).sum(),
-            circuits: self.circuits.len(),
+            sessions: self.sessions.len(),
         }
     }
 }
--- a/src/choice/again.rs
+++ b/src/choice/again.rs
@@ -1,7 +1,7 @@
-//! Whether a circuit may be sent again, and where: no effect happens twice.
+//! Whether a session may be sent again, and where: no effect happens twice.
 
 use crate::host::{Circle, Effect, Ending};
-use crate::record::{Circuit, Connect, Server};
+use crate::record::{Connect, Server, Session};
 use crate::time::{Point, Span};
 use std::rc::Rc;
 
@@ -14,8 +14,8 @@
     Some((first.server.clone(), first.sent))
 }
 
-impl Circuit {
-    /// Guards against an effect happening twice: where the circuit may be sent now.
+impl Session {
+    /// Guards against an effect happening twice: where the session may be sent now.
     pub(super) fn may_go_to(&self, server: &Server, now: Point) -> bool {
         self.may_follow(&self.connects.borrow(), server, now)
     }
--- a/src/choice/cold.rs
+++ b/src/choice/cold.rs
@@ -4,7 +4,7 @@
 use crate::time::Point;
 
 impl WarmUp {
-    /// The share of circuits that one of so `many` may have. Guards against pushing a cold one over: the
+    /// The share of sessions that one of so `many` may have. Guards against pushing a cold one over: the
     /// crowd that came just now is this proxy's part of all that comes, what is open its part of what fills.
     pub(super) fn share(&self, server: &Server, [part, crowd, most, many]: [f64; 4], now: Point) -> f64 {
         // Half of the budget is left for chance, beside 2 x its root + 2.
--- a/src/choice/dispatch.rs
+++ b/src/choice/dispatch.rs
@@ -2,7 +2,7 @@
 
 use super::{Pick, Stage, Step};
 use crate::host::{Effect, Ending, Host};
-use crate::record::{Circuit, Connect, Shelf};
+use crate::record::{Connect, Session, Shelf};
 use crate::time::Point;
 use std::rc::Rc;
 
@@ -12,34 +12,34 @@
 }
 
 impl Stage for Dispatch {
-    fn forth(&mut self, circuit: &Rc<Circuit>, pick: &mut Pick, now: Point, host: &mut dyn Host) -> Step {
+    fn forth(&mut self, session: &Rc<Session>, pick: &mut Pick, now: Point, host: &mut dyn Host) -> Step {
         let Some(server) = pick.take() else { return Step::End };
-        let left = circuit.patience_ends.since(now);
-        let last = circuit.connects.borrow().len() + 1 >= self.shelf.most_connects;
+        let left = session.patience_ends.since(now);
+        let last = session.connects.borrow().len() + 1 >= self.shelf.most_connects;
         // Guards against a patience spent on one silent server: half of what is left stays for another.
         let half = left.times(0.5);
         let by_gaps = |u| if u > half { left } else { half.times(0.5).max(u) };
-        let all = last || circuit.effect == Effect::SingleUse || self.shelf.window(now) < 1.0;
+        let all = last || session.effect == Effect::SingleUse || self.shelf.window(now) < 1.0;
         let time_out = if all { left } else { self.shelf.unusual_after().map_or(half, by_gaps) };
-        host.connect(circuit.id, &server.id, time_out);
+        host.connect(session.id, &server.id, time_out);
         server.note_sent(now);
         server.silent_since.set(server.silent_since.get().or(Some(now)));
-        circuit.connects.borrow_mut().push(Connect { server, sent: now, ending: None });
-        circuit.hailed.set(false);
+        session.connects.borrow_mut().push(Connect { server, sent: now, ending: None });
+        session.hailed.set(false);
         Step::Keep
     }
 
-    fn back(&mut self, circuit: &Rc<Circuit>, connect: &Connect, now: Point) {
+    fn back(&mut self, session: &Rc<Session>, connect: &Connect, now: Point) {
         let server = &connect.server;
-        if circuit.stands.get() {
-            return drop(server.held.borrow_mut().remove(&circuit.id));
+        if session.stands.get() {
+            return drop(server.held.borrow_mut().remove(&session.id));
         }
         server.waiting.set(server.waiting.get().saturating_sub(1));
         if connect.ending != Some(Ending::TimedOut) || server.waiting.get() == 0 {
             server.silent_since.set((server.waiting.get() > 0).then_some(now));
         }
         if connect.ending.is_none() {
-            server.held.borrow_mut().insert(circuit.id, Rc::downgrade(circuit));
+            server.held.borrow_mut().insert(session.id, Rc::downgrade(session));
             // A connection that was open before this proxy started says nothing of the time it took.
             if now > connect.sent {
                 self.shelf.note_gap(now.since(connect.sent));
--- a/src/choice/gathering.rs
+++ b/src/choice/gathering.rs
@@ -1,7 +1,7 @@
 //! Which servers a group meets at: how many it needs, and in which order.
 
 use crate::host::Host;
-use crate::record::{Circuit, Server, Shelf};
+use crate::record::{Server, Session, Shelf};
 use std::rc::Rc;
 
 impl Shelf {
@@ -22,13 +22,13 @@
         mix(mix(self.hash ^ by).rotate_left(32))
     }
 
-    /// Has the circuit wait for a sign of life, which others may wait for too, where asking is allowed.
-    pub(super) fn hail(&self, circuit: &Rc<Circuit>, host: &mut dyn Host) {
+    /// Has the session wait for a sign of life, which others may wait for too, where asking is allowed.
+    pub(super) fn hail(&self, session: &Rc<Session>, host: &mut dyn Host) {
         let mut hailed_by = self.hailed_by.borrow_mut();
         hailed_by.retain(|c| c.upgrade().is_some_and(|c| c.hails.get()));
         if !hailed_by.is_empty() || host.probe(&self.id) {
-            hailed_by.push(Rc::downgrade(circuit));
-            circuit.hails.set(true);
+            hailed_by.push(Rc::downgrade(session));
+            session.hails.set(true);
         }
     }
 }
--- a/src/choice/mod.rs
+++ b/src/choice/mod.rs
@@ -2,8 +2,8 @@
 //!
 //! Make a [`Chooser`], call [`Chooser::start`] with the list last held, then one method for each thing that
 //! happens, with the present [`Point`] and the [`Host`] that at once carries out what is decided (`host.rs`).
-//! The design: a new circuit goes to hash(client key) modulo the id-sorted server list; a draining, gone or
-//! overfull pick passes to the next in order; an aged table answers mid-flow circuits. See `docs/design.md`.
+//! The design: a new session goes to hash(client key) modulo the id-sorted server list; a draining, gone or
+//! overfull pick passes to the next in order; an aged table answers mid-flow sessions. See `docs/design.md`.
 //! Mechanisms beside the design, six at most:
 //! 1. warm-up budget: a server that just started gets only its share of what it can bear;
 //! 2. distrust: a fading score from bad endings and lateness; where nothing is held, that of zone and kind;
@@ -12,7 +12,7 @@
 //! 5. relief: a server that is late so has connections sent away, first those that are not with their group;
 //! 6. pacing: failed connects narrow how many may be out at once.
 //!
-//! A circuit passes `Recall`, `Pacing`, `Placement` and `Dispatch`; news of its connects comes in reverse.
+//! A session passes `Recall`, `Pacing`, `Placement` and `Dispatch`; news of its connects comes in reverse.
 
 mod again;
 mod cold;
@@ -24,14 +24,14 @@
 mod relief;
 mod trust;
 
-use crate::host::{Arrival, CircuitId, Ending, Host, Listed, Offering};
+use crate::host::{Arrival, Ending, Host, Listed, Offering, SessionId};
 pub use crate::record::WarmUp;
-use crate::record::{Circuit, Connect, Server, Shelf};
+use crate::record::{Connect, Server, Session, Shelf};
 use crate::time::{Point, Span};
 use std::collections::BTreeMap;
 use std::rc::{Rc, Weak};
 
-/// What a stage did with a circuit: passed it on, kept it, or ended it.
+/// What a stage did with a session: passed it on, kept it, or ended it.
 enum Step {
     Pass,
     Keep,
@@ -42,9 +42,9 @@
 type Pick = Option<Rc<Server>>;
 
 trait Stage {
-    fn forth(&mut self, circuit: &Rc<Circuit>, pick: &mut Pick, now: Point, host: &mut dyn Host) -> Step;
-    /// The news of the circuit's last connect: none when its connection stands, else how it ended.
-    fn back(&mut self, _circuit: &Rc<Circuit>, _connect: &Connect, _now: Point) {}
+    fn forth(&mut self, session: &Rc<Session>, pick: &mut Pick, now: Point, host: &mut dyn Host) -> Step;
+    /// The news of the session's last connect: none when its connection stands, else how it ended.
+    fn back(&mut self, _session: &Rc<Session>, _connect: &Connect, _now: Point) {}
 }
 
 /// The decisions of one proxy.
@@ -61,11 +61,11 @@
     list_calls: (Option<Point>, Point),
     /// When to look round next, and whether that probes.
     looks_at: Option<(Point, bool)>,
-    /// Circuits that wait for a sign of life, and until when.
-    hailing: Vec<(Point, Weak<Circuit>)>,
+    /// Sessions that wait for a sign of life, and until when.
+    hailing: Vec<(Point, Weak<Session>)>,
     stages: [Box<dyn Stage>; 4],
-    /// The door: every circuit unanswered, standing or with a connect still out.
-    pub(crate) circuits: BTreeMap<CircuitId, Rc<Circuit>>,
+    /// The door: every session unanswered, standing or with a connect still out.
+    pub(crate) sessions: BTreeMap<SessionId, Rc<Session>>,
 }
 
 impl Chooser {
@@ -96,7 +96,7 @@
                 Box::new(dispatch::Dispatch { shelf: shelf.clone() }),
             ],
             shelf,
-            circuits: BTreeMap::new(),
+            sessions: BTreeMap::new(),
         }
     }
 
@@ -127,57 +127,57 @@
             self.look_round(probing, now, host);
         }
         let due: Vec<_> = self.hailing.extract_if(.., |h| h.0 <= now).collect();
-        for circuit in due.iter().filter_map(|h| h.1.upgrade()).filter(|c| c.hails.take()) {
-            self.offer(&circuit, None, now, host);
+        for session in due.iter().filter_map(|h| h.1.upgrade()).filter(|c| c.hails.take()) {
+            self.offer(&session, None, now, host);
         }
     }
 
     pub fn arrived(&mut self, arrival: &Arrival, now: Point, host: &mut dyn Host) {
-        let circuit = self.enter(arrival);
+        let session = self.enter(arrival);
         self.shelf.note_arrival(now);
-        self.offer(&circuit, None, now, host);
+        self.offer(&session, None, now, host);
     }
 
     /// A connection that was already open when this proxy started; connect 0 counts as made.
     pub fn open_already(&mut self, arrival: &Arrival, server: &str, now: Point) {
         let Some(server) = self.shelf.find(server) else { return };
-        let circuit = self.enter(arrival);
-        circuit.connects.borrow_mut().push(Connect { server, sent: now, ending: None });
-        self.bring_back(&circuit, None, now);
+        let session = self.enter(arrival);
+        session.connects.borrow_mut().push(Connect { server, sent: now, ending: None });
+        self.bring_back(&session, None, now);
     }
 
-    /// The circuit's connection is established.
-    pub fn stands(&mut self, circuit: CircuitId, now: Point) {
-        self.circuits.get(&circuit).cloned().into_iter().for_each(|c| self.bring_back(&c, None, now));
+    /// The session's connection is established.
+    pub fn stands(&mut self, session: SessionId, now: Point) {
+        self.sessions.get(&session).cloned().into_iter().for_each(|c| self.bring_back(&c, None, now));
     }
 
     /// A connect has ended; `done` where the client has its final answer by now.
-    pub fn ended(&mut self, circuit: CircuitId, ending: Ending, done: bool, now: Point, host: &mut dyn Host) {
-        let Some(circuit) = self.circuits.get(&circuit).cloned() else { return };
-        let over = done || circuit.stands.get() || circuit.answered.get();
-        self.bring_back(&circuit, Some(ending), now);
+    pub fn ended(&mut self, session: SessionId, ending: Ending, done: bool, now: Point, host: &mut dyn Host) {
+        let Some(session) = self.sessions.get(&session).cloned() else { return };
+        let over = done || session.stands.get() || session.answered.get();
+        self.bring_back(&session, Some(ending), now);
         if over {
-            self.circuits.remove(&circuit.id);
+            self.sessions.remove(&session.id);
         } else {
-            self.offer(&circuit, None, now, host);
+            self.offer(&session, None, now, host);
         }
     }
 
-    /// Whether the circuit's connect that has just come up may carry its first line; else nothing is sent on it.
-    pub fn may_begin(&self, circuit: CircuitId, now: Point) -> bool {
-        self.circuits.get(&circuit).is_none_or(|circuit| circuit.may_begin(now))
+    /// Whether the session's connect that has just come up may carry its first line; else nothing is sent on it.
+    pub fn may_begin(&self, session: SessionId, now: Point) -> bool {
+        self.sessions.get(&session).is_none_or(|session| session.may_begin(now))
     }
 
     /// The load of a standing connection, in work a second.
-    pub fn load_is(&mut self, circuit: CircuitId, load: f64) {
-        self.circuits.get(&circuit).inspect(|c| c.load.set(load));
+    pub fn load_is(&mut self, session: SessionId, load: f64) {
+        self.sessions.get(&session).inspect(|c| c.load.set(load));
     }
 
-    /// The client has left; nothing more may be sent for the circuit.
-    pub fn left(&mut self, circuit: CircuitId) {
+    /// The client has left; nothing more may be sent for the session.
+    pub fn left(&mut self, session: SessionId) {
         // Guards against a sign of life sending on what nobody waits for: no connect's end will remove it.
-        if self.circuits.get(&circuit).inspect(|c| c.answered.set(true)).is_some_and(|c| c.hails.take()) {
-            self.circuits.remove(&circuit);
+        if self.sessions.get(&session).inspect(|c| c.answered.set(true)).is_some_and(|c| c.hails.take()) {
+            self.sessions.remove(&session);
         }
     }
 
@@ -206,47 +206,47 @@
         host.wake(*self.asks_at.insert(at));
     }
 
-    fn enter(&mut self, arrival: &Arrival) -> Rc<Circuit> {
+    fn enter(&mut self, arrival: &Arrival) -> Rc<Session> {
         let offering = arrival.offering.and_then(|o| self.offerings.get(o));
-        let circuit = Rc::new(Circuit::arriving(arrival, offering));
-        self.shelf.note_group(&circuit);
-        self.circuits.insert(arrival.circuit, circuit.clone());
-        circuit
+        let session = Rc::new(Session::arriving(arrival, offering));
+        self.shelf.note_group(&session);
+        self.sessions.insert(arrival.session, session.clone());
+        session
     }
 
-    /// Runs a circuit through the chain; what the chain does not keep gets its final answer at once.
-    fn offer(&mut self, circuit: &Rc<Circuit>, mut pick: Pick, now: Point, host: &mut dyn Host) {
+    /// Runs a session through the chain; what the chain does not keep gets its final answer at once.
+    fn offer(&mut self, session: &Rc<Session>, mut pick: Pick, now: Point, host: &mut dyn Host) {
         for stage in &mut self.stages {
-            match stage.forth(circuit, &mut pick, now, host) {
+            match stage.forth(session, &mut pick, now, host) {
                 Step::Pass => continue,
-                Step::Keep if circuit.hails.get() => {
-                    // Guards against a circuit held by servers that give no sign.
-                    let until = now + self.message_limit.min(circuit.patience_ends.since(now).times(0.5));
-                    self.hailing.push((until, Rc::downgrade(circuit)));
+                Step::Keep if session.hails.get() => {
+                    // Guards against a session held by servers that give no sign.
+                    let until = now + self.message_limit.min(session.patience_ends.since(now).times(0.5));
+                    self.hailing.push((until, Rc::downgrade(session)));
                     return host.wake(until);
                 }
                 Step::Keep => return,
                 Step::End => break,
             }
         }
-        self.circuits.remove(&circuit.id);
-        if circuit.may_push_back() {
+        self.sessions.remove(&session.id);
+        if session.may_push_back() {
             let again = || self.most_pause.times(0.5 + 0.5 * self.shelf.luck());
-            host.push_back(circuit.id, circuit.turn.map_or_else(again, |turn| turn.again));
+            host.push_back(session.id, session.turn.map_or_else(again, |turn| turn.again));
         } else {
-            host.forfeit(circuit.id);
+            host.forfeit(session.id);
         }
     }
 
-    fn bring_back(&mut self, circuit: &Rc<Circuit>, ending: Option<Ending>, now: Point) {
-        let mut connects = circuit.connects.borrow_mut();
+    fn bring_back(&mut self, session: &Rc<Session>, ending: Option<Ending>, now: Point) {
+        let mut connects = session.connects.borrow_mut();
         let Some(connect) = connects.last_mut() else { return };
-        // Guards against a circuit that no server can use costing all of them their trust: one error counts.
-        let again = ending == Some(Ending::Errored) && circuit.errored.replace(true);
+        // Guards against a session that no server can use costing all of them their trust: one error counts.
+        let again = ending == Some(Ending::Errored) && session.errored.replace(true);
         connect.ending = if again { Some(Ending::CalledOff) } else { ending };
         for stage in self.stages.iter_mut().rev() {
-            stage.back(circuit, connect, now);
+            stage.back(session, connect, now);
         }
-        circuit.stands.set(ending.is_none());
+        session.stands.set(ending.is_none());
     }
 }
--- a/src/choice/pacing.rs
+++ b/src/choice/pacing.rs
@@ -2,7 +2,7 @@
 
 use super::{Pick, Stage, Step};
 use crate::host::{Ending, Host};
-use crate::record::{Circuit, Connect, Shelf};
+use crate::record::{Connect, Session, Shelf};
 use crate::time::Point;
 use std::rc::Rc;
 
@@ -44,20 +44,20 @@
 }
 
 impl Stage for Pacing {
-    fn forth(&mut self, circuit: &Rc<Circuit>, _: &mut Pick, now: Point, _: &mut dyn Host) -> Step {
-        let may = circuit.connects.borrow().len() < self.shelf.most_connects && now < circuit.patience_ends;
+    fn forth(&mut self, session: &Rc<Session>, _: &mut Pick, now: Point, _: &mut dyn Host) -> Step {
+        let may = session.connects.borrow().len() < self.shelf.most_connects && now < session.patience_ends;
         // Guards against a storm of tries that keeps a jam alive.
-        let turn = may && (circuit.mid_flow || circuit.hailed.get() || self.shelf.has_turn(now));
+        let turn = may && (session.mid_flow || session.hailed.get() || self.shelf.has_turn(now));
         Some(Step::Pass).filter(|_| turn).unwrap_or(Step::End)
     }
 
     /// Halves the window where a jam may have failed a connect or had it stand late; widens it by one where
     /// a whole one stood in time, or by as much again where it is a part of one.
-    fn back(&mut self, circuit: &Rc<Circuit>, connect: &Connect, now: Point) {
+    fn back(&mut self, session: &Rc<Session>, connect: &Connect, now: Point) {
         let (window, took) = (self.shelf.window(now), now.since(connect.sent));
         let window = match connect.ending {
-            _ if circuit.stands.get() || circuit.mid_flow => return,
-            None if circuit.soft_limit.is_none_or(|l| took <= l) => {
+            _ if session.stands.get() || session.mid_flow => return,
+            None if session.soft_limit.is_none_or(|l| took <= l) => {
                 (window + window.min(1.0 / window)).min(self.widest)
             }
             None | Some(Ending::TimedOut | Ending::Errored) => (window * 0.5).max(self.narrowest),
--- a/src/choice/placement.rs
+++ b/src/choice/placement.rs
@@ -1,8 +1,8 @@
-//! Which server gets a circuit: the design's choice with the load skip, and what passes a server over.
+//! Which server gets a session: the design's choice with the load skip, and what passes a server over.
 
 use super::{Pick, Stage, Step};
 use crate::host::{Ending, Host, Standing};
-use crate::record::{Circuit, Connect, Server, Shelf, WarmUp};
+use crate::record::{Connect, Server, Session, Shelf, WarmUp};
 use crate::time::{Point, Span};
 use nanorand::{Rng, WyRand};
 use std::rc::Rc;
@@ -14,12 +14,12 @@
 }
 
 impl Placement {
-    fn choose(&self, circuit: &Rc<Circuit>, now: Point, host: &mut dyn Host) -> Pick {
+    fn choose(&self, session: &Rc<Session>, now: Point, host: &mut dyn Host) -> Pick {
         // The design page's figures; of those under way too, against connects that pile up at a slow server.
         const SKIP_FACTOR: f64 = 2.0;
         const SKIP_MARGIN: f64 = 3.0;
         let all = self.shelf.servers.borrow();
-        let left = circuit.left_of(&all);
+        let left = session.left_of(&all);
         let servers = left.as_ref().unwrap_or(&all);
         let active = || servers.iter().filter(|s| s.standing.get() == Standing::Active);
         let add =
@@ -29,20 +29,20 @@
         let overfull = |s: &Server| over(s.open(), open) || over(f64::from(s.waiting.get()), out);
         // Guards against retries asking until let in: one draw for all that a client tries in a draw's life.
         const DRAW_LIFE: Span = Span::millis(2000);
-        let seed = self.shelf.seed ^ circuit.key ^ now.count(DRAW_LIFE);
+        let seed = self.shelf.seed ^ session.key ^ now.count(DRAW_LIFE);
         let draw = f64::from(WyRand::new_seed(seed).generate::<f32>());
-        // The circuit itself will be open, too.
+        // The session itself will be open, too.
         let part = (self.warm_up.part(servers.len()) * self.shelf.parts.get()).max(open + 1.0);
         // Guards against a group's wave back to one cold server, where new ones spread over three.
         const MORE: usize = 2;
         let crowd = self.shelf.crowd(now);
-        let blind = circuit.group.is_some() && self.warm_up.out_of_sight(circuit.key, servers.len());
-        let most = if circuit.returned && blind { 1.0 / (1.0 + MORE as f64) } else { 1.0 };
-        let first = circuit.turn.map_or(1.0 - draw, |turn| turn.before);
+        let blind = session.group.is_some() && self.warm_up.out_of_sight(session.key, servers.len());
+        let most = if session.returned && blind { 1.0 / (1.0 + MORE as f64) } else { 1.0 };
+        let first = session.turn.map_or(1.0 - draw, |turn| turn.before);
         let usable = |s: &&Rc<Server>, part: f64| {
             s.standing.get() == Standing::Active
-                && circuit.may_go_to(s, now)
-                && !circuit.connects.borrow().iter().any(|c| Rc::ptr_eq(&c.server, s))
+                && session.may_go_to(s, now)
+                && !session.connects.borrow().iter().any(|c| Rc::ptr_eq(&c.server, s))
                 && first <= self.warm_up.share(s, [part, crowd, most, servers.len() as f64], now)
         };
         // While it is unusually silent a server has no trust at all.
@@ -52,22 +52,22 @@
         let kin = self.shelf.kin(now);
         let by_kin = |s: &Server| s.open() == 0.0 && kin.iter().any(|k| s.kin.contains(&k.0) && draw < k.1);
         let trusted =
-            |s: &&Rc<Server>| circuit.mid_flow || draw >= s.distrust(now) && !silent(s) && !by_kin(s);
+            |s: &&Rc<Server>| session.mid_flow || draw >= s.distrust(now) && !silent(s) && !by_kin(s);
 
         // The ordinary path: the key's hash, and the next in order past what drains, is gone or is overfull.
-        let by_group = circuit.group.filter(|_| !circuit.mid_flow || blind);
-        if !circuit.returned || by_group.is_none() {
-            let at = circuit.key as usize % servers.len().max(1);
+        let by_group = session.group.filter(|_| !session.mid_flow || blind);
+        if !session.returned || by_group.is_none() {
+            let at = session.key as usize % servers.len().max(1);
             let own = servers[at..].iter().chain(&servers[..at]).find(|s| usable(s, part) && !overfull(s));
             // Guards against placing by hash in a fleet that is strained where this proxy cannot see it.
             let calm = || !blind && draw >= self.shelf.strain(|_| true, now);
-            if own.is_some_and(|s| by_group.is_none() && circuit.mid_flow || trusted(&s) && calm()) {
+            if own.is_some_and(|s| by_group.is_none() && session.mid_flow || trusted(&s) && calm()) {
                 return own.cloned();
             }
         }
         // Guards against members of a group straining every server at once: what came back, or found its pick
         // or the fleet strained, meets its group at the servers that rank first for it at every proxy.
-        let by = by_group.unwrap_or(circuit.key);
+        let by = by_group.unwrap_or(session.key);
         // Guards against a cold one that is first for many groups, unseen by each proxy; 0.75 was too much.
         let part = if by_group.is_some() { part * 0.65 } else { part };
         // Who broke off or refused and holds nothing is gone: it takes nobody's place.
@@ -76,40 +76,40 @@
         // Guards against a strained fleet scattering its groups: so many past their servers, else pushback.
         // Guards against a group's weight on one server that is cold, or that nobody has seen strain yet.
         let cold = || ranked.iter().min_by_key(|r| r.0).is_some_and(|r| self.warm_up.warmth(r.1, now) < 1.0);
-        let more = if blind && (!circuit.returned || cold()) { MORE } else { 0 };
+        let more = if blind && (!session.returned || cold()) { MORE } else { 0 };
         let width = by_group.map_or(0, |g| self.shelf.width(g, ranked.len()) + more).min(ranked.len());
         if width + MORE < ranked.len() {
             ranked.select_nth_unstable_by_key(width + MORE, |r| r.0);
             ranked.truncate(width + MORE);
         }
         ranked.sort_unstable_by_key(|r| r.0);
-        ranked[..width].sort_unstable_by_key(|r| r.1.rank(circuit.key));
+        ranked[..width].sort_unstable_by_key(|r| r.1.rank(session.key));
         let order = || ranked.iter().map(|r| r.1).filter(trusted);
         // Guards against proxies that see no strain filling some servers: who answers first has least to do.
-        if blind && !circuit.mid_flow && order().nth(1).is_some() && !circuit.hailed.replace(true) {
-            order().take(1 + MORE).for_each(|s| s.hail(circuit, host));
+        if blind && !session.mid_flow && order().nth(1).is_some() && !session.hailed.replace(true) {
+            order().take(1 + MORE).for_each(|s| s.hail(session, host));
         }
         order().find(|s| !overfull(s)).or_else(|| order().next()).cloned()
     }
 }
 
 impl Stage for Placement {
-    fn forth(&mut self, circuit: &Rc<Circuit>, pick: &mut Pick, now: Point, host: &mut dyn Host) -> Step {
+    fn forth(&mut self, session: &Rc<Session>, pick: &mut Pick, now: Point, host: &mut dyn Host) -> Step {
         let there = |s: &Rc<Server>| s.standing.get() == Standing::Active;
-        *pick = pick.take().filter(there).or_else(|| self.choose(circuit, now, host));
+        *pick = pick.take().filter(there).or_else(|| self.choose(session, now, host));
         match pick {
-            _ if circuit.hails.get() => Step::Keep,
+            _ if session.hails.get() => Step::Keep,
             Some(_) => Step::Pass,
             None => Step::End,
         }
     }
 
-    fn back(&mut self, circuit: &Rc<Circuit>, connect: &Connect, now: Point) {
+    fn back(&mut self, session: &Rc<Session>, connect: &Connect, now: Point) {
         connect.server.broke.set(matches!(connect.ending, Some(Ending::Unreachable | Ending::Broken)));
         // One bad ending takes half of the trust that is left, one that the server itself gave rather less.
         let keeps = match connect.ending {
             // Guards against distrusting whoever rightly resets a mid-flow connection that another holds.
-            Some(Ending::Broken) if circuit.mid_flow && !circuit.stands.get() => return,
+            Some(Ending::Broken) if session.mid_flow && !session.stands.get() => return,
             Some(Ending::TimedOut | Ending::Unreachable | Ending::Broken) => 0.5,
             Some(Ending::Errored | Ending::TurnedAway) => 0.7,
             _ => return,
--- a/src/choice/recall.rs
+++ b/src/choice/recall.rs
@@ -1,32 +1,32 @@
-//! What the table answers: where a mid-flow circuit's connection stands.
+//! What the table answers: where a mid-flow session's connection stands.
 
 use super::{Pick, Stage, Step};
 use crate::host::{Host, Standing};
-use crate::record::{Circuit, Connect, Known, Shelf};
+use crate::record::{Connect, Known, Session, Shelf};
 use crate::time::{Point, Span};
 use std::rc::Rc;
 
 /// How long the table knows a connection after its end: the design page's starting value.
 const TABLE_TIME_OUT: Span = Span::millis(30_000);
 
-/// First stage: the bounded, aged table that answers mid-flow circuits.
+/// First stage: the bounded, aged table that answers mid-flow sessions.
 pub(super) struct Recall {
     pub(super) shelf: Rc<Shelf>,
     pub(super) swept: Point,
 }
 
 impl Stage for Recall {
-    fn forth(&mut self, circuit: &Rc<Circuit>, pick: &mut Pick, now: Point, _: &mut dyn Host) -> Step {
-        if circuit.mid_flow && circuit.connects.borrow().is_empty() {
+    fn forth(&mut self, session: &Rc<Session>, pick: &mut Pick, now: Point, _: &mut dyn Host) -> Step {
+        if session.mid_flow && session.connects.borrow().is_empty() {
             let table = self.shelf.table.borrow();
             // Guards against all that a server held coming back to it when it has just restarted.
-            let server = table.get(&circuit.key).filter(|known| now < known.until).and_then(Known::server);
+            let server = table.get(&session.key).filter(|known| now < known.until).and_then(Known::server);
             *pick = server.filter(|s| s.standing.get() == Standing::Active);
         }
         Step::Pass
     }
 
-    fn back(&mut self, circuit: &Rc<Circuit>, connect: &Connect, now: Point) {
+    fn back(&mut self, session: &Rc<Session>, connect: &Connect, now: Point) {
         // Bounds the memory to some megabytes.
         const MOST_KEYS: usize = 100_000;
         let mut table = self.shelf.table.borrow_mut();
@@ -36,11 +36,11 @@
         }
         let until = connect.ending.map_or(Point::NEVER, |_| now + TABLE_TIME_OUT);
         let has_room = table.len() < MOST_KEYS;
-        match table.get_mut(&circuit.key) {
+        match table.get_mut(&session.key) {
             // It stood there before its server may have started anew, of which the list can tell first.
-            Some(known) if circuit.stands.get() && known.is_at(&connect.server) => known.until = until,
-            _ if (connect.ending.is_none() || circuit.stands.get()) && has_room => {
-                table.insert(circuit.key, Known::at(&connect.server, until));
+            Some(known) if session.stands.get() && known.is_at(&connect.server) => known.until = until,
+            _ if (connect.ending.is_none() || session.stands.get()) && has_room => {
+                table.insert(session.key, Known::at(&connect.server, until));
             }
             _ => {}
         }
--- a/src/choice/relief.rs
+++ b/src/choice/relief.rs
@@ -1,7 +1,7 @@
 //! Who is looked at, and who is sent away: rounds, strain, relief, and the end.
 
 use super::Chooser;
-use crate::host::{CircuitId, Host, Standing};
+use crate::host::{Host, SessionId, Standing};
 use crate::record::Server;
 use crate::time::{Point, Span};
 use std::rc::{Rc, Weak};
@@ -38,23 +38,23 @@
         let Some(server) = self.shelf.find(server) else { return };
         // What was given up in place of an answer has taken longer.
         let waiting = if took <= self.message_limit { server.hailed_by.take() } else { Vec::new() };
-        for circuit in waiting.iter().filter_map(Weak::upgrade).filter(|c| c.hails.take()) {
-            self.offer(&circuit, Some(server.clone()), now, host);
+        for session in waiting.iter().filter_map(Weak::upgrade).filter(|c| c.hails.take()) {
+            self.offer(&session, Some(server.clone()), now, host);
         }
         let slower = server.slower(took);
         self.strained(&server, (slower - FROM) / (TO - FROM), now, host);
     }
 
     /// Messages of a standing connection take this long at its server.
-    pub fn messages_take(&mut self, circuit: CircuitId, delay: Span, now: Point, host: &mut dyn Host) {
+    pub fn messages_take(&mut self, session: SessionId, delay: Span, now: Point, host: &mut dyn Host) {
         // More than any message takes at a server that still works.
         const LOST: Span = Span::millis(3000);
-        let Some(circuit) = self.circuits.get(&circuit) else { return };
+        let Some(session) = self.sessions.get(&session) else { return };
         // Guards against a client held by a server that has gone without a word.
-        if delay > LOST && circuit.stands.get() && !circuit.answered.replace(true) {
-            host.send_away(circuit.id);
+        if delay > LOST && session.stands.get() && !session.answered.replace(true) {
+            host.send_away(session.id);
         }
-        let connects = circuit.connects.borrow();
+        let connects = session.connects.borrow();
         let Some(connect) = connects.last() else { return };
         // Up to a quarter of the limit is no cause for distrust; from the limit on nothing more should come.
         let late = (delay.over(self.message_limit) - 0.25) / 0.75;
@@ -92,18 +92,18 @@
         let held = held.values().filter_map(Weak::upgrade).filter(|c| !c.answered.get());
         let weighed = held.map(|c| (c.group.is_some_and(guest), c.load.get(), c));
         let first = weighed.max_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
-        if let Some((_, _, circuit)) = first.filter(|(guest, ..)| *guest || piled_up) {
-            circuit.answered.set(true);
-            host.send_away(circuit.id);
+        if let Some((_, _, session)) = first.filter(|(guest, ..)| *guest || piled_up) {
+            session.answered.set(true);
+            host.send_away(session.id);
         }
     }
 
     /// This proxy ends, and this is called so often till then. Guards against a crowd of all its clients.
     pub fn ends(&mut self, calls_left: usize, host: &mut dyn Host) {
-        let staying = || self.circuits.values().filter(|c| c.stands.get() && !c.answered.get());
-        for circuit in staying().take(staying().count().div_ceil(calls_left.max(1))) {
-            circuit.answered.set(true);
-            host.send_away(circuit.id);
+        let staying = || self.sessions.values().filter(|c| c.stands.get() && !c.answered.get());
+        for session in staying().take(staying().count().div_ceil(calls_left.max(1))) {
+            session.answered.set(true);
+            host.send_away(session.id);
         }
     }
 }
--- a/src/choice/trust.rs
+++ b/src/choice/trust.rs
@@ -47,7 +47,7 @@
         kin.into_iter().map(|k| (k.0, beyond(k.1))).collect()
     }
 
-    /// How strained the fleet is: the mean distrust of those that hold circuits, twice, as it stands for all.
+    /// How strained the fleet is: the mean distrust of those that hold sessions, twice, as it stands for all.
     pub(super) fn strain(&self, of: impl Fn(&Rc<Server>) -> bool, now: Point) -> f64 {
         const COUNTS: f64 = 2.0;
         let servers = self.servers.borrow();
--- a/src/host.rs
+++ b/src/host.rs
@@ -6,14 +6,14 @@
 
 /// What the decisions ask for. Each call is carried out at once and in order.
 pub trait Host {
-    /// Starts a connect; a circuit's connects count 0, 1, 2 … in the order of these calls.
-    fn connect(&mut self, circuit: CircuitId, server: &ServerId, time_out: Span);
+    /// Starts a connect; a session's connects count 0, 1, 2 … in the order of these calls.
+    fn connect(&mut self, session: SessionId, server: &ServerId, time_out: Span);
     /// Final answer: not done, trying again is harmless, best after `pause`.
-    fn push_back(&mut self, circuit: CircuitId, pause: Span);
+    fn push_back(&mut self, session: SessionId, pause: Span);
     /// Final answer: not done, nothing promised.
-    fn forfeit(&mut self, circuit: CircuitId);
-    /// Ends a standing connection politely; its client comes again as a new circuit.
-    fn send_away(&mut self, circuit: CircuitId);
+    fn forfeit(&mut self, session: SessionId);
+    /// Ends a standing connection politely; its client comes again as a new session.
+    fn send_away(&mut self, session: SessionId);
     /// Asks to be sent every change of the server list from now on; a host that is sent it unasked does nothing.
     fn subscribe(&mut self);
     /// Has a server give a sign of life; how long that took comes as `probed`. False where it is not allowed.
@@ -23,12 +23,12 @@
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct CircuitId(pub u64);
+pub struct SessionId(pub u64);
 
 /// A server's name at the door; its text also gives the order of the list.
 pub type ServerId = Rc<str>;
 
-/// Whether a circuit may run more than once.
+/// Whether a session may run more than once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Effect {
     Replayable,
@@ -59,10 +59,10 @@
     pub message_limit: Option<Span>,
 }
 
-/// A circuit as it arrives.
+/// A session as it arrives.
 #[derive(Clone, Copy, Debug)]
 pub struct Arrival<'a> {
-    pub circuit: CircuitId,
+    pub session: SessionId,
     /// Position in the offerings given at the start; none if unknown.
     pub offering: Option<usize>,
     pub key: Option<&'a str>,
@@ -79,7 +79,7 @@
     pub among: Option<&'a Rc<[ServerId]>>,
 }
 
-/// A circuit's turn, from outside: what is owed goes first.
+/// A session's turn, from outside: what is owed goes first.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Turn {
     /// The part of the crowd that goes before it, from 0 to 1; beyond 1 nobody is let in yet.
@@ -123,7 +123,7 @@
 }
 
 impl Ending {
-    /// Whether this proves that the circuit did not run.
+    /// Whether this proves that the session did not run.
     pub fn proves_unrun(self) -> bool {
         matches!(self, Ending::TurnedAway | Ending::Unreachable | Ending::Moot)
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -10,12 +10,12 @@
 //!
 //! struct Printer(Vec<String>);
 //! impl Host for Printer {
-//!     fn connect(&mut self, circuit: CircuitId, server: &ServerId, _: Span) {
-//!         self.0.push(format!("circuit {} to {server}", circuit.0));
+//!     fn connect(&mut self, session: SessionId, server: &ServerId, _: Span) {
+//!         self.0.push(format!("session {} to {server}", session.0));
 //!     }
-//!     fn push_back(&mut self, _: CircuitId, _: Span) {}
-//!     fn forfeit(&mut self, _: CircuitId) {}
-//!     fn send_away(&mut self, _: CircuitId) {}
+//!     fn push_back(&mut self, _: SessionId, _: Span) {}
+//!     fn forfeit(&mut self, _: SessionId) {}
+//!     fn send_away(&mut self, _: SessionId) {}
 //!     fn subscribe(&mut self) {}
 //!     fn probe(&mut self, _: &ServerId) -> bool { false }
 //!     fn wake(&mut self, _: Point) {}
@@ -45,7 +45,7 @@
 //! };
 //! chooser.start(&[server], now, &mut host);
 //! let arrival = Arrival {
-//!     circuit: CircuitId(1),
+//!     session: SessionId(1),
 //!     offering: Some(0),
 //!     key: Some("lift-12"),
 //!     group: None,
@@ -56,7 +56,7 @@
 //!     among: None,
 //! };
 //! chooser.arrived(&arrival, now, &mut host);
-//! assert_eq!(host.0, ["circuit 1 to 192.0.2.1:80"]);
+//! assert_eq!(host.0, ["session 1 to 192.0.2.1:80"]);
 //! ```
 
 pub mod books;
--- a/src/record.rs
+++ b/src/record.rs
@@ -1,6 +1,6 @@
-//! What a proxy keeps of servers and circuits: plain records, on which `choice` decides.
+//! What a proxy keeps of servers and sessions: plain records, on which `choice` decides.
 
-use crate::host::{Arrival, CircuitId, Effect, Ending, Listed, Offering, ServerId, Standing, Turn};
+use crate::host::{Arrival, Effect, Ending, Listed, Offering, ServerId, SessionId, Standing, Turn};
 use crate::time::{Point, Span};
 use nanorand::{Rng, WyRand};
 use std::cell::{Cell, RefCell};
@@ -19,7 +19,7 @@
     pub(crate) standing: Cell<Standing>,
     pub(crate) started: Cell<Option<Point>>,
     /// The connections that this proxy placed and that stand.
-    pub(crate) held: RefCell<BTreeMap<CircuitId, Weak<Circuit>>>,
+    pub(crate) held: RefCell<BTreeMap<SessionId, Weak<Session>>>,
     /// When the last connects were sent to it.
     pub(crate) sent: RefCell<VecDeque<Point>>,
     /// Connects that wait for a word from the server, and since when it has sent none.
@@ -30,8 +30,8 @@
     /// The score of distrust as it was at a moment, and how long it takes to fade by half.
     pub(crate) distrust: Cell<(f64, Point)>,
     pub(crate) half_life: Cell<Span>,
-    /// Circuits that wait for its sign of life.
-    pub(crate) hailed_by: RefCell<Vec<Weak<Circuit>>>,
+    /// Sessions that wait for its sign of life.
+    pub(crate) hailed_by: RefCell<Vec<Weak<Session>>>,
     /// When it was last probed, and how long its last answers took.
     pub(crate) probed: Cell<Point>,
     pub(crate) answers: RefCell<VecDeque<Span>>,
@@ -44,11 +44,11 @@
     pub(crate) gaps: RefCell<VecDeque<Span>>,
     /// The keys and groups of the last clients that came, each once however often it comes.
     pub(crate) groups: RefCell<VecDeque<(u64, u64)>>,
-    /// When the last circuits came; mid-flow ones too, as one that misses its server is set up anew.
+    /// When the last sessions came; mid-flow ones too, as one that misses its server is set up anew.
     pub(crate) arrivals: RefCell<VecDeque<Point>>,
     /// How many connects might be out at some moment.
     pub(crate) window: Cell<(f64, Point)>,
-    /// How many connects a circuit may have.
+    /// How many connects a session may have.
     pub(crate) most_connects: usize,
     pub(crate) seed: u64,
     /// How many proxies there are, this one included.
@@ -80,7 +80,7 @@
     // As long as it takes a crowd of clients to come back.
     pub(crate) const JUST_BEFORE: Span = Span::millis(2000);
 
-    /// How many circuits came just now, the last one included.
+    /// How many sessions came just now, the last one included.
     pub(crate) fn crowd(&self, now: Point) -> f64 {
         let mut arrivals = self.arrivals.borrow_mut();
         let past = arrivals.partition_point(|at| now.since(*at) > Self::JUST_BEFORE);
@@ -135,13 +135,13 @@
         keep_last(SAMPLES, took, &mut self.gaps.borrow_mut());
     }
 
-    /// Keeps a circuit's key and group, once for each key.
-    pub(crate) fn note_group(&self, circuit: &Circuit) {
+    /// Keeps a session's key and group, once for each key.
+    pub(crate) fn note_group(&self, session: &Session) {
         // Enough to tell a tenth from a twentieth, in some seconds of one proxy's traffic.
         const SAMPLES: usize = 128;
         let mut groups = self.groups.borrow_mut();
-        if let Some(group) = circuit.group.filter(|_| !groups.iter().any(|g| g.0 == circuit.key)) {
-            keep_last(SAMPLES, (circuit.key, group), &mut groups);
+        if let Some(group) = session.group.filter(|_| !groups.iter().any(|g| g.0 == session.key)) {
+            keep_last(SAMPLES, (session.key, group), &mut groups);
         }
     }
 }
@@ -250,17 +250,17 @@
     }
 }
 
-/// One connect of a circuit.
+/// One connect of a session.
 pub(crate) struct Connect {
     pub(crate) server: Rc<Server>,
     pub(crate) sent: Point,
     pub(crate) ending: Option<Ending>,
 }
 
-/// A circuit from its arrival to its final answer or, once it stands, to its end.
+/// A session from its arrival to its final answer or, once it stands, to its end.
 #[derive(Default)]
-pub(crate) struct Circuit {
-    pub(crate) id: CircuitId,
+pub(crate) struct Session {
+    pub(crate) id: SessionId,
     /// Hashes of the client key and of the group.
     pub(crate) key: u64,
     pub(crate) group: Option<u64>,
@@ -284,12 +284,12 @@
     pub(crate) connects: RefCell<Vec<Connect>>,
 }
 
-impl Circuit {
+impl Session {
     /// As it arrives; an offering never heard of is treated as the most delicate kind.
     pub(crate) fn arriving(arrival: &Arrival, offering: Option<&Offering>) -> Self {
-        Circuit {
-            id: arrival.circuit,
-            key: arrival.key.map_or(arrival.circuit.0, |k| xxh3_64(k.as_bytes())),
+        Session {
+            id: arrival.session,
+            key: arrival.key.map_or(arrival.session.0, |k| xxh3_64(k.as_bytes())),
             group: arrival.group.map(|g| xxh3_64(g.as_bytes())),
             effect: offering.map(|o| o.effect).unwrap_or_default(),
             soft_limit: offering.and_then(|o| o.soft_limit),
@@ -298,7 +298,7 @@
             returned: arrival.returned,
             turn: arrival.turn,
             among: arrival.among.cloned(),
-            ..Circuit::default()
+            ..Session::default()
         }
     }
 
--- a/tests/stories/answers.rs
+++ b/tests/stories/answers.rs
@@ -4,7 +4,7 @@
 use shelfgrade::host::*;
 
 #[test]
-fn a_single_use_circuit_is_never_sent_after_it_may_have_run() {
+fn a_single_use_session_is_never_sent_after_it_may_have_run() {
     let mut proxy = Proxy::of_four();
     let delicate = Arrival { offering: Some(SINGLE_USE), ..plain("job") };
     let run = proxy.arrives(delicate);
@@ -20,39 +20,39 @@
 }
 
 #[test]
-fn a_referenced_circuit_stays_in_its_circle_and_window() {
+fn a_referenced_session_stays_in_its_circle_and_window() {
     let mut proxy = Proxy::of_four();
     let key = key_for("a2");
     let marked = Arrival { offering: Some(REFERENCED), ..plain(&key) };
-    let circuit = proxy.arrives(marked);
-    proxy.ends(circuit, Ending::Broken);
-    proxy.ends(circuit, Ending::Broken);
-    assert_eq!(proxy.sent_to(circuit), ["a2", "a1"], "only its own zone drops the repeat");
-    assert_eq!(proxy.notes.forfeited, [circuit], "no pushback: the client's next try may land anywhere");
+    let session = proxy.arrives(marked);
+    proxy.ends(session, Ending::Broken);
+    proxy.ends(session, Ending::Broken);
+    assert_eq!(proxy.sent_to(session), ["a2", "a1"], "only its own zone drops the repeat");
+    assert_eq!(proxy.notes.forfeited, [session], "no pushback: the client's next try may land anywhere");
     let mut later = Proxy::of_four();
-    let circuit = later.arrives(marked);
+    let session = later.arrives(marked);
     later.passes(1600);
-    later.ends(circuit, Ending::TimedOut);
-    assert_eq!((later.sent_to(circuit).len(), &later.notes.forfeited), (1, &vec![circuit]));
+    later.ends(session, Ending::TimedOut);
+    assert_eq!((later.sent_to(session).len(), &later.notes.forfeited), (1, &vec![session]));
 }
 
 #[test]
-fn every_circuit_gets_one_answer_by_the_end_of_its_patience_and_nothing_after() {
+fn every_session_gets_one_answer_by_the_end_of_its_patience_and_nothing_after() {
     let mut proxy = Proxy::of_four();
-    let circuit = proxy.arrives(plain("slow"));
+    let session = proxy.arrives(plain("slow"));
     while proxy.notes.pushed_back.is_empty() {
         let time_out = proxy.notes.connects.last().expect("a connect").2;
         proxy.now = proxy.now + time_out;
-        proxy.ends(circuit, Ending::TimedOut);
+        proxy.ends(session, Ending::TimedOut);
     }
     assert!(proxy.now <= shelfgrade::time::Point::from_ms(60_000.0) + PATIENCE);
-    assert!(proxy.sent_to(circuit).len() >= 2, "the time-outs leave room for another connect");
+    assert!(proxy.sent_to(session).len() >= 2, "the time-outs leave room for another connect");
     let before = proxy.notes.connects.len();
-    proxy.ends(circuit, Ending::TimedOut);
+    proxy.ends(session, Ending::TimedOut);
     assert_eq!((proxy.notes.connects.len(), proxy.notes.pushed_back.len()), (before, 1));
     let mut proxy = Proxy::of_four();
     let left = proxy.arrives(plain("impatient"));
-    proxy.chooser.left(CircuitId(left));
+    proxy.chooser.left(SessionId(left));
     proxy.ends(left, Ending::TurnedAway);
     assert_eq!((proxy.notes.connects.len(), proxy.notes.pushed_back.len()), (1, 0));
 }
@@ -62,10 +62,10 @@
     let mut proxy = Proxy::of_four();
     let (usual, silent) = (key_for("a1"), key_for("a2"));
     for _ in 0..6 {
-        let circuit = proxy.arrives(plain(&usual));
+        let session = proxy.arrives(plain(&usual));
         proxy.passes(10);
-        proxy.chooser.stands(CircuitId(circuit), proxy.now);
-        proxy.ends(circuit, Ending::Finished);
+        proxy.chooser.stands(SessionId(session), proxy.now);
+        proxy.ends(session, Ending::Finished);
     }
     assert_eq!(proxy.settles(plain(&silent)).as_deref(), Some("a2"));
     proxy.ends(7, Ending::Finished);
@@ -79,11 +79,11 @@
     let mut proxy = Proxy::of_four();
     proxy.arrives(plain("first"));
     assert!(proxy.notes.connects[0].2 < PATIENCE);
-    proxy.chooser.stands(CircuitId(1), proxy.now);
+    proxy.chooser.stands(SessionId(1), proxy.now);
     for i in 0..6 {
-        let circuit = proxy.arrives(plain(&format!("jam-{i}")));
+        let session = proxy.arrives(plain(&format!("jam-{i}")));
         proxy.passes(700);
-        proxy.chooser.stands(CircuitId(circuit), proxy.now);
+        proxy.chooser.stands(SessionId(session), proxy.now);
     }
     proxy.arrives(plain("later"));
     assert_eq!(proxy.notes.connects.last().map(|c| c.2), Some(PATIENCE));
--- a/tests/stories/books.rs
+++ b/tests/stories/books.rs
@@ -1,4 +1,4 @@
-//! Random orders of all that can happen to circuits, connects, signs of life and the list: one final answer each, no
+//! Random orders of all that can happen to sessions, connects, signs of life and the list: one final answer each, no
 //! connect after the client left, none to a server that drains as heard by then, and nothing left on the books.
 
 use crate::fake::*;
@@ -21,7 +21,7 @@
 /// A host that holds the decisions to the rules with each call, and answers some connects at once.
 struct Model {
     luck: WyRand,
-    circuits: BTreeMap<u64, (Stage, usize)>,
+    sessions: BTreeMap<u64, (Stage, usize)>,
     list: BTreeMap<ServerId, Standing>,
     /// Connects that fail before they are begun, told as soon as the module has finished.
     at_once: VecDeque<u64>,
@@ -38,7 +38,7 @@
     }
 
     fn in_stage(&self, wanted: impl Fn(&Stage) -> bool) -> Vec<u64> {
-        self.circuits.iter().filter(|(_, (stage, _))| wanted(stage)).map(|(id, _)| *id).collect()
+        self.sessions.iter().filter(|(_, (stage, _))| wanted(stage)).map(|(id, _)| *id).collect()
     }
 
     fn one_of(&mut self, wanted: impl Fn(&Stage) -> bool) -> Option<u64> {
@@ -46,38 +46,38 @@
         (!all.is_empty()).then(|| all[self.draw(all.len())])
     }
 
-    fn becomes(&mut self, circuit: u64, stage: Stage) -> Stage {
-        std::mem::replace(&mut self.circuits.get_mut(&circuit).expect("a circuit that came").0, stage)
+    fn becomes(&mut self, session: u64, stage: Stage) -> Stage {
+        std::mem::replace(&mut self.sessions.get_mut(&session).expect("a session that came").0, stage)
     }
 
-    fn answered(&mut self, circuit: CircuitId) {
-        let was = self.becomes(circuit.0, Stage::Over);
-        assert_eq!(was, Stage::Waiting, "answered with nothing out: {circuit:?}");
-        let answers = &mut self.circuits.get_mut(&circuit.0).expect("a circuit").1;
+    fn answered(&mut self, session: SessionId) {
+        let was = self.becomes(session.0, Stage::Over);
+        assert_eq!(was, Stage::Waiting, "answered with nothing out: {session:?}");
+        let answers = &mut self.sessions.get_mut(&session.0).expect("a session").1;
         *answers += 1;
-        assert_eq!(*answers, 1, "one final answer: {circuit:?}");
+        assert_eq!(*answers, 1, "one final answer: {session:?}");
     }
 }
 
 impl Host for Model {
-    fn connect(&mut self, circuit: CircuitId, server: &ServerId, _: Span) {
-        assert_eq!(self.list.get(server), Some(&Standing::Active), "{circuit:?} to {server}");
-        let was = self.becomes(circuit.0, Stage::Out(server.clone()));
-        assert_eq!(was, Stage::Waiting, "one connect at a time, and none for who has left: {circuit:?}");
+    fn connect(&mut self, session: SessionId, server: &ServerId, _: Span) {
+        assert_eq!(self.list.get(server), Some(&Standing::Active), "{session:?} to {server}");
+        let was = self.becomes(session.0, Stage::Out(server.clone()));
+        assert_eq!(was, Stage::Waiting, "one connect at a time, and none for who has left: {session:?}");
         self.connects += 1;
         if self.draw(8) == 0 {
-            self.at_once.push_back(circuit.0);
+            self.at_once.push_back(session.0);
         }
     }
-    fn push_back(&mut self, circuit: CircuitId, _: Span) {
-        self.answered(circuit);
+    fn push_back(&mut self, session: SessionId, _: Span) {
+        self.answered(session);
     }
-    fn forfeit(&mut self, circuit: CircuitId) {
-        self.answered(circuit);
+    fn forfeit(&mut self, session: SessionId) {
+        self.answered(session);
     }
-    fn send_away(&mut self, circuit: CircuitId) {
-        assert!(matches!(self.circuits[&circuit.0].0, Stage::Standing(_)), "{circuit:?}");
-        self.sent_away.push(circuit.0);
+    fn send_away(&mut self, session: SessionId) {
+        assert!(matches!(self.sessions[&session.0].0, Stage::Standing(_)), "{session:?}");
+        self.sent_away.push(session.0);
     }
     fn subscribe(&mut self) {}
     fn probe(&mut self, server: &ServerId) -> bool {
@@ -104,7 +104,7 @@
         let Proxy { chooser, now, .. } = Proxy::among(proxies, Some(8.0), seed, &list);
         let model = Model {
             luck: WyRand::new_seed(seed),
-            circuits: BTreeMap::new(),
+            sessions: BTreeMap::new(),
             list: list.iter().map(|line| (line.server.clone(), line.standing)).collect(),
             at_once: VecDeque::new(),
             alarms: Vec::new(),
@@ -118,30 +118,30 @@
         play
     }
 
-    fn ended(&mut self, circuit: u64, ending: Ending, done: bool) {
-        self.model.becomes(circuit, if done { Stage::Over } else { Stage::Waiting });
-        self.chooser.ended(CircuitId(circuit), ending, done, self.now, &mut self.model);
+    fn ended(&mut self, session: u64, ending: Ending, done: bool) {
+        self.model.becomes(session, if done { Stage::Over } else { Stage::Waiting });
+        self.chooser.ended(SessionId(session), ending, done, self.now, &mut self.model);
     }
 
     /// As the host does once the module has finished.
     fn settles(&mut self) {
-        while let Some(circuit) = self.model.at_once.pop_front() {
+        while let Some(session) = self.model.at_once.pop_front() {
             let ending = [Ending::Moot, Ending::Unreachable][self.model.draw(2)];
-            self.ended(circuit, ending, false);
+            self.ended(session, ending, false);
         }
-        for circuit in std::mem::take(&mut self.model.sent_away) {
-            if matches!(self.model.circuits[&circuit].0, Stage::Standing(_)) {
-                self.ended(circuit, Ending::CalledOff, true);
+        for session in std::mem::take(&mut self.model.sent_away) {
+            if matches!(self.model.sessions[&session].0, Stage::Standing(_)) {
+                self.ended(session, Ending::CalledOff, true);
             }
         }
     }
 
-    fn leaves(&mut self, circuit: u64) {
-        let was = self.model.becomes(circuit, Stage::Over);
-        self.chooser.left(CircuitId(circuit));
+    fn leaves(&mut self, session: u64) {
+        let was = self.model.becomes(session, Stage::Over);
+        self.chooser.left(SessionId(session));
         // Where nothing is out, not every host tells of an end besides.
         if was != Stage::Waiting || self.model.draw(2) == 0 {
-            self.ended(circuit, Ending::CalledOff, true);
+            self.ended(session, Ending::CalledOff, true);
         }
     }
 
@@ -150,7 +150,7 @@
         let (key, group) = (format!("k{}", self.model.draw(40)), format!("g{}", self.model.draw(5)));
         let patience = self.model.draw(2500) as u64;
         let arrival = Arrival {
-            circuit: CircuitId(self.last),
+            session: SessionId(self.last),
             offering: [Some(REPLAYABLE), Some(SINGLE_USE), Some(REFERENCED), None][self.model.draw(4)],
             group: (self.model.draw(3) > 0).then_some(&*group),
             patience_ends: self.now + Span::millis(patience),
@@ -158,11 +158,11 @@
             returned: self.model.draw(3) == 0,
             ..plain(&key)
         };
-        self.model.circuits.insert(self.last, (Stage::Waiting, 0));
+        self.model.sessions.insert(self.last, (Stage::Waiting, 0));
         self.chooser.arrived(&arrival, self.now, &mut self.model);
     }
 
-    fn comes_back(&mut self, circuit: u64) {
+    fn comes_back(&mut self, session: u64) {
         let endings = [
             Ending::Errored,
             Ending::TurnedAway,
@@ -172,11 +172,11 @@
             Ending::CalledOff,
         ];
         match self.model.draw(endings.len() * 2) {
-            i if i < endings.len() => self.ended(circuit, endings[i], false),
+            i if i < endings.len() => self.ended(session, endings[i], false),
             _ => {
-                let Stage::Out(server) = self.model.circuits[&circuit].0.clone() else { return };
-                self.model.becomes(circuit, Stage::Standing(server));
-                self.chooser.stands(CircuitId(circuit), self.now);
+                let Stage::Out(server) = self.model.sessions[&session].0.clone() else { return };
+                self.model.becomes(session, Stage::Standing(server));
+                self.chooser.stands(SessionId(session), self.now);
             }
         }
     }
@@ -194,26 +194,26 @@
         match self.model.draw(12) {
             0..=2 => self.arrives(),
             3..=4 => {
-                if let Some(circuit) = self.model.one_of(|s| matches!(s, Stage::Out(_))) {
-                    self.comes_back(circuit);
+                if let Some(session) = self.model.one_of(|s| matches!(s, Stage::Out(_))) {
+                    self.comes_back(session);
                 }
             }
             5 => {
-                if let Some(circuit) = self.model.one_of(|s| matches!(s, Stage::Out(_) | Stage::Waiting)) {
-                    self.leaves(circuit);
+                if let Some(session) = self.model.one_of(|s| matches!(s, Stage::Out(_) | Stage::Waiting)) {
+                    self.leaves(session);
                 }
             }
             6 => {
-                if let Some(circuit) = self.model.one_of(|s| matches!(s, Stage::Standing(_))) {
+                if let Some(session) = self.model.one_of(|s| matches!(s, Stage::Standing(_))) {
                     let ending = [Ending::Finished, Ending::Broken, Ending::CalledOff][self.model.draw(3)];
-                    self.ended(circuit, ending, true);
+                    self.ended(session, ending, true);
                 }
             }
             7 => (0..1 + self.model.draw(3)).for_each(|_| self.list_changes()),
             8 => {
                 let asked = std::mem::take(&mut self.model.asked);
                 for server in asked {
-                    // One in eight in time for a circuit that waits for it, else half of them.
+                    // One in eight in time for a session that waits for it, else half of them.
                     let slowest = [400, 100][self.model.draw(2)];
                     let took = Span::millis(self.model.draw(slowest) as u64);
                     self.chooser.probed(&server, took, self.now, &mut self.model);
@@ -221,9 +221,9 @@
                 }
             }
             9 => {
-                if let Some(circuit) = self.model.one_of(|s| matches!(s, Stage::Standing(_))) {
+                if let Some(session) = self.model.one_of(|s| matches!(s, Stage::Standing(_))) {
                     let took = Span::millis(self.model.draw(4000) as u64);
-                    self.chooser.messages_take(CircuitId(circuit), took, self.now, &mut self.model);
+                    self.chooser.messages_take(SessionId(session), took, self.now, &mut self.model);
                 }
             }
             10 if self.model.draw(60) == 0 => self.chooser.ends(3, &mut self.model),
@@ -246,18 +246,18 @@
         self.now = self.now + Span::millis(5000);
         self.chooser.woke(self.now, &mut self.model);
         self.settles();
-        while let Some(circuit) = self.model.one_of(|s| matches!(s, Stage::Out(_))) {
-            self.ended(circuit, Ending::TimedOut, false);
+        while let Some(session) = self.model.one_of(|s| matches!(s, Stage::Out(_))) {
+            self.ended(session, Ending::TimedOut, false);
             self.settles();
         }
-        for circuit in self.model.in_stage(|s| matches!(s, Stage::Standing(_))) {
-            self.ended(circuit, Ending::Finished, true);
+        for session in self.model.in_stage(|s| matches!(s, Stage::Standing(_))) {
+            self.ended(session, Ending::Finished, true);
         }
     }
 }
 
 #[test]
-fn whatever_the_order_each_circuit_has_one_end_and_nothing_is_left_on_the_books() {
+fn whatever_the_order_each_session_has_one_end_and_nothing_is_left_on_the_books() {
     let (mut connects, mut answers, mut stood) = (0, 0, 0);
     for seed in 0..300 {
         let mut play = Play::begin(seed);
@@ -270,7 +270,7 @@
         let open = play.model.in_stage(|s| *s != Stage::Over);
         assert!(open.is_empty(), "seed {seed}: never answered: {open:?}");
         connects += play.model.connects;
-        answers += play.model.circuits.values().map(|(_, answers)| answers).sum::<usize>();
+        answers += play.model.sessions.values().map(|(_, answers)| answers).sum::<usize>();
     }
     // The plays are no empty ones.
     assert!(connects > 5000 && answers > 2000 && stood > 5, "{connects} {answers} {stood}");
--- a/tests/stories/cold.rs
+++ b/tests/stories/cold.rs
@@ -37,10 +37,10 @@
             let before = proxy.notes.connects.len();
             for i in 0..400 {
                 proxy.arrives(plain(&format!("storm-{seed}-{i}")));
-                let circuit = CircuitId(240 / proxies + 1 + i);
-                proxy.chooser.left(circuit);
-                proxy.chooser.stands(circuit, proxy.now);
-                proxy.chooser.ended(circuit, Ending::Finished, true, proxy.now, &mut proxy.notes);
+                let session = SessionId(240 / proxies + 1 + i);
+                proxy.chooser.left(session);
+                proxy.chooser.stands(session, proxy.now);
+                proxy.chooser.ended(session, Ending::Finished, true, proxy.now, &mut proxy.notes);
                 proxy.passes(20);
             }
             total += proxy.notes.connects[before..].iter().filter(|(_, place, _)| place == "a7").count();
--- a/tests/stories/fake.rs
+++ b/tests/stories/fake.rs
@@ -20,17 +20,17 @@
 }
 
 impl Host for Notes {
-    fn connect(&mut self, circuit: CircuitId, server: &ServerId, time_out: Span) {
-        self.connects.push((circuit.0, server.to_string(), time_out));
+    fn connect(&mut self, session: SessionId, server: &ServerId, time_out: Span) {
+        self.connects.push((session.0, server.to_string(), time_out));
     }
-    fn push_back(&mut self, circuit: CircuitId, pause: Span) {
-        self.pushed_back.push((circuit.0, pause));
+    fn push_back(&mut self, session: SessionId, pause: Span) {
+        self.pushed_back.push((session.0, pause));
     }
-    fn forfeit(&mut self, circuit: CircuitId) {
-        self.forfeited.push(circuit.0);
+    fn forfeit(&mut self, session: SessionId) {
+        self.forfeited.push(session.0);
     }
-    fn send_away(&mut self, circuit: CircuitId) {
-        self.sent_away.push(circuit.0);
+    fn send_away(&mut self, session: SessionId) {
+        self.sent_away.push(session.0);
     }
     fn subscribe(&mut self) {
         self.subscribed += 1;
@@ -74,10 +74,10 @@
     }
 }
 
-/// A circuit with its own key and no group.
+/// A session with its own key and no group.
 pub fn plain<'a>(key: &'a str) -> Arrival<'a> {
     Arrival {
-        circuit: CircuitId(0),
+        session: SessionId(0),
         offering: Some(REPLAYABLE),
         key: Some(key),
         group: None,
@@ -137,17 +137,17 @@
         Self::with(&TWELVE.map(server))
     }
 
-    /// Has every server of the list hold a circuit whose messages take this long.
+    /// Has every server of the list hold a session whose messages take this long.
     pub fn strains(&mut self, places: &[&str], ms: u64) {
         for place in places {
             self.next += 1;
-            let open = Arrival { circuit: CircuitId(self.next), ..plain("any") };
+            let open = Arrival { session: SessionId(self.next), ..plain("any") };
             self.chooser.open_already(&open, place, self.now);
             self.messages_take(self.next, ms);
         }
     }
 
-    /// Lets a circuit arrive and gives its number.
+    /// Lets a session arrive and gives its number.
     pub fn arrives(&mut self, arrival: Arrival) -> u64 {
         self.next += 1;
         let ends = if arrival.patience_ends == Point::default() {
@@ -155,7 +155,7 @@
         } else {
             arrival.patience_ends
         };
-        let arrival = Arrival { circuit: CircuitId(self.next), patience_ends: ends, ..arrival };
+        let arrival = Arrival { session: SessionId(self.next), patience_ends: ends, ..arrival };
         self.chooser.arrived(&arrival, self.now, &mut self.notes);
         self.next
     }
@@ -169,22 +169,22 @@
     /// a sign of life the first answers.
     pub fn settles(&mut self, arrival: Arrival) -> Option<String> {
         let asked = self.notes.probed.len();
-        let circuit = self.arrives(arrival);
+        let session = self.arrives(arrival);
         if let Some(first) = self.notes.probed.get(asked).cloned() {
             self.answers(&first, 3);
         }
-        let place = self.sent_to(circuit).last().cloned();
+        let place = self.sent_to(session).last().cloned();
         self.passes(20);
-        self.chooser.stands(CircuitId(circuit), self.now);
+        self.chooser.stands(SessionId(session), self.now);
         place
     }
 
-    pub fn ends(&mut self, circuit: u64, ending: Ending) {
-        self.chooser.ended(CircuitId(circuit), ending, ending == Ending::Finished, self.now, &mut self.notes);
+    pub fn ends(&mut self, session: u64, ending: Ending) {
+        self.chooser.ended(SessionId(session), ending, ending == Ending::Finished, self.now, &mut self.notes);
     }
 
-    pub fn messages_take(&mut self, circuit: u64, ms: u64) {
-        self.chooser.messages_take(CircuitId(circuit), Span::millis(ms), self.now, &mut self.notes);
+    pub fn messages_take(&mut self, session: u64, ms: u64) {
+        self.chooser.messages_take(SessionId(session), Span::millis(ms), self.now, &mut self.notes);
     }
 
     pub fn passes(&mut self, ms: u64) {
@@ -201,8 +201,8 @@
         self.now = end;
     }
 
-    pub fn sent_to(&self, circuit: u64) -> Vec<String> {
-        self.notes.connects.iter().filter(|(c, ..)| *c == circuit).map(|(_, s, _)| s.clone()).collect()
+    pub fn sent_to(&self, session: u64) -> Vec<String> {
+        self.notes.connects.iter().filter(|(c, ..)| *c == session).map(|(_, s, _)| s.clone()).collect()
     }
 
     pub fn last_place(&self) -> &str {
@@ -217,13 +217,13 @@
     }
 }
 
-/// A client key whose circuits go to `place` in an untroubled proxy of four.
+/// A client key whose sessions go to `place` in an untroubled proxy of four.
 pub fn key_for(place: &str) -> String {
     let lands = |key: &String| Proxy::of_four().settles(plain(key)).as_deref() == Some(place);
     (0..).map(|i| format!("key-{i}")).find(lands).expect("some key")
 }
 
-/// Where a circuit of the group goes that came back.
+/// Where a session of the group goes that came back.
 pub fn home(proxy: &mut Proxy, group: &str) -> Option<String> {
     proxy.settles(Arrival { group: Some(group), returned: true, ..plain("k") })
 }
--- a/tests/stories/gathering.rs
+++ b/tests/stories/gathering.rs
@@ -25,15 +25,15 @@
     for i in 0..200 {
         let key = format!("back-{i}");
         let group = format!("group-{}", i % 10);
-        let circuit = proxy.arrives(Arrival { group: Some(&group), returned: true, ..plain(&key) });
-        while proxy.sent_to(circuit).last().is_some_and(|place| gone.contains(&place.as_str())) {
-            let tried = proxy.sent_to(circuit).len();
-            proxy.ends(circuit, Ending::Unreachable);
-            if proxy.sent_to(circuit).len() == tried {
+        let session = proxy.arrives(Arrival { group: Some(&group), returned: true, ..plain(&key) });
+        while proxy.sent_to(session).last().is_some_and(|place| gone.contains(&place.as_str())) {
+            let tried = proxy.sent_to(session).len();
+            proxy.ends(session, Ending::Unreachable);
+            if proxy.sent_to(session).len() == tried {
                 break;
             }
         }
-        proxy.chooser.stands(CircuitId(circuit), proxy.now);
+        proxy.chooser.stands(SessionId(session), proxy.now);
         proxy.passes(20);
     }
     assert_eq!(proxy.notes.pushed_back.len(), 0, "two are sound");
@@ -90,26 +90,26 @@
 
 /// Groups met on 231 servers of 81: some held 55 connections and broke off, others one, and no proxy saw either.
 #[test]
-fn where_a_proxy_cannot_see_most_servers_the_first_to_give_a_sign_of_life_gets_the_circuit() {
+fn where_a_proxy_cannot_see_most_servers_the_first_to_give_a_sign_of_life_gets_the_session() {
     let mut placed = 0;
     for seed in 0..30 {
         let mut proxy = one_of_many(seed);
-        let circuit = proxy.arrives(Arrival { group: Some("g"), ..plain("k") });
+        let session = proxy.arrives(Arrival { group: Some("g"), ..plain("k") });
         // A few draws go by the key's hash and ask nobody.
         let [_, second, third] = &proxy.notes.probed.clone()[..] else { continue };
-        assert!(proxy.sent_to(circuit).is_empty());
+        assert!(proxy.sent_to(session).is_empty());
         proxy.passes(9);
         proxy.answers(second, 9);
         proxy.answers(third, 10);
         proxy.lives(1000);
-        assert_eq!(proxy.sent_to(circuit), [second.as_str()]);
+        assert_eq!(proxy.sent_to(session), [second.as_str()]);
         placed += 1;
     }
     assert!(placed > 20, "{placed}");
 }
 
 #[test]
-fn a_circuit_whose_servers_give_no_sign_in_time_is_sent_all_the_same_and_one_answer_is_as_good_for_two() {
+fn a_session_whose_servers_give_no_sign_in_time_is_sent_all_the_same_and_one_answer_is_as_good_for_two() {
     let mut proxy = one_of_many(1);
     let first = proxy.arrives(Arrival { group: Some("g"), ..plain("k") });
     let second = proxy.arrives(Arrival { group: Some("g"), ..plain("k") });
@@ -118,7 +118,7 @@
     assert!(proxy.notes.connects.is_empty());
     proxy.lives(1);
     assert_eq!((proxy.sent_to(first).len(), proxy.sent_to(second).len()), (1, 1));
-    [first, second].iter().for_each(|circuit| proxy.chooser.stands(CircuitId(*circuit), proxy.now));
+    [first, second].iter().for_each(|session| proxy.chooser.stands(SessionId(*session), proxy.now));
     // A sign that comes after its time, or in place of one given up, sends nothing.
     let place = proxy.notes.probed[2].clone();
     proxy.answers(&place, 51);
@@ -138,7 +138,7 @@
     let mut proxy = one_of_many(1);
     let left = proxy.arrives(Arrival { group: Some("g"), ..plain("k") });
     let asked = proxy.notes.probed.clone();
-    proxy.chooser.left(CircuitId(left));
+    proxy.chooser.left(SessionId(left));
     asked.iter().for_each(|place| proxy.answers(place, 3));
     proxy.lives(1000);
     assert!(proxy.notes.connects.is_empty() && proxy.notes.pushed_back.is_empty());
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn a_strained_fleet_gathers_new_circuits_even_at_servers_not_heard_of() {
+fn a_strained_fleet_gathers_new_sessions_even_at_servers_not_heard_of() {
     let at_b4 = |group: &String| home(&mut Proxy::of_twelve(), group).as_deref() == Some("b4");
     let group = (0..).map(|i| format!("bank-{i}")).find(at_b4).expect("a group");
     let places = |strained: &[&str]| {
--- a/tests/stories/jams.rs
+++ b/tests/stories/jams.rs
@@ -5,7 +5,7 @@
 
 #[test]
 fn a_jam_slows_a_hundred_proxies_that_have_one_client_each() {
-    // Whatever is sent ends in an error, and the client comes straight back, as a new circuit each time.
+    // Whatever is sent ends in an error, and the client comes straight back, as a new session each time.
     let sent_in_a_second_of_the_jam = |seed: u64| {
         let mut proxy =
             Proxy::among(100, None, seed.wrapping_mul(0x9e37_79b9_7f4a_7c15), &TWELVE.map(server));
@@ -15,11 +15,11 @@
                 before = proxy.notes.connects.len();
             }
             let key = format!("lift-{i}");
-            let circuit = proxy.arrives(Arrival { returned: true, ..plain(&key) });
+            let session = proxy.arrives(Arrival { returned: true, ..plain(&key) });
             // As long as it is sent somewhere else.
             for tried in 1..=4 {
-                if proxy.sent_to(circuit).len() == tried {
-                    proxy.ends(circuit, Ending::Errored);
+                if proxy.sent_to(session).len() == tried {
+                    proxy.ends(session, Ending::Errored);
                 }
             }
             proxy.passes(100);
@@ -27,16 +27,16 @@
         proxy.notes.connects.len() - before
     };
     let sent: usize = (0..100).map(sent_in_a_second_of_the_jam).sum();
-    assert!((1..=150).contains(&sent), "{sent} of a thousand circuits, with up to four connects each");
+    assert!((1..=150).contains(&sent), "{sent} of a thousand sessions, with up to four connects each");
 }
 
 #[test]
 fn a_jam_behind_all_servers_is_paced_and_nobody_is_held() {
     let mut proxy = Proxy::with(&["a1", "a2", "a3", "b1", "b2", "b3"].map(server));
     for i in 0..6 {
-        let circuit = proxy.arrives(plain(&format!("jam-{i}")));
+        let session = proxy.arrives(plain(&format!("jam-{i}")));
         for _ in 0..4 {
-            proxy.ends(circuit, Ending::Errored);
+            proxy.ends(session, Ending::Errored);
         }
     }
     let (sent, pushed) = (proxy.notes.connects.len(), proxy.notes.pushed_back.len());
@@ -56,7 +56,7 @@
         for round in 0..15 {
             let came: Vec<_> = (0..30).map(|i| proxy.arrives(plain(&format!("jam-{round}-{i}")))).collect();
             proxy.passes(stood_after);
-            came.iter().for_each(|circuit| proxy.chooser.stands(CircuitId(*circuit), proxy.now));
+            came.iter().for_each(|session| proxy.chooser.stands(SessionId(*session), proxy.now));
         }
         proxy.passes(ms);
         let connects = proxy.notes.connects.len();
@@ -89,7 +89,7 @@
     wait(&mut proxy);
     wait(&mut proxy);
     proxy.passes(301);
-    (1..3).for_each(|circuit| proxy.chooser.stands(CircuitId(circuit), proxy.now));
+    (1..3).for_each(|session| proxy.chooser.stands(SessionId(session), proxy.now));
     proxy.passes(200);
     for _ in 4..40 {
         wait(&mut proxy);
--- a/tests/stories/order.rs
+++ b/tests/stories/order.rs
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_mid_flow_circuit_goes_where_the_table_says_until_that_has_aged() {
+fn a_mid_flow_session_goes_where_the_table_says_until_that_has_aged() {
     let mut proxy = Proxy::of_four();
     let key = key_for("a2");
     // The skip puts the tenth or so away from the hash's pick.
@@ -50,15 +50,15 @@
     let last = proxy.notes.connects.len() as u64;
     let stray = Arrival { mid_flow: true, ..plain(&key) };
     assert_eq!(proxy.settles(stray).as_deref(), Some(away.as_str()));
-    for circuit in 1..=last + 1 {
-        proxy.ends(circuit, Ending::Finished);
+    for session in 1..=last + 1 {
+        proxy.ends(session, Ending::Finished);
     }
     proxy.passes(31_000);
     assert_eq!(proxy.settles(stray).as_deref(), Some("a2"));
 }
 
 #[test]
-fn a_mid_flow_circuit_passes_over_a_draining_server() {
+fn a_mid_flow_session_passes_over_a_draining_server() {
     let mut proxy = Proxy::of_four();
     let key = key_for("a2");
     let stray = Arrival { mid_flow: true, ..plain(&key) };
@@ -78,7 +78,7 @@
     assert!(proxy.notes.pushed_back.iter().all(|(_, pause)| *pause > Span::default()));
     proxy.ends(77, Ending::Finished);
     proxy.messages_take(77, 500);
-    proxy.chooser.left(CircuitId(77));
+    proxy.chooser.left(SessionId(77));
     proxy.chooser.open_already(&plain("open"), "unheard-of", proxy.now);
     proxy.chooser.listed(&[server("a1")], true, proxy.now);
     assert_eq!(proxy.settles(keyless).as_deref(), Some("a1"));
@@ -104,7 +104,7 @@
 /// After a step of a rolling restart 215 connections came mid-flow in a second, 296 were set up anew: nobody held them
 /// where their key's hash led, as they had met their group.
 #[test]
-fn a_mid_flow_circuit_looks_for_its_server_where_its_group_meets() {
+fn a_mid_flow_session_looks_for_its_server_where_its_group_meets() {
     let found = |i: u64| {
         let key = format!("key{i}");
         let (mut placed_it, mut knows_nothing) = (one_of_many(i), one_of_many(i + 100));
@@ -125,7 +125,7 @@
 fn connections_open_at_the_start_count_and_are_known_mid_flow() {
     let mut proxy = Proxy::of_four();
     let key = key_for("a2");
-    let open = Arrival { circuit: CircuitId(900), ..plain(&key) };
+    let open = Arrival { session: SessionId(900), ..plain(&key) };
     proxy.chooser.open_already(&open, "b2", proxy.now);
     assert_eq!(proxy.settles(Arrival { mid_flow: true, ..plain(&key) }).as_deref(), Some("b2"));
 }
@@ -134,10 +134,10 @@
 fn a_server_that_resets_a_mid_flow_connection_it_does_not_hold_is_not_distrusted() {
     let mut proxy = Proxy::of_four();
     for i in 0..20 {
-        let circuit = proxy.arrives(Arrival { mid_flow: true, ..plain(&format!("stray-{i}")) });
-        proxy.ends(circuit, Ending::Broken);
-        assert_eq!(proxy.sent_to(circuit).len(), 2, "and the next may hold it");
-        proxy.chooser.stands(CircuitId(circuit), proxy.now);
+        let session = proxy.arrives(Arrival { mid_flow: true, ..plain(&format!("stray-{i}")) });
+        proxy.ends(session, Ending::Broken);
+        assert_eq!(proxy.sent_to(session).len(), 2, "and the next may hold it");
+        proxy.chooser.stands(SessionId(session), proxy.now);
     }
     for place in ["a1", "a2", "b1", "b2"] {
         let key = key_for(place);
--- a/tests/stories/ramp.rs
+++ b/tests/stories/ramp.rs
@@ -61,10 +61,10 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Comes { client: u64, proxy: usize, returned: bool, tries: u32 },
-    Stands { circuit: u64, place: String },
-    Refused { circuit: u64, ending: bool },
-    Breaks { circuit: u64 },
-    Ends { circuit: u64 },
+    Stands { session: u64, place: String },
+    Refused { session: u64, ending: bool },
+    Breaks { session: u64 },
+    Ends { session: u64 },
     Wakes,
     Answers { place: String },
     Lost,
@@ -77,7 +77,7 @@
     luck: WyRand,
     proxies: Vec<Proxy>,
     parts: Vec<f64>,
-    /// By proxy and circuit: the client, how often it has come, and where its circuit stands.
+    /// By proxy and session: the client, how often it has come, and where its session stands.
     clients: BTreeMap<(usize, u64), (u64, u32, String)>,
     queue: BinaryHeap<Reverse<(u64, u64, usize, Event)>>,
     number: u64,
@@ -194,29 +194,29 @@
                     offering: Some([REPLAYABLE, REPLAYABLE, SINGLE_USE][(client % 3) as usize]),
                     ..plain(&key)
                 };
-                let circuit = self.proxies[proxy].arrives(arrival);
-                self.clients.insert((proxy, circuit), (client, tries, String::new()));
+                let session = self.proxies[proxy].arrives(arrival);
+                self.clients.insert((proxy, session), (client, tries, String::new()));
             }
-            Event::Stands { circuit, place } => {
+            Event::Stands { session, place } => {
                 let late = place.ends_with('7');
-                self.proxies[at].chooser.stands(CircuitId(circuit), now);
+                self.proxies[at].chooser.stands(SessionId(session), now);
                 if late {
-                    self.proxies[at].messages_take(circuit, 45);
+                    self.proxies[at].messages_take(session, 45);
                 }
-                self.clients.entry((at, circuit)).and_modify(|c| c.2 = place);
+                self.clients.entry((at, session)).and_modify(|c| c.2 = place);
             }
-            Event::Refused { circuit, ending } => {
+            Event::Refused { session, ending } => {
                 let ending = if ending { Ending::TurnedAway } else { Ending::Unreachable };
-                self.proxies[at].ends(circuit, ending);
+                self.proxies[at].ends(session, ending);
             }
-            Event::Breaks { circuit } => {
-                let Some((client, _, _)) = self.clients.remove(&(at, circuit)) else { return };
-                self.proxies[at].ends(circuit, Ending::Broken);
+            Event::Breaks { session } => {
+                let Some((client, _, _)) = self.clients.remove(&(at, session)) else { return };
+                self.proxies[at].ends(session, Ending::Broken);
                 self.again(client, 1, at, 300.0);
             }
-            Event::Ends { circuit } => {
-                if self.clients.remove(&(at, circuit)).is_some() {
-                    self.proxies[at].ends(circuit, Ending::Finished);
+            Event::Ends { session } => {
+                if self.clients.remove(&(at, session)).is_some() {
+                    self.proxies[at].ends(session, Ending::Finished);
                 }
             }
             Event::Wakes => {
@@ -239,8 +239,8 @@
             self.proxies[proxy].chooser.listed(&lines, false, Point::from_ms(self.now_ms));
         }
         let held: Vec<_> = self.clients.iter().filter(|c| cold.contains(&c.1 .2)).map(|c| *c.0).collect();
-        for (proxy, circuit) in held {
-            self.at(self.now_ms + 10.0, proxy, Event::Breaks { circuit });
+        for (proxy, session) in held {
+            self.at(self.now_ms + 10.0, proxy, Event::Breaks { session });
         }
     }
 
@@ -258,7 +258,7 @@
     fn carries_out(&mut self, at: usize) {
         let notes = std::mem::take(&mut self.proxies[at].notes);
         self.proxies[at].notes.mute = notes.mute;
-        for (circuit, place, _) in notes.connects {
+        for (session, place, _) in notes.connects {
             let one_in = if self.day.seed.is_multiple_of(2) { 30.0 } else { 3.0 };
             let late = if self.below(one_in) < 1.0 { self.below(1500.0) } else { 5.0 };
             if place.starts_with('z') && self.now_ms >= BACK_MS {
@@ -266,11 +266,11 @@
             }
             let odd = self.luck.generate();
             if self.below(20.0) < 1.0 {
-                self.at(self.now_ms + late, at, Event::Refused { circuit, ending: odd });
+                self.at(self.now_ms + late, at, Event::Refused { session, ending: odd });
             } else {
                 let lasts = -8000.0 * f64::ln(1.0 - self.below(0.999));
-                self.at(self.now_ms + late, at, Event::Stands { circuit, place });
-                self.at(self.now_ms + late + lasts, at, Event::Ends { circuit });
+                self.at(self.now_ms + late, at, Event::Stands { session, place });
+                self.at(self.now_ms + late + lasts, at, Event::Ends { session });
             }
         }
         for place in notes.probed {
@@ -279,10 +279,10 @@
         }
         let back = notes.pushed_back.iter().map(|p| (p.0, p.1.as_ms()));
         let away = notes.sent_away.iter().map(|c| (*c, 500.0));
-        for (circuit, pause) in back.chain(away).collect::<Vec<_>>() {
-            let Some((client, tries, place)) = self.clients.remove(&(at, circuit)) else { continue };
+        for (session, pause) in back.chain(away).collect::<Vec<_>>() {
+            let Some((client, tries, place)) = self.clients.remove(&(at, session)) else { continue };
             if !place.is_empty() {
-                self.proxies[at].ends(circuit, Ending::Finished);
+                self.proxies[at].ends(session, Ending::Finished);
             }
             self.again(client, tries + 1, at, pause);
         }
--- a/tests/stories/relief.rs
+++ b/tests/stories/relief.rs
@@ -27,7 +27,7 @@
     let (light, heavy) = (key_for(away), key_for(away));
     proxy.settles(member(&light));
     proxy.settles(member(&heavy));
-    proxy.chooser.load_is(CircuitId(3), 9.0);
+    proxy.chooser.load_is(SessionId(3), 9.0);
     while proxy.notes.sent_away.is_empty() {
         proxy.messages_take(2, 200);
     }
--- a/tests/stories/told.rs
+++ b/tests/stories/told.rs
@@ -59,7 +59,7 @@
 }
 
 /// With three hundred proxies and ten seconds to ask in, the pause after a failure, and the one at the start, were up to
-/// eight seconds: a server that had left the list 7.1 s before was sent a circuit.
+/// eight seconds: a server that had left the list 7.1 s before was sent a session.
 #[test]
 fn whatever_failed_before_news_is_in_hand_six_seconds_after_it_can_be_had() {
     let mut chance = WyRand::new_seed(11);
--- a/tests/stories/trust.rs
+++ b/tests/stories/trust.rs
@@ -18,21 +18,21 @@
 fn an_overload_that_leaves_no_server_trusted_is_not_fed() {
     let mut proxy = Proxy::of_four();
     let held = ["a1", "a2", "b1", "b2"].map(|place| proxy.arrives(plain(&key_for(place))));
-    for circuit in held {
-        proxy.chooser.stands(CircuitId(circuit), proxy.now);
-        proxy.messages_take(circuit, 500);
+    for session in held {
+        proxy.chooser.stands(SessionId(session), proxy.now);
+        proxy.messages_take(session, 500);
     }
-    let circuit = proxy.arrives(plain("one more"));
-    assert_eq!(proxy.notes.pushed_back.iter().map(|(c, _)| *c).collect::<Vec<_>>(), [circuit]);
+    let session = proxy.arrives(plain("one more"));
+    assert_eq!(proxy.notes.pushed_back.iter().map(|(c, _)| *c).collect::<Vec<_>>(), [session]);
 }
 
 #[test]
 fn a_client_that_asks_again_at_once_does_not_leak_into_a_strained_fleet() {
     let mut proxy = Proxy::of_four();
     for place in ["a1", "a2", "b1", "b2"] {
-        let circuit = proxy.arrives(plain(&key_for(place)));
-        proxy.chooser.stands(CircuitId(circuit), proxy.now);
-        proxy.messages_take(circuit, 35);
+        let session = proxy.arrives(plain(&key_for(place)));
+        proxy.chooser.stands(SessionId(session), proxy.now);
+        proxy.messages_take(session, 35);
     }
     // Partly distrusted servers let some clients in and turn others away, but no client by asking often.
     let mut admitted = [0, 0];
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_circuit_that_no_server_can_use_costs_only_the_first_of_them_trust() {
+fn a_session_that_no_server_can_use_costs_only_the_first_of_them_trust() {
     let mut proxy = Proxy::of_twelve();
     for _ in 0..3 {
         let bad = proxy.arrives(plain("bad"));
