--- a/crates/cells/src/packet.rs
+++ b/crates/cells/src/packet.rs
@@ -13,7 +13,7 @@
 const FORMAT: u8 = 1;
 const HEAD: usize = 13;
 
-/// The order of attempts at a slot.
+/// The order of proposals at a slot.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Ballot {
     pub round: u32,
--- a/crates/cells/src/paxos.rs
+++ b/crates/cells/src/paxos.rs
@@ -1,4 +1,4 @@
-//! One attempt at one slot: first a majority's promises, then a majority's votes.
+//! One proposal at one slot: first a majority's promises, then a majority's votes.
 
 use crate::packet::{Ballot, ROOM};
 use crate::record::{Batch, Change, MOST_IN_BATCH};
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
-pub struct Attempt {
+pub struct Proposal {
     pub slot: u64,
     pub ballot: Ballot,
     pub until: Point,
@@ -17,9 +17,9 @@
     votes: BTreeSet<u8>,
 }
 
-impl Attempt {
+impl Proposal {
     pub fn new(slot: u64, ballot: Ballot, own: Batch, until: Point) -> Self {
-        Attempt { slot, ballot, until, own, promises: BTreeMap::new(), batch: None, votes: BTreeSet::new() }
+        Proposal { slot, ballot, until, own, promises: BTreeMap::new(), batch: None, votes: BTreeSet::new() }
     }
 
     /// What to have voted on, when this promise made the majority: what may have been chosen already goes first.
--- a/crates/cells/src/replica.rs
+++ b/crates/cells/src/replica.rs
@@ -3,7 +3,7 @@
 use crate::apply::HORIZON;
 use crate::follow::Follower;
 use crate::packet::{self, Ballot, Message, Paxos};
-use crate::paxos::{Attempt, Queue};
+use crate::paxos::{Proposal, Queue};
 use crate::rate::Rate;
 use crate::record::{Batch, Change, ChangeFault, Key, Record, Scope, Version};
 use crate::roster::Peers;
@@ -69,7 +69,7 @@
     pub(crate) early: BTreeMap<u8, Paxos>,
     recent: BTreeMap<u64, Batch>,
     pub(crate) queue: Queue,
-    pub(crate) attempt: Option<Attempt>,
+    pub(crate) proposal: Option<Proposal>,
     pub(crate) highest: u32,
     pub(crate) retry: Point,
     pulls: Point,
@@ -130,7 +130,7 @@
             early: BTreeMap::new(),
             recent: BTreeMap::new(),
             queue: Queue::default(),
-            attempt: None,
+            proposal: None,
             highest: 0,
             retry: now,
             pulls: now,
@@ -298,8 +298,8 @@
     fn caught_up(&mut self, around: &mut dyn Surroundings) {
         self.recent.clear();
         self.checkpoint(around);
-        if self.attempt.as_ref().is_some_and(|attempt| attempt.slot <= self.slot()) {
-            self.attempt = None;
+        if self.proposal.as_ref().is_some_and(|proposal| proposal.slot <= self.slot()) {
+            self.proposal = None;
         }
     }
 
@@ -332,7 +332,7 @@
         if slot.is_multiple_of((horizon / 4).max(1)) {
             self.checkpoint(around);
         }
-        self.attempt = None;
+        self.proposal = None;
     }
 
     /// To be called when [`Replica::next`] says so, or more often.
@@ -350,9 +350,9 @@
     }
 
     pub fn next(&self) -> Point {
-        let attempt = self.attempt.as_ref().map_or(Point::NEVER, |attempt| attempt.until);
+        let proposal = self.proposal.as_ref().map_or(Point::NEVER, |proposal| proposal.until);
         let waits = if self.queue.is_empty() { Point::NEVER } else { self.retry };
-        let own = if self.attempt.is_some() { attempt } else { waits };
+        let own = if self.proposal.is_some() { proposal } else { waits };
         self.pulls.min(own)
     }
 }
--- a/crates/cells/src/vote.rs
+++ b/crates/cells/src/vote.rs
@@ -1,17 +1,17 @@
 //! How replicas agree on one slot after the other, and what one that lost its storage may not do.
 
 use crate::packet::{self, Ballot, Message, Paxos};
-use crate::paxos::Attempt;
+use crate::paxos::Proposal;
 use crate::replica::{Replica, Stored, Vote};
 use crate::Surroundings;
 use nanorand::Rng;
 use shelfgrade::time::{Point, Span};
 
-/// Twice the longest way there and back; an attempt that took longer is given up.
-const ATTEMPT: Span = Span::millis(800);
-/// The most that is drawn before the next attempt, so that two proposers miss each other.
+/// Twice the longest way there and back; an proposal that took longer is given up.
+const PROPOSAL: Span = Span::millis(800);
+/// The most that is drawn before the next proposal, so that two proposers miss each other.
 const PAUSE_MS: u64 = 600;
-/// How long one leaves proposing to another that it heard at it: two attempts.
+/// How long one leaves proposing to another that it heard at it: two proposals.
 const YIELD: Span = Span::millis(1600);
 
 impl Replica {
@@ -50,7 +50,7 @@
             Paxos::Conflict { slot, promised } => {
                 self.highest = self.highest.max(promised.round);
                 let mine =
-                    self.attempt.as_ref().is_some_and(|mine| mine.slot == slot && promised > mine.ballot);
+                    self.proposal.as_ref().is_some_and(|mine| mine.slot == slot && promised > mine.ballot);
                 if mine {
                     self.give_up(now);
                     self.yields_to(promised.by, now);
@@ -150,12 +150,12 @@
 
     /// Tries to have what waits chosen for the next slot.
     pub(crate) fn propose(&mut self, now: Point, around: &mut dyn Surroundings) {
-        if self.attempt.as_ref().is_some_and(|attempt| now >= attempt.until) {
+        if self.proposal.as_ref().is_some_and(|proposal| now >= proposal.until) {
             self.give_up(now);
         }
         let can = self.settled() && self.votes() && self.vote.slot <= self.slot() + 1;
-        if self.attempt.is_some() || self.queue.is_empty() || now < self.retry || !can {
-            if !can && self.attempt.is_none() && !self.queue.is_empty() && now >= self.retry {
+        if self.proposal.is_some() || self.queue.is_empty() || now < self.retry || !can {
+            if !can && self.proposal.is_none() && !self.queue.is_empty() && now >= self.retry {
                 self.retry = now + Span::millis(PAUSE_MS);
                 if !self.votes() {
                     self.hand_on(None, around);
@@ -170,7 +170,7 @@
         let slot = self.slot() + 1;
         let held = self.vote_in(slot).promised.round;
         let ballot = Ballot { round: held.max(self.highest) + 1, by: self.id };
-        self.attempt = Some(Attempt::new(slot, ballot, self.queue.batch(), now + ATTEMPT));
+        self.proposal = Some(Proposal::new(slot, ballot, self.queue.batch(), now + PROPOSAL));
         // On this disk before anybody hears of it: after a restart the next ballot is a greater one.
         let own = self.prepare(slot, ballot, around);
         self.to_others(&Paxos::Prepare { slot, ballot }, around);
@@ -199,8 +199,8 @@
     }
 
     fn give_up(&mut self, now: Point) {
-        if let Some(attempt) = self.attempt.take() {
-            self.highest = self.highest.max(attempt.ballot.round);
+        if let Some(proposal) = self.proposal.take() {
+            self.highest = self.highest.max(proposal.ballot.round);
         }
         self.retry = now + Span::millis(self.chance.generate_range(10..PAUSE_MS));
     }
@@ -221,7 +221,7 @@
         around: &mut dyn Surroundings,
     ) {
         let majority = self.peers.majority();
-        let mine = self.attempt.as_mut().filter(|mine| mine.slot == slot && mine.ballot == ballot);
+        let mine = self.proposal.as_mut().filter(|mine| mine.slot == slot && mine.ballot == ballot);
         let Some(batch) = mine.and_then(|mine| mine.promised(by, accepted, majority)) else { return };
         self.to_others(&Paxos::Accept { slot, ballot, batch: batch.clone() }, around);
         if let Some(Paxos::Accepted { .. }) = self.accept(slot, ballot, batch, around) {
@@ -231,12 +231,12 @@
 
     fn voted(&mut self, by: u8, slot: u64, ballot: Ballot, now: Point, around: &mut dyn Surroundings) {
         let majority = self.peers.majority();
-        let mine = self.attempt.as_mut().filter(|mine| mine.slot == slot && mine.ballot == ballot);
+        let mine = self.proposal.as_mut().filter(|mine| mine.slot == slot && mine.ballot == ballot);
         let Some(batch) = mine.and_then(|mine| mine.voted(by, majority)) else { return };
         if self.settled() && slot == self.slot() + 1 {
             self.learn(slot, batch.clone(), now, around);
         } else {
-            self.attempt = None;
+            self.proposal = None;
         }
         self.to_others(&Paxos::Chosen { slot, batch }, around);
         self.propose(now, around);
--- a/crates/proxy/src/comeback.rs
+++ b/crates/proxy/src/comeback.rs
@@ -186,7 +186,7 @@
             self.hands.sessions.values().filter(|c| c.stage.get() == Stage::Standing).collect();
         let at: Vec<_> = standing
             .iter()
-            .filter_map(|c| Some((c.id, site_of(&c.connect.borrow().as_ref()?.server.id)?)))
+            .filter_map(|c| Some((c.id, site_of(&c.attempt.borrow().as_ref()?.server.id)?)))
             .collect();
         let held = |site: &str| at.iter().filter(|(_, zone)| zone == site).count();
         let look = self.windows.look(fellows.fleet_ms(now), &list, held);
--- a/crates/proxy/src/hands.rs
+++ b/crates/proxy/src/hands.rs
@@ -5,7 +5,7 @@
 use crate::due::Due;
 use crate::lingering::LingeringCloses;
 use crate::proxy::Proxy;
-use crate::server::{Connect, Server};
+use crate::server::{Attempt, Server};
 use crate::session::{Session, Stage, TAKE_OVER_WITHIN};
 use crate::socket::Socket;
 use crate::start::Limits;
@@ -203,8 +203,8 @@
         }
         let server = session.opening.at.as_ref().and_then(|at| self.servers.get(at.as_str()).cloned());
         let Some(server) = server else { return self.unplaced.push(session.me.clone()) };
-        match Connect::begin(session, server, TAKE_OVER_WITHIN, self.clock.now(), self) {
-            Ok(connect) => drop(session.connect.replace(Some(connect))),
+        match Attempt::begin(session, server, TAKE_OVER_WITHIN, self.clock.now(), self) {
+            Ok(attempt) => drop(session.attempt.replace(Some(attempt))),
             Err(fault) => {
                 log::warn!("session {}: {fault}", session.id.0);
                 session.answer("ERR", self);
@@ -226,19 +226,19 @@
         log::debug!("session {} connects to {server}, for {} ms", session.0, time_out.as_ms());
         let (found, server) = (self.sessions.get(&session).cloned(), self.servers.get(server).cloned());
         self.tally
-            .must(found.is_some() && server.is_some(), "a connect is for a session and a server that are");
+            .must(found.is_some() && server.is_some(), "an attempt is for a session and a server that are");
         let begun = match (&found, server) {
             (Some(found), _) if !found.still_asks(self) => {
                 return self.untold.push_back((session, Ending::CalledOff, true));
             }
             (Some(found), Some(server)) => {
-                self.tally.must(found.connect.borrow().is_none(), "one connect at a time");
-                Connect::begin(found, server, time_out, self.clock.now(), self)
+                self.tally.must(found.attempt.borrow().is_none(), "one attempt at a time");
+                Attempt::begin(found, server, time_out, self.clock.now(), self)
             }
             _ => return self.untold.push_back((session, Ending::Moot, false)),
         };
         match (begun, found) {
-            (Ok(connect), Some(found)) => drop(found.connect.replace(Some(connect))),
+            (Ok(attempt), Some(found)) => drop(found.attempt.replace(Some(attempt))),
             (Err(fault), _) => {
                 // Out of descriptors, or refused at once: nothing was sent.
                 log::warn!("session {}: {fault}", session.0);
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -231,7 +231,7 @@
         }
     }
 
-    /// A connect, or a standing connection, has ended; `done` where the client's side has its end by that.
+    /// An attempt, or a standing connection, has ended; `done` where the client's side has its end by that.
     pub fn ended(&mut self, session: SessionId, ending: Ending, done: bool) {
         log::debug!("session {} ended: {ending:?}, done {done}", session.0);
         let now = self.now();
@@ -239,7 +239,7 @@
         self.settle();
     }
 
-    /// The client has left before its answer; the connect that was out has ended with it.
+    /// The client has left before its answer; the attempt that was out has ended with it.
     pub fn left(&mut self, session: SessionId) {
         self.chooser.left(session);
         self.ended(session, Ending::CalledOff, true);
--- a/crates/proxy/src/server.rs
+++ b/crates/proxy/src/server.rs
@@ -1,4 +1,4 @@
-//! The server's side of a session: one connect, from the dial to the end of the connection.
+//! The server's side of a session: one attempt, from the dial to the end of the connection.
 
 use crate::clock::duration;
 use crate::hands::Hands;
@@ -40,7 +40,7 @@
     Up,
 }
 
-pub struct Connect {
+pub struct Attempt {
     pub server: Rc<Server>,
     pub socket: Socket<Proxy>,
     phase: Cell<Phase>,
@@ -53,8 +53,8 @@
     farewell: Cell<Ending>,
 }
 
-impl Connect {
-    /// Dials; the time-out covers the connect and the wait for the first answer.
+impl Attempt {
+    /// Dials; the time-out covers the attempt and the wait for the first answer.
     pub fn begin(
         session: &Rc<Session>,
         server: Rc<Server>,
@@ -67,7 +67,7 @@
         socket.watch(&hands.handle, move |proxy| {
             weak.upgrade().inspect(|session| session.ready(proxy));
         })?;
-        let connect = Rc::new(Connect {
+        let attempt = Rc::new(Attempt {
             server,
             socket,
             phase: Cell::new(Phase::Dialling),
@@ -77,11 +77,11 @@
             timer: Cell::default(),
             farewell: Cell::new(Ending::Broken),
         });
-        // What was open before the start has only this one connect.
+        // What was open before the start has only this one attempt.
         let dial = hands.dial_time_out.filter(|_| !session.is_taken_over());
         let dial = dial.map_or(time_out, |dial| dial.min(time_out));
-        connect.give_up_in(dial, session, &hands.handle);
-        Ok(connect)
+        attempt.give_up_in(dial, session, &hands.handle);
+        Ok(attempt)
     }
 
     pub fn is_up(&self) -> bool {
@@ -97,15 +97,15 @@
         *self.lines.borrow_mut() = Cutter::default();
     }
 
-    /// Guards against a stale alarm too: the new one takes the old one's place, and goes with the connect.
+    /// Guards against a stale alarm too: the new one takes the old one's place, and goes with the attempt.
     fn give_up_in(self: &Rc<Self>, wait: Span, session: &Session, handle: &LoopHandle<'static, Proxy>) {
         self.stop_timer();
-        let (session, connect) = (session.me.clone(), Rc::downgrade(self));
+        let (session, attempt) = (session.me.clone(), Rc::downgrade(self));
         let timer = Timer::from_duration(duration(wait));
         let token = handle.insert_source(timer, move |_, _, proxy| {
-            if let (Some(session), Some(connect)) = (session.upgrade(), connect.upgrade()) {
-                connect.timer.take();
-                connect.timed_out(&session, proxy);
+            if let (Some(session), Some(attempt)) = (session.upgrade(), attempt.upgrade()) {
+                attempt.timer.take();
+                attempt.timed_out(&session, proxy);
             }
             TimeoutAction::Drop
         });
@@ -122,7 +122,7 @@
         // Guards against time running out just as the answer, or the client's end, comes in.
         session.ready(proxy);
         if session.current(self) && self.phase.get() != Phase::Up {
-            session.connect_ended(self, self.unrun_or(Ending::TimedOut), proxy);
+            session.attempt_ended(self, self.unrun_or(Ending::TimedOut), proxy);
         }
     }
 
@@ -136,57 +136,57 @@
     }
 }
 
-impl Drop for Connect {
+impl Drop for Attempt {
     fn drop(&mut self) {
         self.stop_timer();
     }
 }
 
 impl Session {
-    /// Goes on with the connect, or reads once from the server; true if anything came.
+    /// Goes on with the attempt, or reads once from the server; true if anything came.
     pub fn hear_server(&self, proxy: &mut Proxy) -> bool {
-        let Some(connect) = self.connect.borrow().clone() else { return false };
-        if connect.phase.get() == Phase::Dialling {
-            let up = connect.socket.is_up();
+        let Some(attempt) = self.attempt.borrow().clone() else { return false };
+        if attempt.phase.get() == Phase::Dialling {
+            let up = attempt.socket.is_up();
             if matches!(up, Ok(true)) {
                 proxy.discovery.clone().look(proxy);
             }
             match up {
                 Ok(false) => return false,
-                Ok(true) if self.may_begin(&connect, proxy) => {
-                    let line = self.opening.for_server(connect.gives_up.since(proxy.now()));
+                Ok(true) if self.may_begin(&attempt, proxy) => {
+                    let line = self.opening.for_server(attempt.gives_up.since(proxy.now()));
                     let mut first = Ring::new(line.len());
                     first.push(line.as_bytes());
-                    *connect.first.borrow_mut() = first;
-                    connect.phase.set(Phase::Writing);
-                    let wait = connect.gives_up.since(proxy.now());
-                    connect.give_up_in(wait, self, &proxy.hands.handle);
+                    *attempt.first.borrow_mut() = first;
+                    attempt.phase.set(Phase::Writing);
+                    let wait = attempt.gives_up.since(proxy.now());
+                    attempt.give_up_in(wait, self, &proxy.hands.handle);
                 }
                 Ok(true) | Err(_) => {
-                    self.connect_ended(&connect, Ending::Unreachable, proxy);
+                    self.attempt_ended(&attempt, Ending::Unreachable, proxy);
                     return true;
                 }
             }
         }
-        if connect.phase.get() == Phase::Writing {
-            while connect.socket.write(&mut connect.first.borrow_mut()) > 0 {}
-            if connect.first.borrow().is_empty() && connect.socket.ended.get().is_none() {
-                connect.phase.set(Phase::Waiting);
+        if attempt.phase.get() == Phase::Writing {
+            while attempt.socket.write(&mut attempt.first.borrow_mut()) > 0 {}
+            if attempt.first.borrow().is_empty() && attempt.socket.ended.get().is_none() {
+                attempt.phase.set(Phase::Waiting);
             }
         }
-        let before = connect.socket.ended.get();
-        let read = connect.socket.read(&mut self.down.borrow_mut());
+        let before = attempt.socket.ended.get();
+        let read = attempt.socket.read(&mut self.down.borrow_mut());
         if read > 0 {
-            self.take_in(&connect, read, proxy);
+            self.take_in(&attempt, read, proxy);
         }
-        match connect.socket.ended.get() {
-            Some(how) if self.current(&connect) && (before.is_none() || how == End::Reset) => {
+        match attempt.socket.ended.get() {
+            Some(how) if self.current(&attempt) && (before.is_none() || how == End::Reset) => {
                 match self.stage.get() {
                     Stage::Asking => {
-                        self.connect_ended(&connect, connect.unrun_or(Ending::Broken), proxy);
+                        self.attempt_ended(&attempt, attempt.unrun_or(Ending::Broken), proxy);
                         return true;
                     }
-                    Stage::Standing => self.server_ended(how, connect.farewell.get(), proxy),
+                    Stage::Standing => self.server_ended(how, attempt.farewell.get(), proxy),
                     // After the client's end the server's follows.
                     _ => self.down_end.set(self.down_end.get().or(Some(how))),
                 }
@@ -196,21 +196,21 @@
         read > 0
     }
 
-    /// Guards against something new at a server that was listed as draining, or went, while its connect came
+    /// Guards against something new at a server that was listed as draining, or went, while its attempt came
     /// up, and against a line for one that has closed the connection by now: nothing is sent then, which proves that
     /// nothing ran. Whether it may still be sent again the decisions say.
-    fn may_begin(&self, connect: &Connect, proxy: &mut Proxy) -> bool {
-        let wanted = connect.server.standing.get() == Standing::Active || self.is_taken_over();
+    fn may_begin(&self, attempt: &Attempt, proxy: &mut Proxy) -> bool {
+        let wanted = attempt.server.standing.get() == Standing::Active || self.is_taken_over();
         let now = proxy.now();
-        wanted && proxy.chooser.may_begin(self.id, now) && !connect.socket.has_left()
+        wanted && proxy.chooser.may_begin(self.id, now) && !attempt.socket.has_left()
     }
 
-    fn current(&self, connect: &Rc<Connect>) -> bool {
-        self.connect.borrow().as_ref().is_some_and(|c| Rc::ptr_eq(c, connect))
+    fn current(&self, attempt: &Rc<Attempt>) -> bool {
+        self.attempt.borrow().as_ref().is_some_and(|c| Rc::ptr_eq(c, attempt))
     }
 
     /// Reads along in what has come into the ring.
-    fn take_in(&self, connect: &Rc<Connect>, read: usize, proxy: &mut Proxy) {
+    fn take_in(&self, attempt: &Rc<Attempt>, read: usize, proxy: &mut Proxy) {
         if self.down_end.get().is_some() {
             // Its client is being sent away or has had its answer.
             self.down.borrow_mut().cut(read);
@@ -222,43 +222,43 @@
             let after = down.latest(read).iter().rev().take_while(|b| **b != b'\n').count();
             if after < read {
                 down.cut(after);
-                connect.forget_line();
+                attempt.forget_line();
                 drop(down);
                 return proxy.move_now(self);
             }
         }
-        let lines = connect.lines.borrow_mut().feed(self.down.borrow().latest(read));
+        let lines = attempt.lines.borrow_mut().feed(self.down.borrow().latest(read));
         match lines {
-            Ok(lines) => lines.iter().for_each(|line| self.server_says(connect, text(line), proxy)),
-            Err(fault) if connect.is_up() => self.foul(fault, Ending::Broken, proxy),
+            Ok(lines) => lines.iter().for_each(|line| self.server_says(attempt, text(line), proxy)),
+            Err(fault) if attempt.is_up() => self.foul(fault, Ending::Broken, proxy),
             Err(_) => {
                 proxy.hands.tally.count("long lines");
-                self.connect_ended(connect, Ending::Broken, proxy);
+                self.attempt_ended(attempt, Ending::Broken, proxy);
             }
         }
     }
 
-    fn server_says(&self, connect: &Rc<Connect>, line: &str, proxy: &mut Proxy) {
-        log::trace!("session {} at {}: {line}", self.id.0, connect.server.id);
-        if !self.current(connect) {
+    fn server_says(&self, attempt: &Rc<Attempt>, line: &str, proxy: &mut Proxy) {
+        log::trace!("session {} at {}: {line}", self.id.0, attempt.server.id);
+        if !self.current(attempt) {
             return;
         }
         let (word, rest) = line.split_once(' ').unwrap_or((line, ""));
-        if connect.phase.get() != Phase::Up {
+        if attempt.phase.get() != Phase::Up {
             match word {
                 "UP" => {
-                    connect.phase.set(Phase::Up);
-                    connect.stop_timer();
+                    attempt.phase.set(Phase::Up);
+                    attempt.stop_timer();
                     self.enter(Stage::Standing, proxy.now());
-                    proxy.stands(self, &connect.server.id);
+                    proxy.stands(self, &attempt.server.id);
                 }
-                "BUSY" => self.connect_ended(connect, Ending::TurnedAway, proxy),
-                "MOVE" => self.connect_ended(connect, Ending::CalledOff, proxy),
-                _ => self.connect_ended(connect, Ending::Errored, proxy),
+                "BUSY" => self.attempt_ended(attempt, Ending::TurnedAway, proxy),
+                "MOVE" => self.attempt_ended(attempt, Ending::CalledOff, proxy),
+                _ => self.attempt_ended(attempt, Ending::Errored, proxy),
             }
             return;
         }
-        connect.farewell.set(match word {
+        attempt.farewell.set(match word {
             "BYE" => Ending::Finished,
             "MOVE" => Ending::CalledOff,
             _ => Ending::Broken,
@@ -267,10 +267,10 @@
         match (word, asked) {
             ("LOAD", _) => {
                 let told = rest.parse().ok().filter(|told: &f64| (0.0..MOST_LOAD).contains(told));
-                told.into_iter().for_each(|told| self.server_tells(&connect.server, told, proxy));
+                told.into_iter().for_each(|told| self.server_tells(&attempt.server, told, proxy));
             }
             ("BYE" | "MOVE", _) | (_, None) => {}
-            (_, Some(asked)) => connect.server.pulse.came_back(self, proxy.now().since(asked)),
+            (_, Some(asked)) => attempt.server.pulse.came_back(self, proxy.now().since(asked)),
         }
     }
 
@@ -286,10 +286,10 @@
         }
     }
 
-    /// A connect has ended without a connection; the module says how it goes on.
-    pub fn connect_ended(&self, connect: &Connect, ending: Ending, proxy: &mut Proxy) {
-        log::debug!("session {} at {}: {ending:?}", self.id.0, connect.server.id);
-        self.connect.borrow_mut().take();
+    /// An attempt has ended without a connection; the module says how it goes on.
+    pub fn attempt_ended(&self, attempt: &Attempt, ending: Ending, proxy: &mut Proxy) {
+        log::debug!("session {} at {}: {ending:?}", self.id.0, attempt.server.id);
+        self.attempt.borrow_mut().take();
         self.down.borrow_mut().clear();
         if self.is_taken_over() {
             return self.answer("ERR", &mut proxy.hands);
--- a/crates/proxy/src/session.rs
+++ b/crates/proxy/src/session.rs
@@ -7,7 +7,7 @@
 use crate::line::{Cutter, Open, TooLong};
 use crate::proxy::Proxy;
 use crate::ring::Ring;
-use crate::server::Connect;
+use crate::server::Attempt;
 use crate::socket::{End, Socket};
 use shelfgrade::host::{Ending, SessionId};
 use shelfgrade::time::{Point, Span};
@@ -40,7 +40,7 @@
     pub opening: Open,
     pub client: Rc<Socket<Proxy>>,
     pub from_client: RefCell<Cutter>,
-    pub connect: RefCell<Option<Rc<Connect>>>,
+    pub attempt: RefCell<Option<Rc<Attempt>>>,
     pub up: RefCell<Ring>,
     pub down: RefCell<Ring>,
     pub up_end: Cell<Option<End>>,
@@ -63,7 +63,7 @@
             opening,
             client,
             from_client: RefCell::default(),
-            connect: RefCell::default(),
+            attempt: RefCell::default(),
             up: RefCell::new(Ring::new(ring)),
             down: RefCell::new(Ring::keeping(MOVE.len(), ring)),
             up_end: Cell::default(),
@@ -83,7 +83,7 @@
     /// Guards against waiting for a server that does not exist: discovery names all there are at once.
     fn taken_over_within(&self, proxy: &Proxy) -> Span {
         const NAMED_WITHIN: Span = Span::millis(2500);
-        let unnamed = proxy.hands.list_heard.get() && self.connect.borrow().is_none();
+        let unnamed = proxy.hands.list_heard.get() && self.attempt.borrow().is_none();
         if unnamed {
             NAMED_WITHIN
         } else {
@@ -114,14 +114,14 @@
 
     /// Writes what can be written, and ends the sides that have had their last byte.
     pub fn flush(&self) -> bool {
-        let connect = self.connect.borrow().clone();
+        let attempt = self.attempt.borrow().clone();
         let (mut up, mut down) = (self.up.borrow_mut(), self.down.borrow_mut());
         let mut written = 0;
         self.client.write_own();
-        if let Some(connect) = connect.as_ref().filter(|c| c.is_up()) {
-            written += connect.socket.write(&mut up);
+        if let Some(attempt) = attempt.as_ref().filter(|c| c.is_up()) {
+            written += attempt.socket.write(&mut up);
             if let (Some(end), true) = (self.up_end.get(), up.is_empty()) {
-                connect.socket.end(end);
+                attempt.socket.end(end);
             }
         }
         if matches!(self.stage.get(), Stage::Standing | Stage::Leaving) {
@@ -159,7 +159,7 @@
 
     /// Sends the client away as soon as the server's last line has ended; true once that is done.
     pub fn try_moving(&self, now: Point) -> bool {
-        let between = self.connect.borrow().as_ref().is_some_and(|c| c.between_lines());
+        let between = self.attempt.borrow().as_ref().is_some_and(|c| c.between_lines());
         let moved = between && self.down.borrow_mut().push(MOVE);
         if moved {
             self.leaving_line.set(None);
@@ -175,7 +175,7 @@
     /// gone out of that line is dropped; where its beginning has, the connection ends inside it.
     fn move_without_the_line(&self, proxy: &mut Proxy) {
         if self.down.borrow_mut().cut_unfinished_line() {
-            self.connect.borrow().iter().for_each(|connect| connect.forget_line());
+            self.attempt.borrow().iter().for_each(|attempt| attempt.forget_line());
             return proxy.move_now(self);
         }
         proxy.hands.tally.count("moved inside a line");
@@ -185,7 +185,7 @@
 
     /// Forgets the session once both sides have ended.
     pub fn wind_up(&self, proxy: &mut Proxy) {
-        let server_over = || self.connect.borrow().as_ref().is_none_or(|c| c.socket.is_over());
+        let server_over = || self.attempt.borrow().as_ref().is_none_or(|c| c.socket.is_over());
         if self.stage.get() == Stage::Leaving && self.client.is_over() && server_over() {
             self.close(&mut proxy.hands);
         }
@@ -193,7 +193,7 @@
 
     /// Closes both connections at once and forgets the session.
     pub fn close(&self, hands: &mut Hands) {
-        self.connect.borrow_mut().take();
+        self.attempt.borrow_mut().take();
         self.stage.set(Stage::Closed);
         self.place.take();
         hands.forget(self);
--- a/crates/proxy/src/socket.rs
+++ b/crates/proxy/src/socket.rs
@@ -28,7 +28,7 @@
     ready: Rc<RefCell<Callback<T>>>,
     /// Lines of our own that the system has yet to take.
     own: RefCell<Vec<u8>>,
-    /// How a connect failed.
+    /// How an attempt failed.
     refused: Cell<Option<ErrorKind>>,
     /// `ready` is about to be called by a timer.
     waits_for_call: Rc<Cell<bool>>,
@@ -60,7 +60,7 @@
         })
     }
 
-    /// Starts a connect, which a call of `ready` will bring news of.
+    /// Starts an attempt, which a call of `ready` will bring news of.
     pub fn dial(to: SocketAddr) -> io::Result<Self> {
         let socket = socket2::Socket::new(
             socket2::Domain::for_address(to),
@@ -95,7 +95,7 @@
         *self.ready.borrow_mut() = Rc::new(ready);
     }
 
-    /// Whether a connect has come up; an error where it has failed. Guards against a refusal that one asks about
+    /// Whether an attempt has come up; an error where it has failed. Guards against a refusal that one asks about
     /// and the next does not hear of: the system tells it once.
     pub fn is_up(&self) -> io::Result<bool> {
         if let Some(fault) = self.stream.take_error()? {
--- a/crates/proxy/tests/sockets/crossing.rs
+++ b/crates/proxy/tests/sockets/crossing.rs
@@ -13,7 +13,7 @@
         let program = Program::start(USUAL, &[&clogged]);
         let (mut watch, _) = program.discovery.called();
         let mut client = program.opens("lift-1", ",d=6000");
-        assert!(client.is_quiet(), "its connect is on the way");
+        assert!(client.is_quiet(), "its attempt is on the way");
         program.stands_still();
         let mut tell = || {
             watch.say(&list(8, false, &[clogged.entry("terminating")]));
@@ -33,7 +33,7 @@
     }
 }
 
-/// Servers drop repeats for so long: the second line was written once its connect was up, however long that took.
+/// Servers drop repeats for so long: the second line was written once its attempt was up, however long that took.
 #[test]
 fn nothing_is_sent_again_where_repeats_are_no_longer_dropped_once_its_connect_is_up() {
     let first = Place::new("s1");
@@ -46,7 +46,7 @@
     watch.say(&list(8, false, &[clogged.entry("in_service")]));
     assert!(next_call(&mut watch).contains("index=8"));
     at_first.reset();
-    assert!(client.is_quiet(), "its second connect is on the way");
+    assert!(client.is_quiet(), "its second attempt is on the way");
     std::thread::sleep(Duration::from_millis(800));
     let _held = clogged.accept();
     let mut late = clogged.accept();
@@ -55,7 +55,7 @@
     assert!(answer == "ERR" || answer.starts_with("BUSY"), "{answer}");
 }
 
-/// The connect to a server that had been told to drain cost it a connection for nothing.
+/// The attempt to a server that had been told to drain cost it a connection for nothing.
 #[test]
 fn a_session_that_comes_together_with_news_is_placed_by_the_news() {
     for news_first in [true, false] {
@@ -118,7 +118,7 @@
     let program = Program::start(USUAL, &[&clogged]);
     let (mut watch, _) = program.discovery.called();
     let mut client = program.opens("lift-1", ",d=6000");
-    assert!(client.is_quiet(), "its connect is on the way");
+    assert!(client.is_quiet(), "its attempt is on the way");
     watch.say(&list(8, false, &[clogged.entry("terminated")]));
     assert!(next_call(&mut watch).contains("index=8"));
     watch.say(&list(9, false, &[back.entry("in_service")]));
--- a/crates/proxy/tests/sockets/gone.rs
+++ b/crates/proxy/tests/sockets/gone.rs
@@ -1,5 +1,5 @@
 //! Stories of clients that have gone, in each place where a session waits between two turns: nothing begins for them any
-//! more, not even a connect. One that ends its sending alone has gone like one that closes, as a peer gives up in both ways;
+//! more, not even an attempt. One that ends its sending alone has gone like one that closes, as a peer gives up in both ways;
 //! if it still reads it has its final answer.
 
 use crate::leaving::{asked, gets_no_line, has_gone_round};
@@ -83,7 +83,7 @@
     signs
 }
 
-/// The sign was heard first, and a connect went out for a client whose end lay there.
+/// The sign was heard first, and an attempt went out for a client whose end lay there.
 #[test]
 fn nothing_is_connected_to_for_a_client_that_left_before_the_sign_of_life_it_waited_for() {
     for (by, client_first) in ALL.into_iter().flat_map(|by| [(by, true), (by, false)]) {
@@ -196,7 +196,7 @@
         let before = program.descriptors();
         let mut client = program.opens("lift-1", ",d=6000");
         within(LONG, || (program.descriptors() == before + 2).then_some(()));
-        assert!(client.is_quiet(), "its connect is on the way");
+        assert!(client.is_quiet(), "its attempt is on the way");
         let rest = by.has_gone(client);
         within(LONG, || (program.descriptors() == before).then_some(()));
         hears_the_end(rest);
--- a/crates/proxy/tests/sockets/leaving.rs
+++ b/crates/proxy/tests/sockets/leaving.rs
@@ -61,7 +61,7 @@
             client.take().into_iter().for_each(|client| leaves(client, by_reset));
             program.goes_on();
             if let Some(server) = &mut at_server {
-                assert!(["", "reset"].contains(&&*server.line()), "its connect is closed");
+                assert!(["", "reset"].contains(&&*server.line()), "its attempt is closed");
             }
             has_gone_round(&program);
             assert!(!gets_no_line(other), "{word:?}, client first: {client_first}, by reset: {by_reset}");
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_as_its_connects_time_runs_out_is_sent_on_nowhere() {
+fn a_client_that_leaves_as_its_attempts_time_runs_out_is_sent_on_nowhere() {
     let (one, two) = (Place::new("s1"), Place::new("s2"));
     let program = Program::start(USUAL, &[&one, &two]);
     let client = program.opens("lift-1", ",d=900");
@@ -153,7 +153,7 @@
         let (clogged, _first) = Place::clogged("s1");
         let program = Program::start(USUAL, &[&clogged]);
         let mut client = program.opens("lift-1", ",d=6000");
-        assert!(client.is_quiet(), "its connect is on the way");
+        assert!(client.is_quiet(), "its attempt is on the way");
         program.stands_still();
         let mut client = Some(client);
         if client_first {
@@ -253,9 +253,9 @@
 fn a_connection_that_its_server_closed_before_the_first_line_was_written_has_not_run() {
     for by_reset in [true, false] {
         let (clogged, _first) = Place::clogged("s1");
-        let program = Program::start(Terms { effect: "once", connects: 1, ..USUAL }, &[&clogged]);
+        let program = Program::start(Terms { effect: "once", attempts: 1, ..USUAL }, &[&clogged]);
         let mut client = program.opens("lift-1", ",d=6000");
-        assert!(client.is_quiet(), "its connect is on the way");
+        assert!(client.is_quiet(), "its attempt is on the way");
         program.stands_still();
         let _held = clogged.accept();
         let late = clogged.accept();
--- a/crates/proxy/tests/sockets/moving.rs
+++ b/crates/proxy/tests/sockets/moving.rs
@@ -10,7 +10,7 @@
     let mut client = program.opens("lift-1", ",d=4000");
     let _call = program.hears(&[clogged.entry("terminating")]);
     let _held = clogged.accept();
-    // The connect comes up when the system next tries, or is given up before.
+    // The attempt comes up when the system next tries, or is given up before.
     assert!(client.line().starts_with("BUSY "));
     if let Some(mut late) = clogged.try_accept() {
         assert_eq!(late.line(), "");
--- a/crates/proxy/tests/sockets/passing.rs
+++ b/crates/proxy/tests/sockets/passing.rs
@@ -1,4 +1,4 @@
-//! Stories of lines and ends that pass, and of connects that fail.
+//! Stories of lines and ends that pass, and of attempts that fail.
 
 use crate::stand::{within, Place, Program, Terms, Wire, LONG, USUAL};
 use std::time::{Duration, Instant};
--- a/crates/proxy/tests/sockets/settings.rs
+++ b/crates/proxy/tests/sockets/settings.rs
@@ -18,9 +18,9 @@
     pub balancers: &'static str,
     /// How the list comes.
     pub discovery: &'static str,
-    /// The longest that a client waits, and how many connects it may have.
+    /// The longest that a client waits, and how many attempts it may have.
     pub patience_ms: u64,
-    pub connects: u64,
+    pub attempts: u64,
     /// How long it may go without asking for the list.
     pub must_ask_ms: u64,
     /// For all that is left to chance.
@@ -43,7 +43,7 @@
     balancers: "null",
     discovery: "subscribe",
     patience_ms: 3000,
-    connects: 3,
+    attempts: 3,
     must_ask_ms: 1500,
     seed: "8c1f30d27a5be964",
     cold_ms: 0,
@@ -59,12 +59,12 @@
     let entries: Vec<_> = known.iter().map(|p| p.entry("in_service")).collect();
     let Terms { effect, probes, tells_delay, sockets, dial_ms, aim_ms, quota, balancers, .. } = terms;
     let Terms {
-        discovery: how, patience_ms, connects, must_ask_ms, seed, cold_ms, cold_from, window_ms, ..
+        discovery: how, patience_ms, attempts, must_ask_ms, seed, cold_ms, cold_from, window_ms, ..
     } = terms;
     let settings = format!(
         r#"{{"balancers":{balancers},"discovery":"{how}","offerings":[{{"name":"alarm","idempotency":"{effect}",
         "group":"all","window_ms":{window_ms},"patience_ms":{patience_ms}}}],
-        "bounds":{{"most_connects":{connects},"max_retry_after_ms":500,"probes":{probes},"dial_timeout_ms":{dial_ms}}},
+        "bounds":{{"most_connects":{attempts},"max_retry_after_ms":500,"probes":{probes},"dial_timeout_ms":{dial_ms}}},
         "invariants":{{"overload_factor":4,"must_ask_in_ms":{must_ask_ms},"cold_ms":{cold_ms},"cold_from":{cold_from}}},
         "extra":{{"message_aim_ms":[{aim_ms}],"tells_delay":{tells_delay},"tenant_quota_connections":[{quota}]}}}}"#
     );
--- a/crates/proxy/tests/sockets/stand.rs
+++ b/crates/proxy/tests/sockets/stand.rs
@@ -125,7 +125,7 @@
         self
     }
 
-    /// One whose queue is full, so that a connect does not come up until something is accepted.
+    /// One whose queue is full, so that an attempt does not come up until something is accepted.
     pub fn clogged(name: &str) -> (Self, TcpStream) {
         let place = Self::new(name);
         socket2::SockRef::from(&place.listener).listen(0).unwrap();
--- a/crates/terms/src/lib.rs
+++ b/crates/terms/src/lib.rs
@@ -110,7 +110,8 @@
 
 #[derive(Deserialize)]
 struct Bounds {
-    most_connects: usize,
+    #[serde(rename = "most_connects")]
+    max_attempts: usize,
     #[serde(default)]
     max_retry_after_ms: Amount,
     #[serde(default)]
@@ -222,7 +223,7 @@
         soft_limit: class.soft_limit_ms.map(|limit| Span::from_ms(limit.0)),
         message_limit: extra.message_aim_ms.get(i).map(|limit| Span::from_ms(limit.0)),
     });
-    let chooser = Chooser::new(seed, known.collect(), bounds.most_connects, most_pause, must_ask_in, warm_up);
+    let chooser = Chooser::new(seed, known.collect(), bounds.max_attempts, most_pause, must_ask_in, warm_up);
     Ok(Terms {
         chooser,
         offerings: offerings.into_iter().map(|o| o.name).collect(),
--- a/crates/trials/src/standing.rs
+++ b/crates/trials/src/standing.rs
@@ -162,7 +162,7 @@
     }
 
     async fn all_come(&self) {
-        // The program has no more connects out at once than this.
+        // The program has no more attempts out at once than this.
         const AT_ONCE: usize = 24;
         let turns = Arc::new(Semaphore::new(AT_ONCE));
         for index in 0..self.size.sessions {
--- a/src/choice/again.rs
+++ b/src/choice/again.rs
@@ -1,33 +1,33 @@
 //! Whether a session may be sent again, and where: no effect happens twice.
 
 use crate::host::{Circle, Effect, Ending};
-use crate::record::{Connect, Server, Session};
+use crate::record::{Attempt, Server, Session};
 use crate::time::{Point, Span};
 use std::rc::Rc;
 
 /// A process may be held up for so long between its look at the clock and its write.
 const HELD_UP: Span = Span::millis(150);
 
-/// The first connect that may have run, which binds all that follows.
-fn may_have_run(connects: &[Connect]) -> Option<(Rc<Server>, Point)> {
-    let first = connects.iter().find(|c| !c.ending.is_some_and(Ending::proves_unrun))?;
+/// The first attempt that may have run, which binds all that follows.
+fn may_have_run(attempts: &[Attempt]) -> Option<(Rc<Server>, Point)> {
+    let first = attempts.iter().find(|c| !c.ending.is_some_and(Ending::proves_unrun))?;
     Some((first.server.clone(), first.sent))
 }
 
 impl Session {
     /// Guards against an effect happening twice: where the session may be sent now.
     pub(super) fn may_go_to(&self, server: &Server, now: Point) -> bool {
-        self.may_follow(&self.connects.borrow(), server, now)
+        self.may_follow(&self.attempts.borrow(), server, now)
     }
 
-    /// Whether its last connect, which has come up, may carry its first line now. Guards against a connect that takes
+    /// Whether its last attempt, which has come up, may carry its first line now. Guards against an attempt that takes
     /// so long to come up that repeats are no longer dropped by then.
     pub(super) fn may_begin(&self, now: Point) -> bool {
-        let connects = self.connects.borrow();
-        connects.split_last().is_none_or(|(last, earlier)| self.may_follow(earlier, &last.server, now))
+        let attempts = self.attempts.borrow();
+        attempts.split_last().is_none_or(|(last, earlier)| self.may_follow(earlier, &last.server, now))
     }
 
-    fn may_follow(&self, earlier: &[Connect], server: &Server, now: Point) -> bool {
+    fn may_follow(&self, earlier: &[Attempt], server: &Server, now: Point) -> bool {
         let Some((first, sent)) = may_have_run(earlier) else { return true };
         match self.effect {
             Effect::Replayable => true,
@@ -42,6 +42,6 @@
     /// Whether a pushback's promise, that another try is harmless, would be true.
     pub(super) fn may_push_back(&self) -> bool {
         matches!(self.effect, Effect::Replayable | Effect::Referenced { among: Circle::All, .. })
-            || may_have_run(&self.connects.borrow()).is_none()
+            || may_have_run(&self.attempts.borrow()).is_none()
     }
 }
--- a/src/choice/dispatch.rs
+++ b/src/choice/dispatch.rs
@@ -1,12 +1,12 @@
-//! How long a connect may take, and what its end says.
+//! How long an attempt may take, and what its end says.
 
 use super::{Pick, Stage, Step};
 use crate::host::{Effect, Ending, Host};
-use crate::record::{Connect, Session, Shelf};
+use crate::record::{Attempt, Session, Shelf};
 use crate::time::Point;
 use std::rc::Rc;
 
-/// Last stage: sends the connect and measures what comes back.
+/// Last stage: sends the attempt and measures what comes back.
 pub(super) struct Dispatch {
     pub(super) shelf: Rc<Shelf>,
 }
@@ -15,7 +15,7 @@
     fn forth(&mut self, session: &Rc<Session>, pick: &mut Pick, now: Point, host: &mut dyn Host) -> Step {
         let Some(server) = pick.take() else { return Step::End };
         let left = session.patience_ends.since(now);
-        let last = session.connects.borrow().len() + 1 >= self.shelf.most_connects;
+        let last = session.attempts.borrow().len() + 1 >= self.shelf.max_attempts;
         // Guards against a patience spent on one silent server: half of what is left stays for another.
         let half = left.times(0.5);
         let by_gaps = |u| if u > half { left } else { half.times(0.5).max(u) };
@@ -24,25 +24,25 @@
         host.connect(session.id, &server.id, time_out);
         server.note_sent(now);
         server.silent_since.set(server.silent_since.get().or(Some(now)));
-        session.connects.borrow_mut().push(Connect { server, sent: now, ending: None });
+        session.attempts.borrow_mut().push(Attempt { server, sent: now, ending: None });
         session.hailed.set(false);
         Step::Keep
     }
 
-    fn back(&mut self, session: &Rc<Session>, connect: &Connect, now: Point) {
-        let server = &connect.server;
+    fn back(&mut self, session: &Rc<Session>, attempt: &Attempt, now: Point) {
+        let server = &attempt.server;
         if session.stands.get() {
             return drop(server.held.borrow_mut().remove(&session.id));
         }
         server.waiting.set(server.waiting.get().saturating_sub(1));
-        if connect.ending != Some(Ending::TimedOut) || server.waiting.get() == 0 {
+        if attempt.ending != Some(Ending::TimedOut) || server.waiting.get() == 0 {
             server.silent_since.set((server.waiting.get() > 0).then_some(now));
         }
-        if connect.ending.is_none() {
+        if attempt.ending.is_none() {
             server.held.borrow_mut().insert(session.id, Rc::downgrade(session));
             // A connection that was open before this proxy started says nothing of the time it took.
-            if now > connect.sent {
-                self.shelf.note_gap(now.since(connect.sent));
+            if now > attempt.sent {
+                self.shelf.note_gap(now.since(attempt.sent));
             }
         }
     }
--- a/src/choice/mod.rs
+++ b/src/choice/mod.rs
@@ -7,12 +7,12 @@
 //! Mechanisms beside the design, six at most:
 //! 1. warm-up budget: a server that just started gets only its share of what it can bear;
 //! 2. distrust: a fading score from bad endings and lateness; where nothing is held, that of zone and kind;
-//! 3. silence: a connect is given up, and its server passed over, when the silence has become unusual;
+//! 3. silence: an attempt is given up, and its server passed over, when the silence has become unusual;
 //! 4. gathering: what comes back, or finds its pick or the fleet strained or out of sight, joins its group;
 //! 5. relief: a server that is late so has connections sent away, first those that are not with their group;
-//! 6. pacing: failed connects narrow how many may be out at once.
+//! 6. pacing: failed attempts narrow how many may be out at once.
 //!
-//! A session passes `Recall`, `Pacing`, `Placement` and `Dispatch`; news of its connects comes in reverse.
+//! A session passes `Recall`, `Pacing`, `Placement` and `Dispatch`; news of its attempts comes in reverse.
 
 mod again;
 mod cold;
@@ -26,7 +26,7 @@
 
 use crate::host::{Arrival, Ending, Host, Listed, Offering, SessionId};
 pub use crate::record::WarmUp;
-use crate::record::{Connect, Server, Session, Shelf};
+use crate::record::{Attempt, Server, Session, Shelf};
 use crate::time::{Point, Span};
 use std::collections::BTreeMap;
 use std::rc::{Rc, Weak};
@@ -38,13 +38,13 @@
     End,
 }
 
-/// The server that the stages have settled on for the next connect.
+/// The server that the stages have settled on for the next attempt.
 type Pick = Option<Rc<Server>>;
 
 trait Stage {
     fn forth(&mut self, session: &Rc<Session>, pick: &mut Pick, now: Point, host: &mut dyn Host) -> Step;
-    /// The news of the session's last connect: none when its connection stands, else how it ended.
-    fn back(&mut self, _session: &Rc<Session>, _connect: &Connect, _now: Point) {}
+    /// The news of the session's last attempt: none when its connection stands, else how it ended.
+    fn back(&mut self, _session: &Rc<Session>, _connect: &Attempt, _now: Point) {}
 }
 
 /// The decisions of one proxy.
@@ -64,7 +64,7 @@
     /// Sessions that wait for a sign of life, and until when.
     hailing: Vec<(Point, Weak<Session>)>,
     stages: [Box<dyn Stage>; 4],
-    /// The door: every session unanswered, standing or with a connect still out.
+    /// The door: every session unanswered, standing or with an attempt still out.
     pub(crate) sessions: BTreeMap<SessionId, Rc<Session>>,
 }
 
@@ -73,12 +73,12 @@
     pub fn new(
         seed: u64,
         offerings: Vec<Offering>,
-        most_connects: usize,
+        max_attempts: usize,
         most_pause: Span,
         must_ask_in: Option<Span>,
         warm_up: WarmUp,
     ) -> Self {
-        let shelf = Rc::new(Shelf::new(most_connects, seed, warm_up.proxies));
+        let shelf = Rc::new(Shelf::new(max_attempts, seed, warm_up.proxies));
         let message_limit = offerings.iter().filter_map(|o| o.message_limit).min();
         Chooser {
             message_limit: message_limit.unwrap_or(Span::millis(100)),
@@ -142,7 +142,7 @@
     pub fn open_already(&mut self, arrival: &Arrival, server: &str, now: Point) {
         let Some(server) = self.shelf.find(server) else { return };
         let session = self.enter(arrival);
-        session.connects.borrow_mut().push(Connect { server, sent: now, ending: None });
+        session.attempts.borrow_mut().push(Attempt { server, sent: now, ending: None });
         self.bring_back(&session, None, now);
     }
 
@@ -151,7 +151,7 @@
         self.sessions.get(&session).cloned().into_iter().for_each(|c| self.bring_back(&c, None, now));
     }
 
-    /// A connect has ended; `done` where the client has its final answer by now.
+    /// An attempt has ended; `done` where the client has its final answer by now.
     pub fn ended(&mut self, session: SessionId, ending: Ending, done: bool, now: Point, host: &mut dyn Host) {
         let Some(session) = self.sessions.get(&session).cloned() else { return };
         let over = done || session.stands.get() || session.answered.get();
@@ -175,7 +175,7 @@
 
     /// The client has left; nothing more may be sent for the session.
     pub fn left(&mut self, session: SessionId) {
-        // Guards against a sign of life sending on what nobody waits for: no connect's end will remove it.
+        // Guards against a sign of life sending on what nobody waits for: no attempt's end will remove it.
         if self.sessions.get(&session).inspect(|c| c.answered.set(true)).is_some_and(|c| c.hails.take()) {
             self.sessions.remove(&session);
         }
@@ -239,13 +239,13 @@
     }
 
     fn bring_back(&mut self, session: &Rc<Session>, ending: Option<Ending>, now: Point) {
-        let mut connects = session.connects.borrow_mut();
-        let Some(connect) = connects.last_mut() else { return };
+        let mut attempts = session.attempts.borrow_mut();
+        let Some(attempt) = attempts.last_mut() else { return };
         // Guards against a session that no server can use costing all of them their trust: one error counts.
         let again = ending == Some(Ending::Errored) && session.errored.replace(true);
-        connect.ending = if again { Some(Ending::CalledOff) } else { ending };
+        attempt.ending = if again { Some(Ending::CalledOff) } else { ending };
         for stage in self.stages.iter_mut().rev() {
-            stage.back(session, connect, now);
+            stage.back(session, attempt, now);
         }
         session.stands.set(ending.is_none());
     }
--- a/src/choice/pacing.rs
+++ b/src/choice/pacing.rs
@@ -1,13 +1,13 @@
-//! How many connects may be out at once.
+//! How many attempts may be out at once.
 
 use super::{Pick, Stage, Step};
 use crate::host::{Ending, Host};
-use crate::record::{Connect, Session, Shelf};
+use crate::record::{Attempt, Session, Shelf};
 use crate::time::Point;
 use std::rc::Rc;
 
 impl Shelf {
-    /// How many connects may be out now. Guards against a jam being long over before a proxy of few clients
+    /// How many attempts may be out now. Guards against a jam being long over before a proxy of few clients
     /// hears of it: a part of one doubles by itself.
     pub(super) fn window(&self, now: Point) -> f64 {
         let (window, at) = self.window.get();
@@ -21,7 +21,7 @@
     }
 }
 
-/// Second stage: keeps to as many connects at once as something that all servers share can bear.
+/// Second stage: keeps to as many attempts at once as something that all servers share can bear.
 pub(super) struct Pacing {
     shelf: Rc<Shelf>,
     widest: f64,
@@ -29,7 +29,7 @@
 }
 
 impl Pacing {
-    /// Guards against a window that never closes where many proxies have one connect out each: its bounds are
+    /// Guards against a window that never closes where many proxies have one attempt out each: its bounds are
     /// this proxy's part of what the fleet may have out.
     pub(super) fn new(shelf: Rc<Shelf>) -> Self {
         // Of all three proxies of a small fleet: more than are out in a calm minute, and four halvings less.
@@ -45,17 +45,17 @@
 
 impl Stage for Pacing {
     fn forth(&mut self, session: &Rc<Session>, _: &mut Pick, now: Point, _: &mut dyn Host) -> Step {
-        let may = session.connects.borrow().len() < self.shelf.most_connects && now < session.patience_ends;
+        let may = session.attempts.borrow().len() < self.shelf.max_attempts && now < session.patience_ends;
         // Guards against a storm of tries that keeps a jam alive.
         let turn = may && (session.mid_flow || session.hailed.get() || self.shelf.has_turn(now));
         Some(Step::Pass).filter(|_| turn).unwrap_or(Step::End)
     }
 
-    /// Halves the window where a jam may have failed a connect or had it stand late; widens it by one where
+    /// Halves the window where a jam may have failed an attempt or had it stand late; widens it by one where
     /// a whole one stood in time, or by as much again where it is a part of one.
-    fn back(&mut self, session: &Rc<Session>, connect: &Connect, now: Point) {
-        let (window, took) = (self.shelf.window(now), now.since(connect.sent));
-        let window = match connect.ending {
+    fn back(&mut self, session: &Rc<Session>, attempt: &Attempt, now: Point) {
+        let (window, took) = (self.shelf.window(now), now.since(attempt.sent));
+        let window = match attempt.ending {
             _ if session.stands.get() || session.mid_flow => return,
             None if session.soft_limit.is_none_or(|l| took <= l) => {
                 (window + window.min(1.0 / window)).min(self.widest)
--- a/src/choice/placement.rs
+++ b/src/choice/placement.rs
@@ -2,7 +2,7 @@
 
 use super::{Pick, Stage, Step};
 use crate::host::{Ending, Host, Standing};
-use crate::record::{Connect, Server, Session, Shelf, WarmUp};
+use crate::record::{Attempt, Server, Session, Shelf, WarmUp};
 use crate::time::{Point, Span};
 use nanorand::{Rng, WyRand};
 use std::rc::Rc;
@@ -15,7 +15,7 @@
 
 impl Placement {
     fn choose(&self, session: &Rc<Session>, now: Point, host: &mut dyn Host) -> Pick {
-        // The design page's figures; of those under way too, against connects that pile up at a slow server.
+        // The design page's figures; of those under way too, against attempts that pile up at a slow server.
         const SKIP_FACTOR: f64 = 2.0;
         const SKIP_MARGIN: f64 = 3.0;
         let all = self.shelf.servers.borrow();
@@ -42,7 +42,7 @@
         let usable = |s: &&Rc<Server>, part: f64| {
             s.standing.get() == Standing::Active
                 && session.may_go_to(s, now)
-                && !session.connects.borrow().iter().any(|c| Rc::ptr_eq(&c.server, s))
+                && !session.attempts.borrow().iter().any(|c| Rc::ptr_eq(&c.server, s))
                 && first <= self.warm_up.share(s, [part, crowd, most, servers.len() as f64], now)
         };
         // While it is unusually silent a server has no trust at all.
@@ -104,16 +104,16 @@
         }
     }
 
-    fn back(&mut self, session: &Rc<Session>, connect: &Connect, now: Point) {
-        connect.server.broke.set(matches!(connect.ending, Some(Ending::Unreachable | Ending::Broken)));
+    fn back(&mut self, session: &Rc<Session>, attempt: &Attempt, now: Point) {
+        attempt.server.broke.set(matches!(attempt.ending, Some(Ending::Unreachable | Ending::Broken)));
         // One bad ending takes half of the trust that is left, one that the server itself gave rather less.
-        let keeps = match connect.ending {
+        let keeps = match attempt.ending {
             // Guards against distrusting whoever rightly resets a mid-flow connection that another holds.
             Some(Ending::Broken) if session.mid_flow && !session.stands.get() => return,
             Some(Ending::TimedOut | Ending::Unreachable | Ending::Broken) => 0.5,
             Some(Ending::Errored | Ending::TurnedAway) => 0.7,
             _ => return,
         };
-        connect.server.distrust.set((1.0 - (1.0 - connect.server.distrust(now)) * keeps, now));
+        attempt.server.distrust.set((1.0 - (1.0 - attempt.server.distrust(now)) * keeps, now));
     }
 }
--- a/src/choice/recall.rs
+++ b/src/choice/recall.rs
@@ -2,7 +2,7 @@
 
 use super::{Pick, Stage, Step};
 use crate::host::{Host, Standing};
-use crate::record::{Connect, Known, Session, Shelf};
+use crate::record::{Attempt, Known, Session, Shelf};
 use crate::time::{Point, Span};
 use std::rc::Rc;
 
@@ -17,7 +17,7 @@
 
 impl Stage for Recall {
     fn forth(&mut self, session: &Rc<Session>, pick: &mut Pick, now: Point, _: &mut dyn Host) -> Step {
-        if session.mid_flow && session.connects.borrow().is_empty() {
+        if session.mid_flow && session.attempts.borrow().is_empty() {
             let table = self.shelf.table.borrow();
             // Guards against all that a server held coming back to it when it has just restarted.
             let server = table.get(&session.key).filter(|known| now < known.until).and_then(Known::server);
@@ -26,7 +26,7 @@
         Step::Pass
     }
 
-    fn back(&mut self, session: &Rc<Session>, connect: &Connect, now: Point) {
+    fn back(&mut self, session: &Rc<Session>, attempt: &Attempt, now: Point) {
         // Bounds the memory to some megabytes.
         const MOST_KEYS: usize = 100_000;
         let mut table = self.shelf.table.borrow_mut();
@@ -34,13 +34,13 @@
             self.swept = now;
             table.retain(|_, known| now < known.until);
         }
-        let until = connect.ending.map_or(Point::NEVER, |_| now + TABLE_TIME_OUT);
+        let until = attempt.ending.map_or(Point::NEVER, |_| now + TABLE_TIME_OUT);
         let has_room = table.len() < MOST_KEYS;
         match table.get_mut(&session.key) {
             // It stood there before its server may have started anew, of which the list can tell first.
-            Some(known) if session.stands.get() && known.is_at(&connect.server) => known.until = until,
-            _ if (connect.ending.is_none() || session.stands.get()) && has_room => {
-                table.insert(session.key, Known::at(&connect.server, until));
+            Some(known) if session.stands.get() && known.is_at(&attempt.server) => known.until = until,
+            _ if (attempt.ending.is_none() || session.stands.get()) && has_room => {
+                table.insert(session.key, Known::at(&attempt.server, until));
             }
             _ => {}
         }
--- a/src/choice/relief.rs
+++ b/src/choice/relief.rs
@@ -54,11 +54,11 @@
         if delay > LOST && session.stands.get() && !session.answered.replace(true) {
             host.send_away(session.id);
         }
-        let connects = session.connects.borrow();
-        let Some(connect) = connects.last() else { return };
+        let attempts = session.attempts.borrow();
+        let Some(attempt) = attempts.last() else { return };
         // Up to a quarter of the limit is no cause for distrust; from the limit on nothing more should come.
         let late = (delay.over(self.message_limit) - 0.25) / 0.75;
-        self.strained(&connect.server, late, now, host);
+        self.strained(&attempt.server, late, now, host);
     }
 
     /// Work at a server takes long: from 0, not yet late, to 1, as late as can be borne.
--- a/src/choice/trust.rs
+++ b/src/choice/trust.rs
@@ -17,7 +17,7 @@
         servers.iter().for_each(|s| s.half_life.set(half_life));
     }
 
-    /// The wait after which a connect's silence is unusual, given the earlier gaps.
+    /// The wait after which an attempt's silence is unusual, given the earlier gaps.
     pub(super) fn unusual_after(&self) -> Option<Span> {
         // Fewer say too little of what is usual.
         const FEWEST: usize = 5;
--- a/src/host.rs
+++ b/src/host.rs
@@ -6,7 +6,7 @@
 
 /// What the decisions ask for. Each call is carried out at once and in order.
 pub trait Host {
-    /// Starts a connect; a session's connects count 0, 1, 2 … in the order of these calls.
+    /// Starts an attempt; a session's attempts count 0, 1, 2 … in the order of these calls.
     fn connect(&mut self, session: SessionId, server: &ServerId, time_out: Span);
     /// Final answer: not done, trying again is harmless, best after `pause`.
     fn push_back(&mut self, session: SessionId, pause: Span);
@@ -109,7 +109,7 @@
     pub standing: Standing,
 }
 
-/// How a connect ended.
+/// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Ending {
     Finished,
--- a/src/record.rs
+++ b/src/record.rs
@@ -20,7 +20,7 @@
     pub(crate) started: Cell<Option<Point>>,
     /// The connections that this proxy placed and that stand.
     pub(crate) held: RefCell<BTreeMap<SessionId, Weak<Session>>>,
-    /// When the last connects were sent to it.
+    /// When the last attempts were sent to it.
     pub(crate) sent: RefCell<VecDeque<Point>>,
     /// Connects that wait for a word from the server, and since when it has sent none.
     pub(crate) waiting: Cell<u32>,
@@ -40,16 +40,16 @@
 /// The id-sorted list and what was seen over all its servers, shared by the stages.
 pub(crate) struct Shelf {
     pub(crate) servers: RefCell<Vec<Rc<Server>>>,
-    /// The last few times that a connect took to stand, at any server: of one alone a proxy sees too few.
+    /// The last few times that an attempt took to stand, at any server: of one alone a proxy sees too few.
     pub(crate) gaps: RefCell<VecDeque<Span>>,
     /// The keys and groups of the last clients that came, each once however often it comes.
     pub(crate) groups: RefCell<VecDeque<(u64, u64)>>,
     /// When the last sessions came; mid-flow ones too, as one that misses its server is set up anew.
     pub(crate) arrivals: RefCell<VecDeque<Point>>,
-    /// How many connects might be out at some moment.
+    /// How many attempts might be out at some moment.
     pub(crate) window: Cell<(f64, Point)>,
-    /// How many connects a session may have.
-    pub(crate) most_connects: usize,
+    /// How many attempts a session may have.
+    pub(crate) max_attempts: usize,
     pub(crate) seed: u64,
     /// How many proxies there are, this one included.
     pub(crate) proxies: f64,
@@ -61,14 +61,14 @@
 }
 
 impl Shelf {
-    pub(crate) fn new(most_connects: usize, seed: u64, proxies: f64) -> Self {
+    pub(crate) fn new(max_attempts: usize, seed: u64, proxies: f64) -> Self {
         Shelf {
             servers: RefCell::default(),
             gaps: RefCell::default(),
             groups: RefCell::default(),
             arrivals: RefCell::default(),
             window: Cell::default(),
-            most_connects,
+            max_attempts,
             seed,
             proxies,
             parts: Cell::new(1.0),
@@ -128,7 +128,7 @@
         keep_last(SAMPLES, now, &mut self.arrivals.borrow_mut());
     }
 
-    /// Keeps how long a connect took to stand.
+    /// Keeps how long an attempt took to stand.
     pub(crate) fn note_gap(&self, took: Span) {
         // Enough for a mean, few enough to forget a bad minute.
         const SAMPLES: usize = 16;
@@ -162,7 +162,7 @@
         self.held.borrow().len() as f64 + f64::from(self.waiting.get())
     }
 
-    /// Keeps that a connect goes out to it.
+    /// Keeps that an attempt goes out to it.
     pub(crate) fn note_sent(&self, now: Point) {
         self.waiting.set(self.waiting.get() + 1);
         // Longer than any server's warm-up is counted in, and far more than a proxy may send to a cold one in it.
@@ -174,7 +174,7 @@
         keep_last(SAMPLES, now, &mut sent);
     }
 
-    /// How many connects this proxy sent to it within such a span.
+    /// How many attempts this proxy sent to it within such a span.
     pub(crate) fn sent_within(&self, span: Span, now: Point) -> f64 {
         let sent = self.sent.borrow();
         sent.iter().rev().take_while(|at| now.since(**at) <= span).count() as f64
@@ -214,7 +214,7 @@
         self.all_hold.unwrap_or(self.each_holds * servers as f64) / self.proxies
     }
 
-    /// How many connects those can take in such a span that together hold `part` and are as warm as this server.
+    /// How many attempts those can take in such a span that together hold `part` and are as warm as this server.
     pub(crate) fn budget(&self, server: &Server, part: f64, span: Span, now: Point) -> f64 {
         let present = self.cold_from + (1.0 - self.cold_from) * self.warmth(server, now);
         // A cold server can take what fills it over its warm-up.
@@ -250,8 +250,8 @@
     }
 }
 
-/// One connect of a session.
-pub(crate) struct Connect {
+/// One attempt of a session.
+pub(crate) struct Attempt {
     pub(crate) server: Rc<Server>,
     pub(crate) sent: Point,
     pub(crate) ending: Option<Ending>,
@@ -274,14 +274,14 @@
     pub(crate) among: Option<Rc<[ServerId]>>,
     pub(crate) stands: Cell<bool>,
     pub(crate) answered: Cell<bool>,
-    /// It waits for the first sign of life from its servers, or has done so before the next connect.
+    /// It waits for the first sign of life from its servers, or has done so before the next attempt.
     pub(crate) hails: Cell<bool>,
     pub(crate) hailed: Cell<bool>,
     /// A server has answered it with an error.
     pub(crate) errored: Cell<bool>,
     /// Work a second that its connection asks for, once the server has told.
     pub(crate) load: Cell<f64>,
-    pub(crate) connects: RefCell<Vec<Connect>>,
+    pub(crate) attempts: RefCell<Vec<Attempt>>,
 }
 
 impl Session {
--- a/tests/stories/answers.rs
+++ b/tests/stories/answers.rs
@@ -41,20 +41,20 @@
     let mut proxy = Proxy::of_four();
     let session = proxy.arrives(plain("slow"));
     while proxy.notes.pushed_back.is_empty() {
-        let time_out = proxy.notes.connects.last().expect("a connect").2;
+        let time_out = proxy.notes.attempts.last().expect("an attempt").2;
         proxy.now = proxy.now + time_out;
         proxy.ends(session, Ending::TimedOut);
     }
     assert!(proxy.now <= shelfgrade::time::Point::from_ms(60_000.0) + PATIENCE);
-    assert!(proxy.sent_to(session).len() >= 2, "the time-outs leave room for another connect");
-    let before = proxy.notes.connects.len();
+    assert!(proxy.sent_to(session).len() >= 2, "the time-outs leave room for another attempt");
+    let before = proxy.notes.attempts.len();
     proxy.ends(session, Ending::TimedOut);
-    assert_eq!((proxy.notes.connects.len(), proxy.notes.pushed_back.len()), (before, 1));
+    assert_eq!((proxy.notes.attempts.len(), proxy.notes.pushed_back.len()), (before, 1));
     let mut proxy = Proxy::of_four();
     let left = proxy.arrives(plain("impatient"));
     proxy.chooser.left(SessionId(left));
     proxy.ends(left, Ending::TurnedAway);
-    assert_eq!((proxy.notes.connects.len(), proxy.notes.pushed_back.len()), (1, 0));
+    assert_eq!((proxy.notes.attempts.len(), proxy.notes.pushed_back.len()), (1, 0));
 }
 
 #[test]
@@ -78,7 +78,7 @@
 fn a_connect_waits_its_patience_out_where_long_silences_are_usual_everywhere() {
     let mut proxy = Proxy::of_four();
     proxy.arrives(plain("first"));
-    assert!(proxy.notes.connects[0].2 < PATIENCE);
+    assert!(proxy.notes.attempts[0].2 < PATIENCE);
     proxy.chooser.stands(SessionId(1), proxy.now);
     for i in 0..6 {
         let session = proxy.arrives(plain(&format!("jam-{i}")));
@@ -86,5 +86,5 @@
         proxy.chooser.stands(SessionId(session), proxy.now);
     }
     proxy.arrives(plain("later"));
-    assert_eq!(proxy.notes.connects.last().map(|c| c.2), Some(PATIENCE));
+    assert_eq!(proxy.notes.attempts.last().map(|c| c.2), Some(PATIENCE));
 }
--- a/tests/stories/books.rs
+++ b/tests/stories/books.rs
@@ -1,4 +1,4 @@
-//! Random orders of all that can happen to sessions, connects, signs of life and the list: one final answer each, no
+//! Random orders of all that can happen to sessions, attempts, signs of life and the list: one final answer each, no
 //! connect after the client left, none to a server that drains as heard by then, and nothing left on the books.
 
 use crate::fake::*;
@@ -18,7 +18,7 @@
     Over,
 }
 
-/// A host that holds the decisions to the rules with each call, and answers some connects at once.
+/// A host that holds the decisions to the rules with each call, and answers some attempts at once.
 struct Model {
     luck: WyRand,
     sessions: BTreeMap<u64, (Stage, usize)>,
@@ -29,7 +29,7 @@
     asked: Vec<ServerId>,
     sent_away: Vec<u64>,
     may_probe: bool,
-    connects: usize,
+    attempts: usize,
 }
 
 impl Model {
@@ -63,8 +63,8 @@
     fn connect(&mut self, session: SessionId, server: &ServerId, _: Span) {
         assert_eq!(self.list.get(server), Some(&Standing::Active), "{session:?} to {server}");
         let was = self.becomes(session.0, Stage::Out(server.clone()));
-        assert_eq!(was, Stage::Waiting, "one connect at a time, and none for who has left: {session:?}");
-        self.connects += 1;
+        assert_eq!(was, Stage::Waiting, "one attempt at a time, and none for who has left: {session:?}");
+        self.attempts += 1;
         if self.draw(8) == 0 {
             self.at_once.push_back(session.0);
         }
@@ -111,7 +111,7 @@
             asked: Vec::new(),
             sent_away: Vec::new(),
             may_probe: seed % 3 < 2,
-            connects: 0,
+            attempts: 0,
         };
         let mut play = Play { chooser, model, now, last: 0 };
         play.chooser.look_round(seed.is_multiple_of(2), now, &mut play.model);
@@ -258,7 +258,7 @@
 
 #[test]
 fn whatever_the_order_each_session_has_one_end_and_nothing_is_left_on_the_books() {
-    let (mut connects, mut answers, mut stood) = (0, 0, 0);
+    let (mut attempts, mut answers, mut stood) = (0, 0, 0);
     for seed in 0..300 {
         let mut play = Play::begin(seed);
         for _ in 0..400 {
@@ -269,9 +269,9 @@
         assert_eq!(play.chooser.books(), Books::default(), "seed {seed}");
         let open = play.model.in_stage(|s| *s != Stage::Over);
         assert!(open.is_empty(), "seed {seed}: never answered: {open:?}");
-        connects += play.model.connects;
+        attempts += play.model.attempts;
         answers += play.model.sessions.values().map(|(_, answers)| answers).sum::<usize>();
     }
     // The plays are no empty ones.
-    assert!(connects > 5000 && answers > 2000 && stood > 5, "{connects} {answers} {stood}");
+    assert!(attempts > 5000 && answers > 2000 && stood > 5, "{attempts} {answers} {stood}");
 }
--- a/tests/stories/cold.rs
+++ b/tests/stories/cold.rs
@@ -12,9 +12,9 @@
         let cold = Listed { started: Some(proxy.now), ..server("a3") };
         proxy.chooser.listed(&[cold], false, proxy.now);
         let storm = |proxy: &mut Proxy, name: &str| {
-            let before = proxy.notes.connects.len();
+            let before = proxy.notes.attempts.len();
             (0..100).for_each(|i| drop(proxy.settles(plain(&format!("{name}-{seed}-{i}")))));
-            proxy.notes.connects[before..].iter().filter(|(_, place, _)| place == "a3").count()
+            proxy.notes.attempts[before..].iter().filter(|(_, place, _)| place == "a3").count()
         };
         while_cold += storm(&mut proxy, "storm");
         proxy.passes(8000);
@@ -34,7 +34,7 @@
             // A fleet of twelve that holds 240.
             (0..240 / proxies).for_each(|i| drop(proxy.settles(plain(&format!("early-{seed}-{i}")))));
             proxy.chooser.listed(&[Listed { started: Some(proxy.now), ..server("a7") }], false, proxy.now);
-            let before = proxy.notes.connects.len();
+            let before = proxy.notes.attempts.len();
             for i in 0..400 {
                 proxy.arrives(plain(&format!("storm-{seed}-{i}")));
                 let session = SessionId(240 / proxies + 1 + i);
@@ -43,7 +43,7 @@
                 proxy.chooser.ended(session, Ending::Finished, true, proxy.now, &mut proxy.notes);
                 proxy.passes(20);
             }
-            total += proxy.notes.connects[before..].iter().filter(|(_, place, _)| place == "a7").count();
+            total += proxy.notes.attempts[before..].iter().filter(|(_, place, _)| place == "a7").count();
         }
         sent.push(total);
     }
@@ -176,7 +176,7 @@
 }
 
 /// The whole of a zone comes back cold at once, and the clients that it held come to three hundred proxies that were all
-/// told of the start: each cold server has to stay under N + 2 x root of N + 2 connects in its two seconds, N being three
+/// told of the start: each cold server has to stay under N + 2 x root of N + 2 attempts in its two seconds, N being three
 /// times what fills it over its warm-up at its present strength.
 #[test]
 fn three_hundred_proxies_keep_ten_cold_servers_within_their_bound_when_a_zone_comes_back() {
@@ -194,15 +194,15 @@
         let started = Some(proxy.now);
         let back: Vec<_> = ids[..COLD].iter().map(|id| Listed { started, ..server(id) }).collect();
         proxy.chooser.listed(&back, false, proxy.now);
-        let before = proxy.notes.connects.len();
+        let before = proxy.notes.attempts.len();
         // A burst of what the zone held, and of as many who come anyway.
         for i in 0..8 {
             let (key, group) = (format!("back-{seed}-{i}"), format!("bank-{}", (seed + i) % 40));
             proxy.settles(Arrival { group: Some(&group), returned: i % 2 == 0, ..plain(&key) });
             proxy.passes(240);
         }
-        for connect in proxy.notes.connects[before..].iter().filter(|c| c.1.starts_with('z')) {
-            *sent.entry(connect.1.clone()).or_insert(0.0) += 1.0;
+        for attempt in proxy.notes.attempts[before..].iter().filter(|c| c.1.starts_with('z')) {
+            *sent.entry(attempt.1.clone()).or_insert(0.0) += 1.0;
         }
     }
     // Two seconds of eight, at three tenths of its strength and somewhat more.
--- a/tests/stories/fake.rs
+++ b/tests/stories/fake.rs
@@ -8,7 +8,7 @@
 #[derive(Default)]
 pub struct Notes {
     /// Every connect, with the time-out it was given.
-    pub connects: Vec<(u64, String, Span)>,
+    pub attempts: Vec<(u64, String, Span)>,
     pub pushed_back: Vec<(u64, Span)>,
     pub forfeited: Vec<u64>,
     pub sent_away: Vec<u64>,
@@ -21,7 +21,7 @@
 
 impl Host for Notes {
     fn connect(&mut self, session: SessionId, server: &ServerId, time_out: Span) {
-        self.connects.push((session.0, server.to_string(), time_out));
+        self.attempts.push((session.0, server.to_string(), time_out));
     }
     fn push_back(&mut self, session: SessionId, pause: Span) {
         self.pushed_back.push((session.0, pause));
@@ -202,17 +202,17 @@
     }
 
     pub fn sent_to(&self, session: u64) -> Vec<String> {
-        self.notes.connects.iter().filter(|(c, ..)| *c == session).map(|(_, s, _)| s.clone()).collect()
+        self.notes.attempts.iter().filter(|(c, ..)| *c == session).map(|(_, s, _)| s.clone()).collect()
     }
 
     pub fn last_place(&self) -> &str {
-        &self.notes.connects.last().expect("a connect").1
+        &self.notes.attempts.last().expect("an attempt").1
     }
 
-    /// How many connects each server got.
+    /// How many attempts each server got.
     pub fn shares(&self) -> BTreeMap<String, usize> {
         let mut shares = BTreeMap::new();
-        self.notes.connects.iter().for_each(|(_, s, _)| *shares.entry(s.clone()).or_default() += 1);
+        self.notes.attempts.iter().for_each(|(_, s, _)| *shares.entry(s.clone()).or_default() += 1);
         shares
     }
 }
--- a/tests/stories/gathering.rs
+++ b/tests/stories/gathering.rs
@@ -14,7 +14,7 @@
         proxy.settles(Arrival { group: Some(group), returned: true, ..plain(&key) });
     }
     let servers: std::collections::BTreeSet<_> =
-        proxy.notes.connects.iter().filter(|c| c.0 % 2 == 1).map(|c| &c.1).collect();
+        proxy.notes.attempts.iter().filter(|c| c.0 % 2 == 1).map(|c| &c.1).collect();
     assert!(servers.len() >= 4, "{servers:?}");
 }
 
@@ -115,14 +115,14 @@
     let second = proxy.arrives(Arrival { group: Some("g"), ..plain("k") });
     assert_eq!(proxy.notes.probed.len(), 3, "what is asked already is not asked twice");
     proxy.lives(49);
-    assert!(proxy.notes.connects.is_empty());
+    assert!(proxy.notes.attempts.is_empty());
     proxy.lives(1);
     assert_eq!((proxy.sent_to(first).len(), proxy.sent_to(second).len()), (1, 1));
     [first, second].iter().for_each(|session| proxy.chooser.stands(SessionId(*session), proxy.now));
     // A sign that comes after its time, or in place of one given up, sends nothing.
     let place = proxy.notes.probed[2].clone();
     proxy.answers(&place, 51);
-    assert_eq!(proxy.notes.connects.len(), 2);
+    assert_eq!(proxy.notes.attempts.len(), 2);
     let third = proxy.arrives(Arrival {
         group: Some("g"),
         patience_ends: proxy.now + Span::millis(20),
@@ -141,7 +141,7 @@
     proxy.chooser.left(SessionId(left));
     asked.iter().for_each(|place| proxy.answers(place, 3));
     proxy.lives(1000);
-    assert!(proxy.notes.connects.is_empty() && proxy.notes.pushed_back.is_empty());
+    assert!(proxy.notes.attempts.is_empty() && proxy.notes.pushed_back.is_empty());
     let stays = proxy.arrives(Arrival { group: Some("g"), ..plain("k") });
     proxy.chooser.listed(&[Listed { standing: Standing::Draining, ..server(&asked[0]) }], false, proxy.now);
     proxy.answers(&asked[0], 3);
--- a/tests/stories/jams.rs
+++ b/tests/stories/jams.rs
@@ -12,7 +12,7 @@
         let mut before = 0;
         for i in 0..40 {
             if i == 30 {
-                before = proxy.notes.connects.len();
+                before = proxy.notes.attempts.len();
             }
             let key = format!("lift-{i}");
             let session = proxy.arrives(Arrival { returned: true, ..plain(&key) });
@@ -24,10 +24,10 @@
             }
             proxy.passes(100);
         }
-        proxy.notes.connects.len() - before
+        proxy.notes.attempts.len() - before
     };
     let sent: usize = (0..100).map(sent_in_a_second_of_the_jam).sum();
-    assert!((1..=150).contains(&sent), "{sent} of a thousand sessions, with up to four connects each");
+    assert!((1..=150).contains(&sent), "{sent} of a thousand sessions, with up to four attempts each");
 }
 
 #[test]
@@ -39,11 +39,11 @@
             proxy.ends(session, Ending::Errored);
         }
     }
-    let (sent, pushed) = (proxy.notes.connects.len(), proxy.notes.pushed_back.len());
+    let (sent, pushed) = (proxy.notes.attempts.len(), proxy.notes.pushed_back.len());
     for i in 0..50 {
         proxy.arrives(plain(&format!("storm-{i}")));
     }
-    let went = proxy.notes.connects.len() - sent;
+    let went = proxy.notes.attempts.len() - sent;
     assert!(went <= 1, "no storm: {went}");
     assert_eq!(proxy.notes.pushed_back.len() - pushed, 50 - went, "all others are answered at once");
 }
@@ -59,9 +59,9 @@
             came.iter().for_each(|session| proxy.chooser.stands(SessionId(*session), proxy.now));
         }
         proxy.passes(ms);
-        let connects = proxy.notes.connects.len();
+        let attempts = proxy.notes.attempts.len();
         proxy.arrives(plain("new"));
-        proxy.notes.connects.len() > connects
+        proxy.notes.attempts.len() > attempts
     };
     (0..60).filter(lets_in).count()
 }
@@ -72,18 +72,18 @@
     assert!(let_in_after(300, 301, 0) <= 6);
     assert!((3..40).contains(&let_in_after(300, 301, 8000)), "a few proxies after the other");
     assert_eq!(let_in_after(300, 301, 14_000), 60);
-    // Three proxies have whole connects of their own to tell by.
+    // Three proxies have whole attempts of their own to tell by.
     assert_eq!(let_in_after(3, 301, 0), 60);
 }
 
 #[test]
-fn connects_that_stand_late_are_the_sign_of_a_jam_and_those_in_time_of_none() {
+fn attempts_that_stand_late_are_the_sign_of_a_jam_and_those_in_time_of_none() {
     assert_eq!(let_in_after(300, 300, 0), 60);
-    // Where there is a jam another server would do no better: a connect waits its client's patience out.
+    // Where there is a jam another server would do no better: an attempt waits its client's patience out.
     let mut proxy = Proxy::among(300, None, 1, &TWELVE.map(server));
     let wait = |proxy: &mut Proxy| {
         proxy.arrives(plain("k"));
-        proxy.notes.connects.last().map(|c| c.2)
+        proxy.notes.attempts.last().map(|c| c.2)
     };
     assert_eq!(wait(&mut proxy), Some(PATIENCE.times(0.5)));
     wait(&mut proxy);
--- a/tests/stories/order.rs
+++ b/tests/stories/order.rs
@@ -24,7 +24,7 @@
     for i in 0..50 {
         proxy.settles(plain(&format!("after-{i}")));
     }
-    assert!(proxy.notes.connects[1..].iter().all(|(_, place, _)| place.starts_with('b')));
+    assert!(proxy.notes.attempts[1..].iter().all(|(_, place, _)| place.starts_with('b')));
 }
 
 #[test]
@@ -47,7 +47,7 @@
     let skipped = (0..100).any(|_| proxy.settles(plain(&key)).as_deref() != Some("a2"));
     assert!(skipped);
     let away = proxy.last_place().to_owned();
-    let last = proxy.notes.connects.len() as u64;
+    let last = proxy.notes.attempts.len() as u64;
     let stray = Arrival { mid_flow: true, ..plain(&key) };
     assert_eq!(proxy.settles(stray).as_deref(), Some(away.as_str()));
     for session in 1..=last + 1 {
@@ -85,17 +85,17 @@
 }
 
 #[test]
-fn connects_that_pile_up_at_a_slow_server_pass_it_by_though_all_hold_as_much() {
+fn attempts_that_pile_up_at_a_slow_server_pass_it_by_though_all_hold_as_much() {
     let mut proxy = Proxy::of_four();
     for i in 0..60 {
         proxy.settles(plain(&format!("calm-{i}")));
     }
-    let before = proxy.notes.connects.len();
+    let before = proxy.notes.attempts.len();
     for i in 0..12 {
         let key = format!("back-{i}");
         proxy.arrives(Arrival { group: Some("lifts"), returned: true, ..plain(&key) });
     }
-    let under_way = &proxy.notes.connects[before..];
+    let under_way = &proxy.notes.attempts[before..];
     let most = under_way.iter().map(|c| under_way.iter().filter(|d| d.1 == c.1).count()).max();
     assert_eq!(under_way.len(), 12);
     assert!(most.is_some_and(|most| most <= 6), "{most:?}");
--- a/tests/stories/ramp.rs
+++ b/tests/stories/ramp.rs
@@ -4,7 +4,7 @@
 //! server can bear 7.5 new ones in two seconds; offered is what the fleet can bear, and beside it, from the moment
 //! at which the cold ones are back, half as much again for four seconds (`Burst`), or the clients of all cold
 //! servers within two seconds (`ZoneBack`), or nothing before that moment and all proxies just started (`Herd`).
-//! Traffic is uneven: one proxy in eight gets four times the mean, one in four a twentieth. One connect in three
+//! Traffic is uneven: one proxy in eight gets four times the mean, one in four a twentieth. One attempt in three
 //! (of every other seed; else in thirty) comes up late, by up to 1.5 s, one in twenty is refused and tried again
 //! elsewhere; a client that is pushed back or sent away comes again, mostly at another proxy; one in ten is mid-flow,
 //! one server in eight is late. A sum is held against the bound at the strength in the middle of its two seconds.
@@ -258,7 +258,7 @@
     fn carries_out(&mut self, at: usize) {
         let notes = std::mem::take(&mut self.proxies[at].notes);
         self.proxies[at].notes.mute = notes.mute;
-        for (session, place, _) in notes.connects {
+        for (session, place, _) in notes.attempts {
             let one_in = if self.day.seed.is_multiple_of(2) { 30.0 } else { 3.0 };
             let late = if self.below(one_in) < 1.0 { self.below(1500.0) } else { 5.0 };
             if place.starts_with('z') && self.now_ms >= BACK_MS {
--- a/tests/stories/trust.rs
+++ b/tests/stories/trust.rs
@@ -52,7 +52,7 @@
     for i in 0..100 {
         proxy.arrives(plain(&format!("later-{i}")));
     }
-    assert_eq!(proxy.notes.connects.len(), 1);
+    assert_eq!(proxy.notes.attempts.len(), 1);
 }
 
 #[test]
@@ -65,12 +65,12 @@
         }
         assert_eq!(proxy.sent_to(bad).len(), 4, "it may still be the servers");
     }
-    let before = proxy.notes.connects.len();
-    let first = proxy.notes.connects[0].1.clone();
+    let before = proxy.notes.attempts.len();
+    let first = proxy.notes.attempts[0].1.clone();
     for i in 0..100 {
         proxy.settles(plain(&format!("good-{i}")));
     }
-    let elsewhere = proxy.notes.connects[before..].iter().filter(|c| c.1 != first).count();
+    let elsewhere = proxy.notes.attempts[before..].iter().filter(|c| c.1 != first).count();
     assert!(elsewhere >= 100 * 11 / 12 - 5, "the others keep theirs: {elsewhere}");
     assert!(proxy.notes.pushed_back.len() <= 5, "{:?}", proxy.notes.pushed_back.len());
 }
@@ -101,7 +101,7 @@
 }
 
 /// On a day of 258 proxies before 81 servers each tried every strained server again within ten seconds or so, which was
-/// thirty connects a second for all of them: old machines stood at 2.8 s of work piled up all day.
+/// thirty attempts a second for all of them: old machines stood at 2.8 s of work piled up all day.
 #[test]
 fn many_proxies_together_try_a_strained_server_again_no_more_often_than_few() {
     let nine: Vec<_> = TWELVE[..9].iter().map(|place| server(place)).collect();
