--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -5,12 +5,13 @@
 use anyhow::{bail, Context, Result};
 use shelfgrade::choice::Chooser;
 use shelfgrade::host::{Arrival, Ending, Host, Listed, ServerId, SessionId, Standing};
-use shelfgrade::time::{Point, Span};
+use shelfgrade::time::{DurationExt, Timestamp};
 use shelfgrade_terms::Terms;
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 use std::io::{self, BufRead, Write};
 use std::process::ExitCode;
+use std::time::Duration;
 use wire::Line;
 
 fn main() -> ExitCode {
@@ -45,7 +46,7 @@
     instances: BTreeMap<u64, Instance>,
     reply: Reply,
     batch: Option<u64>,
-    now: Point,
+    now: Timestamp,
     who: Option<u64>,
     list: Option<OpenList>,
 }
@@ -177,7 +178,7 @@
             kind: line.optional("type").unwrap_or_default().to_owned(),
             cell: line.optional("pod").map_or(Ok(0), |_| line.whole("pod"))?,
             started: match line.optional("up_since_ms") {
-                Some(_) => Some(line.point("up_since_ms")?).filter(|p| *p > Point::default()),
+                Some(_) => Some(line.point("up_since_ms")?).filter(|p| *p > Timestamp::default()),
                 None => None,
             },
             standing: match line.required("status")? {
@@ -261,12 +262,12 @@
 }
 
 impl Host for Reply {
-    fn connect(&mut self, session: SessionId, server: &ServerId, time_out: Span) {
+    fn connect(&mut self, session: SessionId, server: &ServerId, time_out: Duration) {
         let wait = time_out.as_ms();
         self.say(format_args!("SUBMIT_TO ref={:016x} server={server} max_wait_ms={wait}", session.0));
     }
 
-    fn push_back(&mut self, session: SessionId, pause: Span) {
+    fn push_back(&mut self, session: SessionId, pause: Duration) {
         self.say(format_args!("SHED ref={:016x} wait_ms={}", session.0, pause.as_ms()));
     }
 
@@ -291,7 +292,7 @@
         self.may_probe
     }
 
-    fn wake(&mut self, at: Point) {
+    fn wake(&mut self, at: Timestamp) {
         self.say(format_args!("SET_TIMER instant_ms={} label=0", at.as_ms()));
     }
 }
--- a/crates/adapter/src/wire.rs
+++ b/crates/adapter/src/wire.rs
@@ -2,8 +2,9 @@
 
 use anyhow::{bail, Context, Result};
 use shelfgrade::host::SessionId;
-use shelfgrade::time::{Point, Span};
+use shelfgrade::time::{DurationExt, Timestamp};
 use std::str::FromStr;
+use std::time::Duration;
 
 /// Values of these names run to the end of their line.
 const TEXTS: [&str; 1] = ["env"];
@@ -57,12 +58,12 @@
         Ok(ms)
     }
 
-    pub fn point(&self, name: &str) -> Result<Point> {
-        self.ms(name).map(Point::from_ms)
+    pub fn point(&self, name: &str) -> Result<Timestamp> {
+        self.ms(name).map(Timestamp::from_ms)
     }
 
-    pub fn span(&self, name: &str) -> Result<Span> {
-        self.ms(name).map(Span::from_ms)
+    pub fn span(&self, name: &str) -> Result<Duration> {
+        self.ms(name).map(Duration::from_ms)
     }
 
     pub fn flag(&self, name: &str) -> Result<bool> {
--- a/crates/cells/src/mates.rs
+++ b/crates/cells/src/mates.rs
@@ -4,9 +4,10 @@
 use crate::swim::{Id, Sends, Swim, SELDOM};
 use crate::{rank, Surroundings};
 use nanorand::Rng;
-use shelfgrade::time::{Point, Span};
+use shelfgrade::time::{DurationExt, Timestamp};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
+use std::time::Duration;
 
 #[derive(Clone, Debug)]
 pub(crate) struct Mate {
@@ -33,7 +34,7 @@
         &mut self,
         from: SocketAddr,
         bytes: &[u8],
-        now: Point,
+        now: Timestamp,
         around: &mut dyn Surroundings,
     ) {
         if self.swim.is_none() {
@@ -50,7 +51,7 @@
         self.carry(sends, now, around);
     }
 
-    pub(crate) fn carry(&mut self, sends: Sends, now: Point, around: &mut dyn Surroundings) {
+    pub(crate) fn carry(&mut self, sends: Sends, now: Timestamp, around: &mut dyn Surroundings) {
         for (place, bytes) in sends {
             let mate = self.mates.iter().find(|mate| mate.place == place).map(|mate| mate.address);
             if let Some(to) = mate {
@@ -63,7 +64,7 @@
     }
 
     /// From now on it has a part: the log is whole here, with this very life in it.
-    pub(crate) fn begin(&mut self, now: Point) {
+    pub(crate) fn begin(&mut self, now: Timestamp) {
         let own =
             self.state().member(self.cell, &self.name).filter(|own| own.incarnation == self.incarnation);
         let Some(place) = own.map(|own| own.place) else { return };
@@ -120,16 +121,16 @@
     }
 
     /// Guards against a cell that never finds together: those not met are asked, often in the first seconds.
-    pub(crate) fn invite(&mut self, now: Point, around: &mut dyn Surroundings) {
-        const EARLY: Span = Span::millis(3000);
+    pub(crate) fn invite(&mut self, now: Timestamp, around: &mut dyn Surroundings) {
+        const EARLY: Duration = Duration::from_millis(3000);
         if now < self.invites || self.swim.is_none() {
             return;
         }
-        let seldom = Span::millis(SELDOM.max(250 * self.mates.len() as u64));
+        let seldom = Duration::from_millis(SELDOM.max(250 * self.mates.len() as u64));
         // Not all of a cell that started together at the same moment.
         let drawn = 0.5 + f64::from(self.chance.generate_range(0..1000u32)) / 1000.0;
-        self.invites =
-            now + if now.since(self.began) < EARLY { Span::millis(500) } else { seldom.times(drawn) };
+        self.invites = now
+            + if now.since(self.began) < EARLY { Duration::from_millis(500) } else { seldom.scaled(drawn) };
         let unmet: Vec<_> = self.mates.iter().filter(|mate| !mate.alive).map(|mate| mate.place).collect();
         if unmet.is_empty() {
             return;
--- a/crates/cells/src/paxos.rs
+++ b/crates/cells/src/paxos.rs
@@ -2,14 +2,14 @@
 
 use crate::packet::{Ballot, ROOM};
 use crate::record::{Batch, Change, MOST_IN_BATCH};
-use shelfgrade::time::Point;
+use shelfgrade::time::Timestamp;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
 pub struct Proposal {
     pub slot: u64,
     pub ballot: Ballot,
-    pub until: Point,
+    pub until: Timestamp,
     own: Batch,
     promises: BTreeMap<u8, Option<(Ballot, Batch)>>,
     /// What is voted on, once a majority has promised.
@@ -18,7 +18,7 @@
 }
 
 impl Proposal {
-    pub fn new(slot: u64, ballot: Ballot, own: Batch, until: Point) -> Self {
+    pub fn new(slot: u64, ballot: Ballot, own: Batch, until: Timestamp) -> Self {
         Proposal { slot, ballot, until, own, promises: BTreeMap::new(), batch: None, votes: BTreeSet::new() }
     }
 
--- a/crates/cells/src/process.rs
+++ b/crates/cells/src/process.rs
@@ -11,9 +11,10 @@
 use crate::swim::Swim;
 use crate::{rank, Surroundings};
 use nanorand::{Rng, WyRand};
-use shelfgrade::time::{Point, Span};
+use shelfgrade::time::{DurationExt, Timestamp};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
+use std::time::Duration;
 
 /// What it sends, in bytes a second and at once: in any second they come to less than 4 KB.
 const SENDS: f64 = 2450.0;
@@ -25,16 +26,16 @@
 /// How many speak for a cell.
 pub(crate) const SPEAKERS: usize = 3;
 /// How often who speaks pulls from a replica.
-const SPEAK: Span = Span::millis(500);
-const COMPARE: Span = Span::millis(1000);
+const SPEAK: Duration = Duration::from_millis(500);
+const COMPARE: Duration = Duration::from_millis(1000);
 /// How often one pulls that knows it lacks something.
-const BEHIND: Span = Span::millis(300);
-const START: Span = Span::millis(150);
+const BEHIND: Duration = Duration::from_millis(300);
+const START: Duration = Duration::from_millis(150);
 /// When a pull that was not answered goes to another; one of the cell answers at once or has sent its part.
-const SILENCE: Span = Span::millis(400);
+const SILENCE: Duration = Duration::from_millis(400);
 /// How long after the nearest replica was left for another it is asked again.
-const NEAREST: Span = Span::millis(10_000);
-const MATE_SILENCE: Span = Span::millis(100);
+const NEAREST: Duration = Duration::from_millis(10_000);
+const MATE_SILENCE: Duration = Duration::from_millis(100);
 /// One in so many pulls of those who lack something goes to a replica, which gives all: the more of a cell hold all,
 /// the more give it on.
 const TO_REPLICA: u32 = 24;
@@ -75,23 +76,23 @@
     pub(crate) mates: Vec<Mate>,
     pub(crate) speakers: Vec<SocketAddr>,
     pub(crate) speaks: bool,
-    pub(crate) pulls: Point,
-    pub(crate) waits: Option<(SocketAddr, Point)>,
+    pub(crate) pulls: Timestamp,
+    pub(crate) waits: Option<(SocketAddr, Timestamp)>,
     pub(crate) source: usize,
     pub(crate) silences: u32,
     /// When the nearest replica is asked again.
-    pub(crate) nearest: Point,
-    pub(crate) invites: Point,
-    pub(crate) began: Point,
+    pub(crate) nearest: Timestamp,
+    pub(crate) invites: Timestamp,
+    pub(crate) began: Timestamp,
     pub(crate) rate: Rate,
-    pub(crate) pending: BTreeMap<u64, (Change, Point, usize)>,
+    pub(crate) pending: BTreeMap<u64, (Change, Timestamp, usize)>,
     pub(crate) acks: Acks,
     pub(crate) chance: WyRand,
     pub(crate) seed: u64,
 }
 
 impl Process {
-    pub fn new(start: Start, now: Point) -> Self {
+    pub fn new(start: Start, now: Timestamp) -> Self {
         let mut order: Vec<_> = start.replicas.iter().map(|(_, peer)| *peer).collect();
         let far = |region: u8| region != start.region;
         order.sort_by_key(|peer| (far(peer.region), rank(start.cell, &peer.address.to_string())));
@@ -165,7 +166,7 @@
         &mut self,
         to: SocketAddr,
         message: &Message,
-        now: Point,
+        now: Timestamp,
         around: &mut dyn Surroundings,
     ) {
         let datagram = packet::write(self.fleet, message);
@@ -178,7 +179,7 @@
         &mut self,
         to: SocketAddr,
         bytes: Vec<u8>,
-        now: Point,
+        now: Timestamp,
         around: &mut dyn Surroundings,
     ) {
         let datagram = packet::write(self.fleet, &Message::Swim(bytes));
@@ -192,7 +193,7 @@
         &mut self,
         to: SocketAddr,
         message: &Message,
-        now: Point,
+        now: Timestamp,
         around: &mut dyn Surroundings,
     ) -> bool {
         let datagram = packet::write(self.fleet, message);
@@ -203,7 +204,13 @@
         room
     }
 
-    pub fn heard(&mut self, from: SocketAddr, datagram: &[u8], now: Point, around: &mut dyn Surroundings) {
+    pub fn heard(
+        &mut self,
+        from: SocketAddr,
+        datagram: &[u8],
+        now: Timestamp,
+        around: &mut dyn Surroundings,
+    ) {
         let message = match packet::read(self.fleet, datagram) {
             Ok(message) => message,
             Err(fault) => return around.refused(fault.name()),
@@ -265,7 +272,7 @@
         from: SocketAddr,
         delta: &Delta,
         asked: bool,
-        now: Point,
+        now: Timestamp,
         around: &mut dyn Surroundings,
     ) {
         let merged = match self.follower.take(delta) {
@@ -298,7 +305,7 @@
         }
     }
 
-    fn pull_from(&mut self, to: SocketAddr, now: Point, around: &mut dyn Surroundings) {
+    fn pull_from(&mut self, to: SocketAddr, now: Timestamp, around: &mut dyn Surroundings) {
         let silence = if self.replicas.contains(&to) { SILENCE } else { MATE_SILENCE };
         self.waits = Some((to, now + silence));
         let pull = self.follower.pull();
@@ -327,7 +334,7 @@
     }
 
     /// To be called when [`Process::next`] says so, or more often.
-    pub fn woke(&mut self, now: Point, around: &mut dyn Surroundings) {
+    pub fn woke(&mut self, now: Timestamp, around: &mut dyn Surroundings) {
         if let Some(swim) = &mut self.swim {
             let mut sends = Vec::new();
             swim.woke(now, &mut sends);
@@ -358,7 +365,7 @@
             };
             // Not all at the same moment.
             let drawn = 0.9 + 0.2 * f64::from(self.chance.generate_range(0..1000u32)) / 1000.0;
-            self.pulls = now + pause.times(drawn);
+            self.pulls = now + pause.scaled(drawn);
             if self.waits.is_none() {
                 if let Some(to) = self.source() {
                     self.pull_from(to, now, around);
@@ -370,16 +377,16 @@
         self.send_pending(now, around);
     }
 
-    pub fn next(&self) -> Point {
-        let swim = self.swim.as_ref().map_or(Point::NEVER, Swim::next);
-        let waits = self.waits.map_or(Point::NEVER, |(_, until)| until);
-        let pending = self.pending.values().map(|(_, at, _)| *at).min().unwrap_or(Point::NEVER);
-        let invites = if self.swim.is_some() { self.invites } else { Point::NEVER };
+    pub fn next(&self) -> Timestamp {
+        let swim = self.swim.as_ref().map_or(Timestamp::NEVER, Swim::next);
+        let waits = self.waits.map_or(Timestamp::NEVER, |(_, until)| until);
+        let pending = self.pending.values().map(|(_, at, _)| *at).min().unwrap_or(Timestamp::NEVER);
+        let invites = if self.swim.is_some() { self.invites } else { Timestamp::NEVER };
         swim.min(waits).min(self.pulls).min(pending).min(invites)
     }
 
     /// Tells the cell that it goes.
-    pub fn leave(&mut self, now: Point, around: &mut dyn Surroundings) {
+    pub fn leave(&mut self, now: Timestamp, around: &mut dyn Surroundings) {
         let mut sends = Vec::new();
         if let Some(swim) = &mut self.swim {
             swim.leave(now, &mut sends);
--- a/crates/cells/src/replica.rs
+++ b/crates/cells/src/replica.rs
@@ -11,13 +11,14 @@
 use crate::Surroundings;
 use nanorand::{Rng, WyRand};
 use serde::{Deserialize, Serialize};
-use shelfgrade::time::{Point, Span};
+use shelfgrade::time::Timestamp;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
+use std::time::Duration;
 
 /// What a replica sends in answers: a release of a zone's members, each taking all anew, is through in seconds.
 const ANSWERS: f64 = 1024.0 * 1024.0;
-const PULL: Span = Span::millis(200);
+const PULL: Duration = Duration::from_millis(200);
 /// Batches that are kept as they were chosen, for those just behind and to tell forks.
 const RECENT: u64 = 256;
 
@@ -64,15 +65,15 @@
     pub(crate) parts: BTreeMap<u8, u64>,
     pub(crate) number: u64,
     /// Who else was heard proposing, and until when that counts.
-    pub(crate) busy: Option<(u8, Point)>,
+    pub(crate) busy: Option<(u8, Timestamp)>,
     /// What was asked about the slot after the open one, by who asked.
     pub(crate) early: BTreeMap<u8, Paxos>,
     recent: BTreeMap<u64, Batch>,
     pub(crate) queue: Queue,
     pub(crate) proposal: Option<Proposal>,
     pub(crate) highest: u32,
-    pub(crate) retry: Point,
-    pulls: Point,
+    pub(crate) retry: Timestamp,
+    pulls: Timestamp,
     rate: Rate,
     pub(crate) chance: WyRand,
 }
@@ -84,7 +85,7 @@
         peers: Peers,
         id: u8,
         seed: u64,
-        now: Point,
+        now: Timestamp,
         around: &mut dyn Surroundings,
     ) -> Self {
         around.store(Stored::Founded);
@@ -97,7 +98,7 @@
         peers: Peers,
         id: u8,
         seed: u64,
-        now: Point,
+        now: Timestamp,
         stored: Vec<Stored>,
         around: &mut dyn Surroundings,
     ) -> Self {
@@ -114,7 +115,7 @@
         replica
     }
 
-    fn empty(name: &str, peers: Peers, id: u8, seed: u64, now: Point) -> Self {
+    fn empty(name: &str, peers: Peers, id: u8, seed: u64, now: Timestamp) -> Self {
         let mut chance = WyRand::new_seed(seed ^ 0x9a05);
         Replica {
             fleet: packet::fleet(name),
@@ -205,7 +206,7 @@
         }
     }
 
-    fn reply(&mut self, to: SocketAddr, message: &Message, now: Point, around: &mut dyn Surroundings) {
+    fn reply(&mut self, to: SocketAddr, message: &Message, now: Timestamp, around: &mut dyn Surroundings) {
         let datagram = packet::write(self.fleet, message);
         if self.rate.take(datagram.len(), 0, now) {
             around.send(to, datagram);
@@ -213,11 +214,17 @@
     }
 
     /// Takes a change of this machine's own.
-    pub fn submit(&mut self, change: Change, now: Point, around: &mut dyn Surroundings) {
+    pub fn submit(&mut self, change: Change, now: Timestamp, around: &mut dyn Surroundings) {
         self.take(change, None, now, around);
     }
 
-    fn take(&mut self, change: Change, from: Option<SocketAddr>, now: Point, around: &mut dyn Surroundings) {
+    fn take(
+        &mut self,
+        change: Change,
+        from: Option<SocketAddr>,
+        now: Timestamp,
+        around: &mut dyn Surroundings,
+    ) {
         if self.state().get(&Key::Done(change.id)).is_some() {
             self.tell(change.id, Err(ChangeFault::Again), from, now, around);
         } else if !change.within_bounds() {
@@ -235,7 +242,7 @@
         id: u64,
         outcome: Result<(), ChangeFault>,
         to: Option<SocketAddr>,
-        now: Point,
+        now: Timestamp,
         around: &mut dyn Surroundings,
     ) {
         match to {
@@ -244,7 +251,13 @@
         }
     }
 
-    pub fn heard(&mut self, from: SocketAddr, datagram: &[u8], now: Point, around: &mut dyn Surroundings) {
+    pub fn heard(
+        &mut self,
+        from: SocketAddr,
+        datagram: &[u8],
+        now: Timestamp,
+        around: &mut dyn Surroundings,
+    ) {
         match packet::read(self.fleet, datagram) {
             Err(fault) => around.refused(fault.name()),
             Ok(Message::Paxos(message)) => match self.peers.id(from) {
@@ -315,7 +328,7 @@
     }
 
     /// What was chosen for the next slot is stored, applied and told.
-    pub(crate) fn learn(&mut self, slot: u64, batch: Batch, now: Point, around: &mut dyn Surroundings) {
+    pub(crate) fn learn(&mut self, slot: u64, batch: Batch, now: Timestamp, around: &mut dyn Surroundings) {
         around.store(Stored::Chosen { slot, batch: batch.clone() });
         let before = self.state().to();
         let horizon = self.horizon;
@@ -336,7 +349,7 @@
     }
 
     /// To be called when [`Replica::next`] says so, or more often.
-    pub fn woke(&mut self, now: Point, around: &mut dyn Surroundings) {
+    pub fn woke(&mut self, now: Timestamp, around: &mut dyn Surroundings) {
         if now >= self.pulls {
             self.pulls = now + PULL;
             let others: Vec<u8> = self.peers.iter().map(|(id, _)| id).filter(|id| *id != self.id).collect();
@@ -349,9 +362,9 @@
         self.propose(now, around);
     }
 
-    pub fn next(&self) -> Point {
-        let proposal = self.proposal.as_ref().map_or(Point::NEVER, |proposal| proposal.until);
-        let waits = if self.queue.is_empty() { Point::NEVER } else { self.retry };
+    pub fn next(&self) -> Timestamp {
+        let proposal = self.proposal.as_ref().map_or(Timestamp::NEVER, |proposal| proposal.until);
+        let waits = if self.queue.is_empty() { Timestamp::NEVER } else { self.retry };
         let own = if self.proposal.is_some() { proposal } else { waits };
         self.pulls.min(own)
     }
--- a/crates/cells/src/rights.rs
+++ b/crates/cells/src/rights.rs
@@ -4,7 +4,7 @@
 use crate::process::Process;
 use crate::record::{Action, CellId, Change, Key, Version};
 use crate::Surroundings;
-use shelfgrade::time::Point;
+use shelfgrade::time::Timestamp;
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -49,7 +49,7 @@
     }
 
     /// Tells those who speak for the cell which record it uses, while that is waited for.
-    pub(crate) fn acknowledge(&mut self, now: Point, around: &mut dyn Surroundings) {
+    pub(crate) fn acknowledge(&mut self, now: Timestamp, around: &mut dyn Surroundings) {
         let Some((version, _)) = self.pending().filter(|_| self.active) else { return };
         let (cell, name, incarnation) = (self.cell, self.name.clone(), self.incarnation);
         self.acks.heard(name.clone(), incarnation, version);
@@ -60,7 +60,7 @@
     }
 
     /// Puts in the release when the holder of every place has said that it uses what was given up no more.
-    pub(crate) fn release(&mut self, now: Point, around: &mut dyn Surroundings) {
+    pub(crate) fn release(&mut self, now: Timestamp, around: &mut dyn Surroundings) {
         let Some((_, shrunk)) = self.pending().filter(|_| self.active && self.state().whole()) else {
             return;
         };
--- a/crates/cells/src/submit.rs
+++ b/crates/cells/src/submit.rs
@@ -4,14 +4,15 @@
 use crate::process::Process;
 use crate::record::Change;
 use crate::Surroundings;
-use shelfgrade::time::{Point, Span};
+use shelfgrade::time::Timestamp;
+use std::time::Duration;
 
 /// When a change that was not answered goes to the next replica.
-const SUBMIT: Span = Span::millis(500);
+const SUBMIT: Duration = Duration::from_millis(500);
 
 impl Process {
     /// Has a change put into the log, by whichever replica answers.
-    pub fn submit(&mut self, change: Change, now: Point, around: &mut dyn Surroundings) {
+    pub fn submit(&mut self, change: Change, now: Timestamp, around: &mut dyn Surroundings) {
         if self.pending.contains_key(&change.id) {
             return;
         }
@@ -22,7 +23,7 @@
         self.pending.insert(change.id, (change, now + SUBMIT, self.source + 1));
     }
 
-    pub(crate) fn send_pending(&mut self, now: Point, around: &mut dyn Surroundings) {
+    pub(crate) fn send_pending(&mut self, now: Timestamp, around: &mut dyn Surroundings) {
         let due: Vec<u64> =
             self.pending.iter().filter(|(_, (_, at, _))| now >= *at).map(|(id, _)| *id).collect();
         for id in due {
--- a/crates/cells/src/swim.rs
+++ b/crates/cells/src/swim.rs
@@ -5,7 +5,7 @@
 };
 use nanorand::{Rng as _, WyRand};
 use serde::{Deserialize, Serialize};
-use shelfgrade::time::{Point, Span};
+use shelfgrade::time::{DurationExt, Timestamp};
 use std::collections::BTreeMap;
 use std::convert::Infallible;
 use std::num::{NonZeroU8, NonZeroUsize};
@@ -86,7 +86,7 @@
     foca: Foca<Id, PostcardCodec, Dice, NoCustomBroadcast>,
     runtime: AccumulatingRuntime<Id>,
     /// What is due when; a number tells apart what is due at once.
-    timers: BTreeMap<(Point, u64), Timer<Id>>,
+    timers: BTreeMap<(Timestamp, u64), Timer<Id>>,
     last_timer: u64,
     /// True where who is there has changed since it was asked last.
     changed: bool,
@@ -117,19 +117,19 @@
     }
 
     /// Asks one that it has not met, by its place alone.
-    pub fn invite(&mut self, place: u16, now: Point, sends: &mut Sends) {
+    pub fn invite(&mut self, place: u16, now: Timestamp, sends: &mut Sends) {
         let _ = self.foca.announce(Id { place, incarnation: 0, again: 0 }, &mut self.runtime);
         self.settle(now, sends);
     }
 
     /// True where the message could be read.
-    pub fn heard(&mut self, bytes: &[u8], now: Point, sends: &mut Sends) -> bool {
+    pub fn heard(&mut self, bytes: &[u8], now: Timestamp, sends: &mut Sends) -> bool {
         let read = self.foca.handle_data(bytes, &mut self.runtime).is_ok();
         self.settle(now, sends);
         read
     }
 
-    pub fn woke(&mut self, now: Point, sends: &mut Sends) {
+    pub fn woke(&mut self, now: Timestamp, sends: &mut Sends) {
         while let Some(due) = self.timers.first_entry().filter(|due| due.key().0 <= now) {
             let timer = due.remove();
             // A timer that the library no longer knows is none of its concern.
@@ -138,19 +138,19 @@
         }
     }
 
-    pub fn next(&self) -> Point {
-        self.timers.first_key_value().map_or(Point::NEVER, |first| first.0 .0)
+    pub fn next(&self) -> Timestamp {
+        self.timers.first_key_value().map_or(Timestamp::NEVER, |first| first.0 .0)
     }
 
-    pub fn leave(&mut self, now: Point, sends: &mut Sends) {
+    pub fn leave(&mut self, now: Timestamp, sends: &mut Sends) {
         let _ = self.foca.leave_cluster(&mut self.runtime);
         self.settle(now, sends);
     }
 
-    fn settle(&mut self, now: Point, sends: &mut Sends) {
+    fn settle(&mut self, now: Timestamp, sends: &mut Sends) {
         while let Some((after, timer)) = self.runtime.to_schedule() {
             self.last_timer += 1;
-            let at = now + Span::from_ms(after.as_secs_f64() * 1000.0);
+            let at = now + Duration::from_ms(after.as_secs_f64() * 1000.0);
             self.timers.insert((at, self.last_timer), timer);
         }
         while let Some((to, bytes)) = self.runtime.to_send() {
--- a/crates/cells/src/vote.rs
+++ b/crates/cells/src/vote.rs
@@ -5,21 +5,22 @@
 use crate::replica::{Replica, Stored, Vote};
 use crate::Surroundings;
 use nanorand::Rng;
-use shelfgrade::time::{Point, Span};
+use shelfgrade::time::Timestamp;
+use std::time::Duration;
 
 /// Twice the longest way there and back; an proposal that took longer is given up.
-const PROPOSAL: Span = Span::millis(800);
+const PROPOSAL: Duration = Duration::from_millis(800);
 /// The most that is drawn before the next proposal, so that two proposers miss each other.
 const PAUSE_MS: u64 = 600;
 /// How long one leaves proposing to another that it heard at it: two proposals.
-const YIELD: Span = Span::millis(1600);
+const YIELD: Duration = Duration::from_millis(1600);
 
 impl Replica {
     pub(crate) fn heard_paxos(
         &mut self,
         from: u8,
         message: Paxos,
-        now: Point,
+        now: Timestamp,
         around: &mut dyn Surroundings,
     ) {
         match message {
@@ -149,14 +150,14 @@
     }
 
     /// Tries to have what waits chosen for the next slot.
-    pub(crate) fn propose(&mut self, now: Point, around: &mut dyn Surroundings) {
+    pub(crate) fn propose(&mut self, now: Timestamp, around: &mut dyn Surroundings) {
         if self.proposal.as_ref().is_some_and(|proposal| now >= proposal.until) {
             self.give_up(now);
         }
         let can = self.settled() && self.votes() && self.vote.slot <= self.slot() + 1;
         if self.proposal.is_some() || self.queue.is_empty() || now < self.retry || !can {
             if !can && self.proposal.is_none() && !self.queue.is_empty() && now >= self.retry {
-                self.retry = now + Span::millis(PAUSE_MS);
+                self.retry = now + Duration::from_millis(PAUSE_MS);
                 if !self.votes() {
                     self.hand_on(None, around);
                 }
@@ -164,7 +165,7 @@
             return;
         }
         if let Some((by, until)) = self.busy.filter(|(by, until)| *by != self.id && now < *until) {
-            self.retry = until + Span::millis(self.chance.generate_range(10..PAUSE_MS));
+            self.retry = until + Duration::from_millis(self.chance.generate_range(10..PAUSE_MS));
             return self.hand_on(Some(by), around);
         }
         let slot = self.slot() + 1;
@@ -181,7 +182,7 @@
 
     /// Guards against proposers that undo each other's ballots for ever: where another one is at work, it is given the
     /// changes that wait here. Nobody depends on it: after a while each proposes again.
-    fn yields_to(&mut self, by: u8, now: Point) {
+    fn yields_to(&mut self, by: u8, now: Timestamp) {
         self.busy = Some((by, now + YIELD));
     }
 
@@ -198,11 +199,11 @@
         }
     }
 
-    fn give_up(&mut self, now: Point) {
+    fn give_up(&mut self, now: Timestamp) {
         if let Some(proposal) = self.proposal.take() {
             self.highest = self.highest.max(proposal.ballot.round);
         }
-        self.retry = now + Span::millis(self.chance.generate_range(10..PAUSE_MS));
+        self.retry = now + Duration::from_millis(self.chance.generate_range(10..PAUSE_MS));
     }
 
     fn to_others(&self, message: &Paxos, around: &mut dyn Surroundings) {
@@ -217,7 +218,7 @@
         slot: u64,
         ballot: Ballot,
         accepted: Option<(Ballot, Vec<crate::Change>)>,
-        now: Point,
+        now: Timestamp,
         around: &mut dyn Surroundings,
     ) {
         let majority = self.peers.majority();
@@ -229,7 +230,7 @@
         }
     }
 
-    fn voted(&mut self, by: u8, slot: u64, ballot: Ballot, now: Point, around: &mut dyn Surroundings) {
+    fn voted(&mut self, by: u8, slot: u64, ballot: Ballot, now: Timestamp, around: &mut dyn Surroundings) {
         let majority = self.peers.majority();
         let mine = self.proposal.as_mut().filter(|mine| mine.slot == slot && mine.ballot == ballot);
         let Some(batch) = mine.and_then(|mine| mine.voted(by, majority)) else { return };
--- a/crates/cells/tests/spread.rs
+++ b/crates/cells/tests/spread.rs
@@ -1,12 +1,13 @@
 //! How what was chosen gets to every process, and what is refused on the way.
 
-use shelfgrade::time::{Point, Span};
+use shelfgrade::time::{DurationExt, Timestamp};
 use shelfgrade_cells::{
     fleet, write, Action, CellId, Change, Delta, DeltaFault, Follower, Key, Message, Record, Scope, State,
     Value, Version,
 };
 use shelfgrade_trials::cells::fleet::{percentile, put};
 use shelfgrade_trials::cells::{address, World, CALM, FLEET};
+use std::time::Duration;
 
 fn delete(id: u64, key: &str) -> Change {
     Change { id, action: Action::Delete { key: key.to_owned() } }
@@ -44,12 +45,12 @@
     let small = {
         let mut world = settled(40, 50, 2);
         world.passes(30_000);
-        world.bytes(Span::millis(30_000)).0
+        world.bytes(Duration::from_millis(30_000)).0
     };
     let large = {
         let mut world = settled(160, 50, 2);
         world.passes(30_000);
-        world.bytes(Span::millis(30_000)).0
+        world.bytes(Duration::from_millis(30_000)).0
     };
     assert!(large < 1.25 * small, "four times the members: {small:.0} and {large:.0} bytes a second");
 }
@@ -62,7 +63,7 @@
     }
     let done = |world: &World| world.outcomes.contains_key(&20_999) && world.agrees();
     assert!(world.until(120_000, 100, done), "all have them in the end");
-    let (_, _, most) = world.bytes(Span::millis(1000));
+    let (_, _, most) = world.bytes(Duration::from_millis(1000));
     assert!(most <= 4096, "{most} bytes in one second");
 }
 
@@ -320,7 +321,7 @@
         let mut world = settled(24, 20, 11);
         world.passes(5000);
         let bytes: Vec<u64> = world.nodes.iter().map(|node| node.bytes).collect();
-        (bytes, world.now == Point::default())
+        (bytes, world.now == Timestamp::default())
     };
     assert_eq!(course(), course());
 }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -21,10 +21,11 @@
 
 use packet::{Message, Packet};
 use serde::{de::DeserializeOwned, Serialize};
-use shelfgrade::time::{Point, Span};
+use shelfgrade::time::{DurationExt, Timestamp};
 use skew::Skew;
 use std::cell::RefCell;
 use std::rc::Rc;
+use std::time::Duration;
 use swim::{Around, Known, Swim};
 
 /// How many entries the map holds: some thousands of servers, with room for what customers and sites have.
@@ -59,11 +60,11 @@
     swim: Swim,
     rights: Rights,
     skew: Skew,
-    next_compare: Point,
-    next_ask: Point,
+    next_compare: Timestamp,
+    next_ask: Timestamp,
     /// How many datagrams of answers may still go out, and since when it is that many.
-    answers: (f64, Point),
-    began: Point,
+    answers: (f64, Timestamp),
+    began: Timestamp,
     chance: nanorand::WyRand,
 }
 
@@ -101,7 +102,7 @@
 
 impl Fleet {
     /// `born`: microseconds of Unix time, or more where an earlier life of this process is known to have had more.
-    pub fn new(roster: Roster, born: u64, seed: u64, now: Point) -> Self {
+    pub fn new(roster: Roster, born: u64, seed: u64, now: Timestamp) -> Self {
         let me = Life { seat: roster.me(), born };
         let map = Map::new(MOST_ENTRIES);
         let known = Rc::new(RefCell::new(Known { map, fresh: Vec::new(), over_bound: 0 }));
@@ -139,7 +140,7 @@
     }
 
     /// The part of what the fleet may do that this process may now, from 0 to 1.
-    pub fn part(&self, now: Point) -> f64 {
+    pub fn part(&self, now: Timestamp) -> f64 {
         self.rights.part(now)
     }
 
@@ -229,7 +230,7 @@
     }
 
     /// A datagram has come. `wall_ms` is this machine's Unix time, uncorrected.
-    pub fn heard(&mut self, datagram: &[u8], now: Point, wall_ms: u64, around: &mut dyn Surroundings) {
+    pub fn heard(&mut self, datagram: &[u8], now: Timestamp, wall_ms: u64, around: &mut dyn Surroundings) {
         let packet = match packet::read(&self.roster, datagram) {
             Ok(packet) if packet.message.seats_within(self.roster.size()) => packet,
             Ok(_) => return around.refused("fleet datagrams that name nobody"),
@@ -297,10 +298,10 @@
     }
 
     /// The time has come that `next` names.
-    pub fn woke(&mut self, now: Point, wall_ms: u64, around: &mut dyn Surroundings) {
+    pub fn woke(&mut self, now: Timestamp, wall_ms: u64, around: &mut dyn Surroundings) {
         // Often while it is new and may know nothing, then as often as the membership probes.
-        const NEW: Span = Span::millis(5000);
-        const COMPARE: [Span; 2] = [Span::millis(200), Span::millis(1000)];
+        const NEW: Duration = Duration::from_millis(5000);
+        const COMPARE: [Duration; 2] = [Duration::from_millis(200), Duration::from_millis(1000)];
         let mut out = outbox(&self.roster, self.me, wall_ms, around);
         self.swim.woke(now, &self.roster, &mut out);
         if now >= self.next_compare {
@@ -331,12 +332,12 @@
     }
 
     /// When `woke` is to be called next.
-    pub fn next(&self) -> Point {
+    pub fn next(&self) -> Timestamp {
         self.swim.next().min(self.next_compare).min(self.next_ask)
     }
 
     /// This process ends, and its fellows need not find out by themselves.
-    pub fn leave(&mut self, now: Point, wall_ms: u64, around: &mut dyn Surroundings) {
+    pub fn leave(&mut self, now: Timestamp, wall_ms: u64, around: &mut dyn Surroundings) {
         let mut out = outbox(&self.roster, self.me, wall_ms, around);
         self.swim.leave(now, &mut out);
     }
@@ -361,7 +362,7 @@
 /// Datagrams of answers a second, and how many at once: four whole exchanges.
 const ANSWERS: f64 = 32.0;
 
-fn take(answers: &mut (f64, Point), now: Point) -> bool {
+fn take(answers: &mut (f64, Timestamp), now: Timestamp) -> bool {
     let (left, since) = *answers;
     let left = (left + now.since(since).as_ms() / 1000.0 * ANSWERS).min(ANSWERS);
     let may = left >= 1.0;
--- a/crates/fleet/src/rights.rs
+++ b/crates/fleet/src/rights.rs
@@ -12,18 +12,19 @@
 
 use crate::packet::Message;
 use crate::roster::{missing, rank, Life, Seat};
-use shelfgrade::time::{Point, Span};
+use shelfgrade::time::{DurationExt, Timestamp};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
+use std::time::Duration;
 
 /// How long a unit is held without another word: four askings, so that losing three in a row costs nothing. It is also how
 /// long a fleet has its floors alone after a loss of power: with four seconds service took one and a half longer.
-pub const LEASE: Span = Span::millis(2000);
+pub const LEASE: Duration = Duration::from_millis(2000);
 /// What a witness waits beyond that: clocks of two machines do not run apart by a twentieth.
 const MORE: f64 = 1.05;
 /// How often leases are asked for anew.
-pub const RENEW: Span = Span::millis(500);
+pub const RENEW: Duration = Duration::from_millis(500);
 /// Of how many one is enough to lose two.
 const WITNESSES: usize = 5;
 /// How many units one process asks for: what it sends does not grow with what is dead.
@@ -35,13 +36,13 @@
 struct Claim {
     /// The first asking of this claim. Guards against a grant from before a release, which the witness has forgotten.
     first: u32,
-    granted: BTreeMap<Seat, Point>,
+    granted: BTreeMap<Seat, Timestamp>,
 }
 
 /// What a witness knows of a unit that it granted.
 struct Held {
     by: Life,
-    since: Point,
+    since: Timestamp,
     /// The asking that it was last granted to. Guards against an older release that comes late, or twice.
     number: u32,
 }
@@ -49,19 +50,19 @@
 pub struct Rights {
     me: Life,
     size: usize,
-    began: Point,
+    began: Timestamp,
     /// As a witness: who holds a unit, and since when.
     held_by: BTreeMap<u16, Held>,
     claims: BTreeMap<u16, Claim>,
     /// The last askings, with their numbers.
-    asked: VecDeque<(u32, Point)>,
+    asked: VecDeque<(u32, Timestamp)>,
     last_number: u32,
     /// Guards against ranking all seats for each datagram: finding a unit's witnesses takes a hash of every seat.
     witnesses: RefCell<BTreeMap<u16, Rc<[Seat]>>>,
 }
 
 impl Rights {
-    pub fn new(me: Life, size: usize, now: Point) -> Self {
+    pub fn new(me: Life, size: usize, now: Timestamp) -> Self {
         Rights {
             me,
             size,
@@ -108,19 +109,19 @@
 
     /// The part of the whole that this process may do now, from 0 to 1. Guards against leases that ran out while it
     /// was stopped: it asks the clock each time.
-    pub fn part(&self, now: Point) -> f64 {
+    pub fn part(&self, now: Timestamp) -> f64 {
         let units = self.claims.iter().filter(|(unit, claim)| self.holds(**unit, claim, now)).count();
         (1 + units) as f64 / (2 * self.size) as f64
     }
 
-    fn holds(&self, unit: u16, claim: &Claim, now: Point) -> bool {
+    fn holds(&self, unit: u16, claim: &Claim, now: Timestamp) -> bool {
         let majority = self.witnesses(unit).len() / 2 + 1;
         claim.granted.values().filter(|asked| now < **asked + LEASE).count() >= majority
     }
 
     /// Asks for the units that this process should hold, as far as it sees who is `alive`, itself included; the
     /// messages for each witness.
-    pub fn ask(&mut self, alive: &[Seat], now: Point) -> Vec<(Seat, Message)> {
+    pub fn ask(&mut self, alive: &[Seat], now: Timestamp) -> Vec<(Seat, Message)> {
         // Enough that an answer four leases late still finds its asking.
         const ASKINGS: usize = 16;
         let mine = self.me.seat;
@@ -161,14 +162,14 @@
         holder: Life,
         number: u32,
         (units, releases): (&[u16], &[u16]),
-        now: Point,
+        now: Timestamp,
     ) -> Vec<u16> {
         for unit in releases {
             if self.held_by.get(unit).is_some_and(|held| held.by == holder && held.number < number) {
                 self.held_by.remove(unit);
             }
         }
-        let long = LEASE.times(MORE);
+        let long = LEASE.scaled(MORE);
         if now < self.began + long {
             return Vec::new();
         }
--- a/crates/fleet/src/swim.rs
+++ b/crates/fleet/src/swim.rs
@@ -8,7 +8,7 @@
     PeriodicParams, PostcardCodec, Timer,
 };
 use nanorand::{Rng as _, WyRand};
-use shelfgrade::time::{Point, Span};
+use shelfgrade::time::{DurationExt, Timestamp};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::convert::Infallible;
@@ -111,7 +111,7 @@
     foca: Foca<Life, PostcardCodec, Dice, Rumours>,
     runtime: AccumulatingRuntime<Life>,
     /// What is due when; a number tells apart what is due at once.
-    timers: BTreeMap<(Point, u64), Timer<Life>>,
+    timers: BTreeMap<(Timestamp, u64), Timer<Life>>,
     last_timer: u64,
     me: Life,
     /// Who is there, this process included, in the order of the roster. Guards against a list of all that is built anew
@@ -120,8 +120,8 @@
     lives: Lives,
     /// Whom it has not met, in turns.
     invites: WyRand,
-    next_invite: Point,
-    began: Point,
+    next_invite: Timestamp,
+    began: Timestamp,
 }
 
 /// What the membership asks for or tells.
@@ -162,7 +162,7 @@
 }
 
 impl Swim {
-    pub fn new(me: Life, roster: &Roster, known: Rc<RefCell<Known>>, seed: u64, now: Point) -> Self {
+    pub fn new(me: Life, roster: &Roster, known: Rc<RefCell<Known>>, seed: u64, now: Timestamp) -> Self {
         let rumours = Rumours { known, seats: roster.size() };
         let dice = Dice(WyRand::new_seed(seed));
         Swim {
@@ -198,7 +198,7 @@
     }
 
     /// True where the message could be read.
-    pub fn heard(&mut self, bytes: &[u8], now: Point, around: &mut impl Around) -> bool {
+    pub fn heard(&mut self, bytes: &[u8], now: Timestamp, around: &mut impl Around) -> bool {
         // One that is too long is for the library to refuse.
         let news = Some(bytes).filter(|bytes| bytes.len() <= LONGEST);
         let news = news.and_then(|bytes| sift::news(bytes, &self.lives, self.me.seat));
@@ -207,7 +207,7 @@
         read
     }
 
-    pub fn woke(&mut self, now: Point, roster: &Roster, around: &mut impl Around) {
+    pub fn woke(&mut self, now: Timestamp, roster: &Roster, around: &mut impl Around) {
         while let Some(due) = self.timers.first_entry().filter(|due| due.key().0 <= now) {
             let timer = due.remove();
             // A timer that the library no longer knows is none of its concern.
@@ -221,10 +221,13 @@
 
     /// Guards against a fleet that never finds together: those that were not met are asked, by their seats alone, often
     /// in the first seconds.
-    fn invite(&mut self, now: Point, roster: &Roster, around: &mut impl Around) {
-        const EARLY: Span = Span::millis(5000);
-        let (pause, most) =
-            if now.since(self.began) < EARLY { (Span::millis(300), 3) } else { (Span::millis(3000), 1) };
+    fn invite(&mut self, now: Timestamp, roster: &Roster, around: &mut impl Around) {
+        const EARLY: Duration = Duration::from_millis(5000);
+        let (pause, most) = if now.since(self.began) < EARLY {
+            (Duration::from_millis(300), 3)
+        } else {
+            (Duration::from_millis(3000), 1)
+        };
         self.next_invite = now + pause;
         let unmet: Vec<Seat> = missing(&self.there, roster.size()).collect();
         for _ in 0..most.min(unmet.len()) {
@@ -234,19 +237,19 @@
         self.settle(now, around);
     }
 
-    pub fn next(&self) -> Point {
+    pub fn next(&self) -> Timestamp {
         self.timers.first_key_value().map_or(self.next_invite, |first| first.0 .0.min(self.next_invite))
     }
 
-    pub fn leave(&mut self, now: Point, around: &mut impl Around) {
+    pub fn leave(&mut self, now: Timestamp, around: &mut impl Around) {
         let _ = self.foca.leave_cluster(&mut self.runtime);
         self.settle(now, around);
     }
 
-    fn settle(&mut self, now: Point, around: &mut impl Around) {
+    fn settle(&mut self, now: Timestamp, around: &mut impl Around) {
         while let Some((after, timer)) = self.runtime.to_schedule() {
             self.last_timer += 1;
-            let at = now + Span::from_ms(after.as_secs_f64() * 1000.0);
+            let at = now + Duration::from_ms(after.as_secs_f64() * 1000.0);
             self.timers.insert((at, self.last_timer), timer);
         }
         while let Some((to, bytes)) = self.runtime.to_send() {
--- a/crates/fleet/tests/unit/packet.rs
+++ b/crates/fleet/tests/unit/packet.rs
@@ -4,7 +4,7 @@
 use crate::map::Version;
 use crate::{Fleet, Surroundings};
 use recorded::{hex, Recorded};
-use shelfgrade::time::Point;
+use shelfgrade::time::Timestamp;
 
 #[path = "../../../../tests/support/recorded.rs"]
 mod recorded;
@@ -60,7 +60,7 @@
 /// What the membership puts into its own messages, and the order of what is sent at the start.
 #[test]
 fn the_first_datagrams_of_a_process_keep_their_bytes() {
-    let now = Point::from_ms(50.0);
+    let now = Timestamp::from_ms(50.0);
     let mut fleet = Fleet::new(roster(), 1_790_000_000_000_123, 42, now);
     let mut sent = Sent::default();
     fleet.woke(now, 1_790_000_000_456, &mut sent);
--- a/crates/fleet/tests/unit/rights.rs
+++ b/crates/fleet/tests/unit/rights.rs
@@ -10,9 +10,12 @@
 }
 
 /// Three seats, each a witness of every unit, an hour after they began.
-fn three() -> (Vec<Rights>, Point) {
-    let began = Point::from_ms(1000.0);
-    ((0..3).map(|seat| Rights::new(life(seat, 1), SEATS, began)).collect(), began + Span::millis(3_600_000))
+fn three() -> (Vec<Rights>, Timestamp) {
+    let began = Timestamp::from_ms(1000.0);
+    (
+        (0..3).map(|seat| Rights::new(life(seat, 1), SEATS, began)).collect(),
+        began + Duration::from_millis(3_600_000),
+    )
 }
 
 fn parts(asked: &[(Seat, Message)], witness: u16) -> Option<(u32, Vec<u16>, Vec<u16>)> {
@@ -23,7 +26,7 @@
 }
 
 /// Has one ask, and those witnesses answer at once.
-fn asks(all: &mut [Rights], holder: usize, alive: &[u16], witnesses: &[usize], now: Point) {
+fn asks(all: &mut [Rights], holder: usize, alive: &[u16], witnesses: &[usize], now: Timestamp) {
     let alive: Vec<_> = alive.iter().copied().map(Seat).collect();
     let asked = all[holder].ask(&alive, now);
     let me = all[holder].me;
@@ -41,13 +44,13 @@
     asks(&mut all, 0, &[0, 1, 2], &[0, 1], now);
     assert_eq!(all[0].part(now), 2.0 * HALF);
     // The second one is back under another life, and takes the first for dead; so does the third.
-    let soon = now + Span::millis(200);
+    let soon = now + Duration::from_millis(200);
     all[1] = Rights::new(life(1, 2), SEATS, soon);
     let (heir, other) = if rank(0, Seat(1)) < rank(0, Seat(2)) { (1, 2) } else { (2, 1) };
     asks(&mut all, heir, &[1, 2], &[heir, other], soon);
     let units = all[heir].claims.keys().filter(|unit| all[heir].holds(**unit, &all[heir].claims[unit], soon));
     assert!(!units.collect::<Vec<_>>().contains(&&0), "the first one may still use it");
-    let later = now + LEASE.times(3.0);
+    let later = now + LEASE.scaled(3.0);
     asks(&mut all, heir, &[1, 2], &[heir, other], later);
     assert!(all[heir].holds(0, &all[heir].claims[&0], later) && all[0].part(later) == HALF);
 }
@@ -58,7 +61,7 @@
 fn what_comes_late_neither_takes_a_unit_from_its_holder_nor_gives_it_to_who_let_it_go() {
     let (mut all, now) = three();
     let heir = if rank(0, Seat(1)) < rank(0, Seat(2)) { 1 } else { 2 };
-    let ask = |all: &mut Vec<Rights>, alive: &[u16], at: Point| {
+    let ask = |all: &mut Vec<Rights>, alive: &[u16], at: Timestamp| {
         let alive: Vec<_> = alive.iter().copied().map(Seat).collect();
         all[heir].ask(&alive, at)
     };
--- a/crates/proxy/src/caller.rs
+++ b/crates/proxy/src/caller.rs
@@ -4,7 +4,7 @@
 use crate::line::{whole, Open, LONGEST};
 use crate::proxy::Proxy;
 use crate::socket::{End, Socket};
-use shelfgrade::time::Point;
+use shelfgrade::time::Timestamp;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
@@ -12,7 +12,7 @@
     /// Its place in the order in which callers were last heard of.
     pub number: Cell<u64>,
     /// When it connected, or last asked for a sign of life.
-    pub since: Cell<Point>,
+    pub since: Cell<Timestamp>,
     pub socket: Rc<Socket<Proxy>>,
     begun: RefCell<Vec<u8>>,
     /// It has asked for a sign of life and waits for it.
@@ -22,7 +22,7 @@
 }
 
 impl Caller {
-    pub fn new(number: u64, socket: Socket<Proxy>, now: Point) -> Rc<Self> {
+    pub fn new(number: u64, socket: Socket<Proxy>, now: Timestamp) -> Rc<Self> {
         Rc::new(Caller {
             number: Cell::new(number),
             since: Cell::new(now),
--- a/crates/proxy/src/choosers.rs
+++ b/crates/proxy/src/choosers.rs
@@ -4,9 +4,10 @@
 use shelfgrade::choice::Chooser;
 use shelfgrade::handover::Remembered;
 use shelfgrade::host::{Arrival, Ending, Host, Listed, ServerId, SessionId, Standing};
-use shelfgrade::time::{Point, Span};
+use shelfgrade::time::Timestamp;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
+use std::time::Duration;
 
 /// Makes decisions for one more customer, from a seed.
 pub type Make = Box<dyn Fn(u64) -> Option<Chooser>>;
@@ -17,7 +18,7 @@
     granted: Rc<[ServerId]>,
     share: f64,
     /// Since when it has had no session.
-    idle_since: Option<Point>,
+    idle_since: Option<Timestamp>,
 }
 
 pub struct Choosers {
@@ -31,7 +32,7 @@
     owner: BTreeMap<SessionId, Rc<str>>,
     list: BTreeMap<ServerId, Listed>,
     /// What an earlier life remembered, and until when that is of use.
-    remembered: Vec<(Remembered, Point)>,
+    remembered: Vec<(Remembered, Timestamp)>,
     probing: bool,
     part: f64,
 }
@@ -52,7 +53,7 @@
         }
     }
 
-    pub fn start(&mut self, last_held: &[Listed], now: Point, host: &mut dyn Host) {
+    pub fn start(&mut self, last_held: &[Listed], now: Timestamp, host: &mut dyn Host) {
         self.keep(last_held, true);
         self.common.start(last_held, now, host);
     }
@@ -69,7 +70,7 @@
         self.list.values().cloned().collect()
     }
 
-    pub fn listed(&mut self, lines: &[Listed], whole: bool, now: Point) {
+    pub fn listed(&mut self, lines: &[Listed], whole: bool, now: Timestamp) {
         self.keep(lines, whole);
         self.common.listed(lines, whole, now);
         for own in self.own.values_mut() {
@@ -77,11 +78,11 @@
         }
     }
 
-    pub fn list_lost(&mut self, due: Point, host: &mut dyn Host) {
+    pub fn list_lost(&mut self, due: Timestamp, host: &mut dyn Host) {
         self.common.list_lost(due, host);
     }
 
-    pub fn list_failed(&mut self, since: Point, now: Point, host: &mut dyn Host) {
+    pub fn list_failed(&mut self, since: Timestamp, now: Timestamp, host: &mut dyn Host) {
         self.common.list_failed(since, now, host);
     }
 
@@ -91,7 +92,7 @@
     }
 
     /// What a customer with decisions of its own is granted has changed.
-    pub fn has_space(&mut self, customer: &Rc<str>, servers: &Rc<[ServerId]>, share: f64, now: Point) {
+    pub fn has_space(&mut self, customer: &Rc<str>, servers: &Rc<[ServerId]>, share: f64, now: Timestamp) {
         if let Some(own) = self.own.get_mut(customer) {
             (own.granted, own.share) = (servers.clone(), share);
             own.chooser.listed(&granted(&self.list, servers), true, now);
@@ -108,7 +109,7 @@
     pub fn begin(
         &mut self,
         (customer, servers, share): (Rc<str>, Rc<[ServerId]>, f64),
-        now: Point,
+        now: Timestamp,
         host: &mut dyn Host,
     ) {
         let seed = self.seed ^ xxhash_rust::xxh3::xxh3_64(customer.as_bytes());
@@ -156,7 +157,7 @@
         &mut self,
         customer: Option<&Rc<str>>,
         arrival: &Arrival,
-        now: Point,
+        now: Timestamp,
         host: &mut dyn Host,
     ) {
         if let Some(customer) = customer {
@@ -165,19 +166,26 @@
         self.of(arrival.session).arrived(arrival, now, host);
     }
 
-    pub fn open_already(&mut self, arrival: &Arrival, server: &str, now: Point) {
+    pub fn open_already(&mut self, arrival: &Arrival, server: &str, now: Timestamp) {
         self.of(arrival.session).open_already(arrival, server, now);
     }
 
-    pub fn stands(&mut self, session: SessionId, now: Point) {
+    pub fn stands(&mut self, session: SessionId, now: Timestamp) {
         self.of(session).stands(session, now);
     }
 
-    pub fn may_begin(&mut self, session: SessionId, now: Point) -> bool {
+    pub fn may_begin(&mut self, session: SessionId, now: Timestamp) -> bool {
         self.of(session).may_begin(session, now)
     }
 
-    pub fn ended(&mut self, session: SessionId, ending: Ending, done: bool, now: Point, host: &mut dyn Host) {
+    pub fn ended(
+        &mut self,
+        session: SessionId,
+        ending: Ending,
+        done: bool,
+        now: Timestamp,
+        host: &mut dyn Host,
+    ) {
         self.of(session).ended(session, ending, done, now, host);
     }
 
@@ -189,20 +197,20 @@
         self.of(session).load_is(session, load);
     }
 
-    pub fn messages_take(&mut self, session: SessionId, took: Span, now: Point, host: &mut dyn Host) {
+    pub fn messages_take(&mut self, session: SessionId, took: Duration, now: Timestamp, host: &mut dyn Host) {
         self.of(session).messages_take(session, took, now, host);
     }
 
-    pub fn woke(&mut self, now: Point, host: &mut dyn Host) {
+    pub fn woke(&mut self, now: Timestamp, host: &mut dyn Host) {
         self.all().for_each(|chooser| chooser.woke(now, host));
     }
 
-    pub fn look_round(&mut self, probing: bool, now: Point, host: &mut dyn Host) {
+    pub fn look_round(&mut self, probing: bool, now: Timestamp, host: &mut dyn Host) {
         self.probing = probing;
         self.common.look_round(probing, now, host);
     }
 
-    pub fn probed(&mut self, server: &str, took: Span, now: Point, host: &mut dyn Host) {
+    pub fn probed(&mut self, server: &str, took: Duration, now: Timestamp, host: &mut dyn Host) {
         self.all().for_each(|chooser| chooser.probed(server, took, now, host));
     }
 
@@ -215,15 +223,15 @@
         self.common.remembered().into_iter().chain(own).collect()
     }
 
-    pub fn remember(&mut self, remembered: &Remembered, within: Span, now: Point) -> bool {
+    pub fn remember(&mut self, remembered: &Remembered, within: Duration, now: Timestamp) -> bool {
         self.remembered.push((remembered.clone(), now + within));
         self.all().fold(false, |known, chooser| chooser.remember(remembered, within, now) | known)
     }
 
     /// Called once a second: forgets whose sessions those were that are no more, and the decisions of who has had none
     /// for as long as their table would know a connection.
-    pub fn sweep(&mut self, there: impl Fn(&SessionId) -> bool, now: Point) {
-        const IDLE: Span = Span::millis(60_000);
+    pub fn sweep(&mut self, there: impl Fn(&SessionId) -> bool, now: Timestamp) {
+        const IDLE: Duration = Duration::from_millis(60_000);
         if self.own.is_empty() {
             return;
         }
--- a/crates/proxy/src/client.rs
+++ b/crates/proxy/src/client.rs
@@ -5,7 +5,8 @@
 use crate::session::{Session, Stage};
 use crate::socket::End;
 use shelfgrade::host::Ending;
-use shelfgrade::time::Span;
+use shelfgrade::time::DurationExt;
+use std::time::Duration;
 
 impl Session {
     /// Whether the client still waits for its answer, and does nothing else. Guards against an attempt for one that
@@ -81,6 +82,6 @@
 }
 
 /// How a pushback is written.
-pub fn busy(pause: Span) -> String {
+pub fn busy(pause: Duration) -> String {
     format!("BUSY {}", pause.as_ms().ceil())
 }
--- a/crates/proxy/src/comeback.rs
+++ b/crates/proxy/src/comeback.rs
@@ -10,16 +10,16 @@
 use serde::{de::DeserializeOwned, Serialize};
 use shelfgrade::handover::Remembered;
 use shelfgrade::host::{Host, Listed, ServerId, Standing, Turn};
-use shelfgrade::time::Span;
 use shelfgrade_recovery::around::{Line, Terms};
 use shelfgrade_recovery::order::{Owed, State};
 use shelfgrade_recovery::trust::{self, Fact};
 use shelfgrade_terms::Terms as Settings;
 use std::net::SocketAddr;
+use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
 /// How long a key that an earlier life knew is known: as long as the table knows a connection after its end.
-const REMEMBERED: Span = Span::millis(30_000);
+const REMEMBERED: Duration = Duration::from_millis(30_000);
 
 /// What the settings say of a return.
 pub fn terms(settings: &Settings, file: &FleetFile) -> Terms {
--- a/crates/proxy/src/discovery.rs
+++ b/crates/proxy/src/discovery.rs
@@ -1,6 +1,5 @@
 //! Discovery over HTTP/1.1: one connection, one call at a time, and after each answer the next watch at once.
 
-use crate::clock::duration;
 use crate::driver::OnLoop;
 use crate::http::{Exchange, HttpFault};
 use crate::listing::{ListFault, Listing};
@@ -9,29 +8,30 @@
 use calloop::timer::{TimeoutAction, Timer};
 use calloop::RegistrationToken;
 use nanorand::{Rng, WyRand};
-use shelfgrade::time::{Point, Span};
+use shelfgrade::time::{DurationExt, Timestamp};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
+use std::time::Duration;
 
 // What a silent watch misses counts as told six seconds after it fell silent, or two after its wait, whichever is
 // later. It may have fallen silent as soon as it was asked for.
-const COUNTS_AFTER: Span = Span::millis(6000);
-const PAST_ITS_WAIT: Span = Span::millis(2000);
+const COUNTS_AFTER: Duration = Duration::from_millis(6000);
+const PAST_ITS_WAIT: Duration = Duration::from_millis(2000);
 
 /// How long calls may take.
 pub struct Pace {
     /// How long a watch waits for news, drawn anew for each. Guards against a fleet whose watches, all answered at the
     /// same change and silent together, would all ask in the same instant: more than discovery can take. A new watch,
     /// which may be kept waiting before, waits for less of it.
-    waits: [Span; 2],
+    waits: [Duration; 2],
     /// The answer to a wait that is over is on its way for less than this, where the watch went on from an answer;
-    slack: Span,
+    slack: Duration,
     /// where it is a new one, discovery may have others to answer before.
-    in_turn: Span,
+    in_turn: Duration,
     /// A call that does not wait, and a connection.
-    at_once: Span,
-    dial: Span,
+    at_once: Duration,
+    dial: Duration,
 }
 
 /// Discovery that all proxies ask: with these waits silence is known 2.8 s after a watch was asked for at the latest,
@@ -39,21 +39,21 @@
 /// connection that is not up, or a call that is silent, comes in the four seconds after which a new discovery's list
 /// counts as told.
 pub const ASKED: Pace = Pace {
-    waits: [Span::millis(800), Span::millis(2000)],
-    slack: Span::millis(300),
-    in_turn: Span::millis(2000),
-    at_once: Span::millis(2500),
-    dial: Span::millis(1000),
+    waits: [Duration::from_millis(800), Duration::from_millis(2000)],
+    slack: Duration::from_millis(300),
+    in_turn: Duration::from_millis(2000),
+    at_once: Duration::from_millis(2500),
+    dial: Duration::from_millis(1000),
 };
 
 /// An agent of this proxy's own, on the same machine: it answers within milliseconds. Guards against hanging on a call
 /// from an outage: what the agent gets when that is over counts as told at once.
 pub const PUSHED: Pace = Pace {
-    waits: [Span::millis(150), Span::millis(300)],
-    slack: Span::millis(150),
-    in_turn: Span::millis(150),
-    at_once: Span::millis(1000),
-    dial: Span::millis(250),
+    waits: [Duration::from_millis(150), Duration::from_millis(300)],
+    slack: Duration::from_millis(150),
+    in_turn: Duration::from_millis(150),
+    at_once: Duration::from_millis(1000),
+    dial: Duration::from_millis(250),
 };
 
 /// What became of a call that brought no list.
@@ -78,10 +78,10 @@
     /// Discovery has told a list; true where it is to be watched on from there.
     fn listed(&mut self, listing: &Listing) -> bool;
     /// A call that was out since then was refused or has failed.
-    fn list_failed(&mut self, fault: &CallFault, since: Point);
+    fn list_failed(&mut self, fault: &CallFault, since: Timestamp);
     /// A watch, or a call that was taken, has had no answer in its time, or one that is of no use: it is broken, and is
     /// asked for anew at once. What it missed counts as told at `due`.
-    fn list_missed(&mut self, fault: &CallFault, due: Point);
+    fn list_missed(&mut self, fault: &CallFault, due: Timestamp);
 }
 
 pub struct Discovery<F: Follower> {
@@ -93,7 +93,7 @@
     /// The call that is out.
     call: RefCell<Option<Exchange>>,
     /// When the last call began.
-    began: Cell<Point>,
+    began: Cell<Timestamp>,
     timer: Cell<Option<RegistrationToken>>,
     /// The last call was answered, by a list.
     heard: Cell<bool>,
@@ -149,7 +149,7 @@
                 let wait = self.draw_wait(part);
                 (format!("/catalog/members?index={seq}&wait={}", wait.as_ms()), wait, more)
             }
-            None => ("/catalog/members".to_owned(), Span::default(), self.pace.at_once),
+            None => ("/catalog/members".to_owned(), Duration::ZERO, self.pace.at_once),
         };
         let due = began + COUNTS_AFTER.max(wait + PAST_ITS_WAIT);
         let begun = Exchange::get(self.at.get(), &path)
@@ -161,14 +161,14 @@
             self.dial(follower).map_err(|source| CallFault::Dial { at: self.at.get(), source })
         });
         // A failure at once is told as one in time is: not from within this call.
-        let first = if dialled.is_ok() { self.pace.dial } else { Span::default() };
+        let first = if dialled.is_ok() { self.pace.dial } else { Duration::ZERO };
         let (me, ends, fault) = (self.clone(), began + wait + more, Cell::new(dialled.err()));
-        let timer = Timer::from_duration(duration(first));
+        let timer = Timer::from_duration(first);
         let token = follower.handle().insert_source(timer, move |_, _, follower| {
             let left = ends.since(follower.now());
             let up = me.socket.borrow().as_ref().is_some_and(|s| s.is_up().unwrap_or(false));
-            if up && left > Span::default() {
-                return TimeoutAction::ToDuration(duration(left));
+            if up && left > Duration::ZERO {
+                return TimeoutAction::ToDuration(left);
             }
             me.timer.take();
             let at = me.at.get();
@@ -185,10 +185,10 @@
     }
 
     /// How long the next watch waits, in whole milliseconds.
-    fn draw_wait(&self, part: f64) -> Span {
-        let [least, most] = self.pace.waits.map(Span::as_ms);
+    fn draw_wait(&self, part: f64) -> Duration {
+        let [least, most] = self.pace.waits.map(|wait| wait.as_ms());
         let luck = f64::from(self.chance.borrow_mut().generate::<f32>());
-        Span::from_ms((part * (least + (most - least) * luck)).floor())
+        Duration::from_ms((part * (least + (most - least) * luck)).floor())
     }
 
     /// Takes in what has come but was not heard of yet. Guards against placing a session, or writing its first byte, by
@@ -266,7 +266,7 @@
         }
     }
 
-    fn missed(&self, fault: &CallFault, due: Point, follower: &mut F) {
+    fn missed(&self, fault: &CallFault, due: Timestamp, follower: &mut F) {
         self.heard.set(false);
         self.drop_call(follower);
         follower.list_missed(fault, due);
--- a/crates/proxy/src/door.rs
+++ b/crates/proxy/src/door.rs
@@ -7,7 +7,7 @@
 use calloop::generic::Generic;
 use calloop::timer::{TimeoutAction, Timer};
 use calloop::{Interest, LoopHandle, Mode, PostAction, RegistrationToken};
-use shelfgrade::time::Span;
+
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::io::ErrorKind;
 use std::net::{SocketAddr, TcpListener};
@@ -209,7 +209,7 @@
     /// Puts out who has sent no first line in time.
     pub fn sweep_callers(&mut self) {
         // A client sends it at once; three seconds after connecting it is owed an answer or a close.
-        const FIRST_LINE_WITHIN: Span = Span::millis(2000);
+        const FIRST_LINE_WITHIN: Duration = Duration::from_millis(2000);
         let now = self.now();
         let is_late = |caller: &&Rc<Caller>| now.since(caller.since.get()) > FIRST_LINE_WITHIN;
         // Guards against putting out a front that has asked for a sign of life and waits for it.
--- a/crates/proxy/src/driver.rs
+++ b/crates/proxy/src/driver.rs
@@ -1,9 +1,9 @@
 //! What every driver needs of whom it serves: the loop that calls it, and the clock.
 
 use calloop::LoopHandle;
-use shelfgrade::time::Point;
+use shelfgrade::time::Timestamp;
 
 pub trait OnLoop: Sized + 'static {
     fn handle(&self) -> LoopHandle<'static, Self>;
-    fn now(&self) -> Point;
+    fn now(&self) -> Timestamp;
 }
--- a/crates/proxy/src/early.rs
+++ b/crates/proxy/src/early.rs
@@ -1,46 +1,46 @@
 //! What comes before the list has been heard, where the list is pushed: what its service has counts as told from
 //! the first moment of a process, so nobody is placed by the old list while the new one is on its way.
 
-use crate::clock::duration;
 use crate::hands::Hands;
 use crate::proxy::Proxy;
 use crate::session::{Session, Stage};
 use calloop::timer::{TimeoutAction, Timer};
 use shelfgrade::host::{Arrival, Turn};
-use shelfgrade::time::{Point, Span};
+use shelfgrade::time::{DurationExt, Timestamp};
 use std::rc::{Rc, Weak};
+use std::time::Duration;
 
 // An agent on the same machine answers within milliseconds; one that has not by now does not run, and a client
 // waits for a server no longer than this for the hope of it.
-const WAITS: Span = Span::millis(1000);
+const WAITS: Duration = Duration::from_millis(1000);
 
 // When one comes again whose namespace has no room or no rule for it: connections last minutes, and some end in a second.
-const NO_ROOM: Span = Span::millis(1000);
+const NO_ROOM: Duration = Duration::from_millis(1000);
 
 /// Who waits for the first word of the list.
 #[derive(Default)]
 pub struct Early {
-    until: Option<Point>,
+    until: Option<Timestamp>,
     sessions: Vec<Weak<Session>>,
 }
 
 impl Early {
-    pub fn until_the_list_is_heard(now: Point) -> Self {
+    pub fn until_the_list_is_heard(now: Timestamp) -> Self {
         Early { until: Some(now + WAITS), sessions: Vec::new() }
     }
 
     /// Where the list is asked for, and this proxy's turn to ask comes late among many. Guards against serving by a list
     /// from before it was started again: what changed while it was away counts as told six seconds after the change,
     /// whoever was there to hear it. Turns of up to a second are not waited for.
-    pub fn until_its_turn(now: Point, asks_at: Point) -> Self {
+    pub fn until_its_turn(now: Timestamp, asks_at: Timestamp) -> Self {
         // An answer takes milliseconds, or is one among many that come at once; refused, it serves by the list it has.
-        const ANSWERED_IN: Span = Span::millis(500);
+        const ANSWERED_IN: Duration = Duration::from_millis(500);
         let late = asks_at.since(now) > WAITS;
         Early { until: late.then_some(asks_at + ANSWERED_IN), sessions: Vec::new() }
     }
 
     /// Where the return says when: it has a bound of its own, and this one is for the case that it fails.
-    pub fn until_the_return_serves(now: Point, wait: Span) -> Self {
+    pub fn until_the_return_serves(now: Timestamp, wait: Duration) -> Self {
         Early { until: Some(now + wait + WAITS), sessions: Vec::new() }
     }
 
@@ -51,7 +51,7 @@
     /// Keeps a session until then, and no longer than half of its patience.
     pub fn holds(&mut self, session: &Rc<Session>, hands: &Hands) {
         self.sessions.push(Rc::downgrade(session));
-        let timer = Timer::from_duration(duration(longest_wait(session)));
+        let timer = Timer::from_duration(longest_wait(session));
         let set = hands.handle.insert_source(timer, |_, _, proxy| {
             proxy.end_of_waiting();
             TimeoutAction::Drop
@@ -61,8 +61,8 @@
 }
 
 /// How long a session may wait for the list.
-fn longest_wait(session: &Session) -> Span {
-    session.opening.patience.times(0.5)
+fn longest_wait(session: &Session) -> Duration {
+    session.opening.patience.scaled(0.5)
 }
 
 impl Proxy {
--- a/crates/proxy/src/ending.rs
+++ b/crates/proxy/src/ending.rs
@@ -3,13 +3,14 @@
 
 use crate::proxy::{Proxy, TICK};
 use crate::session::{Session, Stage};
-use shelfgrade::time::{Point, Span};
+use shelfgrade::time::{DurationExt, Timestamp};
 use std::rc::Rc;
+use std::time::Duration;
 
 /// Killing comes this long after the signal and the longest patience of any client,
-const KILLED_AFTER: Span = Span::millis(700);
+const KILLED_AFTER: Duration = Duration::from_millis(700);
 /// of which no more than this counts, or where the settings do not tell.
-const MOST_PATIENCE: Span = Span::millis(3000);
+const MOST_PATIENCE: Duration = Duration::from_millis(3000);
 
 /// When what happens after the signal: all of it follows from the settings. Guards against a process that is killed
 /// with answers and moves still owed, where clients wait for less than three seconds.
@@ -17,26 +18,26 @@
 pub struct Course {
     /// What stands goes on until then, and is told to move from then on. Guards against clients coming back where
     /// nobody listens: where proxies are restarted in turn, the last one may take two seconds to be back.
-    stay_for: Span,
+    stay_for: Duration,
     /// Nobody is taken from here on, and who still waits is answered.
-    open_for: Span,
+    open_for: Duration,
     /// Who still has sent no line, or comes only now, is told to come again from here on.
-    last_call: Span,
-    gone_within: Span,
+    last_call: Duration,
+    gone_within: Duration,
 }
 
 impl Course {
-    pub fn by(longest_patience: Option<Span>) -> Self {
+    pub fn by(longest_patience: Option<Duration>) -> Self {
         // Enough for last lines to be read and for one more look, ticks being a tenth of a second apart.
-        const LAST_WORDS: Span = Span::millis(500);
-        const SPARE: Span = Span::millis(200);
+        const LAST_WORDS: Duration = Duration::from_millis(500);
+        const SPARE: Duration = Duration::from_millis(200);
         // Another look comes before the end, for answers that are still being written.
-        const LAST_CALL: Span = Span::millis(350);
+        const LAST_CALL: Duration = Duration::from_millis(350);
         let killed = longest_patience.unwrap_or(MOST_PATIENCE).min(MOST_PATIENCE) + KILLED_AFTER;
-        let before = |span: Span| (Point::default() + killed - span).since(Point::default());
+        let before = |span: Duration| (Timestamp::default() + killed - span).since(Timestamp::default());
         Course {
             // What is left then is enough to go one after the other.
-            stay_for: before(LAST_WORDS).times(0.6),
+            stay_for: before(LAST_WORDS).scaled(0.6),
             open_for: before(LAST_WORDS),
             last_call: before(LAST_CALL),
             gone_within: before(SPARE),
@@ -54,7 +55,7 @@
     /// Called with each tick: ends when no more sessions come, all that came are answered, and none stands.
     pub fn end_when_done(&mut self) {
         // Clients go on coming for a little while after the signal.
-        const QUIET_FOR: Span = Span::millis(500);
+        const QUIET_FOR: Duration = Duration::from_millis(500);
         let Course { stay_for, open_for, last_call, gone_within } = self.course;
         let now = self.now();
         let Some(past) = self.told_to_end.map(|told| now.since(told)) else { return };
@@ -94,7 +95,7 @@
     fn last_answers(&mut self) {
         // More turns than come in the time that all this takes.
         const TURNS: usize = 64;
-        self.course.open_for = Span::default();
+        self.course.open_for = Duration::ZERO;
         for _ in 0..TURNS {
             self.accept();
             if self.door.queue_is_empty() {
--- a/crates/proxy/src/fellows.rs
+++ b/crates/proxy/src/fellows.rs
@@ -2,7 +2,6 @@
 //!
 //! Whom it serves is told what happens through [`Company`], and through nothing else.
 
-use crate::clock::duration;
 use crate::disk::{self, Disk};
 use crate::driver::OnLoop;
 use crate::fleet_file::{FleetFault, FleetFile};
@@ -12,7 +11,7 @@
 use serde::{de::DeserializeOwned, Serialize};
 use shelfgrade::handover::Remembered;
 use shelfgrade::host::Turn;
-use shelfgrade::time::Point;
+use shelfgrade::time::Timestamp;
 use shelfgrade_fleet::{Entry, PutFault, Seat, Surroundings, Version};
 use shelfgrade_recovery::around::{Around, Line, Terms};
 use shelfgrade_recovery::comeback::Comeback;
@@ -48,7 +47,7 @@
     timer: Cell<Option<RegistrationToken>>,
     disk: RefCell<Option<Disk>>,
     /// What was written last, and when.
-    saved: Cell<(u64, Point)>,
+    saved: Cell<(u64, Timestamp)>,
     /// What is to be told once the core has finished.
     told: RefCell<Vec<Told<C>>>,
 }
@@ -111,7 +110,7 @@
         self.tell(move |company| company.enters(state));
     }
     fn held_before(&mut self, key: u64, server: &str, started_ms: f64) {
-        let started = (started_ms > 0.0).then(|| Point::from_ms(started_ms));
+        let started = (started_ms > 0.0).then(|| Timestamp::from_ms(started_ms));
         let remembered = Remembered { key, server: server.to_owned(), started };
         self.tell(move |company| company.held_before(&remembered));
     }
@@ -212,7 +211,7 @@
         if let Some(token) = self.timer.take() {
             company.handle().remove(token);
         }
-        let timer = Timer::from_duration(duration(self.core.borrow().next().since(now)));
+        let timer = Timer::from_duration(self.core.borrow().next().since(now));
         let me = self.clone();
         let token = company.handle().insert_source(timer, move |_, _, company| {
             me.timer.take();
@@ -223,7 +222,7 @@
     }
 
     /// Writes what is new, as often as the file says.
-    fn save(&self, now: Point, company: &C) {
+    fn save(&self, now: Timestamp, company: &C) {
         let (state, at) = self.saved.get();
         let due = now.since(at) >= self.file.borrow().save_every;
         let new = self.core.borrow().fleet().state();
@@ -235,7 +234,7 @@
         }
     }
 
-    fn bytes(&self, now: Point, company: &C) -> (u64, Vec<u8>) {
+    fn bytes(&self, now: Timestamp, company: &C) -> (u64, Vec<u8>) {
         let held = company.remembered().into_iter().map(|held| (held.key, held.server));
         let saved = self.core.borrow_mut().save(held, wall_ms(now));
         (saved.number, snapshot::write(&saved))
@@ -289,7 +288,7 @@
     }
 
     /// The fleet's time, by the most of its clocks, in Unix milliseconds.
-    pub fn fleet_ms(&self, now: Point) -> i64 {
+    pub fn fleet_ms(&self, now: Timestamp) -> i64 {
         wall_ms(now) as i64 + self.core.borrow().fleet().clock_correction_ms()
     }
 
@@ -330,6 +329,6 @@
 }
 
 /// This machine's Unix time, which the loop's clock was set by.
-fn wall_ms(now: Point) -> u64 {
+fn wall_ms(now: Timestamp) -> u64 {
     now.as_ms() as u64
 }
--- a/crates/proxy/src/fleet_file.rs
+++ b/crates/proxy/src/fleet_file.rs
@@ -3,11 +3,11 @@
 
 use crate::transient::is_transient;
 use serde::Deserialize;
-use shelfgrade::time::Span;
 use shelfgrade_fleet::{Roster, RosterFault};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
+use std::time::Duration;
 
 /// The variable that names it.
 pub const NAMED_BY: &str = "SHELFGRADE_FLEET";
@@ -72,8 +72,8 @@
     pub state_dir: Option<PathBuf>,
     pub namespaces_dir: Option<PathBuf>,
     pub maintenance: Option<PathBuf>,
-    pub list_wait: Span,
-    pub save_every: Span,
+    pub list_wait: Duration,
+    pub save_every: Duration,
 }
 
 impl FleetFile {
@@ -98,7 +98,7 @@
             FleetFault::Form { path: path.clone(), line, column, what: fault.message().replace('\n', ", ") }
         })?;
         let within = |key, value, least, most| match (least..=most).contains(&value) {
-            true => Ok(Span::millis(value)),
+            true => Ok(Duration::from_millis(value)),
             false => Err(FleetFault::Bound { path: path.clone(), key, value, least, most }),
         };
         let list_wait = within("list_wait_ms", file.list_wait_ms, 100, 10_000)?;
--- a/crates/proxy/src/hands.rs
+++ b/crates/proxy/src/hands.rs
@@ -1,7 +1,7 @@
 //! What carries out the decisions: the servers and sessions that there are, and the calls of the module.
 
 use crate::client::busy;
-use crate::clock::{duration, Clock};
+use crate::clock::Clock;
 use crate::due::Due;
 use crate::lingering::LingeringCloses;
 use crate::proxy::Proxy;
@@ -13,18 +13,19 @@
 use calloop::timer::{TimeoutAction, Timer};
 use calloop::LoopHandle;
 use shelfgrade::host::{Ending, Host, Listed, ServerId, SessionId, Standing};
-use shelfgrade::time::{Point, Span};
+use shelfgrade::time::{DurationExt, Timestamp};
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::io::ErrorKind;
 use std::net::SocketAddr;
 use std::rc::{Rc, Weak};
+use std::time::Duration;
 
 /// What carries out the decisions.
 pub struct Hands {
     pub handle: LoopHandle<'static, Proxy>,
     pub tally: Rc<Tally>,
-    pub dial_time_out: Option<Span>,
+    pub dial_time_out: Option<Duration>,
     pub may_probe: bool,
     pub tells_delay: bool,
     pub clock: Clock,
@@ -48,7 +49,7 @@
     pub untold: VecDeque<(SessionId, Ending, bool)>,
     pub wants_list: Cell<bool>,
     /// What the module asked to be woken at, last.
-    pub wakes_at: Point,
+    pub wakes_at: Timestamp,
     pub to_probe: VecDeque<Rc<Server>>,
 }
 
@@ -56,7 +57,7 @@
     pub fn new(
         handle: LoopHandle<'static, Proxy>,
         limits: Limits,
-        dials: Option<Span>,
+        dials: Option<Duration>,
         (probes, tells_delay): (bool, bool),
     ) -> Self {
         Hands {
@@ -78,7 +79,7 @@
             sockets: limits.sockets as usize,
             untold: VecDeque::new(),
             wants_list: Cell::new(false),
-            wakes_at: Point::default(),
+            wakes_at: Timestamp::default(),
             to_probe: VecDeque::new(),
         }
     }
@@ -222,7 +223,7 @@
 }
 
 impl Host for Hands {
-    fn connect(&mut self, session: SessionId, server: &ServerId, time_out: Span) {
+    fn connect(&mut self, session: SessionId, server: &ServerId, time_out: Duration) {
         log::debug!("session {} connects to {server}, for {} ms", session.0, time_out.as_ms());
         let (found, server) = (self.sessions.get(&session).cloned(), self.servers.get(server).cloned());
         self.tally
@@ -250,7 +251,7 @@
         }
     }
 
-    fn push_back(&mut self, session: SessionId, pause: Span) {
+    fn push_back(&mut self, session: SessionId, pause: Duration) {
         self.tally.count("pushed back");
         log::debug!("session {} pushed back for {} ms", session.0, pause.as_ms());
         if let Some(session) = self.sessions.get(&session).cloned() {
@@ -290,9 +291,9 @@
         self.wants_list.set(true);
     }
 
-    fn wake(&mut self, at: Point) {
+    fn wake(&mut self, at: Timestamp) {
         self.wakes_at = at;
-        let timer = Timer::from_duration(duration(at.since(self.clock.now())));
+        let timer = Timer::from_duration(at.since(self.clock.now()));
         let set = self.handle.insert_source(timer, |_, _, proxy| {
             let now = proxy.now();
             proxy.chooser.woke(now, &mut proxy.hands);
--- a/crates/proxy/src/line.rs
+++ b/crates/proxy/src/line.rs
@@ -1,7 +1,8 @@
 //! Lines of the protocol: finding their ends, reading a client's first one, and writing it for a server.
 
-use shelfgrade::time::Span;
+use shelfgrade::time::DurationExt;
 use std::collections::BTreeMap;
+use std::time::Duration;
 
 /// The longest line, without its end.
 pub const LONGEST: usize = 4096;
@@ -62,7 +63,7 @@
     /// The offering's position among the names given.
     pub offering: usize,
     /// How long the client waits.
-    pub patience: Span,
+    pub patience: Duration,
     pub group: Option<String>,
     pub customer: Option<String>,
     /// The server where it was open before the start.
@@ -103,7 +104,7 @@
             id: u64::from_str_radix(id, 16).ok()?,
             key: Some(key).filter(|key| !key.is_empty())?.to_owned(),
             offering: offerings.iter().position(|o| values.get("c") == Some(&o.as_str()))?,
-            patience: Span::from_ms(wait),
+            patience: Duration::from_ms(wait),
             group: named("g"),
             customer: named("t"),
             at: named("at"),
@@ -114,7 +115,7 @@
     }
 
     /// The line as the server gets it: unchanged but for `d`, which tells how long the proxy will wait.
-    pub fn for_server(&self, wait: Span) -> String {
+    pub fn for_server(&self, wait: Duration) -> String {
         let (head, fields) = self.line.rsplit_once(' ').unwrap_or(("", &self.line));
         let wait = format!("d={}", wait.as_ms().floor());
         let fields: Vec<_> =
--- a/crates/proxy/src/lingering.rs
+++ b/crates/proxy/src/lingering.rs
@@ -4,19 +4,20 @@
 
 use crate::proxy::Proxy;
 use crate::socket::{End, Socket};
-use shelfgrade::time::{Point, Span};
+use shelfgrade::time::Timestamp;
 use std::collections::BTreeMap;
 use std::rc::Rc;
+use std::time::Duration;
 
 /// More than bytes take that were sent before the peer read its answer; with the two seconds after which a silent
 /// client is put out it is under the three in which such a client is owed an answer or a close.
-const LONGEST: Span = Span::millis(600);
+const LONGEST: Duration = Duration::from_millis(600);
 /// More than a client sends that means no harm; whoever sends on is not read without end.
 const MOST_BYTES: usize = 256 << 10;
 
 struct Closing {
     socket: Rc<Socket<Proxy>>,
-    since: Point,
+    since: Timestamp,
     dropped: usize,
 }
 
@@ -39,7 +40,7 @@
 
 impl LingeringCloses {
     /// Ends our side of a connection after its last line, and closes it once its peer has ended too, or in time.
-    pub fn close(&mut self, socket: Rc<Socket<Proxy>>, now: Point) {
+    pub fn close(&mut self, socket: Rc<Socket<Proxy>>, now: Timestamp) {
         socket.end(End::Fin);
         let mut closing = Closing { socket, since: now, dropped: 0 };
         if closing.go_on() {
@@ -58,7 +59,7 @@
     }
 
     /// Called with each tick: closes those whose time is up.
-    pub fn sweep(&mut self, now: Point) {
+    pub fn sweep(&mut self, now: Timestamp) {
         self.closing.retain(|_, closing| now.since(closing.since) < LONGEST);
     }
 
--- a/crates/proxy/src/listing.rs
+++ b/crates/proxy/src/listing.rs
@@ -2,7 +2,7 @@
 
 use serde::Deserialize;
 use shelfgrade::host::{Listed, Standing};
-use shelfgrade::time::Point;
+use shelfgrade::time::Timestamp;
 use std::net::SocketAddr;
 use std::time::SystemTime;
 
@@ -76,7 +76,7 @@
             zone: self.site.clone(),
             kind: self.kind.clone(),
             cell: self.block,
-            started: (self.born_ms > 0.0).then(|| Point::from_ms(self.born_ms)),
+            started: (self.born_ms > 0.0).then(|| Timestamp::from_ms(self.born_ms)),
             standing: match self.health {
                 Health::InService => Standing::Active,
                 Health::Terminating => Standing::Draining,
--- a/crates/proxy/src/notes.rs
+++ b/crates/proxy/src/notes.rs
@@ -4,18 +4,19 @@
 //! changes. The other is how many milliseconds a message takes at the server now, and comes once a second
 //! while that is long, on one connection of each proxy.
 
-use shelfgrade::time::{Point, Span};
+use shelfgrade::time::{DurationExt, Timestamp};
 use std::cell::Cell;
+use std::time::Duration;
 
 #[derive(Default)]
 pub struct Notes {
     /// When the last note came that may have told of messages.
-    last: Cell<Option<Point>>,
+    last: Cell<Option<Timestamp>>,
 }
 
 impl Notes {
     /// Whether a note that comes now tells how long messages take.
-    pub fn is_delay(&self, told: f64, now: Point) -> bool {
+    pub fn is_delay(&self, told: f64, now: Timestamp) -> bool {
         // Of 1,300 loads seen none was less: a client that asks for so little is as good as gone.
         const LEAST_LOAD: f64 = 300.0;
         // The longest seen was 3.3 s; what is longer is a load that keeps the beat by chance.
@@ -24,7 +25,7 @@
         const BEAT_MS: f64 = 1000.0;
         const OFF_BEAT_MS: f64 = 40.0;
         // A pause of more beats than these proves little.
-        const LONGEST_PAUSE: Span = Span::millis(5500);
+        const LONGEST_PAUSE: Duration = Duration::from_millis(5500);
         if told >= LONGEST_MS {
             return false;
         }
--- a/crates/proxy/src/probe.rs
+++ b/crates/proxy/src/probe.rs
@@ -5,9 +5,10 @@
 use crate::ring::Ring;
 use crate::server::Server;
 use crate::socket::Socket;
-use shelfgrade::time::{Point, Span};
+use shelfgrade::time::Timestamp;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
+use std::time::Duration;
 
 pub struct Probe {
     socket: Socket<Proxy>,
@@ -15,13 +16,13 @@
     back: RefCell<Ring>,
     lines: RefCell<Cutter>,
     /// When the `PING` that is out was asked for.
-    asked: Cell<Option<Point>>,
+    asked: Cell<Option<Timestamp>>,
     /// When the last one was asked for.
-    pub last: Cell<Point>,
+    pub last: Cell<Timestamp>,
 }
 
 // Longer than anyone waits for a sign of life, shorter than rounds of probes are apart.
-const JUST_ASKED: Span = Span::millis(250);
+const JUST_ASKED: Duration = Duration::from_millis(250);
 
 impl Probe {
     /// Asks for a sign of life over the connection that there is, or over a new one. One that is still out
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -25,7 +25,7 @@
 use calloop::timer::{TimeoutAction, Timer};
 use calloop::{EventLoop, LoopHandle, LoopSignal};
 use shelfgrade::host::{Arrival, Ending, Listed, ServerId, SessionId};
-use shelfgrade::time::{Point, Span};
+use shelfgrade::time::{DurationExt, Timestamp};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -40,7 +40,7 @@
     pub windows: Windows,
     /// The list as the fleet has it, before windows are put on it.
     pub told: BTreeMap<ServerId, (Listed, Option<SocketAddr>)>,
-    pub warm_up: Span,
+    pub warm_up: Duration,
     start_times: StartTimes,
     pub hands: Hands,
     /// The offerings' names in their order.
@@ -56,13 +56,13 @@
     /// The size of one ring.
     ring: usize,
     pub stop: LoopSignal,
-    pulses_taken: Point,
+    pulses_taken: Timestamp,
     /// When it was told to read its files again, where that is still to be done.
-    pub told_to_reload: Option<Point>,
+    pub told_to_reload: Option<Timestamp>,
     /// Since when it has been told to end, and when the last session came.
-    pub told_to_end: Option<Point>,
+    pub told_to_end: Option<Timestamp>,
     pub course: Course,
-    pub last_arrival: Point,
+    pub last_arrival: Timestamp,
 }
 
 /// Why a proxy cannot serve, or no longer.
@@ -181,7 +181,7 @@
 }
 
 impl Proxy {
-    pub fn now(&self) -> Point {
+    pub fn now(&self) -> Timestamp {
         self.hands.clock.now()
     }
 
@@ -246,7 +246,7 @@
     }
 
     /// A probe has come back, or was given up, after this long.
-    pub fn probed(&mut self, server: &Server, took: Span) {
+    pub fn probed(&mut self, server: &Server, took: Duration) {
         self.hands.tally.count("probes");
         log::debug!("probe of {} took {} ms", server.id, took.as_ms());
         let now = self.now();
@@ -255,7 +255,7 @@
     }
 
     /// A server has told how long messages take there.
-    pub fn messages_take(&mut self, session: SessionId, took: Span) {
+    pub fn messages_take(&mut self, session: SessionId, took: Duration) {
         let now = self.now();
         self.chooser.messages_take(session, took, now, &mut self.hands);
         self.settle();
@@ -298,7 +298,7 @@
 
     /// Once a second the module hears how long messages take at each server.
     fn tell_pulses(&mut self) {
-        const EVERY: Span = Span::millis(1000);
+        const EVERY: Duration = Duration::from_millis(1000);
         let now = self.now();
         if now.since(self.pulses_taken) < EVERY {
             return;
@@ -332,7 +332,7 @@
         self.hands.handle.clone()
     }
 
-    fn now(&self) -> Point {
+    fn now(&self) -> Timestamp {
         self.hands.clock.now()
     }
 }
@@ -359,7 +359,7 @@
         true
     }
 
-    fn list_failed(&mut self, fault: &CallFault, since: Point) {
+    fn list_failed(&mut self, fault: &CallFault, since: Timestamp) {
         log::warn!("{fault}");
         self.hands.tally.count("list calls failed");
         let now = self.now();
@@ -367,7 +367,7 @@
         self.settle();
     }
 
-    fn list_missed(&mut self, fault: &CallFault, due: Point) {
+    fn list_missed(&mut self, fault: &CallFault, due: Timestamp) {
         log::warn!("{fault}");
         let silent = matches!(fault, CallFault::Silent { .. });
         self.hands.tally.count(if silent { "list calls silent" } else { "list calls failed" });
@@ -376,7 +376,7 @@
     }
 }
 
-pub fn arrival(session: &Session, patience_ends: Point) -> Arrival<'_> {
+pub fn arrival(session: &Session, patience_ends: Timestamp) -> Arrival<'_> {
     let opening = &session.opening;
     Arrival {
         session: session.id,
--- a/crates/proxy/src/pulse.rs
+++ b/crates/proxy/src/pulse.rs
@@ -1,19 +1,19 @@
 //! How long messages take at a server: what the connections that stand there have seen of late.
 
 use crate::session::Session;
-use shelfgrade::time::Span;
 use std::cell::RefCell;
 use std::collections::VecDeque;
 use std::rc::{Rc, Weak};
+use std::time::Duration;
 
 #[derive(Default)]
 pub struct Pulse {
-    latest: RefCell<VecDeque<(Span, Weak<Session>)>>,
+    latest: RefCell<VecDeque<(Duration, Weak<Session>)>>,
 }
 
 impl Pulse {
     /// A message of this session has come back.
-    pub fn came_back(&self, session: &Session, took: Span) {
+    pub fn came_back(&self, session: &Session, took: Duration) {
         // More than come back in a second, few enough to hold.
         const SAMPLES: usize = 64;
         let mut latest = self.latest.borrow_mut();
@@ -24,7 +24,7 @@
     }
 
     /// The middle one of what came back since this was last asked, with a session that still is.
-    pub fn take(&self) -> Option<(Span, Rc<Session>)> {
+    pub fn take(&self) -> Option<(Duration, Rc<Session>)> {
         let latest = std::mem::take(&mut *self.latest.borrow_mut());
         let mut standing: Vec<_> =
             latest.into_iter().filter_map(|(took, session)| Some((took, session.upgrade()?))).collect();
--- a/crates/proxy/src/reload.rs
+++ b/crates/proxy/src/reload.rs
@@ -2,10 +2,10 @@
 
 use crate::proxy::Proxy;
 use crate::start::Start;
-use shelfgrade::time::Span;
+use std::time::Duration;
 
 /// What a new discovery has counts as told so long after the signal.
-const COUNTS_AFTER: Span = Span::millis(4000);
+const COUNTS_AFTER: Duration = Duration::from_millis(4000);
 
 impl Proxy {
     pub fn told_to_reload(&mut self) {
--- a/crates/proxy/src/server.rs
+++ b/crates/proxy/src/server.rs
@@ -1,6 +1,5 @@
 //! The server's side of a session: one attempt, from the dial to the end of the connection.
 
-use crate::clock::duration;
 use crate::hands::Hands;
 use crate::line::{text, Cutter};
 use crate::notes::Notes;
@@ -13,11 +12,12 @@
 use calloop::timer::{TimeoutAction, Timer};
 use calloop::{LoopHandle, RegistrationToken};
 use shelfgrade::host::{Ending, ServerId, Standing};
-use shelfgrade::time::{Point, Span};
+use shelfgrade::time::{DurationExt, Timestamp};
 use std::cell::{Cell, RefCell};
 use std::io;
 use std::net::SocketAddr;
 use std::rc::Rc;
+use std::time::Duration;
 
 /// Work a second that no connection asks for: all of a thousand cores.
 const MOST_LOAD: f64 = 1e9;
@@ -47,7 +47,7 @@
     /// What is left to write of the first line.
     first: RefCell<Ring>,
     lines: RefCell<Cutter>,
-    gives_up: Point,
+    gives_up: Timestamp,
     timer: Cell<Option<(LoopHandle<'static, Proxy>, RegistrationToken)>>,
     /// What the server's last line says of an end that follows it.
     farewell: Cell<Ending>,
@@ -58,8 +58,8 @@
     pub fn begin(
         session: &Rc<Session>,
         server: Rc<Server>,
-        time_out: Span,
-        now: Point,
+        time_out: Duration,
+        now: Timestamp,
         hands: &Hands,
     ) -> io::Result<Rc<Self>> {
         let socket = Socket::dial(server.dial.get())?;
@@ -98,10 +98,10 @@
     }
 
     /// Guards against a stale alarm too: the new one takes the old one's place, and goes with the attempt.
-    fn give_up_in(self: &Rc<Self>, wait: Span, session: &Session, handle: &LoopHandle<'static, Proxy>) {
+    fn give_up_in(self: &Rc<Self>, wait: Duration, session: &Session, handle: &LoopHandle<'static, Proxy>) {
         self.stop_timer();
         let (session, attempt) = (session.me.clone(), Rc::downgrade(self));
-        let timer = Timer::from_duration(duration(wait));
+        let timer = Timer::from_duration(wait);
         let token = handle.insert_source(timer, move |_, _, proxy| {
             if let (Some(session), Some(attempt)) = (session.upgrade(), attempt.upgrade()) {
                 attempt.timer.take();
@@ -280,7 +280,7 @@
         let now = proxy.now();
         if proxy.hands.tells_delay && server.notes.is_delay(told, now) {
             log::debug!("messages at {} take {told} ms, it says", server.id);
-            proxy.messages_take(self.id, Span::from_ms(told));
+            proxy.messages_take(self.id, Duration::from_ms(told));
         } else {
             proxy.chooser.load_is(self.id, told);
         }
--- a/crates/proxy/src/session.rs
+++ b/crates/proxy/src/session.rs
@@ -10,12 +10,13 @@
 use crate::server::Attempt;
 use crate::socket::{End, Socket};
 use shelfgrade::host::{Ending, SessionId};
-use shelfgrade::time::{Point, Span};
+use shelfgrade::time::Timestamp;
 use std::cell::{Cell, RefCell};
 use std::rc::{Rc, Weak};
+use std::time::Duration;
 
 /// How long the server of what was open before the start is tried and waited for: a run begins no later.
-pub const TAKE_OVER_WITHIN: Span = Span::millis(40_000);
+pub const TAKE_OVER_WITHIN: Duration = Duration::from_millis(40_000);
 
 /// What tells a client to come again.
 const MOVE: &[u8] = b"MOVE\r\n";
@@ -36,7 +37,7 @@
     pub id: SessionId,
     pub stage: Cell<Stage>,
     /// When that stage began.
-    pub since: Cell<Point>,
+    pub since: Cell<Timestamp>,
     pub opening: Open,
     pub client: Rc<Socket<Proxy>>,
     pub from_client: RefCell<Cutter>,
@@ -46,16 +47,22 @@
     pub up_end: Cell<Option<End>>,
     pub down_end: Cell<Option<End>>,
     /// Since when it waits for the end of a line, to send its client away.
-    pub leaving_line: Cell<Option<Point>>,
+    pub leaving_line: Cell<Option<Timestamp>>,
     /// When the first line of the client's came that nothing has come back since.
-    pub asked: Cell<Option<Point>>,
+    pub asked: Cell<Option<Timestamp>>,
     /// Its place in its customer's room, for as long as it is here.
     pub place: RefCell<Option<Rc<()>>>,
     pub me: Weak<Session>,
 }
 
 impl Session {
-    pub fn new(id: SessionId, opening: Open, client: Rc<Socket<Proxy>>, ring: usize, now: Point) -> Rc<Self> {
+    pub fn new(
+        id: SessionId,
+        opening: Open,
+        client: Rc<Socket<Proxy>>,
+        ring: usize,
+        now: Timestamp,
+    ) -> Rc<Self> {
         Rc::new_cyclic(|me| Session {
             id,
             stage: Cell::new(Stage::Asking),
@@ -81,8 +88,8 @@
     }
 
     /// Guards against waiting for a server that does not exist: discovery names all there are at once.
-    fn taken_over_within(&self, proxy: &Proxy) -> Span {
-        const NAMED_WITHIN: Span = Span::millis(2500);
+    fn taken_over_within(&self, proxy: &Proxy) -> Duration {
+        const NAMED_WITHIN: Duration = Duration::from_millis(2500);
         let unnamed = proxy.hands.list_heard.get() && self.attempt.borrow().is_none();
         if unnamed {
             NAMED_WITHIN
@@ -91,7 +98,7 @@
         }
     }
 
-    pub fn enter(&self, stage: Stage, now: Point) {
+    pub fn enter(&self, stage: Stage, now: Timestamp) {
         self.stage.set(stage);
         self.since.set(now);
     }
@@ -158,7 +165,7 @@
     }
 
     /// Sends the client away as soon as the server's last line has ended; true once that is done.
-    pub fn try_moving(&self, now: Point) -> bool {
+    pub fn try_moving(&self, now: Timestamp) -> bool {
         let between = self.attempt.borrow().as_ref().is_some_and(|c| c.between_lines());
         let moved = between && self.down.borrow_mut().push(MOVE);
         if moved {
@@ -212,9 +219,9 @@
     /// Looks after what no event comes for.
     pub fn tick(&self, proxy: &mut Proxy) {
         // Long enough for a peer to end its side too, short enough to free the descriptors.
-        const LAST_BYTES_WITHIN: Span = Span::millis(2000);
+        const LAST_BYTES_WITHIN: Duration = Duration::from_millis(2000);
         // A line begun by the server must not be held up for longer than a second.
-        const LINE_ENDS_WITHIN: Span = Span::millis(800);
+        const LINE_ENDS_WITHIN: Duration = Duration::from_millis(800);
         let now = proxy.now();
         let past = now.since(self.since.get());
         match self.stage.get() {
--- a/crates/proxy/src/start_times.rs
+++ b/crates/proxy/src/start_times.rs
@@ -2,22 +2,23 @@
 //! own start, from a wall clock that may have been off by then.
 
 use shelfgrade::host::{Listed, ServerId, Standing};
-use shelfgrade::time::{Point, Span};
+use shelfgrade::time::{DurationExt, Timestamp};
 use std::collections::BTreeMap;
+use std::time::Duration;
 use std::time::{SystemTime, UNIX_EPOCH};
 
 /// How many starts are remembered, of servers that are listed and of such as were.
 const REMEMBERED: usize = 1 << 16;
 /// How late the list may be: what discovery has counts as told after this long.
-const LIST_IS_LATE: Span = Span::millis(6000);
+const LIST_IS_LATE: Duration = Duration::from_millis(6000);
 
 /// A start as the list tells it.
 #[derive(Clone, Copy)]
 struct Start {
-    told: Point,
-    heard_at: Point,
+    told: Timestamp,
+    heard_at: Timestamp,
     /// When it was on this clock, where this process has seen it happen.
-    seen: Option<Point>,
+    seen: Option<Timestamp>,
 }
 
 /// The starts that were told so far.
@@ -25,7 +26,7 @@
 pub struct StartTimes {
     starts: BTreeMap<ServerId, Start>,
     /// How far this clock is ahead of discovery's, where that is known; never behind.
-    ahead: Span,
+    ahead: Duration,
     /// The least time between a start, as told, and when it was heard of, in milliseconds: the list's lateness at its
     /// best, and how far this clock is ahead of that by which starts are told, or behind it.
     least_late_ms: Option<f64>,
@@ -37,11 +38,11 @@
     /// Discovery has told its time with a list. Guards against a wall clock that was ahead when this process started:
     /// what had just started then would count as warm. A clock that was behind needs no such word, as no start counts
     /// as yet to come. True where starts that were told before are others now.
-    pub fn discovery_says(&mut self, time: SystemTime, now: Point) -> bool {
+    pub fn discovery_says(&mut self, time: SystemTime, now: Timestamp) -> bool {
         // The time is told in whole seconds, and its answer takes a moment.
         const HARMLESS_MS: f64 = 2000.0;
         let theirs = time.duration_since(UNIX_EPOCH).unwrap_or_default();
-        let ahead = now.since(Point::from_ms(theirs.as_secs_f64() * 1000.0));
+        let ahead = now.since(Timestamp::from_ms(theirs.as_secs_f64() * 1000.0));
         // Guards against starts that seem to come later with each answer.
         let differs = (ahead.as_ms() - self.ahead.as_ms()).abs() > HARMLESS_MS;
         if differs {
@@ -56,13 +57,13 @@
         lines.into_iter().map(|line| Listed { started: start_of(&line).or(line.started), ..line }).collect()
     }
 
-    fn here(&self, start: &Start) -> Point {
+    fn here(&self, start: &Start) -> Timestamp {
         start.seen.unwrap_or((start.told + self.ahead).min(start.heard_at))
     }
 
     /// Lines of the list with their starts on this clock. Guards against a wall clock that is off: a start that is new
     /// on a list has just happened, however long ago it is told to be.
-    pub fn timed(&mut self, lines: Vec<Listed>, now: Point) -> Vec<Listed> {
+    pub fn timed(&mut self, lines: Vec<Listed>, now: Timestamp) -> Vec<Listed> {
         if self.starts.len() > REMEMBERED {
             // Who is forgotten and listed again counts as cold once more.
             self.starts.clear();
@@ -70,7 +71,7 @@
         lines.into_iter().map(|line| Listed { started: self.start_of(&line, now), ..line }).collect()
     }
 
-    fn start_of(&mut self, line: &Listed, now: Point) -> Option<Point> {
+    fn start_of(&mut self, line: &Listed, now: Timestamp) -> Option<Timestamp> {
         let told = line.started?;
         if line.standing == Standing::Gone {
             return Some(told);
@@ -87,11 +88,11 @@
 
     /// When a start was that this process has seen happen: as long ago as the list is later than at its best. The first
     /// one, and any that would be longer ago than a list is late, counts from now.
-    fn just_happened(&mut self, told: Point, now: Point) -> Point {
+    fn just_happened(&mut self, told: Timestamp, now: Timestamp) -> Timestamp {
         let late_ms = now.as_ms() - told.as_ms();
         let least_ms = self.least_late_ms.map_or(late_ms, |least| least.min(late_ms));
         self.least_late_ms = Some(least_ms);
-        let here = Point::from_ms(told.as_ms() + least_ms).min(now);
+        let here = Timestamp::from_ms(told.as_ms() + least_ms).min(now);
         if now.since(here) > LIST_IS_LATE {
             now
         } else {
--- a/crates/proxy/src/windows.rs
+++ b/crates/proxy/src/windows.rs
@@ -5,11 +5,12 @@
 
 use crate::spaces::{put, whole, Shared};
 use shelfgrade::host::{Listed, ServerId, Standing};
-use shelfgrade::time::{Point, Span};
+use shelfgrade::time::Timestamp;
 use shelfgrade_maintenance::plan::{goes, short_by, Phase, Plan, Site};
 use shelfgrade_maintenance::schedule::{shown, Schedule};
 use std::collections::BTreeMap;
 use std::path::Path;
+use std::time::Duration;
 
 /// Under which all share it.
 pub const WINDOWS: &str = "windows";
@@ -132,10 +133,10 @@
     }
 
     /// A line of the list as the decisions get it: draining in its site's window, and cold after it.
-    pub fn line(&self, line: &Listed, warm_up: Span, now: Point) -> Listed {
+    pub fn line(&self, line: &Listed, warm_up: Duration, now: Timestamp) -> Listed {
         let Some(plan) = &self.plan else { return line.clone() };
         let standing = self.put.get(&line.server).copied().unwrap_or(line.standing);
-        let back = plan.back_since(&line.zone).map(|ms| Point::from_ms(ms as f64));
+        let back = plan.back_since(&line.zone).map(|ms| Timestamp::from_ms(ms as f64));
         let back = back.filter(|back| now.since(*back) < warm_up && standing == Standing::Active);
         Listed { standing, started: line.started.max(back), ..line.clone() }
     }
--- a/crates/proxy/tests/unit/ending.rs
+++ b/crates/proxy/tests/unit/ending.rs
@@ -5,12 +5,15 @@
 #[test]
 fn the_course_of_the_end_follows_from_the_longest_patience_and_is_over_before_the_killing() {
     for (patience, killed) in [(Some(300), 1000), (Some(1200), 1900), (Some(4800), 3700), (None, 3700)] {
-        let course = Course::by(patience.map(Span::millis));
+        let course = Course::by(patience.map(Duration::from_millis));
         assert!(course.stay_for < course.open_for && course.open_for < course.gone_within);
         // A beat, and the time to leave.
-        assert!(course.gone_within + Span::millis(150) < Span::millis(killed), "{course:?}");
+        assert!(
+            course.gone_within + Duration::from_millis(150) < Duration::from_millis(killed),
+            "{course:?}"
+        );
         // Who comes 0.4 s after the signal with the longest patience is answered within it.
         let last = patience.unwrap_or(3000).min(3000) + 400;
-        assert!(course.open_for + Span::millis(100) <= Span::millis(last), "{course:?}");
+        assert!(course.open_for + Duration::from_millis(100) <= Duration::from_millis(last), "{course:?}");
     }
 }
--- a/crates/proxy/tests/unit/fleet_file.rs
+++ b/crates/proxy/tests/unit/fleet_file.rs
@@ -23,7 +23,10 @@
 #[test]
 fn the_file_is_checked_whole_and_each_fault_says_where_it_is_and_what_to_do() {
     let file = FleetFile::parse("fleet.toml", GOOD, "n1").expect("a good file");
-    assert_eq!((file.roster.size(), file.addresses[0].port(), file.list_wait), (2, 7400, Span::millis(900)));
+    assert_eq!(
+        (file.roster.size(), file.addresses[0].port(), file.list_wait),
+        (2, 7400, Duration::from_millis(900))
+    );
     let faults: [(&str, &str, [&str; 3]); 7] = [
         (
             "list_wait_ms",
@@ -47,5 +50,5 @@
     }
     let other = FleetFile::parse("fleet.toml", &GOOD.replace("n0", "n7"), "n1").expect("a good file");
     assert!(file.may_follow(&other).is_err_and(|fault| fault.to_string().contains("started anew")));
-    assert!(file.may_follow(&FleetFile { save_every: Span::millis(500), ..file.clone() }).is_ok());
+    assert!(file.may_follow(&FleetFile { save_every: Duration::from_millis(500), ..file.clone() }).is_ok());
 }
--- a/crates/proxy/tests/unit/notes.rs
+++ b/crates/proxy/tests/unit/notes.rs
@@ -3,8 +3,8 @@
 use super::*;
 
 fn told(notes: &Notes, values: &[(u64, f64)]) -> Vec<bool> {
-    let start = Point::from_ms(60_000.0);
-    values.iter().map(|(ms, value)| notes.is_delay(*value, start + Span::millis(*ms))).collect()
+    let start = Timestamp::from_ms(60_000.0);
+    values.iter().map(|(ms, value)| notes.is_delay(*value, start + Duration::from_millis(*ms))).collect()
 }
 
 #[test]
--- a/crates/proxy/tests/unit/start_times.rs
+++ b/crates/proxy/tests/unit/start_times.rs
@@ -9,18 +9,18 @@
         zone: "a".into(),
         kind: String::new(),
         cell: 0,
-        started: (started_ms > 0.0).then(|| Point::from_ms(started_ms)),
+        started: (started_ms > 0.0).then(|| Timestamp::from_ms(started_ms)),
         standing: Standing::Active,
     }
 }
 
-fn at(ms: f64) -> Point {
-    Point::from_ms(ms)
+fn at(ms: f64) -> Timestamp {
+    Timestamp::from_ms(ms)
 }
 
 /// The one line's start, in milliseconds.
 fn start(starts: &mut StartTimes, server: &str, started_ms: f64, now_ms: f64) -> Option<f64> {
-    starts.timed(vec![line(server, started_ms)], at(now_ms))[0].started.map(Point::as_ms)
+    starts.timed(vec![line(server, started_ms)], at(now_ms))[0].started.map(Timestamp::as_ms)
 }
 
 #[test]
--- a/crates/recovery/src/around.rs
+++ b/crates/recovery/src/around.rs
@@ -2,9 +2,9 @@
 
 use crate::order::{Owed, State};
 use shelfgrade::host::Listed;
-use shelfgrade::time::Span;
 use shelfgrade_fleet::{Entry, Seat, Surroundings};
 use std::net::SocketAddr;
+use std::time::Duration;
 
 /// A line of the list to go by.
 pub struct Line {
@@ -32,9 +32,9 @@
     /// Shares of the customers, by their places in the settings.
     pub shares: Vec<f64>,
     /// How long the list is waited for, how long a server warms up, and how long a client stays away at most.
-    pub wait: Span,
-    pub warm_up: Span,
-    pub most_pause: Span,
+    pub wait: Duration,
+    pub warm_up: Duration,
+    pub most_pause: Duration,
 }
 
 /// What the fleet told in one call.
--- a/crates/recovery/src/comeback.rs
+++ b/crates/recovery/src/comeback.rs
@@ -9,10 +9,11 @@
 use crate::trust::{digest, server, Fact, Health, Restored, BEATS, LIST, SERVERS};
 use nanorand::{Rng, WyRand};
 use shelfgrade::host::{Listed, ServerId, Turn};
-use shelfgrade::time::{Point, Span};
+use shelfgrade::time::Timestamp;
 use shelfgrade_fleet::{Entry, Fleet, Roster, Seat, Version};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
+use std::time::Duration;
 
 pub struct Comeback {
     fleet: Fleet,
@@ -29,17 +30,17 @@
     /// All lines of the list are those that an asker has.
     agreed: bool,
     watches: bool,
-    answered: Option<Point>,
-    next_beat: Point,
+    answered: Option<Timestamp>,
+    next_beat: Timestamp,
     corrected_ms: i64,
     saved: u64,
     chance: WyRand,
 }
 
 /// Beats come often while somebody may wait for them, and then as often as the membership probes.
-const BEAT: [Span; 2] = [Span::millis(250), Span::millis(1000)];
+const BEAT: [Duration; 2] = [Duration::from_millis(250), Duration::from_millis(1000)];
 /// Discovery that has answered within this is there: a watch that is over after four seconds and some more.
-const ANSWERS: Span = Span::millis(6000);
+const ANSWERS: Duration = Duration::from_millis(6000);
 
 impl Comeback {
     /// `wall_ms`: this machine's Unix time. `before`: what an earlier life left on the disk.
@@ -48,7 +49,7 @@
         terms: Terms,
         before: Option<Saved>,
         seed: u64,
-        (now, wall_ms): (Point, u64),
+        (now, wall_ms): (Timestamp, u64),
     ) -> Self {
         let saved = before.as_ref().map_or(0, |saved| saved.number);
         let restored = before.map(|saved| Restored::from(saved, now));
@@ -107,7 +108,7 @@
     }
 
     /// Servers that were known before, where nothing newer is: the start-up file's, as candidates beside the snapshot's.
-    pub fn knows(&mut self, lines: impl Iterator<Item = Line>, now: Point) {
+    pub fn knows(&mut self, lines: impl Iterator<Item = Line>, now: Timestamp) {
         let held: BTreeSet<_> = self.candidates.iter().map(|c| c.server.clone()).collect();
         for Line { listed, dial } in lines {
             self.dials.extend(dial.map(|dial| (listed.server.clone(), dial)));
@@ -118,12 +119,12 @@
     }
 
     /// The part of what the fleet may do that this process may, from 0 to 1.
-    pub fn part(&self, now: Point) -> f64 {
+    pub fn part(&self, now: Timestamp) -> f64 {
         self.fleet.part(now)
     }
 
     /// The turn of a session that has come, or none where all is as ever.
-    pub fn turn(&mut self, of: (Option<usize>, Option<usize>), key: u64, now: Point) -> Option<Turn> {
+    pub fn turn(&mut self, of: (Option<usize>, Option<usize>), key: u64, now: Timestamp) -> Option<Turn> {
         let luck = f64::from(self.chance.generate::<f32>());
         self.back.turn(of, key, luck, now)
     }
@@ -133,18 +134,18 @@
         self.back.let_in();
     }
 
-    pub fn heard(&mut self, datagram: &[u8], (now, wall_ms): (Point, u64), around: &mut dyn Around) {
+    pub fn heard(&mut self, datagram: &[u8], (now, wall_ms): (Timestamp, u64), around: &mut dyn Around) {
         let mut heard = Heard { around, entries: Vec::new() };
         self.fleet.heard(datagram, now, wall_ms, &mut heard);
         let entries = heard.entries;
         self.after(entries, now, around);
     }
 
-    pub fn next(&self) -> Point {
+    pub fn next(&self) -> Timestamp {
         self.fleet.next().min(self.next_beat)
     }
 
-    pub fn woke(&mut self, (now, wall_ms): (Point, u64), around: &mut dyn Around) {
+    pub fn woke(&mut self, (now, wall_ms): (Timestamp, u64), around: &mut dyn Around) {
         let mut heard = Heard { around, entries: Vec::new() };
         self.fleet.woke(now, wall_ms, &mut heard);
         let entries = heard.entries;
@@ -169,7 +170,7 @@
         }
     }
 
-    fn look_at_the_askers(&mut self, now: Point, around: &mut dyn Around) {
+    fn look_at_the_askers(&mut self, now: Timestamp, around: &mut dyn Around) {
         let watches = self.asking.is_asker(self.fleet.alive(), now);
         if watches != self.watches {
             self.watches = watches;
@@ -191,7 +192,7 @@
     }
 
     /// The wait for the list is over: the servers known from before have to do, all as cold.
-    fn go_by_what_was(&mut self, now: Point, around: &mut dyn Around) {
+    fn go_by_what_was(&mut self, now: Timestamp, around: &mut dyn Around) {
         // Guards against servers that can be chosen and not be dialled: those that the start-up file alone knows.
         let before = |line: &Listed| self.before.1.get(&*line.server).and_then(|fact| fact.dial);
         let dial = |line: &Listed| before(line).or(self.dials.get(&line.server).copied());
@@ -210,7 +211,7 @@
         facts: Vec<(String, Fact)>,
         whole: bool,
         seq: u64,
-        now: Point,
+        now: Timestamp,
         around: &mut dyn Around,
     ) -> bool {
         // Guards against changes to a list that was not taken, or is of another count: all of it is to be asked for.
@@ -268,7 +269,7 @@
     }
 
     /// Takes in what is new in what all share.
-    fn after(&mut self, entries: Vec<Entry>, now: Point, around: &mut dyn Around) {
+    fn after(&mut self, entries: Vec<Entry>, now: Timestamp, around: &mut dyn Around) {
         let mut changed = Vec::new();
         for entry in &entries {
             changed.extend(self.take(entry, now));
@@ -299,7 +300,7 @@
     }
 
     /// One entry; the server whose line it changed.
-    fn take(&mut self, entry: &Entry, now: Point) -> Option<String> {
+    fn take(&mut self, entry: &Entry, now: Timestamp) -> Option<String> {
         let value = entry.value.as_deref()?;
         if let Some((host, fact)) = server(entry) {
             self.facts.insert(host.clone(), fact);
@@ -320,7 +321,7 @@
         None
     }
 
-    fn agrees(&mut self, why: &str, now: Point, around: &mut dyn Around) {
+    fn agrees(&mut self, why: &str, now: Timestamp, around: &mut dyn Around) {
         if std::mem::replace(&mut self.agreed, true) {
             return;
         }
@@ -342,17 +343,17 @@
         digest(self.facts.iter().map(|(host, fact)| (host.as_str(), fact)))
     }
 
-    fn lines(&self, now: Point) -> Vec<Line> {
+    fn lines(&self, now: Timestamp) -> Vec<Line> {
         let there = self.facts.iter().filter(|(_, fact)| fact.health != Health::Terminated);
         there.filter_map(|(host, _)| self.line(host, now)).collect()
     }
 
     /// A server's line, its start by this machine's clock. Guards against a clock that is an hour off: one ahead takes
     /// cold servers for warm, one behind takes them for cold for an hour.
-    fn line(&self, host: &str, now: Point) -> Option<Line> {
+    fn line(&self, host: &str, now: Timestamp) -> Option<Line> {
         let fact = self.facts.get(host)?;
         let mine_ms = (fact.born_ms - self.fleet.clock_correction_ms() as f64).max(1.0);
-        let started = (fact.born_ms > 0.0).then(|| Point::from_ms(mine_ms).min(now));
+        let started = (fact.born_ms > 0.0).then(|| Timestamp::from_ms(mine_ms).min(now));
         Some(Line { listed: fact.line(host, started), dial: fact.dial })
     }
 
@@ -372,7 +373,7 @@
         }
     }
 
-    pub fn leave(&mut self, (now, wall_ms): (Point, u64), around: &mut dyn Around) {
+    pub fn leave(&mut self, (now, wall_ms): (Timestamp, u64), around: &mut dyn Around) {
         self.fleet.leave(now, wall_ms, &mut Heard { around, entries: Vec::new() });
     }
 }
--- a/crates/recovery/src/order.rs
+++ b/crates/recovery/src/order.rs
@@ -5,8 +5,9 @@
 //! come before its share of the crowd is used up.
 
 use shelfgrade::host::Turn;
-use shelfgrade::time::{Point, Span};
+use shelfgrade::time::{DurationExt, Timestamp};
 use std::collections::VecDeque;
+use std::time::Duration;
 
 /// The states of a return, in their order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -33,13 +34,13 @@
 /// What an offering is owed.
 #[derive(Debug, Clone, Copy)]
 pub struct Owed {
-    pub soft_limit: Option<Span>,
+    pub soft_limit: Option<Duration>,
     /// Benefit of a connection's second; any unit, the same for all.
     pub benefit: f64,
 }
 
 /// How long what came counts as the crowd: as long as the module's own.
-const CROWD: Span = Span::millis(2000);
+const CROWD: Duration = Duration::from_millis(2000);
 /// The most arrivals that are remembered.
 const SAMPLES: usize = 4096;
 /// A customer that has had less than this part of its share of what was let in goes first. Guards against one whose
@@ -47,7 +48,7 @@
 const SURE: f64 = 0.5;
 
 struct Came {
-    at: Point,
+    at: Timestamp,
     offering: Option<usize>,
     customer: Option<usize>,
     let_in: bool,
@@ -55,15 +56,15 @@
 
 pub struct Return {
     state: State,
-    until: Point,
+    until: Timestamp,
     offerings: Vec<Owed>,
     /// Shares of the customers, by their places in the settings.
     shares: Vec<f64>,
-    warm_up: Span,
-    most_pause: Span,
-    warm_at: Option<Point>,
+    warm_up: Duration,
+    most_pause: Duration,
+    warm_at: Option<Timestamp>,
     /// When the first session came that might be let in.
-    opened: Option<Point>,
+    opened: Option<Timestamp>,
     came: VecDeque<Came>,
 }
 
@@ -73,8 +74,8 @@
     pub fn new(
         offerings: Vec<Owed>,
         shares: Vec<f64>,
-        (wait, warm_up, most_pause): (Span, Span, Span),
-        now: Point,
+        (wait, warm_up, most_pause): (Duration, Duration, Duration),
+        now: Timestamp,
     ) -> Self {
         Return {
             state: State::Waiting,
@@ -94,19 +95,19 @@
     }
 
     /// The list is agreed, or the bound on the wait has passed: `starts` are those of the servers that may be sent to.
-    pub fn list_is_here(&mut self, starts: impl Iterator<Item = Option<Point>>, now: Point) {
+    pub fn list_is_here(&mut self, starts: impl Iterator<Item = Option<Timestamp>>, now: Timestamp) {
         let warm = starts.flatten().map(|start| start + self.warm_up).filter(|warm| *warm > now);
         self.warm_at = warm.max();
         self.state = if self.warm_at.is_some() { State::Warming } else { State::Serving };
     }
 
     /// True where the bound on the wait for the list has passed just now, and what is known has to do.
-    pub fn waited(&self, now: Point) -> bool {
+    pub fn waited(&self, now: Timestamp) -> bool {
         self.state == State::Waiting && now >= self.until
     }
 
     /// Looks at the clock; true where the state has changed.
-    pub fn woke(&mut self, now: Point) -> bool {
+    pub fn woke(&mut self, now: Timestamp) -> bool {
         let over = self.state == State::Warming && self.warm_at.is_none_or(|warm| now >= warm);
         if over {
             self.state = State::Serving;
@@ -122,7 +123,7 @@
         (offering, customer): (Option<usize>, Option<usize>),
         key: u64,
         luck: f64,
-        now: Point,
+        now: Timestamp,
     ) -> Option<Turn> {
         let past = self.came.iter().take_while(|came| now.since(came.at) > CROWD).count();
         self.came.drain(..past);
@@ -135,10 +136,10 @@
             _ => {
                 // Guards against the first of a crowd being taken for all of it: what comes in the first moments stands
                 // for what comes in the whole of its time, and only as much of the room is given as of that has passed.
-                const LEAST: Span = Span::millis(50);
+                const LEAST: Duration = Duration::from_millis(50);
                 let past = now.since(*self.opened.get_or_insert(now)).max(LEAST);
                 let whole = past >= CROWD;
-                self.before((offering, customer), whole, key) * CROWD.over(past).max(1.0)
+                self.before((offering, customer), whole, key) * CROWD.ratio_to(past).max(1.0)
             }
         };
         self.came.push_back(Came { at: now, offering, customer, let_in: false });
@@ -184,13 +185,13 @@
     }
 
     /// When to come again: some time while the servers warm up, so that the crowd is spread over that.
-    fn again(&self, luck: f64, now: Point) -> Span {
-        const LEAST: Span = Span::millis(100);
+    fn again(&self, luck: f64, now: Timestamp) -> Duration {
+        const LEAST: Duration = Duration::from_millis(100);
         let left = match self.state {
             State::Waiting => self.until.since(now) + self.warm_up,
-            _ => self.warm_at.map_or(Span::default(), |warm| warm.since(now)),
+            _ => self.warm_at.map_or(Duration::ZERO, |warm| warm.since(now)),
         };
-        LEAST + left.min(self.most_pause.times(0.95)).times(luck)
+        LEAST + left.min(self.most_pause.scaled(0.95)).scaled(luck)
     }
 }
 
--- a/crates/recovery/src/trust.rs
+++ b/crates/recovery/src/trust.rs
@@ -3,7 +3,7 @@
 use crate::snapshot::Saved;
 use serde::{Deserialize, Serialize};
 use shelfgrade::host::{Listed, Standing};
-use shelfgrade::time::Point;
+use shelfgrade::time::Timestamp;
 use shelfgrade_fleet::Entry;
 use std::net::SocketAddr;
 use xxhash_rust::xxh3::xxh3_64;
@@ -53,7 +53,7 @@
         self
     }
 
-    pub fn line(&self, host: &str, started: Option<Point>) -> Listed {
+    pub fn line(&self, host: &str, started: Option<Timestamp>) -> Listed {
         Listed {
             server: host.into(),
             zone: self.site.clone(),
@@ -92,7 +92,7 @@
 }
 
 impl Restored {
-    pub fn from(saved: Saved, now: Point) -> Self {
+    pub fn from(saved: Saved, now: Timestamp) -> Self {
         let fact = |entry: &Entry| -> Option<Listed> {
             let (host, fact) = server(entry)?;
             Some(fact.line(&host, Some(now))).filter(|_| fact.health != Health::Terminated)
--- a/crates/recovery/tests/unit/asking.rs
+++ b/crates/recovery/tests/unit/asking.rs
@@ -2,8 +2,8 @@
 
 use super::*;
 
-fn at(ms: f64) -> Point {
-    Point::from_ms(1000.0 + ms)
+fn at(ms: f64) -> Timestamp {
+    Timestamp::from_ms(1000.0 + ms)
 }
 
 fn all(size: u16) -> Vec<Asking> {
@@ -11,7 +11,7 @@
     (0..size).map(of).collect()
 }
 
-fn askers(all: &[Asking], alive: &[Seat], now: Point) -> Vec<Seat> {
+fn askers(all: &[Asking], alive: &[Seat], now: Timestamp) -> Vec<Seat> {
     all.iter().filter(|one| alive.contains(&one.me) && one.is_asker(alive, now)).map(|one| one.me).collect()
 }
 
--- a/crates/recovery/tests/unit/order.rs
+++ b/crates/recovery/tests/unit/order.rs
@@ -7,14 +7,14 @@
 const FAULT: usize = 1;
 const STATUS: usize = 2;
 
-fn at(ms: u64) -> Point {
-    Point::from_ms(ms as f64)
+fn at(ms: u64) -> Timestamp {
+    Timestamp::from_ms(ms as f64)
 }
 
 fn returning() -> Return {
-    let owed = |ms, benefit| Owed { soft_limit: Some(Span::millis(ms)), benefit };
+    let owed = |ms, benefit| Owed { soft_limit: Some(Duration::from_millis(ms)), benefit };
     let offerings = vec![owed(300, 3.0), owed(500, 5.0), owed(800, 3.0)];
-    let spans = (Span::millis(2000), Span::millis(8000), Span::millis(2000));
+    let spans = (Duration::from_millis(2000), Duration::from_millis(8000), Duration::from_millis(2000));
     Return::new(offerings, vec![0.6, 0.3, 0.1], spans, at(1000))
 }
 
@@ -89,9 +89,12 @@
 fn the_crowd_is_told_to_come_again_over_the_warm_up() {
     let mut back = returning();
     let again = |back: &mut Return, luck, ms| back.turn((None, None), 1, luck, at(ms)).expect("a turn").again;
-    assert_eq!(again(&mut back, 1.0, 1100), Span::millis(2000), "no longer than a client keeps to");
+    assert_eq!(again(&mut back, 1.0, 1100), Duration::from_millis(2000), "no longer than a client keeps to");
     back.list_is_here([Some(at(1000))].into_iter(), at(1200));
     let spread: Vec<_> = (0..=10).map(|i| again(&mut back, f64::from(i) / 10.0, 1300).as_ms()).collect();
     assert!(spread.windows(2).all(|pair| pair[1] - pair[0] > 150.0), "{spread:?}");
-    assert!(again(&mut back, 1.0, 8800) < Span::millis(400), "at the end of it there is little left");
+    assert!(
+        again(&mut back, 1.0, 8800) < Duration::from_millis(400),
+        "at the end of it there is little left"
+    );
 }
--- a/crates/recovery/tests/unit/trust.rs
+++ b/crates/recovery/tests/unit/trust.rs
@@ -27,7 +27,7 @@
     let held = vec![Held { key: 8, server: "s1".into(), started_ms: 0.0 }];
     let (fleet, name) = ("dar".to_owned(), "n3".to_owned());
     let saved = Saved { fleet, name, number: 1, at_ms: 9, born: 40, entries: entries.clone(), held };
-    let now = Point::from_ms(77_000.0);
+    let now = Timestamp::from_ms(77_000.0);
     let restored = Restored::from(saved, now);
     let lines: Vec<_> = restored.candidates.iter().map(|l| (&*l.server, l.started, l.standing)).collect();
     assert_eq!(lines, [("s1", Some(now), Standing::Active), ("s2", Some(now), Standing::Draining)]);
--- a/crates/terms/src/lib.rs
+++ b/crates/terms/src/lib.rs
@@ -4,9 +4,10 @@
 use serde::Deserialize;
 use shelfgrade::choice::{Chooser, WarmUp};
 use shelfgrade::host::{Circle, Effect, Offering};
-use shelfgrade::time::Span;
+use shelfgrade::time::DurationExt;
 use std::collections::BTreeMap;
 use std::num::{NonZeroU32, NonZeroUsize};
+use std::time::Duration;
 
 // So many proxies are taken to share the servers where the settings do not tell: cautious, as what each does
 // by itself is then small, and more than any fleet so far.
@@ -16,7 +17,7 @@
 const HOLDS: f64 = 30.0;
 
 // The span in which a cold server's budget is counted, where the settings do not tell.
-const OVERLOAD_SPAN: Span = Span::millis(2000);
+const OVERLOAD_SPAN: Duration = Duration::from_millis(2000);
 
 /// Why settings cannot be used.
 #[derive(Debug, thiserror::Error)]
@@ -158,17 +159,17 @@
     /// The offerings' names in their order.
     pub offerings: Vec<String>,
     /// What each is owed, in the same order: the time within which a connection should stand, and a second's benefit.
-    pub owed: Vec<(Option<Span>, f64)>,
+    pub owed: Vec<(Option<Duration>, f64)>,
     /// The customers' names and shares.
     pub customers: Vec<(String, f64)>,
     /// How long a server takes to be warm.
-    pub warm_up: Span,
+    pub warm_up: Duration,
     /// The longest that a client stays away when told to.
-    pub most_pause: Span,
+    pub most_pause: Duration,
     /// The longest that any client waits for its connection; none where an offering does not tell.
-    pub longest_patience: Option<Span>,
+    pub longest_patience: Option<Duration>,
     /// A connection that is not established within this has failed; none where the terms leave it open.
-    pub dial_time_out: Option<Span>,
+    pub dial_time_out: Option<Duration>,
     /// The list is pushed: what its service has counts as told, whether or not it was heard.
     pub list_is_pushed: bool,
     /// Servers tell by themselves how long messages take.
@@ -188,25 +189,25 @@
     }
     let warm_up = WarmUp {
         cold_from: invariants.cold_from.0,
-        cold_span: Span::from_ms(invariants.cold_ms.0),
+        cold_span: Duration::from_ms(invariants.cold_ms.0),
         fall_multiple: invariants.overload_factor.0,
         overload_span: Some(invariants.overload_for_ms.0)
             .filter(|ms| *ms > 0.0)
-            .map_or(OVERLOAD_SPAN, Span::from_ms),
+            .map_or(OVERLOAD_SPAN, Duration::from_ms),
         all_hold,
         each_holds: extra.server_connections.map_or(HOLDS, |each| each.get() as f64),
         proxies: proxies as f64,
     };
     let must_ask_in = match env.discovery {
         Discovery::Automatic => None,
-        Discovery::Subscribe => Some(Span::from_ms(invariants.must_ask_in_ms.0)),
+        Discovery::Subscribe => Some(Duration::from_ms(invariants.must_ask_in_ms.0)),
     };
     let owed =
-        offerings.iter().map(|class| (class.soft_limit_ms.map(|l| Span::from_ms(l.0)), class.benefit.0));
+        offerings.iter().map(|class| (class.soft_limit_ms.map(|l| Duration::from_ms(l.0)), class.benefit.0));
     let owed = owed.collect();
-    let patience = offerings.iter().map(|class| class.patience_ms.map(|p| Span::from_ms(p.0)));
+    let patience = offerings.iter().map(|class| class.patience_ms.map(|p| Duration::from_ms(p.0)));
     let longest_patience = patience.collect::<Option<Vec<_>>>().and_then(|all| all.into_iter().max());
-    let (span, most_pause) = (warm_up.cold_span, Span::from_ms(bounds.max_retry_after_ms.0));
+    let (span, most_pause) = (warm_up.cold_span, Duration::from_ms(bounds.max_retry_after_ms.0));
     let known = offerings.iter().enumerate().map(|(i, class)| Offering {
         effect: match class.idempotency {
             Idempotency::Repeatable => Effect::Replayable,
@@ -217,11 +218,11 @@
                     Group::Zone => Circle::Zone,
                     Group::Cell => Circle::Cell,
                 },
-                window: Span::from_ms(class.window_ms.0),
+                window: Duration::from_ms(class.window_ms.0),
             },
         },
-        soft_limit: class.soft_limit_ms.map(|limit| Span::from_ms(limit.0)),
-        message_limit: extra.message_aim_ms.get(i).map(|limit| Span::from_ms(limit.0)),
+        soft_limit: class.soft_limit_ms.map(|limit| Duration::from_ms(limit.0)),
+        message_limit: extra.message_aim_ms.get(i).map(|limit| Duration::from_ms(limit.0)),
     });
     let chooser = Chooser::new(seed, known.collect(), bounds.max_attempts, most_pause, must_ask_in, warm_up);
     Ok(Terms {
@@ -232,7 +233,7 @@
         warm_up: span,
         most_pause,
         longest_patience,
-        dial_time_out: Some(bounds.dial_timeout_ms.0).filter(|ms| *ms > 0.0).map(Span::from_ms),
+        dial_time_out: Some(bounds.dial_timeout_ms.0).filter(|ms| *ms > 0.0).map(Duration::from_ms),
         list_is_pushed: must_ask_in.is_none(),
         tells_delay: extra.tells_delay,
         may_probe: bounds.probes,
--- a/crates/terms/tests/unit/lib.rs
+++ b/crates/terms/tests/unit/lib.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use shelfgrade::host::{Host, ServerId, SessionId};
-use shelfgrade::time::Point;
+use shelfgrade::time::Timestamp;
 
 fn settings(balancers: &str, cold_ms: &str) -> Result<Terms, TermsFault> {
     let text = format!(
@@ -59,26 +59,26 @@
         let mut host = Alarms::default();
         let text = r#"{"discovery":"subscribe","offerings":[],"bounds":{"most_connects":3},
             "invariants":{"overload_factor":4,"must_ask_in_ms":10000}}"#;
-        let now = Point::from_ms(1000.0);
+        let now = Timestamp::from_ms(1000.0);
         parse(seed, text).expect("terms").chooser.start(&[], now, &mut host);
-        host.0[0].since(now) > Span::millis(2000)
+        host.0[0].since(now) > Duration::from_millis(2000)
     };
     assert!((0..30).any(late));
 }
 
 #[derive(Default)]
-struct Alarms(Vec<Point>);
+struct Alarms(Vec<Timestamp>);
 
 impl Host for Alarms {
-    fn connect(&mut self, _: SessionId, _: &ServerId, _: Span) {}
-    fn push_back(&mut self, _: SessionId, _: Span) {}
+    fn connect(&mut self, _: SessionId, _: &ServerId, _: Duration) {}
+    fn push_back(&mut self, _: SessionId, _: Duration) {}
     fn forfeit(&mut self, _: SessionId) {}
     fn send_away(&mut self, _: SessionId) {}
     fn subscribe(&mut self) {}
     fn probe(&mut self, _: &ServerId) -> bool {
         false
     }
-    fn wake(&mut self, at: Point) {
+    fn wake(&mut self, at: Timestamp) {
         self.0.push(at);
     }
 }
--- a/crates/trials/examples/cells.rs
+++ b/crates/trials/examples/cells.rs
@@ -1,9 +1,10 @@
 //! A fleet in cells in virtual time, measured: `cells PROCESSES [ENTRIES]` prints a line of JSON for each point.
 
-use shelfgrade::time::Span;
+use shelfgrade::time::DurationExt;
 use shelfgrade_cells::WHOLE;
 use shelfgrade_trials::cells::fleet::{percentile, put};
 use shelfgrade_trials::cells::{World, CALM};
+use std::time::Duration;
 use std::time::Instant;
 
 /// What this whole program holds, in bytes.
@@ -21,7 +22,7 @@
 impl Trial {
     /// What was sent and used while so many milliseconds passed.
     fn point(&mut self, name: &str, ms: u64, also: &str) {
-        let span = Span::millis(ms);
+        let span = Duration::from_millis(ms);
         let (mean, busiest, second) = self.world.bytes(span);
         let (replicas, replica) = self.world.replica_bytes(span);
         let seconds = ms as f64 / 1000.0;
--- a/crates/trials/examples/hollow.rs
+++ b/crates/trials/examples/hollow.rs
@@ -4,15 +4,16 @@
 //! `cargo run --release --locked -p shelfgrade-trials --example hollow -- [SIZES] [THREADS] [SEED]`, SIZES as in
 //! `100,300,1000,3800`, on four threads unless another number is named.
 
-use shelfgrade::time::Span;
+use shelfgrade::time::DurationExt;
 use shelfgrade_trials::hollow::{name, roster, Hollow};
 use shelfgrade_trials::simulation::{Simulation, Usage};
 use shelfgrade_trials::topology::{Topology, Weather, SIX_REGIONS};
+use std::time::Duration;
 use std::time::Instant;
 
 const USUAL: Weather = Weather { lost: 2, doubled: 1 };
 /// How closely it is looked when who knows what.
-const STEP: Span = Span::millis(200);
+const STEP: Duration = Duration::from_millis(200);
 
 fn main() {
     let given: Vec<String> = std::env::args().skip(1).collect();
@@ -56,12 +57,12 @@
         self.tells("all start at once", &began, &format!(r#""99_in_100_known_to_each_ms":{met},{alive}"#));
         for part in ["the first 10 s after that", "the next 10 s", "the third 10 s"] {
             let told = self.mark();
-            self.all.passes(Span::millis(10_000));
+            self.all.passes(Duration::from_millis(10_000));
             self.tells(part, &told, &self.alive());
         }
 
         let rest = self.mark();
-        self.all.passes(Span::millis(20_000));
+        self.all.passes(Duration::from_millis(20_000));
         self.tells("at rest", &rest, &format!(r#""memory_kb":{}"#, self.memory_kb()));
 
         let change = self.mark();
@@ -75,7 +76,7 @@
 
         let many = self.mark();
         self.put(self.size / 2, 1000, "server");
-        self.all.passes(Span::millis(10_000));
+        self.all.passes(Duration::from_millis(10_000));
         self.tells("1000 entries at once, the first 10 s", &many, &self.agreement());
         let agree = self.until(300, |trial| trial.states() == 1);
         let all = 10_000 + agree.parse::<u64>().unwrap_or(0);
@@ -85,12 +86,12 @@
 
         self.all.cut_region(0);
         let cut = self.mark();
-        self.all.passes(Span::millis(20_000));
+        self.all.passes(Duration::from_millis(20_000));
         self.tells("a region cut off, the first 20 s", &cut, "");
         let later = self.mark();
         self.put(0, 3, "within");
         self.put(self.size - 1, 3, "without");
-        self.all.passes(Span::millis(20_000));
+        self.all.passes(Duration::from_millis(20_000));
         self.tells("a region cut off, the next 20 s", &later, "");
         self.all.heal();
         let healed = self.mark();
@@ -118,7 +119,7 @@
     fn until(&mut self, most_s: u64, holds: impl Fn(&Self) -> bool) -> String {
         let began = self.all.now();
         while !holds(self) {
-            if self.all.now().since(began) >= Span::millis(most_s * 1000) {
+            if self.all.now().since(began) >= Duration::from_millis(most_s * 1000) {
                 return "null".to_owned();
             }
             self.all.passes(STEP);
--- a/crates/trials/src/cells.rs
+++ b/crates/trials/src/cells.rs
@@ -1,7 +1,7 @@
 //! A fleet in cells in virtual time: replicas and processes over a drawn network with regions and zones.
 
 use nanorand::{Rng, WyRand};
-use shelfgrade::time::{Point, Span};
+use shelfgrade::time::{DurationExt, Timestamp};
 use shelfgrade_cells::{CellId, Change, ChangeFault, Key, Peer, Peers, Process, Replica, Start, Stored};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
@@ -16,7 +16,7 @@
 pub const FLEET: &str = "drawn";
 
 pub struct World {
-    pub now: Point,
+    pub now: Timestamp,
     pub nodes: Vec<Node>,
     pub replicas: usize,
     pub net: Net,
@@ -26,7 +26,7 @@
     pub outcomes: BTreeMap<u64, Result<(), ChangeFault>>,
     /// The entry whose arrival is noted, and when each node had it.
     pub watched: Option<String>,
-    pub arrivals: BTreeMap<usize, Point>,
+    pub arrivals: BTreeMap<usize, Timestamp>,
     peers: Peers,
     events: BinaryHeap<Reverse<Event>>,
     number: u64,
@@ -40,7 +40,7 @@
         let peers = replicas.iter().enumerate();
         let peers = peers.map(|(id, region)| Peer { address: address(id), region: *region }).collect();
         let mut world = World {
-            now: Point::from_ms(1000.0),
+            now: Timestamp::from_ms(1000.0),
             nodes: Vec::new(),
             replicas: replicas.len(),
             net,
@@ -92,7 +92,7 @@
             group: 0,
             stored: Vec::new(),
             kept: None,
-            armed: Point::NEVER,
+            armed: Timestamp::NEVER,
             bytes: 0,
             datagrams: 0,
             second: 0,
@@ -114,7 +114,7 @@
         let mut out = Out::default();
         let of = &mut self.nodes[node];
         of.incarnation += 1;
-        of.armed = Point::NEVER;
+        of.armed = Timestamp::NEVER;
         let core = match of.site.cell {
             None => {
                 let stored = of.stored.clone();
@@ -223,14 +223,14 @@
             None => return,
         };
         // A core that is due at once is called again a moment later.
-        let next = next.max(self.now + Span::from_ms(0.1));
+        let next = next.max(self.now + Duration::from_ms(0.1));
         if next < self.nodes[node].armed {
             self.nodes[node].armed = next;
             self.push(next, node, What::Wake);
         }
     }
 
-    fn push(&mut self, at: Point, to: usize, what: What) {
+    fn push(&mut self, at: Timestamp, to: usize, what: What) {
         self.number += 1;
         self.events.push(Reverse(Event { at, number: self.number, to, what }));
     }
@@ -241,7 +241,7 @@
 
     fn send(&mut self, from: usize, to: SocketAddr, bytes: Vec<u8>) {
         assert!(bytes.len() <= shelfgrade_cells::LONGEST, "a datagram of {} bytes", bytes.len());
-        let second = self.now.count(Span::millis(1000));
+        let second = self.now.periods(Duration::from_millis(1000));
         let of = &mut self.nodes[from];
         of.bytes += bytes.len() as u64;
         of.datagrams += 1;
@@ -261,7 +261,7 @@
             if self.one_in(self.net.late) {
                 ms += f64::from(self.chance.generate_range(0..3000u32));
             }
-            let at = self.now + Span::from_ms(ms);
+            let at = self.now + Duration::from_ms(ms);
             self.push(at, to, What::Datagram { from, bytes: bytes.clone() });
         }
     }
@@ -280,7 +280,7 @@
     }
 
     pub fn passes(&mut self, ms: u64) {
-        let until = self.now + Span::millis(ms);
+        let until = self.now + Duration::from_millis(ms);
         while self.events.peek().is_some_and(|Reverse(event)| event.at <= until) {
             let Some(Reverse(event)) = self.events.pop() else { break };
             self.now = self.now.max(event.at);
@@ -288,7 +288,7 @@
             match event.what {
                 What::Datagram { from, bytes } => self.inject(address(from), event.to, &bytes),
                 What::Wake if self.nodes[event.to].armed == event.at => {
-                    self.nodes[event.to].armed = Point::NEVER;
+                    self.nodes[event.to].armed = Timestamp::NEVER;
                     self.call(event.to, |core, out| match core {
                         Core::Replica(core) => core.woke(now, out),
                         Core::Process(core) => core.woke(now, out),
--- a/crates/trials/src/cells/fleet.rs
+++ b/crates/trials/src/cells/fleet.rs
@@ -1,8 +1,9 @@
 //! Whole fleets: founding one, replacing processes, and what is measured of it.
 
 use super::{address, Net, World};
-use shelfgrade::time::{Point, Span};
+use shelfgrade::time::{DurationExt, Timestamp};
 use shelfgrade_cells::{Action, CellId, Change, WHOLE};
+use std::time::Duration;
 
 /// The machines set aside, by region.
 pub const TEN: [u8; 10] = [0, 1, 2, 3, 4, 5, 0, 1, 2, 3];
@@ -94,7 +95,7 @@
         let key = format!("watched/{}", id % 100);
         self.watched = Some(key.clone());
         self.arrivals.clear();
-        let began: Point = self.now;
+        let began: Timestamp = self.now;
         self.submit(at, put(id, &key, &format!("{id}")));
         let waits = |world: &World| {
             let here = world.arrivals.keys().filter(|node| **node >= world.replicas).count();
@@ -112,7 +113,7 @@
     }
 
     /// Bytes a second of each process: the mean, the mean of the busiest, and the most of any in one second.
-    pub fn bytes(&self, over: Span) -> (f64, f64, u64) {
+    pub fn bytes(&self, over: Duration) -> (f64, f64, u64) {
         let seconds = over.as_ms() / 1000.0;
         let each: Vec<_> =
             self.nodes[self.replicas..].iter().map(|node| node.bytes as f64 / seconds).collect();
@@ -122,7 +123,7 @@
     }
 
     /// The same of the replicas' mean and busiest.
-    pub fn replica_bytes(&self, over: Span) -> (f64, f64) {
+    pub fn replica_bytes(&self, over: Duration) -> (f64, f64) {
         let seconds = over.as_ms() / 1000.0;
         let each: Vec<_> =
             self.nodes[..self.replicas].iter().map(|node| node.bytes as f64 / seconds).collect();
--- a/crates/trials/src/cells/parts.rs
+++ b/crates/trials/src/cells/parts.rs
@@ -1,6 +1,6 @@
 //! What a world of cells is made of.
 
-use shelfgrade::time::Point;
+use shelfgrade::time::Timestamp;
 use shelfgrade_cells::{
     Batch, CellId, ChangeFault, Kept, Key, Process, Record, Replica, Stored, Surroundings,
 };
@@ -41,7 +41,7 @@
     pub group: u8,
     pub stored: Vec<Stored>,
     pub kept: Option<Kept>,
-    pub(super) armed: Point,
+    pub(super) armed: Timestamp,
     pub bytes: u64,
     pub datagrams: u64,
     pub(super) second: u64,
@@ -57,7 +57,7 @@
 }
 
 pub(super) struct Event {
-    pub(super) at: Point,
+    pub(super) at: Timestamp,
     pub(super) number: u64,
     pub(super) to: usize,
     pub(super) what: What,
--- a/crates/trials/src/decisions.rs
+++ b/crates/trials/src/decisions.rs
@@ -5,8 +5,9 @@
 use serde_json::{json, Value};
 use shelfgrade::choice::{Chooser, WarmUp};
 use shelfgrade::host::*;
-use shelfgrade::time::{Point, Span};
+use shelfgrade::time::Timestamp;
 use std::collections::{BTreeMap, VecDeque};
+use std::time::Duration;
 use std::time::Instant;
 
 /// The plan's, whose parts at one proxy are worked out here.
@@ -29,15 +30,15 @@
 struct Idle;
 
 impl Host for Idle {
-    fn connect(&mut self, _: SessionId, _: &ServerId, _: Span) {}
-    fn push_back(&mut self, _: SessionId, _: Span) {}
+    fn connect(&mut self, _: SessionId, _: &ServerId, _: Duration) {}
+    fn push_back(&mut self, _: SessionId, _: Duration) {}
     fn forfeit(&mut self, _: SessionId) {}
     fn send_away(&mut self, _: SessionId) {}
     fn subscribe(&mut self) {}
     fn probe(&mut self, _: &ServerId) -> bool {
         false
     }
-    fn wake(&mut self, _: Point) {}
+    fn wake(&mut self, _: Timestamp) {}
 }
 
 /// Nanoseconds of each kind of event.
@@ -81,7 +82,7 @@
     size: Size,
     list: Vec<Listed>,
     chooser: Chooser,
-    now: Point,
+    now: Timestamp,
     last_id: u64,
     standing: VecDeque<u64>,
     pub took: Took,
@@ -95,25 +96,25 @@
         let list: Vec<_> = (0..size.servers).map(listed).collect();
         let warm_up = WarmUp {
             cold_from: 0.3,
-            cold_span: Span::millis(8600),
+            cold_span: Duration::from_millis(8600),
             fall_multiple: 4.0,
-            overload_span: Span::millis(2000),
+            overload_span: Duration::from_millis(2000),
             all_hold: Some(CONNECTIONS as f64),
             each_holds: 0.0,
             proxies: PROXIES as f64,
         };
         let offering = Offering {
             effect: Effect::Replayable,
-            soft_limit: Some(Span::millis(800)),
-            message_limit: Some(Span::millis(250)),
+            soft_limit: Some(Duration::from_millis(800)),
+            message_limit: Some(Duration::from_millis(250)),
         };
-        let must_ask_in = Some(Span::millis(10_000));
-        let chooser = Chooser::new(7, vec![offering], 4, Span::millis(2000), must_ask_in, warm_up);
+        let must_ask_in = Some(Duration::from_millis(10_000));
+        let chooser = Chooser::new(7, vec![offering], 4, Duration::from_millis(2000), must_ask_in, warm_up);
         let mut decisions = Decisions {
             size,
             list,
             chooser,
-            now: Point::from_ms(60_000.0),
+            now: Timestamp::from_ms(60_000.0),
             last_id: 0,
             standing: VecDeque::with_capacity(size.sessions),
             took: Took::default(),
@@ -153,7 +154,7 @@
             offering: Some(0),
             key: Some(&key),
             group: Some(&group),
-            patience_ends: self.now + Span::millis(4800),
+            patience_ends: self.now + Duration::from_millis(4800),
             mid_flow: false,
             returned,
             turn: None,
@@ -165,7 +166,7 @@
     /// So many sessions end, and as many come: every other one for the first time, and else back after a break.
     pub fn turns_over(&mut self, sessions: usize) {
         for turn in 0..sessions {
-            self.now = self.now + Span::millis(1);
+            self.now = self.now + Duration::from_millis(1);
             let Some(over) = self.standing.pop_front() else { return };
             let (chooser, now) = (&mut self.chooser, self.now);
             self.took.takes("end", || {
@@ -178,7 +179,7 @@
                 let what = if returned { "arrival back" } else { "arrival" };
                 took.takes(what, || chooser.arrived(arrival, *now, &mut Idle));
             });
-            self.now = self.now + Span::millis(1);
+            self.now = self.now + Duration::from_millis(1);
             let (chooser, now) = (&mut self.chooser, self.now);
             self.took.takes("stands", || chooser.stands(SessionId(id), now));
             self.standing.push_back(id);
@@ -187,10 +188,11 @@
 
     /// So many notes of messages in time, and of messages that are late.
     pub fn messages(&mut self, notes: usize) {
-        const LATE: [(&str, Span); 2] = [("message", Span::millis(5)), ("message late", Span::millis(800))];
+        const LATE: [(&str, Duration); 2] =
+            [("message", Duration::from_millis(5)), ("message late", Duration::from_millis(800))];
         for (what, delay) in LATE {
             for note in 0..notes {
-                self.now = self.now + Span::millis(1000);
+                self.now = self.now + Duration::from_millis(1000);
                 let id = self.standing[note * self.standing.len() / notes];
                 let (chooser, now) = (&mut self.chooser, self.now);
                 self.took.takes(what, || chooser.messages_take(SessionId(id), delay, now, &mut Idle));
@@ -201,7 +203,7 @@
     /// So many changes of the list: of one line, and the whole list told again.
     pub fn lists(&mut self, changes: usize) {
         for change in 0..changes {
-            self.now = self.now + Span::millis(100);
+            self.now = self.now + Duration::from_millis(100);
             let (chooser, now) = (&mut self.chooser, self.now);
             let at = change / 2 * 7919 % self.list.len();
             let line = &mut self.list[at];
--- a/crates/trials/src/drawn.rs
+++ b/crates/trials/src/drawn.rs
@@ -1,12 +1,13 @@
 //! Many cores of a fleet in virtual time, over a network that delays, loses, doubles, reorders and cuts as it is told.
 
 use nanorand::{Rng, WyRand};
-use shelfgrade::time::{Point, Span};
+use shelfgrade::time::Timestamp;
 use shelfgrade_fleet::{Entry, Fleet, Roster, Seat, Surroundings};
 use shelfgrade_recovery::around::{Around, Line, Terms};
 use shelfgrade_recovery::comeback::Comeback;
 use shelfgrade_recovery::order::{Owed, State};
 use std::collections::{BTreeMap, BTreeSet};
+use std::time::Duration;
 
 /// What the network does to datagrams.
 #[derive(Clone, Copy, Debug)]
@@ -23,53 +24,53 @@
 
 /// What runs in a process: the fleet's core alone, or the return over it.
 pub trait Core {
-    fn begin(roster: Roster, born: u64, seed: u64, now: Point, wall_ms: u64) -> Self;
+    fn begin(roster: Roster, born: u64, seed: u64, now: Timestamp, wall_ms: u64) -> Self;
     fn fleet(&self) -> &Fleet;
-    fn next(&self) -> Point;
-    fn woke(&mut self, now: Point, wall_ms: u64, asked: &mut Asked);
-    fn heard(&mut self, datagram: &[u8], now: Point, wall_ms: u64, asked: &mut Asked);
+    fn next(&self) -> Timestamp;
+    fn woke(&mut self, now: Timestamp, wall_ms: u64, asked: &mut Asked);
+    fn heard(&mut self, datagram: &[u8], now: Timestamp, wall_ms: u64, asked: &mut Asked);
 }
 
 impl Core for Fleet {
-    fn begin(roster: Roster, born: u64, seed: u64, now: Point, _: u64) -> Self {
+    fn begin(roster: Roster, born: u64, seed: u64, now: Timestamp, _: u64) -> Self {
         Fleet::new(roster, born, seed, now)
     }
     fn fleet(&self) -> &Fleet {
         self
     }
-    fn next(&self) -> Point {
+    fn next(&self) -> Timestamp {
         Fleet::next(self)
     }
-    fn woke(&mut self, now: Point, wall_ms: u64, asked: &mut Asked) {
+    fn woke(&mut self, now: Timestamp, wall_ms: u64, asked: &mut Asked) {
         Fleet::woke(self, now, wall_ms, asked);
     }
-    fn heard(&mut self, datagram: &[u8], now: Point, wall_ms: u64, asked: &mut Asked) {
+    fn heard(&mut self, datagram: &[u8], now: Timestamp, wall_ms: u64, asked: &mut Asked) {
         Fleet::heard(self, datagram, now, wall_ms, asked);
     }
 }
 
 impl Core for Comeback {
-    fn begin(roster: Roster, _: u64, seed: u64, now: Point, wall_ms: u64) -> Self {
-        let owed = |ms, benefit| Owed { soft_limit: Some(Span::millis(ms)), benefit };
+    fn begin(roster: Roster, _: u64, seed: u64, now: Timestamp, wall_ms: u64) -> Self {
+        let owed = |ms, benefit| Owed { soft_limit: Some(Duration::from_millis(ms)), benefit };
         let terms = Terms {
             offerings: vec![owed(300, 3.0), owed(500, 5.0), owed(800, 1.0)],
             shares: vec![0.5, 0.3, 0.2],
-            wait: Span::millis(2000),
-            warm_up: Span::millis(8600),
-            most_pause: Span::millis(2000),
+            wait: Duration::from_millis(2000),
+            warm_up: Duration::from_millis(8600),
+            most_pause: Duration::from_millis(2000),
         };
         Comeback::new(roster, terms, None, seed, (now, wall_ms))
     }
     fn fleet(&self) -> &Fleet {
         Comeback::fleet(self)
     }
-    fn next(&self) -> Point {
+    fn next(&self) -> Timestamp {
         Comeback::next(self)
     }
-    fn woke(&mut self, now: Point, wall_ms: u64, asked: &mut Asked) {
+    fn woke(&mut self, now: Timestamp, wall_ms: u64, asked: &mut Asked) {
         Comeback::woke(self, (now, wall_ms), asked);
     }
-    fn heard(&mut self, datagram: &[u8], now: Point, wall_ms: u64, asked: &mut Asked) {
+    fn heard(&mut self, datagram: &[u8], now: Timestamp, wall_ms: u64, asked: &mut Asked) {
         Comeback::heard(self, datagram, (now, wall_ms), asked);
     }
 }
@@ -79,7 +80,7 @@
     pub core: Option<C>,
     /// It watches discovery, and the states of its return with their moments.
     pub watches: bool,
-    pub states: Vec<(Point, State)>,
+    pub states: Vec<(Timestamp, State)>,
     /// It is stopped: nothing reaches it, and its clock goes on.
     stopped: bool,
     /// How far its wall clock is off, in milliseconds.
@@ -129,17 +130,17 @@
 
 /// A whole fleet. Time begins at an hour, so that clocks can be an hour back.
 pub struct Drawn<C = Fleet> {
-    pub now: Point,
+    pub now: Timestamp,
     pub processes: Vec<Process<C>>,
     pub network: Network,
     /// Pairs whose first one cannot reach the second.
     pub cut: BTreeSet<(Seat, Seat)>,
     names: Vec<String>,
     /// When who wakes next.
-    alarms: BTreeSet<(Point, usize)>,
-    wakes: Vec<Point>,
+    alarms: BTreeSet<(Timestamp, usize)>,
+    wakes: Vec<Timestamp>,
     /// What is under way, in the order of arrival; a number tells apart what comes at once.
-    under_way: BTreeMap<(Point, u64), (Seat, Vec<u8>)>,
+    under_way: BTreeMap<(Timestamp, u64), (Seat, Vec<u8>)>,
     number: u64,
     chance: WyRand,
     seed: u64,
@@ -162,13 +163,13 @@
             sent: (0, 0),
         };
         Drawn {
-            now: Point::from_ms(HOUR_MS),
+            now: Timestamp::from_ms(HOUR_MS),
             processes: (0..size).map(|_| process()).collect(),
             network,
             cut: BTreeSet::new(),
             names: (0..size).map(|i| format!("n{i:03}")).collect(),
             alarms: BTreeSet::new(),
-            wakes: vec![Point::NEVER; size],
+            wakes: vec![Timestamp::NEVER; size],
             under_way: BTreeMap::new(),
             number: 0,
             chance: WyRand::new_seed(seed),
@@ -214,10 +215,10 @@
 
     fn set_alarm(&mut self, seat: usize) {
         let process = &self.processes[seat];
-        let next = process.core.as_ref().filter(|_| !process.stopped).map_or(Point::NEVER, C::next);
+        let next = process.core.as_ref().filter(|_| !process.stopped).map_or(Timestamp::NEVER, C::next);
         let before = std::mem::replace(&mut self.wakes[seat], next);
         self.alarms.remove(&(before, seat));
-        if next < Point::NEVER {
+        if next < Timestamp::NEVER {
             self.alarms.insert((next, seat));
         }
     }
@@ -274,7 +275,7 @@
             }
             for _ in 0..times {
                 let (least, most) = self.network.delay_ms;
-                let at = self.now + Span::millis(self.chance.generate_range(least..=most));
+                let at = self.now + Duration::from_millis(self.chance.generate_range(least..=most));
                 self.number += 1;
                 self.under_way.insert((at, self.number), (to, datagram.clone()));
             }
@@ -289,7 +290,7 @@
 
     /// Lets time pass.
     pub fn passes(&mut self, ms: u64) {
-        let end = self.now + Span::millis(ms);
+        let end = self.now + Duration::from_millis(ms);
         loop {
             let arrival = self.under_way.first_key_value().map(|(at, _)| at.0);
             let alarm = self.alarms.first().copied();
--- a/crates/trials/src/hollow.rs
+++ b/crates/trials/src/hollow.rs
@@ -1,7 +1,7 @@
 //! Hollow processes: a fleet's core each, and nothing of the program round it.
 
 use crate::simulation::{Core, Outbox};
-use shelfgrade::time::Point;
+use shelfgrade::time::Timestamp;
 use shelfgrade_fleet::{Entry, Fleet, Roster, Seat, Surroundings};
 
 /// A roster of so many, whose names are in the order of their numbers.
@@ -30,7 +30,7 @@
 
 impl Hollow {
     /// `life` tells apart what is started in one seat.
-    pub fn new(roster: &Roster, name: &str, life: u64, now: Point) -> Self {
+    pub fn new(roster: &Roster, name: &str, life: u64, now: Timestamp) -> Self {
         let roster = roster.seen_by(name).expect("one of the roster");
         let process = roster.me().0;
         let born = now.as_ms() as u64 * 1000 + life;
@@ -73,13 +73,13 @@
 }
 
 impl Core for Hollow {
-    fn heard(&mut self, _: usize, datagram: &[u8], now: Point, out: &mut Outbox) {
+    fn heard(&mut self, _: usize, datagram: &[u8], now: Timestamp, out: &mut Outbox) {
         self.act(out, |fleet, around| fleet.heard(datagram, now, now.as_ms() as u64, around));
     }
-    fn woke(&mut self, now: Point, out: &mut Outbox) {
+    fn woke(&mut self, now: Timestamp, out: &mut Outbox) {
         self.act(out, |fleet, around| fleet.woke(now, now.as_ms() as u64, around));
     }
-    fn next(&self) -> Point {
+    fn next(&self) -> Timestamp {
         self.fleet.next()
     }
 }
--- a/crates/trials/src/region.rs
+++ b/crates/trials/src/region.rs
@@ -4,7 +4,7 @@
 use crate::topology::{Topology, Weather};
 use nanorand::{Rng, WyRand};
 use rustix::time::{clock_gettime, ClockId};
-use shelfgrade::time::Point;
+use shelfgrade::time::Timestamp;
 use std::cmp::Reverse;
 use std::collections::{BTreeSet, BinaryHeap};
 use std::sync::Arc;
@@ -13,7 +13,7 @@
 const TIMED: usize = 16;
 
 pub struct Datagram {
-    at: Point,
+    at: Timestamp,
     from: usize,
     pub to: usize,
     bytes: Vec<u8>,
@@ -21,7 +21,7 @@
 
 /// What is under way, in the order of arrival; a number tells apart what comes at once.
 struct Arrival {
-    order: (Point, u64),
+    order: (Timestamp, u64),
     datagram: Datagram,
 }
 
@@ -50,11 +50,11 @@
     pub weather: Weather,
     /// Pairs of zones whose first one cannot reach the second.
     pub cut: Arc<BTreeSet<(usize, usize)>>,
-    pub now: Point,
+    pub now: Timestamp,
     pub cores: Vec<Option<C>>,
     pub usage: Vec<Usage>,
-    wakes: Vec<Point>,
-    alarms: BTreeSet<(Point, usize)>,
+    wakes: Vec<Timestamp>,
+    alarms: BTreeSet<(Timestamp, usize)>,
     under_way: BinaryHeap<Reverse<Arrival>>,
     number: u64,
     /// What goes to other regions.
@@ -69,17 +69,17 @@
     }
 
     fn set_alarm(&mut self, at: usize) {
-        let next = self.cores[at].as_ref().map_or(Point::NEVER, C::next);
+        let next = self.cores[at].as_ref().map_or(Timestamp::NEVER, C::next);
         let before = std::mem::replace(&mut self.wakes[at], next);
         if before != next {
             self.alarms.remove(&(before, at));
-            if next < Point::NEVER {
+            if next < Timestamp::NEVER {
                 self.alarms.insert((next, at));
             }
         }
     }
 
-    pub fn call<T>(&mut self, at: usize, act: impl FnOnce(&mut C, Point, &mut Outbox) -> T) -> Option<T> {
+    pub fn call<T>(&mut self, at: usize, act: impl FnOnce(&mut C, Timestamp, &mut Outbox) -> T) -> Option<T> {
         let now = self.now;
         let core = self.cores[at].as_mut()?;
         let mut out = Outbox::new();
@@ -123,7 +123,7 @@
         self.under_way.push(Reverse(Arrival { order: (datagram.at, self.number), datagram }));
     }
 
-    pub fn passes(&mut self, end: Point) {
+    pub fn passes(&mut self, end: Timestamp) {
         loop {
             let arrival = self.under_way.peek().map(|first| first.0.order.0);
             let alarm = self.alarms.first().copied();
@@ -170,10 +170,10 @@
             first: processes.start,
             weather: self.weather,
             cut: Arc::default(),
-            now: Point::from_ms(BEGINS_MS),
+            now: Timestamp::from_ms(BEGINS_MS),
             cores: (0..size).map(|_| None).collect(),
             usage: vec![Usage::default(); size],
-            wakes: vec![Point::NEVER; size],
+            wakes: vec![Timestamp::NEVER; size],
             alarms: BTreeSet::new(),
             under_way: BinaryHeap::new(),
             number: 0,
--- a/crates/trials/src/simulation.rs
+++ b/crates/trials/src/simulation.rs
@@ -12,7 +12,7 @@
 //! let topology = Topology::of(&SIX_REGIONS, 3800, seed);
 //! let mut all = Simulation::begin(topology, Weather { lost: 2, doubled: 1 }, 4, seed);
 //! all.start(0..3800, |process, now| Hollow::new(process, now));
-//! all.passes(Span::millis(20_000));
+//! all.passes(Duration::from_millis(20_000));
 //! all.with(7, |core, now, out| core.put("a key", now, out));
 //! all.cut_region(2);
 //! let known: Vec<(usize, u64)> = all.each(|_, core| core.state());
@@ -20,18 +20,19 @@
 
 use crate::region::{Datagram, Region, RegionSeed};
 use crate::topology::{Topology, Weather};
-use shelfgrade::time::{Point, Span};
+use shelfgrade::time::Timestamp;
 use std::collections::BTreeSet;
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::sync::Arc;
 use std::thread::JoinHandle;
+use std::time::Duration;
 
 /// What runs in one process. Processes are known by their number.
 pub trait Core: 'static {
-    fn heard(&mut self, from: usize, datagram: &[u8], now: Point, out: &mut Outbox);
+    fn heard(&mut self, from: usize, datagram: &[u8], now: Timestamp, out: &mut Outbox);
     /// The time has come that `next` named.
-    fn woke(&mut self, now: Point, out: &mut Outbox);
-    fn next(&self) -> Point;
+    fn woke(&mut self, now: Timestamp, out: &mut Outbox);
+    fn next(&self) -> Timestamp;
 }
 
 /// What a core sends in one call: to which process, and what.
@@ -86,7 +87,7 @@
 /// A whole fleet. None of its processes runs at first.
 pub struct Simulation<C: Core> {
     pub topology: Arc<Topology>,
-    now: Point,
+    now: Timestamp,
     cut: BTreeSet<(usize, usize)>,
     workers: Vec<Worker<C>>,
     /// Which thread has a region.
@@ -106,14 +107,14 @@
         });
         Simulation {
             workers: workers.collect(),
-            now: Point::from_ms(BEGINS_MS),
+            now: Timestamp::from_ms(BEGINS_MS),
             cut: BTreeSet::new(),
             worker_of,
             topology,
         }
     }
 
-    pub fn now(&self) -> Point {
+    pub fn now(&self) -> Timestamp {
         self.now
     }
 
@@ -143,7 +144,7 @@
     pub fn start(
         &mut self,
         processes: impl IntoIterator<Item = usize>,
-        make: impl Fn(usize, Point) -> C + Send + Sync + 'static,
+        make: impl Fn(usize, Timestamp) -> C + Send + Sync + 'static,
     ) {
         let wanted: BTreeSet<usize> = processes.into_iter().collect();
         self.all(move |region| {
@@ -169,7 +170,7 @@
     pub fn with<T: Send + 'static>(
         &mut self,
         process: usize,
-        act: impl FnOnce(&mut C, Point, &mut Outbox) -> T + Send + 'static,
+        act: impl FnOnce(&mut C, Timestamp, &mut Outbox) -> T + Send + 'static,
     ) -> Option<T> {
         let index = self.topology.region(process);
         let answer = self.workers[self.worker_of[index]].asks(move |regions| {
@@ -219,7 +220,7 @@
     }
 
     /// Lets time pass.
-    pub fn passes(&mut self, time: Span) {
+    pub fn passes(&mut self, time: Duration) {
         let end = self.now + time;
         let cut = Arc::new(self.cut.clone());
         while self.now < end {
--- a/crates/trials/src/sockets.rs
+++ b/crates/trials/src/sockets.rs
@@ -4,7 +4,7 @@
 use crate::server::unix_ms;
 use crate::simulation::{Core, Outbox};
 use rustix::event::{epoll, Timespec};
-use shelfgrade::time::{Point, Span};
+use shelfgrade::time::{DurationExt, Timestamp};
 use shelfgrade_fleet::{Roster, LONGEST};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{SocketAddr, UdpSocket};
@@ -23,8 +23,8 @@
     pub addresses: Vec<SocketAddr>,
     seats: BTreeMap<SocketAddr, usize>,
     ready: rustix::fd::OwnedFd,
-    alarms: BTreeSet<(Point, usize)>,
-    wakes: Vec<Point>,
+    alarms: BTreeSet<(Timestamp, usize)>,
+    wakes: Vec<Timestamp>,
     began: (f64, Instant),
     pub sent: Counts,
     /// From the real processes, each by its seat.
@@ -41,7 +41,7 @@
         let roster =
             Roster::new("trial", by_name.keys().map(|name| (*name).to_owned()), first).expect("a roster");
         let began = (unix_ms(), Instant::now());
-        let now = Point::from_ms(began.0);
+        let now = Timestamp::from_ms(began.0);
         let ready = epoll::create(epoll::CreateFlags::CLOEXEC).expect("an epoll");
         for (at, socket) in sockets.iter().enumerate() {
             socket.set_nonblocking(true).expect("a socket");
@@ -55,7 +55,7 @@
         let mut trial = Sockets {
             hollow_seats: cores.iter().map(|core| usize::from(core.fleet.me().seat.0)).collect(),
             alarms: BTreeSet::new(),
-            wakes: vec![Point::NEVER; cores.len()],
+            wakes: vec![Timestamp::NEVER; cores.len()],
             sent: Counts::default(),
             from_real: BTreeMap::new(),
             cores,
@@ -69,8 +69,8 @@
         trial
     }
 
-    fn now(&self) -> Point {
-        Point::from_ms(self.began.0 + self.began.1.elapsed().as_secs_f64() * 1000.0)
+    fn now(&self) -> Timestamp {
+        Timestamp::from_ms(self.began.0 + self.began.1.elapsed().as_secs_f64() * 1000.0)
     }
 
     fn set_alarm(&mut self, at: usize) {
@@ -79,7 +79,7 @@
         self.alarms.insert((next, at));
     }
 
-    fn act(&mut self, at: usize, act: impl FnOnce(&mut Hollow, Point, &mut Outbox)) {
+    fn act(&mut self, at: usize, act: impl FnOnce(&mut Hollow, Timestamp, &mut Outbox)) {
         let (now, mut out) = (self.now(), Outbox::new());
         act(&mut self.cores[at], now, &mut out);
         for (to, datagram) in out {
@@ -100,7 +100,8 @@
             while let Some((_, at)) = self.alarms.first().copied().filter(|first| first.0 <= self.now()) {
                 self.act(at, |core, now, out| core.woke(now, out));
             }
-            let due = self.alarms.first().map_or(Span::millis(1000), |first| first.0.since(self.now()));
+            let due =
+                self.alarms.first().map_or(Duration::from_millis(1000), |first| first.0.since(self.now()));
             let wait = left.min(Duration::from_secs_f64(due.as_ms() / 1000.0));
             let wait = Timespec { tv_sec: wait.as_secs() as i64, tv_nsec: i64::from(wait.subsec_nanos()) };
             events.clear();
--- a/crates/trials/src/topology.rs
+++ b/crates/trials/src/topology.rs
@@ -1,8 +1,9 @@
 //! Where the processes of a simulated fleet are, and how long a datagram takes between them.
 
 use nanorand::{Rng, WyRand};
-use shelfgrade::time::Span;
+use shelfgrade::time::DurationExt;
 use std::ops::Range;
+use std::time::Duration;
 
 /// How many zones each region has: 16 in 6.
 pub const SIX_REGIONS: [usize; 6] = [3, 3, 3, 3, 2, 2];
@@ -80,20 +81,20 @@
         first(zones.start)..first(zones.end)
     }
 
-    pub fn delay(&self, from: usize, to: usize, chance: &mut WyRand) -> Span {
+    pub fn delay(&self, from: usize, to: usize, chance: &mut WyRand) -> Duration {
         let (from_region, to_region) = (self.region(from), self.region(to));
         let way = match (from_region == to_region, self.zone(from) == self.zone(to)) {
             (true, true) => WITHIN_A_ZONE_MS,
             (true, false) => WITHIN_A_REGION_MS,
             _ => self.ways_ms[from_region][to_region],
         };
-        Span::from_ms(way * (1.0 + JITTER * chance.generate::<f64>()))
+        Duration::from_ms(way * (1.0 + JITTER * chance.generate::<f64>()))
     }
 
     /// The shortest way between two regions: what one sends now, no other has before.
-    pub(crate) fn window(&self) -> Span {
+    pub(crate) fn window(&self) -> Duration {
         let ways = self.ways_ms.iter().flatten().copied().filter(|way| *way > 0.0);
-        Span::from_ms(ways.fold(1000.0, f64::min))
+        Duration::from_ms(ways.fold(1000.0, f64::min))
     }
 
     /// Which of so many threads has a region: the largest first, each to the one that has least.
--- a/crates/trials/tests/returns.rs
+++ b/crates/trials/tests/returns.rs
@@ -1,17 +1,18 @@
 //! The return of three hundred in virtual time: who asks, when all know the list, and in which order states follow.
 
-use shelfgrade::time::{Point, Span};
+use shelfgrade::time::{DurationExt, Timestamp};
 use shelfgrade_recovery::comeback::Comeback;
 use shelfgrade_recovery::order::State;
 use shelfgrade_recovery::trust::{Fact, Health};
 use shelfgrade_trials::drawn::{Drawn, Network};
 use std::collections::BTreeSet;
+use std::time::Duration;
 
 const USUAL: Network = Network { delay_ms: (1, 20), lost: 2, doubled: 1 };
 const SIZE: usize = 300;
 
 /// Discovery's list: servers that started a moment ago.
-fn list(now: Point) -> Vec<(String, Fact)> {
+fn list(now: Timestamp) -> Vec<(String, Fact)> {
     let fact = || Fact {
         dial: "10.1.0.18:8000".parse().ok(),
         site: "a".into(),
@@ -25,22 +26,22 @@
 
 /// A whole fleet that has just started, with discovery there from `there_ms` on; whoever watches it asks once a second until
 /// it is answered. Gives the fleet after eight seconds and who has asked.
-fn comes_back(seed: u64, there_ms: u64, dead: &[usize]) -> (Drawn<Comeback>, Vec<(Point, usize)>) {
+fn comes_back(seed: u64, there_ms: u64, dead: &[usize]) -> (Drawn<Comeback>, Vec<(Timestamp, usize)>) {
     let mut fleet: Drawn<Comeback> = Drawn::running(SIZE, USUAL, seed);
     dead.iter().for_each(|seat| fleet.kill(*seat));
     let began = fleet.now;
     let facts = list(began);
     let (mut calls, mut answered) = (Vec::new(), BTreeSet::new());
     let mut due = vec![began; SIZE];
-    while fleet.now.since(began) < Span::millis(8000) {
+    while fleet.now.since(began) < Duration::from_millis(8000) {
         fleet.passes(50);
         for seat in fleet.running_seats() {
             if !fleet.processes[seat].watches || answered.contains(&seat) || fleet.now < due[seat] {
                 continue;
             }
             calls.push((fleet.now, seat));
-            due[seat] = fleet.now + Span::millis(1000);
-            if fleet.now.since(began) >= Span::millis(there_ms) {
+            due[seat] = fleet.now + Duration::from_millis(1000);
+            if fleet.now.since(began) >= Duration::from_millis(there_ms) {
                 answered.insert(seat);
                 let (facts, now) = (facts.clone(), fleet.now);
                 fleet.with(seat, |core, around| core.told(facts, true, 1, now, around));
@@ -59,7 +60,7 @@
 fn three_ask_for_three_hundred_and_all_have_the_list_within_the_wait() {
     let (fleet, calls) = comes_back(1, 0, &[]);
     assert_eq!(calls.len(), 3, "{calls:?}");
-    let began = fleet.now - Span::millis(8000);
+    let began = fleet.now - Duration::from_millis(8000);
     let late: Vec<_> = (0..SIZE).map(|seat| fleet.processes[seat].states[0].0.since(began).as_ms()).collect();
     let slowest = late.iter().copied().fold(0.0, f64::max);
     println!("three hundred have the list after {slowest} ms at the latest, with {} calls", calls.len());
--- a/crates/trials/tests/shared.rs
+++ b/crates/trials/tests/shared.rs
@@ -2,6 +2,7 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
+use shelfgrade::time::DurationExt;
 use shelfgrade_fleet::{Entry, Fleet, Map, Merged, Seat, Version, LEASE};
 use shelfgrade_trials::drawn::{Drawn, CALM, ROUGH};
 
--- a/crates/trials/tests/simulation.rs
+++ b/crates/trials/tests/simulation.rs
@@ -1,8 +1,9 @@
 //! The simulated network itself: what arrives when, what is cut, and that it is one run whatever the threads.
 
-use shelfgrade::time::{Point, Span};
+use shelfgrade::time::Timestamp;
 use shelfgrade_trials::simulation::{Core, Outbox, Simulation};
 use shelfgrade_trials::topology::{Topology, Weather, SIX_REGIONS};
+use std::time::Duration;
 
 const FAIR: Weather = Weather { lost: 0, doubled: 0 };
 
@@ -10,21 +11,21 @@
 struct Speaker {
     process: usize,
     size: usize,
-    next: Point,
+    next: Timestamp,
     heard: Vec<(usize, f64)>,
 }
 
 impl Core for Speaker {
-    fn heard(&mut self, from: usize, datagram: &[u8], now: Point, _: &mut Outbox) {
+    fn heard(&mut self, from: usize, datagram: &[u8], now: Timestamp, _: &mut Outbox) {
         let said = u64::from_le_bytes(datagram.try_into().expect("eight bytes")) as f64 / 1000.0;
         self.heard.push((from, now.as_ms() - said));
     }
-    fn woke(&mut self, now: Point, out: &mut Outbox) {
-        self.next = now + Span::millis(100);
+    fn woke(&mut self, now: Timestamp, out: &mut Outbox) {
+        self.next = now + Duration::from_millis(100);
         let word = ((now.as_ms() * 1000.0) as u64).to_le_bytes().to_vec();
         out.extend([1, 5, 20, 40].map(|further| ((self.process + further) % self.size, word.clone())));
     }
-    fn next(&self) -> Point {
+    fn next(&self) -> Timestamp {
         self.next
     }
 }
@@ -46,10 +47,10 @@
 fn a_run_is_the_same_on_one_thread_and_on_four() {
     let run = |threads| {
         let mut all = speakers(64, Weather { lost: 10, doubled: 10 }, threads);
-        all.passes(Span::millis(777));
+        all.passes(Duration::from_millis(777));
         all.cut_zones(|zone| zone == 4);
         all.kill([3, 40]);
-        all.passes(Span::millis(500));
+        all.passes(Duration::from_millis(500));
         (heard(&all), all.usage().iter().map(|usage| (usage.datagrams, usage.heard)).collect::<Vec<_>>())
     };
     let one = run(1);
@@ -60,7 +61,7 @@
 #[test]
 fn a_datagram_takes_the_way_between_its_zones_and_none_that_is_cut() {
     let mut all = speakers(64, FAIR, 2);
-    all.passes(Span::millis(950));
+    all.passes(Duration::from_millis(950));
     let topology = all.topology.clone();
     for (process, heard) in heard(&all) {
         for (from, way) in heard {
@@ -75,9 +76,9 @@
         }
     }
     all.cut_region(1);
-    all.passes(Span::millis(200));
+    all.passes(Duration::from_millis(200));
     let before = heard(&all);
-    all.passes(Span::millis(500));
+    all.passes(Duration::from_millis(500));
     for ((process, before), (_, after)) in before.iter().zip(heard(&all)) {
         let within = |from: &usize| (topology.region(*from) == 1) == (topology.region(*process) == 1);
         assert!(
@@ -86,7 +87,7 @@
         );
     }
     all.heal();
-    all.passes(Span::millis(500));
+    all.passes(Duration::from_millis(500));
     let across = heard(&all).into_iter().filter(|(process, _)| topology.region(*process) == 1);
     let across = across.flat_map(|(_, heard)| heard).filter(|(from, _)| topology.region(*from) != 1).count();
     assert!(across > 20, "{across}");
--- a/crates/trials/tests/size.rs
+++ b/crates/trials/tests/size.rs
@@ -1,5 +1,6 @@
 //! What the processes share at size: three hundred cores in virtual time. `cargo test -- --nocapture` prints the figures.
 
+use shelfgrade::time::DurationExt;
 use shelfgrade_fleet::{Fleet, Seat};
 use shelfgrade_trials::drawn::{Drawn, Network, CALM};
 
@@ -112,12 +113,12 @@
         fn went(&mut self, _: Seat) {}
         fn refused(&mut self, _: &'static str) {}
     }
-    let later = others.now + shelfgrade::time::Span::millis(2000);
+    let later = others.now + std::time::Duration::from_millis(2000);
     others.processes[0].core.as_mut().expect("runs").woke(later, 0, &mut Catch(&mut caught));
     let foreign = caught.pop().expect("a datagram");
     let mine = {
         let mut caught = Vec::new();
-        let later = fleet.now + shelfgrade::time::Span::millis(1);
+        let later = fleet.now + std::time::Duration::from_millis(1);
         fleet.processes[1].core.as_mut().expect("runs").leave(later, 0, &mut Catch(&mut caught));
         caught.pop().expect("a datagram")
     };
--- a/crates/trials/tests/slopes.rs
+++ b/crates/trials/tests/slopes.rs
@@ -1,7 +1,7 @@
 //! How what a process sends, knows and waits for grows with the fleet: hollow processes in 6 regions and 16 zones, small
 //! enough for every change. The shape is looked at, and no time of the machine's. `examples/hollow.rs` has the sizes.
 
-use shelfgrade::time::Span;
+use shelfgrade::time::DurationExt;
 use shelfgrade_trials::hollow::{name, roster, Hollow};
 use shelfgrade_trials::own_address;
 use shelfgrade_trials::simulation::Simulation;
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 
 const USUAL: Weather = Weather { lost: 2, doubled: 1 };
-const STEP: Span = Span::millis(100);
+const STEP: Duration = Duration::from_millis(100);
 
 fn started(size: usize) -> Simulation<Hollow> {
     let mut all = Simulation::begin(Topology::of(&SIX_REGIONS, size, 7), USUAL, 2, 7);
@@ -58,9 +58,9 @@
 fn at_rest_a_process_sends_as_much_in_a_fleet_four_times_the_size() {
     let figures = [64, 256].map(|size| {
         let mut all = started(size);
-        all.passes(Span::millis(30_000));
+        all.passes(Duration::from_millis(30_000));
         let before = sent(&all);
-        all.passes(Span::millis(10_000));
+        all.passes(Duration::from_millis(10_000));
         let after = sent(&all);
         ((after.0 - before.0) / 10.0, (after.1 - before.1) / 10.0)
     });
@@ -73,7 +73,7 @@
 fn a_change_takes_a_few_rounds_more_in_a_fleet_four_times_the_size() {
     let figures = [64, 256].map(|size| {
         let mut all = started(size);
-        all.passes(Span::millis(10_000));
+        all.passes(Duration::from_millis(10_000));
         put(&mut all, 3, 1, "change");
         until(&mut all, 20_000.0, |all| {
             all.each(|_, hollow| hollow.fleet.version("change/0").is_some()).iter().all(|(_, known)| *known)
@@ -102,7 +102,7 @@
 #[test]
 fn a_region_that_was_cut_off_agrees_again_and_nobody_had_more_than_the_whole() {
     let mut all = started(96);
-    all.passes(Span::millis(15_000));
+    all.passes(Duration::from_millis(15_000));
     all.cut_region(2);
     let whole = |all: &Simulation<Hollow>| {
         let now = all.now();
@@ -112,7 +112,7 @@
         match step {
             50 => put(&mut all, 0, 3, "without"),
             51 => put(&mut all, 50, 3, "within"),
-            _ => all.passes(Span::millis(200)),
+            _ => all.passes(Duration::from_millis(200)),
         }
         assert!(whole(&all) <= 1.0 + 1e-9, "{}", whole(&all));
     }
--- a/src/choice/again.rs
+++ b/src/choice/again.rs
@@ -2,32 +2,33 @@
 
 use crate::host::{Circle, Effect, Ending};
 use crate::record::{Attempt, Server, Session};
-use crate::time::{Point, Span};
+use crate::time::Timestamp;
 use std::rc::Rc;
+use std::time::Duration;
 
 /// A process may be held up for so long between its look at the clock and its write.
-const HELD_UP: Span = Span::millis(150);
+const HELD_UP: Duration = Duration::from_millis(150);
 
 /// The first attempt that may have run, which binds all that follows.
-fn may_have_run(attempts: &[Attempt]) -> Option<(Rc<Server>, Point)> {
+fn may_have_run(attempts: &[Attempt]) -> Option<(Rc<Server>, Timestamp)> {
     let first = attempts.iter().find(|c| !c.ending.is_some_and(Ending::proves_unrun))?;
     Some((first.server.clone(), first.sent))
 }
 
 impl Session {
     /// Guards against an effect happening twice: where the session may be sent now.
-    pub(super) fn may_go_to(&self, server: &Server, now: Point) -> bool {
+    pub(super) fn may_go_to(&self, server: &Server, now: Timestamp) -> bool {
         self.may_follow(&self.attempts.borrow(), server, now)
     }
 
     /// Whether its last attempt, which has come up, may carry its first line now. Guards against an attempt that takes
     /// so long to come up that repeats are no longer dropped by then.
-    pub(super) fn may_begin(&self, now: Point) -> bool {
+    pub(super) fn may_begin(&self, now: Timestamp) -> bool {
         let attempts = self.attempts.borrow();
         attempts.split_last().is_none_or(|(last, earlier)| self.may_follow(earlier, &last.server, now))
     }
 
-    fn may_follow(&self, earlier: &[Attempt], server: &Server, now: Point) -> bool {
+    fn may_follow(&self, earlier: &[Attempt], server: &Server, now: Timestamp) -> bool {
         let Some((first, sent)) = may_have_run(earlier) else { return true };
         match self.effect {
             Effect::Replayable => true,
--- a/src/choice/cold.rs
+++ b/src/choice/cold.rs
@@ -1,12 +1,12 @@
 //! What a server that just started may be sent, and how much of the fleet this proxy sees.
 
 use crate::record::{Server, Shelf, WarmUp};
-use crate::time::Point;
+use crate::time::Timestamp;
 
 impl WarmUp {
     /// The share of sessions that one of so `many` may have. Guards against pushing a cold one over: the
     /// crowd that came just now is this proxy's part of all that comes, what is open its part of what fills.
-    pub(super) fn share(&self, server: &Server, [part, crowd, most, many]: [f64; 4], now: Point) -> f64 {
+    pub(super) fn share(&self, server: &Server, [part, crowd, most, many]: [f64; 4], now: Timestamp) -> f64 {
         // Half of the budget is left for chance, beside 2 x its root + 2.
         const USED: f64 = 0.5;
         let budget = |span| self.budget(server, part, span, now);
--- a/src/choice/dispatch.rs
+++ b/src/choice/dispatch.rs
@@ -3,7 +3,7 @@
 use super::{Pick, Stage, Step};
 use crate::host::{Effect, Ending, Host};
 use crate::record::{Attempt, Session, Shelf};
-use crate::time::Point;
+use crate::time::{DurationExt, Timestamp};
 use std::rc::Rc;
 
 /// Last stage: sends the attempt and measures what comes back.
@@ -12,13 +12,13 @@
 }
 
 impl Stage for Dispatch {
-    fn forth(&mut self, session: &Rc<Session>, pick: &mut Pick, now: Point, host: &mut dyn Host) -> Step {
+    fn forth(&mut self, session: &Rc<Session>, pick: &mut Pick, now: Timestamp, host: &mut dyn Host) -> Step {
         let Some(server) = pick.take() else { return Step::End };
         let left = session.patience_ends.since(now);
         let last = session.attempts.borrow().len() + 1 >= self.shelf.max_attempts;
         // Guards against a patience spent on one silent server: half of what is left stays for another.
-        let half = left.times(0.5);
-        let by_gaps = |u| if u > half { left } else { half.times(0.5).max(u) };
+        let half = left.scaled(0.5);
+        let by_gaps = |u| if u > half { left } else { half.scaled(0.5).max(u) };
         let all = last || session.effect == Effect::SingleUse || self.shelf.window(now) < 1.0;
         let time_out = if all { left } else { self.shelf.unusual_after().map_or(half, by_gaps) };
         host.connect(session.id, &server.id, time_out);
@@ -29,7 +29,7 @@
         Step::Keep
     }
 
-    fn back(&mut self, session: &Rc<Session>, attempt: &Attempt, now: Point) {
+    fn back(&mut self, session: &Rc<Session>, attempt: &Attempt, now: Timestamp) {
         let server = &attempt.server;
         if session.stands.get() {
             return drop(server.held.borrow_mut().remove(&session.id));
--- a/src/choice/mod.rs
+++ b/src/choice/mod.rs
@@ -1,7 +1,7 @@
 //! All decisions of the balancer.
 //!
 //! Make a [`Chooser`], call [`Chooser::start`] with the list last held, then one method for each thing that
-//! happens, with the present [`Point`] and the [`Host`] that at once carries out what is decided (`host.rs`).
+//! happens, with the present [`Timestamp`] and the [`Host`] that at once carries out what is decided (`host.rs`).
 //! The design: a new session goes to hash(client key) modulo the id-sorted server list; a draining, gone or
 //! overfull pick passes to the next in order; an aged table answers mid-flow sessions. See `docs/design.md`.
 //! Mechanisms beside the design, six at most:
@@ -27,9 +27,10 @@
 use crate::host::{Arrival, Ending, Host, Listed, Offering, SessionId};
 pub use crate::record::WarmUp;
 use crate::record::{Attempt, Server, Session, Shelf};
-use crate::time::{Point, Span};
+use crate::time::{DurationExt, Timestamp};
 use std::collections::BTreeMap;
 use std::rc::{Rc, Weak};
+use std::time::Duration;
 
 /// What a stage did with a session: passed it on, kept it, or ended it.
 enum Step {
@@ -42,27 +43,27 @@
 type Pick = Option<Rc<Server>>;
 
 trait Stage {
-    fn forth(&mut self, session: &Rc<Session>, pick: &mut Pick, now: Point, host: &mut dyn Host) -> Step;
+    fn forth(&mut self, session: &Rc<Session>, pick: &mut Pick, now: Timestamp, host: &mut dyn Host) -> Step;
     /// The news of the session's last attempt: none when its connection stands, else how it ended.
-    fn back(&mut self, _session: &Rc<Session>, _connect: &Attempt, _now: Point) {}
+    fn back(&mut self, _session: &Rc<Session>, _connect: &Attempt, _now: Timestamp) {}
 }
 
 /// The decisions of one proxy.
 pub struct Chooser {
     offerings: Vec<Offering>,
     /// The most delicate offering's, as any may be held by a server; no sign of life in this time is strain.
-    message_limit: Span,
-    most_pause: Span,
+    message_limit: Duration,
+    most_pause: Duration,
     pub(crate) shelf: Rc<Shelf>,
     /// How long a proxy may go without asking for the list; none where an agent of its own pushes it.
-    must_ask_in: Option<Span>,
-    asks_at: Option<Point>,
+    must_ask_in: Option<Duration>,
+    asks_at: Option<Timestamp>,
     /// Where calls fail, when all proxies have asked once; when what a lost watch may miss counts as told.
-    list_calls: (Option<Point>, Point),
+    list_calls: (Option<Timestamp>, Timestamp),
     /// When to look round next, and whether that probes.
-    looks_at: Option<(Point, bool)>,
+    looks_at: Option<(Timestamp, bool)>,
     /// Sessions that wait for a sign of life, and until when.
-    hailing: Vec<(Point, Weak<Session>)>,
+    hailing: Vec<(Timestamp, Weak<Session>)>,
     stages: [Box<dyn Stage>; 4],
     /// The door: every session unanswered, standing or with an attempt still out.
     pub(crate) sessions: BTreeMap<SessionId, Rc<Session>>,
@@ -74,23 +75,23 @@
         seed: u64,
         offerings: Vec<Offering>,
         max_attempts: usize,
-        most_pause: Span,
-        must_ask_in: Option<Span>,
+        most_pause: Duration,
+        must_ask_in: Option<Duration>,
         warm_up: WarmUp,
     ) -> Self {
         let shelf = Rc::new(Shelf::new(max_attempts, seed, warm_up.proxies));
         let message_limit = offerings.iter().filter_map(|o| o.message_limit).min();
         Chooser {
-            message_limit: message_limit.unwrap_or(Span::millis(100)),
+            message_limit: message_limit.unwrap_or(Duration::from_millis(100)),
             offerings,
             most_pause,
             must_ask_in,
             asks_at: None,
-            list_calls: (None, Point::NEVER),
+            list_calls: (None, Timestamp::NEVER),
             looks_at: None,
             hailing: Vec::new(),
             stages: [
-                Box::new(recall::Recall { shelf: shelf.clone(), swept: Point::default() }),
+                Box::new(recall::Recall { shelf: shelf.clone(), swept: Timestamp::default() }),
                 Box::new(pacing::Pacing::new(shelf.clone())),
                 Box::new(placement::Placement { shelf: shelf.clone(), warm_up }),
                 Box::new(dispatch::Dispatch { shelf: shelf.clone() }),
@@ -100,26 +101,26 @@
         }
     }
 
-    pub fn start(&mut self, last_held: &[Listed], now: Point, host: &mut dyn Host) {
+    pub fn start(&mut self, last_held: &[Listed], now: Timestamp, host: &mut dyn Host) {
         self.listed(last_held, true, now);
         self.list_failed(now, now, host);
     }
 
     /// Lines of the server list; a server absent from a `whole` list is gone.
-    pub fn listed(&mut self, lines: &[Listed], whole: bool, now: Point) {
-        self.list_calls = (None, Point::NEVER);
+    pub fn listed(&mut self, lines: &[Listed], whole: bool, now: Timestamp) {
+        self.list_calls = (None, Timestamp::NEVER);
         self.shelf.follow(lines, whole, now);
         self.shelf.set_half_lives();
     }
 
     /// The watch is silent, or another service has the list: it is asked now, news counts as told at `due`.
-    pub fn list_lost(&mut self, due: Point, host: &mut dyn Host) {
+    pub fn list_lost(&mut self, due: Timestamp, host: &mut dyn Host) {
         self.list_calls = (None, due.min(self.list_calls.1));
         host.subscribe();
     }
 
     /// The time has come that the host was asked to wake this proxy at.
-    pub fn woke(&mut self, now: Point, host: &mut dyn Host) {
+    pub fn woke(&mut self, now: Timestamp, host: &mut dyn Host) {
         if self.asks_at.take_if(|at| *at <= now).is_some() {
             host.subscribe();
         }
@@ -132,14 +133,14 @@
         }
     }
 
-    pub fn arrived(&mut self, arrival: &Arrival, now: Point, host: &mut dyn Host) {
+    pub fn arrived(&mut self, arrival: &Arrival, now: Timestamp, host: &mut dyn Host) {
         let session = self.enter(arrival);
         self.shelf.note_arrival(now);
         self.offer(&session, None, now, host);
     }
 
     /// A connection that was already open when this proxy started; connect 0 counts as made.
-    pub fn open_already(&mut self, arrival: &Arrival, server: &str, now: Point) {
+    pub fn open_already(&mut self, arrival: &Arrival, server: &str, now: Timestamp) {
         let Some(server) = self.shelf.find(server) else { return };
         let session = self.enter(arrival);
         session.attempts.borrow_mut().push(Attempt { server, sent: now, ending: None });
@@ -147,12 +148,19 @@
     }
 
     /// The session's connection is established.
-    pub fn stands(&mut self, session: SessionId, now: Point) {
+    pub fn stands(&mut self, session: SessionId, now: Timestamp) {
         self.sessions.get(&session).cloned().into_iter().for_each(|c| self.bring_back(&c, None, now));
     }
 
     /// An attempt has ended; `done` where the client has its final answer by now.
-    pub fn ended(&mut self, session: SessionId, ending: Ending, done: bool, now: Point, host: &mut dyn Host) {
+    pub fn ended(
+        &mut self,
+        session: SessionId,
+        ending: Ending,
+        done: bool,
+        now: Timestamp,
+        host: &mut dyn Host,
+    ) {
         let Some(session) = self.sessions.get(&session).cloned() else { return };
         let over = done || session.stands.get() || session.answered.get();
         self.bring_back(&session, Some(ending), now);
@@ -164,7 +172,7 @@
     }
 
     /// Whether the session's connect that has just come up may carry its first line; else nothing is sent on it.
-    pub fn may_begin(&self, session: SessionId, now: Point) -> bool {
+    pub fn may_begin(&self, session: SessionId, now: Timestamp) -> bool {
         self.sessions.get(&session).is_none_or(|session| session.may_begin(now))
     }
 
@@ -183,24 +191,24 @@
 
     /// A call for the list, out since then, failed, or it starts. Guards against proxies asking in step: what cannot
     /// be done in time is given up, but still done, before what is asked then. All ask before any asks twice.
-    pub fn list_failed(&mut self, since: Point, now: Point, host: &mut dyn Host) {
-        const LEAST: Span = Span::millis(200);
+    pub fn list_failed(&mut self, since: Timestamp, now: Timestamp, host: &mut dyn Host) {
+        const LEAST: Duration = Duration::from_millis(200);
         // Of 40 and 80 ms a hundred proxies did as well with either; three ask about as they always did.
-        const EACH: Span = Span::millis(40);
+        const EACH: Duration = Duration::from_millis(40);
         // What can be had counts as told in six seconds: four to spread over, then room for a refusal.
-        const MOST: [Span; 2] = [Span::millis(3800), Span::millis(1400)];
+        const MOST: [Duration; 2] = [Duration::from_millis(3800), Duration::from_millis(1400)];
         let (all_asked, due) = self.list_calls;
-        let time = self.must_ask_in.unwrap_or(LEAST.times(2.5));
+        let time = self.must_ask_in.unwrap_or(LEAST.scaled(2.5));
         // Guards against a pause after a refusal that outlasts that time; from then on: thrice a second.
-        let most = due.since(now).max(LEAST.times(4.0)).min(time).times(0.4);
-        let (least, spread) = (now + LEAST.min(most), EACH.times(self.shelf.proxies).min(most));
+        let most = due.since(now).max(LEAST.scaled(4.0)).min(time).scaled(0.4);
+        let (least, spread) = (now + LEAST.min(most), EACH.scaled(self.shelf.proxies).min(most));
         let drawn = (since + spread.min(MOST[0])).since(now);
         self.list_calls.0 = all_asked.or(Some(least + drawn));
         let pause = (LEAST + spread.max(now.since(all_asked.unwrap_or(now)))).min(most).min(MOST[1]);
         let at = match all_asked {
             None if self.must_ask_in.is_none() => return host.subscribe(),
-            None => least + drawn.times(self.shelf.luck()),
-            Some(all) if now < all => (all + pause.times(self.shelf.luck())).min(now + most),
+            None => least + drawn.scaled(self.shelf.luck()),
+            Some(all) if now < all => (all + pause.scaled(self.shelf.luck())).min(now + most),
             Some(_) => least.max(since + pause),
         };
         host.wake(*self.asks_at.insert(at));
@@ -215,13 +223,13 @@
     }
 
     /// Runs a session through the chain; what the chain does not keep gets its final answer at once.
-    fn offer(&mut self, session: &Rc<Session>, mut pick: Pick, now: Point, host: &mut dyn Host) {
+    fn offer(&mut self, session: &Rc<Session>, mut pick: Pick, now: Timestamp, host: &mut dyn Host) {
         for stage in &mut self.stages {
             match stage.forth(session, &mut pick, now, host) {
                 Step::Pass => continue,
                 Step::Keep if session.hails.get() => {
                     // Guards against a session held by servers that give no sign.
-                    let until = now + self.message_limit.min(session.patience_ends.since(now).times(0.5));
+                    let until = now + self.message_limit.min(session.patience_ends.since(now).scaled(0.5));
                     self.hailing.push((until, Rc::downgrade(session)));
                     return host.wake(until);
                 }
@@ -231,14 +239,14 @@
         }
         self.sessions.remove(&session.id);
         if session.may_push_back() {
-            let again = || self.most_pause.times(0.5 + 0.5 * self.shelf.luck());
+            let again = || self.most_pause.scaled(0.5 + 0.5 * self.shelf.luck());
             host.push_back(session.id, session.turn.map_or_else(again, |turn| turn.again));
         } else {
             host.forfeit(session.id);
         }
     }
 
-    fn bring_back(&mut self, session: &Rc<Session>, ending: Option<Ending>, now: Point) {
+    fn bring_back(&mut self, session: &Rc<Session>, ending: Option<Ending>, now: Timestamp) {
         let mut attempts = session.attempts.borrow_mut();
         let Some(attempt) = attempts.last_mut() else { return };
         // Guards against a session that no server can use costing all of them their trust: one error counts.
--- a/src/choice/pacing.rs
+++ b/src/choice/pacing.rs
@@ -3,19 +3,19 @@
 use super::{Pick, Stage, Step};
 use crate::host::{Ending, Host};
 use crate::record::{Attempt, Session, Shelf};
-use crate::time::Point;
+use crate::time::{DurationExt, Timestamp};
 use std::rc::Rc;
 
 impl Shelf {
     /// How many attempts may be out now. Guards against a jam being long over before a proxy of few clients
     /// hears of it: a part of one doubles by itself.
-    pub(super) fn window(&self, now: Point) -> f64 {
+    pub(super) fn window(&self, now: Timestamp) -> f64 {
         let (window, at) = self.window.get();
-        (window * 2_f64.powf(now.since(at).over(Shelf::JUST_BEFORE))).min(window.max(1.0))
+        (window * 2_f64.powf(now.since(at).ratio_to(Shelf::JUST_BEFORE))).min(window.max(1.0))
     }
 
     /// Whether one more connect may go out; a part of one is a chance of that size.
-    pub(super) fn has_turn(&self, now: Point) -> bool {
+    pub(super) fn has_turn(&self, now: Timestamp) -> bool {
         let out: u32 = self.servers.borrow().iter().map(|s| s.waiting.get()).sum();
         f64::from(out) + self.luck() < self.window(now) * self.parts.get()
     }
@@ -38,13 +38,13 @@
         const LEAST: f64 = 2.0;
         let [widest, narrowest] =
             [(BOUNDS[0] / shelf.proxies).max(LEAST), (BOUNDS[1] / shelf.proxies).min(1.0)];
-        shelf.window.set((widest, Point::default()));
+        shelf.window.set((widest, Timestamp::default()));
         Pacing { shelf, widest, narrowest }
     }
 }
 
 impl Stage for Pacing {
-    fn forth(&mut self, session: &Rc<Session>, _: &mut Pick, now: Point, _: &mut dyn Host) -> Step {
+    fn forth(&mut self, session: &Rc<Session>, _: &mut Pick, now: Timestamp, _: &mut dyn Host) -> Step {
         let may = session.attempts.borrow().len() < self.shelf.max_attempts && now < session.patience_ends;
         // Guards against a storm of tries that keeps a jam alive.
         let turn = may && (session.mid_flow || session.hailed.get() || self.shelf.has_turn(now));
@@ -53,7 +53,7 @@
 
     /// Halves the window where a jam may have failed an attempt or had it stand late; widens it by one where
     /// a whole one stood in time, or by as much again where it is a part of one.
-    fn back(&mut self, session: &Rc<Session>, attempt: &Attempt, now: Point) {
+    fn back(&mut self, session: &Rc<Session>, attempt: &Attempt, now: Timestamp) {
         let (window, took) = (self.shelf.window(now), now.since(attempt.sent));
         let window = match attempt.ending {
             _ if session.stands.get() || session.mid_flow => return,
--- a/src/choice/placement.rs
+++ b/src/choice/placement.rs
@@ -3,9 +3,10 @@
 use super::{Pick, Stage, Step};
 use crate::host::{Ending, Host, Standing};
 use crate::record::{Attempt, Server, Session, Shelf, WarmUp};
-use crate::time::{Point, Span};
+use crate::time::Timestamp;
 use nanorand::{Rng, WyRand};
 use std::rc::Rc;
+use std::time::Duration;
 
 /// Third stage: the design's choice of a server, with the load skip.
 pub(super) struct Placement {
@@ -14,7 +15,7 @@
 }
 
 impl Placement {
-    fn choose(&self, session: &Rc<Session>, now: Point, host: &mut dyn Host) -> Pick {
+    fn choose(&self, session: &Rc<Session>, now: Timestamp, host: &mut dyn Host) -> Pick {
         // The design page's figures; of those under way too, against attempts that pile up at a slow server.
         const SKIP_FACTOR: f64 = 2.0;
         const SKIP_MARGIN: f64 = 3.0;
@@ -28,8 +29,8 @@
         let over = |n: f64, sum: f64| n * number > SKIP_FACTOR * sum && n >= sum / number + SKIP_MARGIN;
         let overfull = |s: &Server| over(s.open(), open) || over(f64::from(s.waiting.get()), out);
         // Guards against retries asking until let in: one draw for all that a client tries in a draw's life.
-        const DRAW_LIFE: Span = Span::millis(2000);
-        let seed = self.shelf.seed ^ session.key ^ now.count(DRAW_LIFE);
+        const DRAW_LIFE: Duration = Duration::from_millis(2000);
+        let seed = self.shelf.seed ^ session.key ^ now.periods(DRAW_LIFE);
         let draw = f64::from(WyRand::new_seed(seed).generate::<f32>());
         // The session itself will be open, too.
         let part = (self.warm_up.part(servers.len()) * self.shelf.parts.get()).max(open + 1.0);
@@ -94,7 +95,7 @@
 }
 
 impl Stage for Placement {
-    fn forth(&mut self, session: &Rc<Session>, pick: &mut Pick, now: Point, host: &mut dyn Host) -> Step {
+    fn forth(&mut self, session: &Rc<Session>, pick: &mut Pick, now: Timestamp, host: &mut dyn Host) -> Step {
         let there = |s: &Rc<Server>| s.standing.get() == Standing::Active;
         *pick = pick.take().filter(there).or_else(|| self.choose(session, now, host));
         match pick {
@@ -104,7 +105,7 @@
         }
     }
 
-    fn back(&mut self, session: &Rc<Session>, attempt: &Attempt, now: Point) {
+    fn back(&mut self, session: &Rc<Session>, attempt: &Attempt, now: Timestamp) {
         attempt.server.broke.set(matches!(attempt.ending, Some(Ending::Unreachable | Ending::Broken)));
         // One bad ending takes half of the trust that is left, one that the server itself gave rather less.
         let keeps = match attempt.ending {
--- a/src/choice/recall.rs
+++ b/src/choice/recall.rs
@@ -3,20 +3,21 @@
 use super::{Pick, Stage, Step};
 use crate::host::{Host, Standing};
 use crate::record::{Attempt, Known, Session, Shelf};
-use crate::time::{Point, Span};
+use crate::time::Timestamp;
 use std::rc::Rc;
+use std::time::Duration;
 
 /// How long the table knows a connection after its end: the design page's starting value.
-const TABLE_TIME_OUT: Span = Span::millis(30_000);
+const TABLE_TIME_OUT: Duration = Duration::from_millis(30_000);
 
 /// First stage: the bounded, aged table that answers mid-flow sessions.
 pub(super) struct Recall {
     pub(super) shelf: Rc<Shelf>,
-    pub(super) swept: Point,
+    pub(super) swept: Timestamp,
 }
 
 impl Stage for Recall {
-    fn forth(&mut self, session: &Rc<Session>, pick: &mut Pick, now: Point, _: &mut dyn Host) -> Step {
+    fn forth(&mut self, session: &Rc<Session>, pick: &mut Pick, now: Timestamp, _: &mut dyn Host) -> Step {
         if session.mid_flow && session.attempts.borrow().is_empty() {
             let table = self.shelf.table.borrow();
             // Guards against all that a server held coming back to it when it has just restarted.
@@ -26,7 +27,7 @@
         Step::Pass
     }
 
-    fn back(&mut self, session: &Rc<Session>, attempt: &Attempt, now: Point) {
+    fn back(&mut self, session: &Rc<Session>, attempt: &Attempt, now: Timestamp) {
         // Bounds the memory to some megabytes.
         const MOST_KEYS: usize = 100_000;
         let mut table = self.shelf.table.borrow_mut();
@@ -34,7 +35,7 @@
             self.swept = now;
             table.retain(|_, known| now < known.until);
         }
-        let until = attempt.ending.map_or(Point::NEVER, |_| now + TABLE_TIME_OUT);
+        let until = attempt.ending.map_or(Timestamp::NEVER, |_| now + TABLE_TIME_OUT);
         let has_room = table.len() < MOST_KEYS;
         match table.get_mut(&session.key) {
             // It stood there before its server may have started anew, of which the list can tell first.
