--- a/src/choice/relief.rs
+++ b/src/choice/relief.rs
@@ -3,24 +3,25 @@
 use super::Chooser;
 use crate::host::{Host, SessionId, Standing};
 use crate::record::Server;
-use crate::time::{Point, Span};
+use crate::time::{DurationExt, Timestamp};
 use std::rc::{Rc, Weak};
+use std::time::Duration;
 
 impl Chooser {
     /// For a host on sockets, called once; it comes round by itself. Has clients leave a draining server and,
     /// where messages tell nothing, probes those that hold something.
-    pub fn look_round(&mut self, probing: bool, now: Point, host: &mut dyn Host) {
+    pub fn look_round(&mut self, probing: bool, now: Timestamp, host: &mut dyn Host) {
         // A draining server of twenty is empty in five seconds.
-        const ROUND: Span = Span::millis(250);
+        const ROUND: Duration = Duration::from_millis(250);
         // A probe costs work, and relief takes one guest at a time: of 250 ms to 3 s these did best.
-        const EVERY: [Span; 2] = [Span::millis(1000), Span::millis(500)];
+        const EVERY: [Duration; 2] = [Duration::from_millis(1000), Duration::from_millis(500)];
         // Who holds less than this looks less often, as it could relieve less.
         const ENOUGH: f64 = 4.0;
         self.looks_at = Some((now + ROUND, probing));
         host.wake(now + ROUND);
         for server in self.shelf.servers.borrow().iter() {
             let every = EVERY[usize::from(server.distrust(now) > Server::FADED)];
-            let every = every.times((ENOUGH / server.open().max(1.0)).max(1.0));
+            let every = every.scaled((ENOUGH / server.open().max(1.0)).max(1.0));
             if server.standing.get() == Standing::Draining {
                 self.relieve(server, true, 1.0, host);
             } else if probing && server.open() > 0.0 && now.since(server.probed.get()) >= every {
@@ -31,7 +32,7 @@
     }
 
     /// A probe has been answered, or given up, after this long.
-    pub fn probed(&mut self, server: &str, took: Span, now: Point, host: &mut dyn Host) {
+    pub fn probed(&mut self, server: &str, took: Duration, now: Timestamp, host: &mut dyn Host) {
         // Measured beside message notes: 1.6 times the quickest at a quarter of the limit, 2 at all of it.
         const FROM: f64 = 1.6;
         const TO: f64 = 2.1;
@@ -46,9 +47,15 @@
     }
 
     /// Messages of a standing connection take this long at its server.
-    pub fn messages_take(&mut self, session: SessionId, delay: Span, now: Point, host: &mut dyn Host) {
+    pub fn messages_take(
+        &mut self,
+        session: SessionId,
+        delay: Duration,
+        now: Timestamp,
+        host: &mut dyn Host,
+    ) {
         // More than any message takes at a server that still works.
-        const LOST: Span = Span::millis(3000);
+        const LOST: Duration = Duration::from_millis(3000);
         let Some(session) = self.sessions.get(&session) else { return };
         // Guards against a client held by a server that has gone without a word.
         if delay > LOST && session.stands.get() && !session.answered.replace(true) {
@@ -57,12 +64,12 @@
         let attempts = session.attempts.borrow();
         let Some(attempt) = attempts.last() else { return };
         // Up to a quarter of the limit is no cause for distrust; from the limit on nothing more should come.
-        let late = (delay.over(self.message_limit) - 0.25) / 0.75;
+        let late = (delay.ratio_to(self.message_limit) - 0.25) / 0.75;
         self.strained(&attempt.server, late, now, host);
     }
 
     /// Work at a server takes long: from 0, not yet late, to 1, as late as can be borne.
-    fn strained(&self, server: &Rc<Server>, late: f64, now: Point, host: &mut dyn Host) {
+    fn strained(&self, server: &Rc<Server>, late: f64, now: Timestamp, host: &mut dyn Host) {
         // A message takes three times its limit then: work has piled up, and gathering alone no longer helps.
         const PILED_UP: f64 = (3.0 - 0.25) / 0.75;
         if late > 0.0 {
--- a/src/choice/trust.rs
+++ b/src/choice/trust.rs
@@ -1,9 +1,10 @@
 //! Which servers are passed over, and for how long: distrust, silence, what their kin and the fleet share.
 
 use crate::record::{Server, Shelf};
-use crate::time::{Point, Span};
+use crate::time::{DurationExt, Timestamp};
 use std::collections::BTreeMap;
 use std::rc::Rc;
+use std::time::Duration;
 
 impl Shelf {
     /// Sets how long distrust takes to fade, by the numbers of proxies and servers.
@@ -11,25 +12,25 @@
         let servers = self.servers.borrow();
         // Enough to work off what has piled up, short against a connection's life, of three proxies before
         // nine servers. Guards against a strained one never left alone by the many that each try it again.
-        const HALF_LIFE: Span = Span::millis(6000);
+        const HALF_LIFE: Duration = Duration::from_millis(6000);
         const SERVERS: f64 = 3.0;
-        let half_life = HALF_LIFE.times((SERVERS * self.proxies / servers.len() as f64).max(1.0));
+        let half_life = HALF_LIFE.scaled((SERVERS * self.proxies / servers.len() as f64).max(1.0));
         servers.iter().for_each(|s| s.half_life.set(half_life));
     }
 
     /// The wait after which an attempt's silence is unusual, given the earlier gaps.
-    pub(super) fn unusual_after(&self) -> Option<Span> {
+    pub(super) fn unusual_after(&self) -> Option<Duration> {
         // Fewer say too little of what is usual.
         const FEWEST: usize = 5;
         // With an exponential tail, one silence in 10^4 lasts as long by chance.
         const PHI: f64 = 4.0;
         let gaps = self.gaps.borrow();
         let mean = gaps.iter().map(|g| g.as_ms()).sum::<f64>() / gaps.len().max(1) as f64;
-        (gaps.len() >= FEWEST).then(|| Span::from_ms(mean * PHI * std::f64::consts::LN_10))
+        (gaps.len() >= FEWEST).then(|| Duration::from_ms(mean * PHI * std::f64::consts::LN_10))
     }
 
     /// How far the servers of each zone and kind that there is bad news of are distrusted beyond the others.
-    pub(super) fn kin(&self, now: Point) -> Vec<(u64, f64)> {
+    pub(super) fn kin(&self, now: Timestamp) -> Vec<(u64, f64)> {
         let servers = self.servers.borrow();
         let scored = servers.iter().map(|s| (s, s.distrust(now)));
         let (mut kin, mut all) = (BTreeMap::new(), (0.0, 0.0));
@@ -48,7 +49,7 @@
     }
 
     /// How strained the fleet is: the mean distrust of those that hold sessions, twice, as it stands for all.
-    pub(super) fn strain(&self, of: impl Fn(&Rc<Server>) -> bool, now: Point) -> f64 {
+    pub(super) fn strain(&self, of: impl Fn(&Rc<Server>) -> bool, now: Timestamp) -> f64 {
         const COUNTS: f64 = 2.0;
         let servers = self.servers.borrow();
         let holding = || servers.iter().filter(|s| s.open() > 0.0 && of(s));
@@ -61,12 +62,12 @@
     pub(super) const FADED: f64 = 0.05;
 
     /// The score of distrust now, from 0 to 1.
-    pub(super) fn distrust(&self, now: Point) -> f64 {
+    pub(super) fn distrust(&self, now: Timestamp) -> f64 {
         // Notes of late messages come once a second: no fading between two, or retries leak in meanwhile.
-        const HOLD: Span = Span::millis(1500);
+        const HOLD: Duration = Duration::from_millis(1500);
         match self.distrust.get() {
             (0.0, _) => 0.0,
-            (score, at) => score * 0.5_f64.powf(now.since(at + HOLD).over(self.half_life.get())),
+            (score, at) => score * 0.5_f64.powf(now.since(at + HOLD).ratio_to(self.half_life.get())),
         }
     }
 }
--- a/src/handover.rs
+++ b/src/handover.rs
@@ -3,15 +3,16 @@
 use crate::choice::Chooser;
 use crate::host::Standing;
 use crate::record::Known;
-use crate::time::{Point, Span};
+use crate::time::Timestamp;
 use std::rc::Rc;
+use std::time::Duration;
 
 /// A client key's hash, the server where its connection stands or stood, and when that server started.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Remembered {
     pub key: u64,
     pub server: String,
-    pub started: Option<Point>,
+    pub started: Option<Timestamp>,
 }
 
 impl Chooser {
@@ -38,7 +39,7 @@
     }
 
     /// Takes in what an earlier life remembered, for so long; true where the server is there and has not started since.
-    pub fn remember(&mut self, remembered: &Remembered, within: Span, now: Point) -> bool {
+    pub fn remember(&mut self, remembered: &Remembered, within: Duration, now: Timestamp) -> bool {
         let server = self.shelf.find(&remembered.server).filter(|server| {
             server.started.get() == remembered.started && server.standing.get() == Standing::Active
         });
--- a/src/host.rs
+++ b/src/host.rs
@@ -1,15 +1,16 @@
 //! The interface between the decisions and whatever carries them out: the trait [`Host`], and the plain
 //! types that both sides share. Nothing is decided here.
 
-use crate::time::{Point, Span};
+use crate::time::Timestamp;
 use std::rc::Rc;
+use std::time::Duration;
 
 /// What the decisions ask for. Each call is carried out at once and in order.
 pub trait Host {
     /// Starts an attempt; a session's attempts count 0, 1, 2 … in the order of these calls.
-    fn connect(&mut self, session: SessionId, server: &ServerId, time_out: Span);
+    fn connect(&mut self, session: SessionId, server: &ServerId, time_out: Duration);
     /// Final answer: not done, trying again is harmless, best after `pause`.
-    fn push_back(&mut self, session: SessionId, pause: Span);
+    fn push_back(&mut self, session: SessionId, pause: Duration);
     /// Final answer: not done, nothing promised.
     fn forfeit(&mut self, session: SessionId);
     /// Ends a standing connection politely; its client comes again as a new session.
@@ -19,7 +20,7 @@
     /// Has a server give a sign of life; how long that took comes as `probed`. False where it is not allowed.
     fn probe(&mut self, server: &ServerId) -> bool;
     /// Asks for a call of `woke` at `at`.
-    fn wake(&mut self, at: Point);
+    fn wake(&mut self, at: Timestamp);
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
@@ -35,7 +36,7 @@
     /// Carries a mark by which the servers of `among` drop its repeats for `window`.
     Referenced {
         among: Circle,
-        window: Span,
+        window: Duration,
     },
     /// The most delicate kind, which any is taken for that is not known.
     #[default]
@@ -54,9 +55,9 @@
 pub struct Offering {
     pub effect: Effect,
     /// The time within which its connection should stand.
-    pub soft_limit: Option<Span>,
+    pub soft_limit: Option<Duration>,
     /// The time within which a message on a standing connection should be answered.
-    pub message_limit: Option<Span>,
+    pub message_limit: Option<Duration>,
 }
 
 /// A session as it arrives.
@@ -68,7 +69,7 @@
     pub key: Option<&'a str>,
     /// Connections of one group share work where they share a server.
     pub group: Option<&'a str>,
-    pub patience_ends: Point,
+    pub patience_ends: Timestamp,
     /// Packets of a connection that some server already holds.
     pub mid_flow: bool,
     /// The client has come back after a break or after being sent away.
@@ -85,7 +86,7 @@
     /// The part of the crowd that goes before it, from 0 to 1; beyond 1 nobody is let in yet.
     pub before: f64,
     /// When it is to come again, where it is not let in.
-    pub again: Span,
+    pub again: Duration,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -105,7 +106,7 @@
     pub kind: String,
     pub cell: u64,
     /// When it last started; none for long ago.
-    pub started: Option<Point>,
+    pub started: Option<Timestamp>,
     pub standing: Standing,
 }
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -6,34 +6,35 @@
 //! ```
 //! use shelfgrade::choice::{Chooser, WarmUp};
 //! use shelfgrade::host::*;
-//! use shelfgrade::time::{Point, Span};
+//! use shelfgrade::time::Timestamp;
+//! use std::time::Duration;
 //!
 //! struct Printer(Vec<String>);
 //! impl Host for Printer {
-//!     fn connect(&mut self, session: SessionId, server: &ServerId, _: Span) {
+//!     fn connect(&mut self, session: SessionId, server: &ServerId, _: Duration) {
 //!         self.0.push(format!("session {} to {server}", session.0));
 //!     }
-//!     fn push_back(&mut self, _: SessionId, _: Span) {}
+//!     fn push_back(&mut self, _: SessionId, _: Duration) {}
 //!     fn forfeit(&mut self, _: SessionId) {}
 //!     fn send_away(&mut self, _: SessionId) {}
 //!     fn subscribe(&mut self) {}
 //!     fn probe(&mut self, _: &ServerId) -> bool { false }
-//!     fn wake(&mut self, _: Point) {}
+//!     fn wake(&mut self, _: Timestamp) {}
 //! }
 //!
-//! let now = Point::from_ms(1000.0);
+//! let now = Timestamp::from_ms(1000.0);
 //! let mut host = Printer(Vec::new());
 //! let warm_up = WarmUp {
 //!     cold_from: 0.3,
-//!     cold_span: Span::millis(8000),
+//!     cold_span: Duration::from_millis(8000),
 //!     fall_multiple: 3.0,
-//!     overload_span: Span::millis(2000),
+//!     overload_span: Duration::from_millis(2000),
 //!     all_hold: None,
 //!     each_holds: 30.0,
 //!     proxies: 3.0,
 //! };
 //! let offering = Offering { effect: Effect::Replayable, soft_limit: None, message_limit: None };
-//! let pause = Span::millis(2000);
+//! let pause = Duration::from_millis(2000);
 //! let mut chooser = Chooser::new(7, vec![offering], 4, pause, None, warm_up);
 //! let server = Listed {
 //!     server: "192.0.2.1:80".into(),
@@ -49,7 +50,7 @@
 //!     offering: Some(0),
 //!     key: Some("lift-12"),
 //!     group: None,
-//!     patience_ends: now + Span::millis(3000),
+//!     patience_ends: now + Duration::from_millis(3000),
 //!     mid_flow: false,
 //!     returned: false,
 //!     turn: None,
--- a/src/record.rs
+++ b/src/record.rs
@@ -1,11 +1,12 @@
 //! What a proxy keeps of servers and sessions: plain records, on which `choice` decides.
 
 use crate::host::{Arrival, Effect, Ending, Listed, Offering, ServerId, SessionId, Standing, Turn};
-use crate::time::{Point, Span};
+use crate::time::{DurationExt, Timestamp};
 use nanorand::{Rng, WyRand};
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::rc::{Rc, Weak};
+use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
 /// A server as this proxy knows it.
@@ -17,37 +18,37 @@
     pub(crate) kin: [u64; 2],
     pub(crate) cell: u64,
     pub(crate) standing: Cell<Standing>,
-    pub(crate) started: Cell<Option<Point>>,
+    pub(crate) started: Cell<Option<Timestamp>>,
     /// The connections that this proxy placed and that stand.
     pub(crate) held: RefCell<BTreeMap<SessionId, Weak<Session>>>,
     /// When the last attempts were sent to it.
-    pub(crate) sent: RefCell<VecDeque<Point>>,
+    pub(crate) sent: RefCell<VecDeque<Timestamp>>,
     /// Connects that wait for a word from the server, and since when it has sent none.
     pub(crate) waiting: Cell<u32>,
-    pub(crate) silent_since: Cell<Option<Point>>,
+    pub(crate) silent_since: Cell<Option<Timestamp>>,
     /// The last that was heard of it is that it broke off a connection or refused one.
     pub(crate) broke: Cell<bool>,
     /// The score of distrust as it was at a moment, and how long it takes to fade by half.
-    pub(crate) distrust: Cell<(f64, Point)>,
-    pub(crate) half_life: Cell<Span>,
+    pub(crate) distrust: Cell<(f64, Timestamp)>,
+    pub(crate) half_life: Cell<Duration>,
     /// Sessions that wait for its sign of life.
     pub(crate) hailed_by: RefCell<Vec<Weak<Session>>>,
     /// When it was last probed, and how long its last answers took.
-    pub(crate) probed: Cell<Point>,
-    pub(crate) answers: RefCell<VecDeque<Span>>,
+    pub(crate) probed: Cell<Timestamp>,
+    pub(crate) answers: RefCell<VecDeque<Duration>>,
 }
 
 /// The id-sorted list and what was seen over all its servers, shared by the stages.
 pub(crate) struct Shelf {
     pub(crate) servers: RefCell<Vec<Rc<Server>>>,
     /// The last few times that an attempt took to stand, at any server: of one alone a proxy sees too few.
-    pub(crate) gaps: RefCell<VecDeque<Span>>,
+    pub(crate) gaps: RefCell<VecDeque<Duration>>,
     /// The keys and groups of the last clients that came, each once however often it comes.
     pub(crate) groups: RefCell<VecDeque<(u64, u64)>>,
     /// When the last sessions came; mid-flow ones too, as one that misses its server is set up anew.
-    pub(crate) arrivals: RefCell<VecDeque<Point>>,
+    pub(crate) arrivals: RefCell<VecDeque<Timestamp>>,
     /// How many attempts might be out at some moment.
-    pub(crate) window: Cell<(f64, Point)>,
+    pub(crate) window: Cell<(f64, Timestamp)>,
     /// How many attempts a session may have.
     pub(crate) max_attempts: usize,
     pub(crate) seed: u64,
@@ -78,10 +79,10 @@
     }
 
     // As long as it takes a crowd of clients to come back.
-    pub(crate) const JUST_BEFORE: Span = Span::millis(2000);
+    pub(crate) const JUST_BEFORE: Duration = Duration::from_millis(2000);
 
     /// How many sessions came just now, the last one included.
-    pub(crate) fn crowd(&self, now: Point) -> f64 {
+    pub(crate) fn crowd(&self, now: Timestamp) -> f64 {
         let mut arrivals = self.arrivals.borrow_mut();
         let past = arrivals.partition_point(|at| now.since(*at) > Self::JUST_BEFORE);
         arrivals.drain(..past);
@@ -99,7 +100,7 @@
     }
 
     /// Takes in lines of the list; who is absent from a `whole` one is gone, and what is gone is forgotten.
-    pub(crate) fn follow(&self, lines: &[Listed], whole: bool, now: Point) {
+    pub(crate) fn follow(&self, lines: &[Listed], whole: bool, now: Timestamp) {
         for line in lines {
             let server = self.find(&line.server).unwrap_or_else(|| {
                 let server = Rc::new(Server::named(line));
@@ -122,14 +123,14 @@
         servers.retain(|s| s.standing.get() != Standing::Gone);
     }
 
-    pub(crate) fn note_arrival(&self, now: Point) {
+    pub(crate) fn note_arrival(&self, now: Timestamp) {
         // Far more than come just before another one where a proxy still keeps up.
         const SAMPLES: usize = 4096;
         keep_last(SAMPLES, now, &mut self.arrivals.borrow_mut());
     }
 
     /// Keeps how long an attempt took to stand.
-    pub(crate) fn note_gap(&self, took: Span) {
+    pub(crate) fn note_gap(&self, took: Duration) {
         // Enough for a mean, few enough to forget a bad minute.
         const SAMPLES: usize = 16;
         keep_last(SAMPLES, took, &mut self.gaps.borrow_mut());
@@ -163,10 +164,10 @@
     }
 
     /// Keeps that an attempt goes out to it.
-    pub(crate) fn note_sent(&self, now: Point) {
+    pub(crate) fn note_sent(&self, now: Timestamp) {
         self.waiting.set(self.waiting.get() + 1);
         // Longer than any server's warm-up is counted in, and far more than a proxy may send to a cold one in it.
-        const KEPT_FOR: Span = Span::millis(10_000);
+        const KEPT_FOR: Duration = Duration::from_millis(10_000);
         const SAMPLES: usize = 4096;
         let mut sent = self.sent.borrow_mut();
         let past = sent.partition_point(|at| now.since(*at) > KEPT_FOR);
@@ -175,18 +176,18 @@
     }
 
     /// How many attempts this proxy sent to it within such a span.
-    pub(crate) fn sent_within(&self, span: Span, now: Point) -> f64 {
+    pub(crate) fn sent_within(&self, span: Duration, now: Timestamp) -> f64 {
         let sent = self.sent.borrow();
         sent.iter().rev().take_while(|at| now.since(**at) <= span).count() as f64
     }
 
     /// Keeps how long a probe took; how many times as long as its quickest.
-    pub(crate) fn slower(&self, took: Span) -> f64 {
+    pub(crate) fn slower(&self, took: Duration) -> f64 {
         // Longer than strain is let last; a freak answer sets the quickest no longer than that.
         const SAMPLES: usize = 32;
         let mut answers = self.answers.borrow_mut();
         keep_last(SAMPLES, took, &mut answers);
-        answers.iter().min().map_or(1.0, |quickest| took.over(*quickest))
+        answers.iter().min().map_or(1.0, |quickest| took.ratio_to(*quickest))
     }
 }
 
@@ -198,10 +199,10 @@
 /// What servers can bear, a starting one above all, and how many proxies share it.
 pub struct WarmUp {
     pub cold_from: f64,
-    pub cold_span: Span,
+    pub cold_span: Duration,
     pub fall_multiple: f64,
     /// The span in which a cold server falls when it gets more than that; the budget is kept to in it.
-    pub overload_span: Span,
+    pub overload_span: Duration,
     /// What all servers together can hold, in connections, where customers' bounds tell; else what each can.
     pub all_hold: Option<f64>,
     pub each_holds: f64,
@@ -215,15 +216,15 @@
     }
 
     /// How many attempts those can take in such a span that together hold `part` and are as warm as this server.
-    pub(crate) fn budget(&self, server: &Server, part: f64, span: Span, now: Point) -> f64 {
+    pub(crate) fn budget(&self, server: &Server, part: f64, span: Duration, now: Timestamp) -> f64 {
         let present = self.cold_from + (1.0 - self.cold_from) * self.warmth(server, now);
         // A cold server can take what fills it over its warm-up.
-        part * span.over(self.cold_span) * self.fall_multiple * present
+        part * span.ratio_to(self.cold_span) * self.fall_multiple * present
     }
 
     /// From 0, just started, to 1, warm.
-    pub(crate) fn warmth(&self, server: &Server, now: Point) -> f64 {
-        server.started.get().map_or(1.0, |at| now.since(at).over(self.cold_span).min(1.0))
+    pub(crate) fn warmth(&self, server: &Server, now: Timestamp) -> f64 {
+        server.started.get().map_or(1.0, |at| now.since(at).ratio_to(self.cold_span).min(1.0))
     }
 }
 
@@ -231,12 +232,12 @@
 pub(crate) struct Known {
     server: Weak<Server>,
     /// The server's start as it was then.
-    started: Option<Point>,
-    pub(crate) until: Point,
+    started: Option<Timestamp>,
+    pub(crate) until: Timestamp,
 }
 
 impl Known {
-    pub(crate) fn at(server: &Rc<Server>, until: Point) -> Self {
+    pub(crate) fn at(server: &Rc<Server>, until: Timestamp) -> Self {
         Known { server: Rc::downgrade(server), started: server.started.get(), until }
     }
 
@@ -253,7 +254,7 @@
 /// One attempt of a session.
 pub(crate) struct Attempt {
     pub(crate) server: Rc<Server>,
-    pub(crate) sent: Point,
+    pub(crate) sent: Timestamp,
     pub(crate) ending: Option<Ending>,
 }
 
@@ -266,8 +267,8 @@
     pub(crate) group: Option<u64>,
     pub(crate) effect: Effect,
     /// The time within which its connection should stand.
-    pub(crate) soft_limit: Option<Span>,
-    pub(crate) patience_ends: Point,
+    pub(crate) soft_limit: Option<Duration>,
+    pub(crate) patience_ends: Timestamp,
     pub(crate) mid_flow: bool,
     pub(crate) returned: bool,
     pub(crate) turn: Option<Turn>,
--- a/src/time.rs
+++ b/src/time.rs
@@ -1,78 +1,88 @@
-//! Points in time and spans between them, kept apart by their types.
+//! Timestamps on the host's clock, and what [`Duration`] lacks for them.
+//!
+//! All times count in whole microseconds: whatever is computed from a fraction is rounded to one here, so that a run
+//! gives the same decisions on every machine.
 
 use std::ops::{Add, Sub};
+use std::time::Duration;
 
 /// A moment on the host's clock, in microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Point(u64);
+pub struct Timestamp(u64);
 
-/// A length of time, in microseconds.
-#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Span(u64);
-
-impl Point {
-    /// Later than all that comes.
-    pub const NEVER: Point = Point(u64::MAX);
+impl Timestamp {
+    /// Later than every other timestamp.
+    pub const NEVER: Timestamp = Timestamp(u64::MAX);
 
+    /// A timestamp from milliseconds, rounded to whole microseconds.
     pub fn from_ms(ms: f64) -> Self {
-        Point((ms * 1000.0).round() as u64)
+        Timestamp(micros_from_ms(ms))
     }
 
+    /// This timestamp in milliseconds.
     pub fn as_ms(self) -> f64 {
         self.0 as f64 / 1000.0
     }
 
-    /// How many whole spans of this length lie before this moment.
-    pub fn count(self, of: Span) -> u64 {
-        self.0 / of.0.max(1)
+    /// How many whole periods of this length lie before this timestamp.
+    pub fn periods(self, period: Duration) -> u64 {
+        self.0 / whole_micros(period).max(1)
     }
 
-    /// The time gone by since `earlier`; nothing if that has yet to come.
-    pub fn since(self, earlier: Point) -> Span {
-        Span(self.0.saturating_sub(earlier.0))
+    /// The time elapsed since `earlier`; zero if that is still to come.
+    pub fn since(self, earlier: Timestamp) -> Duration {
+        Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
 }
 
-impl Span {
-    pub const fn millis(ms: u64) -> Self {
-        Span(ms * 1000)
+impl Add<Duration> for Timestamp {
+    type Output = Timestamp;
+    fn add(self, duration: Duration) -> Timestamp {
+        Timestamp(self.0.saturating_add(whole_micros(duration)))
     }
+}
 
-    pub fn from_ms(ms: f64) -> Self {
-        Span((ms * 1000.0).round() as u64)
+impl Sub<Duration> for Timestamp {
+    type Output = Timestamp;
+    fn sub(self, duration: Duration) -> Timestamp {
+        Timestamp(self.0.saturating_sub(whole_micros(duration)))
     }
+}
 
-    pub fn as_ms(self) -> f64 {
-        self.0 as f64 / 1000.0
+/// Conversions and arithmetic in whole microseconds.
+pub trait DurationExt {
+    /// A duration from milliseconds, rounded to whole microseconds; negative values give zero.
+    fn from_ms(ms: f64) -> Self;
+    /// This duration in milliseconds.
+    fn as_ms(&self) -> f64;
+    /// This duration multiplied by a factor, cut to whole microseconds.
+    fn scaled(self, factor: f64) -> Self;
+    /// This duration as a fraction of `whole`.
+    fn ratio_to(self, whole: Self) -> f64;
+}
+
+impl DurationExt for Duration {
+    fn from_ms(ms: f64) -> Self {
+        Duration::from_micros(micros_from_ms(ms))
     }
 
-    pub fn times(self, factor: f64) -> Self {
-        Span((self.0 as f64 * factor) as u64)
+    fn as_ms(&self) -> f64 {
+        whole_micros(*self) as f64 / 1000.0
     }
 
-    /// This span as a share of `whole`.
-    pub fn over(self, whole: Span) -> f64 {
-        self.0 as f64 / whole.0.max(1) as f64
+    fn scaled(self, factor: f64) -> Self {
+        Duration::from_micros((whole_micros(self) as f64 * factor) as u64)
     }
-}
 
-impl Add<Span> for Point {
-    type Output = Point;
-    fn add(self, span: Span) -> Point {
-        Point(self.0.saturating_add(span.0))
+    fn ratio_to(self, whole: Self) -> f64 {
+        whole_micros(self) as f64 / whole_micros(whole).max(1) as f64
     }
 }
 
-impl Add for Span {
-    type Output = Span;
-    fn add(self, span: Span) -> Span {
-        Span(self.0.saturating_add(span.0))
-    }
+fn micros_from_ms(ms: f64) -> u64 {
+    (ms * 1000.0).round() as u64
 }
 
-impl Sub<Span> for Point {
-    type Output = Point;
-    fn sub(self, span: Span) -> Point {
-        Point(self.0.saturating_sub(span.0))
-    }
+fn whole_micros(duration: Duration) -> u64 {
+    u64::try_from(duration.as_micros()).unwrap_or(u64::MAX)
 }
--- a/tests/stories/answers.rs
+++ b/tests/stories/answers.rs
@@ -45,7 +45,7 @@
         proxy.now = proxy.now + time_out;
         proxy.ends(session, Ending::TimedOut);
     }
-    assert!(proxy.now <= shelfgrade::time::Point::from_ms(60_000.0) + PATIENCE);
+    assert!(proxy.now <= shelfgrade::time::Timestamp::from_ms(60_000.0) + PATIENCE);
     assert!(proxy.sent_to(session).len() >= 2, "the time-outs leave room for another attempt");
     let before = proxy.notes.attempts.len();
     proxy.ends(session, Ending::TimedOut);
--- a/tests/stories/books.rs
+++ b/tests/stories/books.rs
@@ -6,8 +6,9 @@
 use shelfgrade::books::Books;
 use shelfgrade::choice::Chooser;
 use shelfgrade::host::*;
-use shelfgrade::time::{Point, Span};
+use shelfgrade::time::Timestamp;
 use std::collections::{BTreeMap, VecDeque};
+use std::time::Duration;
 
 #[derive(Clone, Debug, PartialEq)]
 enum Stage {
@@ -25,7 +26,7 @@
     list: BTreeMap<ServerId, Standing>,
     /// Connects that fail before they are begun, told as soon as the module has finished.
     at_once: VecDeque<u64>,
-    alarms: Vec<Point>,
+    alarms: Vec<Timestamp>,
     asked: Vec<ServerId>,
     sent_away: Vec<u64>,
     may_probe: bool,
@@ -60,7 +61,7 @@
 }
 
 impl Host for Model {
-    fn connect(&mut self, session: SessionId, server: &ServerId, _: Span) {
+    fn connect(&mut self, session: SessionId, server: &ServerId, _: Duration) {
         assert_eq!(self.list.get(server), Some(&Standing::Active), "{session:?} to {server}");
         let was = self.becomes(session.0, Stage::Out(server.clone()));
         assert_eq!(was, Stage::Waiting, "one attempt at a time, and none for who has left: {session:?}");
@@ -69,7 +70,7 @@
             self.at_once.push_back(session.0);
         }
     }
-    fn push_back(&mut self, session: SessionId, _: Span) {
+    fn push_back(&mut self, session: SessionId, _: Duration) {
         self.answered(session);
     }
     fn forfeit(&mut self, session: SessionId) {
@@ -84,7 +85,7 @@
         self.asked.extend(self.may_probe.then(|| server.clone()));
         self.may_probe
     }
-    fn wake(&mut self, at: Point) {
+    fn wake(&mut self, at: Timestamp) {
         self.alarms.push(at);
     }
 }
@@ -92,7 +93,7 @@
 struct Play {
     chooser: Chooser,
     model: Model,
-    now: Point,
+    now: Timestamp,
     last: u64,
 }
 
@@ -153,7 +154,7 @@
             session: SessionId(self.last),
             offering: [Some(REPLAYABLE), Some(SINGLE_USE), Some(REFERENCED), None][self.model.draw(4)],
             group: (self.model.draw(3) > 0).then_some(&*group),
-            patience_ends: self.now + Span::millis(patience),
+            patience_ends: self.now + Duration::from_millis(patience),
             mid_flow: self.model.draw(5) == 0,
             returned: self.model.draw(3) == 0,
             ..plain(&key)
@@ -215,14 +216,14 @@
                 for server in asked {
                     // One in eight in time for a session that waits for it, else half of them.
                     let slowest = [400, 100][self.model.draw(2)];
-                    let took = Span::millis(self.model.draw(slowest) as u64);
+                    let took = Duration::from_millis(self.model.draw(slowest) as u64);
                     self.chooser.probed(&server, took, self.now, &mut self.model);
                     self.settles();
                 }
             }
             9 => {
                 if let Some(session) = self.model.one_of(|s| matches!(s, Stage::Standing(_))) {
-                    let took = Span::millis(self.model.draw(4000) as u64);
+                    let took = Duration::from_millis(self.model.draw(4000) as u64);
                     self.chooser.messages_take(SessionId(session), took, self.now, &mut self.model);
                 }
             }
@@ -233,7 +234,7 @@
     }
 
     fn time_passes(&mut self) {
-        self.now = self.now + Span::millis(self.model.draw(300) as u64);
+        self.now = self.now + Duration::from_millis(self.model.draw(300) as u64);
         let now = self.now;
         let due = self.model.alarms.extract_if(.., |at| *at <= now).count();
         if due > 0 {
@@ -243,7 +244,7 @@
 
     /// Whatever is left comes to its end.
     fn winds_up(&mut self) {
-        self.now = self.now + Span::millis(5000);
+        self.now = self.now + Duration::from_millis(5000);
         self.chooser.woke(self.now, &mut self.model);
         self.settles();
         while let Some(session) = self.model.one_of(|s| matches!(s, Stage::Out(_))) {
--- a/tests/stories/fake.rs
+++ b/tests/stories/fake.rs
@@ -2,28 +2,29 @@
 
 use shelfgrade::choice::{Chooser, WarmUp};
 use shelfgrade::host::*;
-use shelfgrade::time::{Point, Span};
+use shelfgrade::time::Timestamp;
 use std::collections::BTreeMap;
+use std::time::Duration;
 
 #[derive(Default)]
 pub struct Notes {
     /// Every connect, with the time-out it was given.
-    pub attempts: Vec<(u64, String, Span)>,
-    pub pushed_back: Vec<(u64, Span)>,
+    pub attempts: Vec<(u64, String, Duration)>,
+    pub pushed_back: Vec<(u64, Duration)>,
     pub forfeited: Vec<u64>,
     pub sent_away: Vec<u64>,
     pub subscribed: usize,
     pub probed: Vec<String>,
     /// Probes are not allowed.
     pub mute: bool,
-    pub alarms: Vec<Point>,
+    pub alarms: Vec<Timestamp>,
 }
 
 impl Host for Notes {
-    fn connect(&mut self, session: SessionId, server: &ServerId, time_out: Span) {
+    fn connect(&mut self, session: SessionId, server: &ServerId, time_out: Duration) {
         self.attempts.push((session.0, server.to_string(), time_out));
     }
-    fn push_back(&mut self, session: SessionId, pause: Span) {
+    fn push_back(&mut self, session: SessionId, pause: Duration) {
         self.pushed_back.push((session.0, pause));
     }
     fn forfeit(&mut self, session: SessionId) {
@@ -41,7 +42,7 @@
         }
         !self.mute
     }
-    fn wake(&mut self, at: Point) {
+    fn wake(&mut self, at: Timestamp) {
         self.alarms.push(at);
     }
 }
@@ -49,16 +50,16 @@
 pub const REPLAYABLE: usize = 0;
 pub const SINGLE_USE: usize = 1;
 pub const REFERENCED: usize = 2;
-pub const MUST_ASK_IN: Span = Span::millis(10_000);
-pub const PATIENCE: Span = Span::millis(2000);
-pub const SOFT_LIMIT: Span = Span::millis(300);
+pub const MUST_ASK_IN: Duration = Duration::from_millis(10_000);
+pub const PATIENCE: Duration = Duration::from_millis(2000);
+pub const SOFT_LIMIT: Duration = Duration::from_millis(300);
 
 pub const TWELVE: [&str; 12] = ["a1", "a2", "a3", "a4", "a5", "a6", "b1", "b2", "b3", "b4", "b5", "b6"];
 
 pub struct Proxy {
     pub chooser: Chooser,
     pub notes: Notes,
-    pub now: Point,
+    pub now: Timestamp,
     next: u64,
 }
 
@@ -81,7 +82,7 @@
         offering: Some(REPLAYABLE),
         key: Some(key),
         group: None,
-        patience_ends: Point::default(),
+        patience_ends: Timestamp::default(),
         mid_flow: false,
         returned: false,
         turn: None,
@@ -103,9 +104,9 @@
         let many = proxies as f64;
         let warm_up = WarmUp {
             cold_from: 0.3,
-            cold_span: Span::millis(8000),
+            cold_span: Duration::from_millis(8000),
             fall_multiple: 3.0,
-            overload_span: Span::millis(2000),
+            overload_span: Duration::from_millis(2000),
             all_hold: part.map(|p| p * many),
             each_holds: 30.0,
             proxies: many,
@@ -115,14 +116,15 @@
 
     /// One that goes by these terms on cold servers.
     pub fn by(warm_up: WarmUp, seed: u64, list: &[Listed]) -> Self {
-        let referenced = Effect::Referenced { among: Circle::Zone, window: Span::millis(1500) };
-        let message_limit = Some(Span::millis(50));
+        let referenced = Effect::Referenced { among: Circle::Zone, window: Duration::from_millis(1500) };
+        let message_limit = Some(Duration::from_millis(50));
         let offerings = [Effect::Replayable, Effect::SingleUse, referenced];
         let offerings =
             offerings.map(|effect| Offering { effect, soft_limit: Some(SOFT_LIMIT), message_limit }).to_vec();
-        let pause = Span::millis(1000);
+        let pause = Duration::from_millis(1000);
         let chooser = Chooser::new(seed, offerings, 4, pause, Some(MUST_ASK_IN), warm_up);
-        let mut proxy = Proxy { chooser, notes: Notes::default(), now: Point::from_ms(60_000.0), next: 0 };
+        let mut proxy =
+            Proxy { chooser, notes: Notes::default(), now: Timestamp::from_ms(60_000.0), next: 0 };
         proxy.chooser.start(list, proxy.now, &mut proxy.notes);
         proxy
     }
@@ -150,7 +152,7 @@
     /// Lets a session arrive and gives its number.
     pub fn arrives(&mut self, arrival: Arrival) -> u64 {
         self.next += 1;
-        let ends = if arrival.patience_ends == Point::default() {
+        let ends = if arrival.patience_ends == Timestamp::default() {
             self.now + PATIENCE
         } else {
             arrival.patience_ends
@@ -162,7 +164,7 @@
 
     /// A server gives a sign of life after this long.
     pub fn answers(&mut self, place: &str, ms: u64) {
-        self.chooser.probed(place, Span::millis(ms), self.now, &mut self.notes);
+        self.chooser.probed(place, Duration::from_millis(ms), self.now, &mut self.notes);
     }
 
     /// Lets it arrive and its connection stand, if it was sent anywhere; says where. Of servers that are asked for
@@ -184,16 +186,16 @@
     }
 
     pub fn messages_take(&mut self, session: u64, ms: u64) {
-        self.chooser.messages_take(SessionId(session), Span::millis(ms), self.now, &mut self.notes);
+        self.chooser.messages_take(SessionId(session), Duration::from_millis(ms), self.now, &mut self.notes);
     }
 
     pub fn passes(&mut self, ms: u64) {
-        self.now = self.now + Span::millis(ms);
+        self.now = self.now + Duration::from_millis(ms);
     }
 
     /// Lets time pass, ringing each alarm when it is due.
     pub fn lives(&mut self, ms: u64) {
-        let end = self.now + Span::millis(ms);
+        let end = self.now + Duration::from_millis(ms);
         while let Some(i) = self.notes.alarms.iter().position(|at| *at <= end) {
             self.now = self.now.max(self.notes.alarms.remove(i));
             self.chooser.woke(self.now, &mut self.notes);
--- a/tests/stories/jams.rs
+++ b/tests/stories/jams.rs
@@ -2,6 +2,7 @@
 
 use crate::fake::*;
 use shelfgrade::host::*;
+use shelfgrade::time::DurationExt;
 
 #[test]
 fn a_jam_slows_a_hundred_proxies_that_have_one_client_each() {
@@ -85,7 +86,7 @@
         proxy.arrives(plain("k"));
         proxy.notes.attempts.last().map(|c| c.2)
     };
-    assert_eq!(wait(&mut proxy), Some(PATIENCE.times(0.5)));
+    assert_eq!(wait(&mut proxy), Some(PATIENCE.scaled(0.5)));
     wait(&mut proxy);
     wait(&mut proxy);
     proxy.passes(301);
--- a/tests/stories/listing.rs
+++ b/tests/stories/listing.rs
@@ -1,7 +1,8 @@
 //! Stories of asking for the list.
 
 use crate::fake::*;
-use shelfgrade::time::Span;
+use shelfgrade::time::DurationExt;
+use std::time::Duration;
 
 #[test]
 fn the_list_is_asked_for_at_start_and_again_after_failures_but_never_too_late() {
@@ -11,7 +12,10 @@
     for failures in 1..12 {
         proxy.chooser.list_failed(proxy.now, proxy.now, &mut proxy.notes);
         let pause = proxy.notes.alarms.last().expect("an alarm").since(proxy.now);
-        assert!(pause > Span::millis(200) && pause < MUST_ASK_IN.times(0.85), "{failures}: {pause:?}");
+        assert!(
+            pause > Duration::from_millis(200) && pause < MUST_ASK_IN.scaled(0.85),
+            "{failures}: {pause:?}"
+        );
         proxy.lives(8500);
         assert_eq!(proxy.notes.subscribed, 1 + failures);
     }
@@ -19,7 +23,7 @@
 
 #[test]
 fn a_hundred_proxies_started_together_ask_for_the_list_one_after_the_other() {
-    let asked = |proxies: usize| -> Vec<Span> {
+    let asked = |proxies: usize| -> Vec<Duration> {
         let first = |seed| {
             let proxy = Proxy::among(proxies, None, seed, &TWELVE.map(server));
             proxy.notes.alarms[0].since(proxy.now)
@@ -27,11 +31,13 @@
         (0..proxies as u64).map(first).collect()
     };
     // Of three, each asks well within half a second.
-    assert!(asked(3).iter().all(|pause| (Span::millis(200)..Span::millis(400)).contains(pause)));
+    assert!(asked(3)
+        .iter()
+        .all(|pause| (Duration::from_millis(200)..Duration::from_millis(400)).contains(pause)));
     // A service that answers 40 in a second keeps up with a hundred.
     let pauses = asked(100);
     let in_second = |from: u64| {
-        let second = Span::millis(from)..Span::millis(from + 1000);
+        let second = Duration::from_millis(from)..Duration::from_millis(from + 1000);
         pauses.iter().filter(|p| second.contains(p)).count()
     };
     assert!((0..5000).step_by(250).all(|from| in_second(from) <= 40), "{pauses:?}");
@@ -44,24 +50,24 @@
 fn after_a_silent_watch_no_pause_outlasts_half_of_what_is_left_until_its_news_counts_as_told() {
     for seed in 0..200 {
         let mut proxy = Proxy::among(300, None, seed, &TWELVE.map(server));
-        let due = proxy.now + Span::millis(3700);
+        let due = proxy.now + Duration::from_millis(3700);
         proxy.chooser.list_lost(due, &mut proxy.notes);
         for _ in 0..3 {
             proxy.chooser.list_failed(proxy.now, proxy.now, &mut proxy.notes);
             let (pause, left) =
                 (proxy.notes.alarms.last().expect("an alarm").since(proxy.now), due.since(proxy.now));
             // And two tenths of a second.
-            assert!(pause <= left.times(0.5) + Span::millis(200), "{pause:?} of {left:?}");
+            assert!(pause <= left.scaled(0.5) + Duration::from_millis(200), "{pause:?} of {left:?}");
             proxy.now = proxy.now + pause;
         }
         assert!(proxy.now < due, "three refusals leave time for another call");
         // A second silence puts it off no further, and past due it is asked for twice a second.
-        proxy.chooser.list_lost(due + Span::millis(9000), &mut proxy.notes);
+        proxy.chooser.list_lost(due + Duration::from_millis(9000), &mut proxy.notes);
         proxy.now = due;
         for _ in 0..9 {
             proxy.chooser.list_failed(proxy.now, proxy.now, &mut proxy.notes);
             let pause = proxy.notes.alarms.last().expect("an alarm").since(proxy.now);
-            assert!(pause <= Span::millis(600), "{pause:?}");
+            assert!(pause <= Duration::from_millis(600), "{pause:?}");
             proxy.now = proxy.now + pause;
         }
         // With news in hand calls are spread again.
@@ -70,6 +76,6 @@
             proxy.chooser.list_failed(proxy.now, proxy.now, &mut proxy.notes);
             proxy.notes.alarms.last().expect("an alarm").since(proxy.now)
         };
-        assert!((0..20).any(|_| later(&mut proxy) > Span::millis(1500)));
+        assert!((0..20).any(|_| later(&mut proxy) > Duration::from_millis(1500)));
     }
 }
--- a/tests/stories/order.rs
+++ b/tests/stories/order.rs
@@ -2,7 +2,7 @@
 
 use crate::fake::*;
 use shelfgrade::host::*;
-use shelfgrade::time::Span;
+use std::time::Duration;
 
 #[test]
 fn a_key_keeps_its_server_at_every_proxy_and_keys_use_them_all() {
@@ -75,7 +75,7 @@
     proxy.chooser.listed(&[Listed { standing: Standing::Draining, ..server("a1") }], true, proxy.now);
     assert_eq!(proxy.settles(plain("any")), None);
     assert_eq!(proxy.notes.pushed_back.len(), 2);
-    assert!(proxy.notes.pushed_back.iter().all(|(_, pause)| *pause > Span::default()));
+    assert!(proxy.notes.pushed_back.iter().all(|(_, pause)| *pause > Duration::ZERO));
     proxy.ends(77, Ending::Finished);
     proxy.messages_take(77, 500);
     proxy.chooser.left(SessionId(77));
--- a/tests/stories/ramp.rs
+++ b/tests/stories/ramp.rs
@@ -17,9 +17,10 @@
 use nanorand::{Rng, WyRand};
 use shelfgrade::choice::WarmUp;
 use shelfgrade::host::*;
-use shelfgrade::time::{Point, Span};
+use shelfgrade::time::{DurationExt, Timestamp};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
+use std::time::Duration;
 
 const SERVERS: usize = 40;
 const GROUPS: u64 = 60;
@@ -95,9 +96,9 @@
             .map(|i| {
                 let warm_up = WarmUp {
                     cold_from: 0.3,
-                    cold_span: Span::from_ms(WARM_MS),
+                    cold_span: Duration::from_ms(WARM_MS),
                     fall_multiple: 3.0,
-                    overload_span: Span::from_ms(day.span_ms),
+                    overload_span: Duration::from_ms(day.span_ms),
                     all_hold: (i % 2 == 0).then_some(all_hold),
                     each_holds: day.holds,
                     proxies: day.proxies as f64,
@@ -178,7 +179,7 @@
     }
 
     fn happens(&mut self, at: usize, event: Event) {
-        let now = Point::from_ms(self.now_ms);
+        let now = Timestamp::from_ms(self.now_ms);
         self.proxies[at].now = now;
         match event {
             Event::Comes { client, proxy, returned, tries } => {
@@ -230,13 +231,13 @@
         self.carries_out(at);
     }
 
-    fn zone(&mut self, back: Option<Point>) {
+    fn zone(&mut self, back: Option<Timestamp>) {
         let cold: Vec<_> = (0..self.day.cold).map(|i| name(i, self.day.cold)).collect();
         let standing = if back.is_some() { Standing::Active } else { Standing::Gone };
         let lines: Vec<_> = cold.iter().map(|id| Listed { started: back, standing, ..server(id) }).collect();
         for proxy in 0..self.proxies.len() {
-            self.proxies[proxy].now = Point::from_ms(self.now_ms);
-            self.proxies[proxy].chooser.listed(&lines, false, Point::from_ms(self.now_ms));
+            self.proxies[proxy].now = Timestamp::from_ms(self.now_ms);
+            self.proxies[proxy].chooser.listed(&lines, false, Timestamp::from_ms(self.now_ms));
         }
         let held: Vec<_> = self.clients.iter().filter(|c| cold.contains(&c.1 .2)).map(|c| *c.0).collect();
         for (proxy, session) in held {
--- a/tests/stories/relief.rs
+++ b/tests/stories/relief.rs
@@ -2,7 +2,8 @@
 
 use crate::fake::*;
 use shelfgrade::host::*;
-use shelfgrade::time::Span;
+use shelfgrade::time::DurationExt;
+use std::time::Duration;
 
 #[test]
 fn a_hundred_proxies_that_hear_of_strain_do_not_empty_the_server_at_once() {
@@ -80,11 +81,11 @@
     let place = proxy.sent_to(guests[0])[0].clone();
     assert!(proxy.notes.probed.contains(&place));
     for ms in [2, 3] {
-        proxy.chooser.probed(&place, Span::millis(ms), proxy.now, &mut proxy.notes);
+        proxy.chooser.probed(&place, Duration::from_millis(ms), proxy.now, &mut proxy.notes);
     }
     assert!(proxy.notes.sent_away.is_empty(), "a probe half as slow again is chance");
     for _ in 0..12 {
-        proxy.chooser.probed(&place, Span::millis(30), proxy.now, &mut proxy.notes);
+        proxy.chooser.probed(&place, Duration::from_millis(30), proxy.now, &mut proxy.notes);
     }
     assert!(!proxy.notes.sent_away.is_empty());
     assert!(proxy.notes.sent_away.iter().all(|c| proxy.sent_to(*c) == [place.clone()]));
@@ -125,12 +126,12 @@
 fn a_freak_answer_does_not_set_a_servers_quickest_for_good() {
     let mut proxy = Proxy::of_four();
     let key = key_for("a1");
-    proxy.chooser.probed("a1", Span::from_ms(0.05), proxy.now, &mut proxy.notes);
+    proxy.chooser.probed("a1", Duration::from_ms(0.05), proxy.now, &mut proxy.notes);
     for _ in 0..40 {
-        proxy.chooser.probed("a1", Span::millis(2), proxy.now, &mut proxy.notes);
+        proxy.chooser.probed("a1", Duration::from_millis(2), proxy.now, &mut proxy.notes);
     }
     proxy.passes(60_000);
     assert_eq!(proxy.settles(plain(&key)).as_deref(), Some("a1"));
-    proxy.chooser.probed("a1", Span::millis(2), proxy.now, &mut proxy.notes);
+    proxy.chooser.probed("a1", Duration::from_millis(2), proxy.now, &mut proxy.notes);
     assert!(proxy.notes.sent_away.is_empty());
 }
--- a/tests/stories/told.rs
+++ b/tests/stories/told.rs
@@ -4,26 +4,27 @@
 use crate::fake::*;
 use nanorand::{Rng, WyRand};
 use shelfgrade::choice::{Chooser, WarmUp};
-use shelfgrade::time::{Point, Span};
+use shelfgrade::time::{DurationExt, Timestamp};
+use std::time::Duration;
 
-const COUNTS_AFTER: Span = Span::millis(6000);
+const COUNTS_AFTER: Duration = Duration::from_millis(6000);
 /// A call that is taken and worked through has its answer in this time, in its turn among others.
-const ANSWERED_IN: Span = Span::millis(500);
+const ANSWERED_IN: Duration = Duration::from_millis(500);
 /// As the program on sockets does: a call may be silent for so long, and a connection may take so long to come up.
-const SILENT_FOR: Span = Span::millis(2800);
-const DIALS_FOR: Span = Span::millis(1000);
+const SILENT_FOR: Duration = Duration::from_millis(2800);
+const DIALS_FOR: Duration = Duration::from_millis(1000);
 
-fn one_of(proxies: usize, must_ask_in: Option<Span>, seed: u64) -> Proxy {
+fn one_of(proxies: usize, must_ask_in: Option<Duration>, seed: u64) -> Proxy {
     let warm_up = WarmUp {
         cold_from: 0.3,
-        cold_span: Span::millis(8000),
+        cold_span: Duration::from_millis(8000),
         fall_multiple: 3.0,
-        overload_span: Span::millis(2000),
+        overload_span: Duration::from_millis(2000),
         all_hold: None,
         each_holds: 30.0,
         proxies: proxies as f64,
     };
-    let chooser = Chooser::new(seed, Vec::new(), 4, Span::millis(1000), must_ask_in, warm_up);
+    let chooser = Chooser::new(seed, Vec::new(), 4, Duration::from_millis(1000), must_ask_in, warm_up);
     let mut proxy = Proxy::of_four();
     proxy.notes = Notes::default();
     proxy.chooser = chooser;
@@ -31,7 +32,7 @@
 }
 
 /// Lives until it asks for the list again, and says when; what it asked before is done with.
-fn asks(proxy: &mut Proxy) -> Point {
+fn asks(proxy: &mut Proxy) -> Timestamp {
     while proxy.notes.subscribed == 0 {
         let at = proxy.notes.alarms.iter().copied().min().expect("it will ask");
         proxy.lives(at.since(proxy.now).as_ms().ceil() as u64);
@@ -42,13 +43,13 @@
 }
 
 /// What becomes of a call that brings nothing; where the service is there by `from`, it refuses nobody any longer.
-fn fails(proxy: &mut Proxy, chance: &mut WyRand, from: Point) {
+fn fails(proxy: &mut Proxy, chance: &mut WyRand, from: Timestamp) {
     let began = proxy.now;
-    let lasts = |most: Span, chance: &mut WyRand| most.times(f64::from(chance.generate::<f32>()));
+    let lasts = |most: Duration, chance: &mut WyRand| most.scaled(f64::from(chance.generate::<f32>()));
     match chance.generate_range(0..4) {
         // Refused or reset at once, or kept in turn and then refused: not once it can be reached.
-        0 => proxy.now = began + lasts(Span::millis(30), chance),
-        1 => proxy.now = (began + lasts(Span::millis(2000), chance)).min(from.max(began)),
+        0 => proxy.now = began + lasts(Duration::from_millis(30), chance),
+        1 => proxy.now = (began + lasts(Duration::from_millis(2000), chance)).min(from.max(began)),
         2 => proxy.now = began + DIALS_FOR,
         _ => {
             proxy.now = began + SILENT_FOR;
@@ -67,10 +68,11 @@
         [(3, 10_000), (24, 10_000), (300, 10_000), (300, 60_000), (300, 1500), (3800, 10_000), (300, 0)]
     {
         for seed in 0..400 {
-            let must_ask_in = Some(Span::millis(must_ask_in)).filter(|time| *time > Span::default());
+            let must_ask_in = Some(Duration::from_millis(must_ask_in)).filter(|time| *time > Duration::ZERO);
             let mut proxy = one_of(proxies, must_ask_in, seed);
-            proxy.now = Point::from_ms(60_000.0);
-            let mut from = proxy.now + Span::millis(20_000).times(f64::from(chance.generate::<f32>()));
+            proxy.now = Timestamp::from_ms(60_000.0);
+            let mut from =
+                proxy.now + Duration::from_millis(20_000).scaled(f64::from(chance.generate::<f32>()));
             let restarts = seed % 2 == 0;
             proxy.chooser.start(&TWELVE.map(server), proxy.now, &mut proxy.notes);
             if !restarts {
@@ -134,7 +136,7 @@
             let start = proxy.now;
             proxy.chooser.start(&TWELVE.map(server), proxy.now, &mut proxy.notes);
             let mut own = Vec::new();
-            while proxy.now.since(start) < Span::millis(30_000) {
+            while proxy.now.since(start) < Duration::from_millis(30_000) {
                 let began = asks(&mut proxy);
                 own.push(began.since(start));
                 proxy.chooser.list_failed(began, began, &mut proxy.notes);
@@ -145,7 +147,7 @@
         let first_second = calls.iter().map(|own| own[1]).min().expect("proxies");
         assert!(last_first <= first_second, "{proxies}: {last_first:?} {first_second:?}");
         // Once the pauses have their full length: 1.4 s, whatever the number of proxies.
-        let late = Span::millis(20_000)..Span::millis(30_000);
+        let late = Duration::from_millis(20_000)..Duration::from_millis(30_000);
         let late = calls.iter().flatten().filter(|at| late.contains(at)).count();
         let a_second = late as f64 / 10.0;
         assert!(a_second <= proxies as f64 / 1.25, "{proxies}: {a_second}");
@@ -157,13 +159,16 @@
 fn no_pause_is_longer_than_four_fifths_of_the_time_to_ask_in_however_short_that_is() {
     for (ms, proxies) in [100, 300, 800, 10_000].into_iter().flat_map(|ms| [(ms, 3), (ms, 300)]) {
         for seed in 0..50 {
-            let mut proxy = one_of(proxies, Some(Span::millis(ms)), seed);
+            let mut proxy = one_of(proxies, Some(Duration::from_millis(ms)), seed);
             let mut last = proxy.now;
             proxy.chooser.start(&TWELVE.map(server), proxy.now, &mut proxy.notes);
             for _ in 0..6 {
                 let began = asks(&mut proxy);
                 let pause = began.since(last);
-                assert!(pause <= Span::millis(ms).times(0.8) + Span::millis(1), "{ms}, {proxies}: {pause:?}");
+                assert!(
+                    pause <= Duration::from_millis(ms).scaled(0.8) + Duration::from_millis(1),
+                    "{ms}, {proxies}: {pause:?}"
+                );
                 last = began;
                 proxy.chooser.list_failed(began, began, &mut proxy.notes);
             }
--- a/tests/stories/trust.rs
+++ b/tests/stories/trust.rs
@@ -41,7 +41,7 @@
         let tries: Vec<bool> = (0..10).map(|_| proxy.settles(plain(&key)).is_some()).collect();
         assert!(tries.iter().all(|t| *t == tries[0]), "{tries:?}");
         admitted[usize::from(tries[0])] += 1;
-        proxy.now = shelfgrade::time::Point::from_ms(60_100.0);
+        proxy.now = shelfgrade::time::Timestamp::from_ms(60_100.0);
     }
     assert!(admitted[0] > 0 && admitted[1] > 0, "{admitted:?}");
     // Between two notes the score does not fade, so that nobody slips in.
