--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -17,8 +17,8 @@
 fn main() -> ExitCode {
     match Adapter::default().run(io::stdin().lock(), io::stdout().lock()) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("shelfgrade-adapter: {fault:#}");
+        Err(error) => {
+            eprintln!("shelfgrade-adapter: {error:#}");
             ExitCode::FAILURE
         }
     }
--- a/crates/cells/src/apply.rs
+++ b/crates/cells/src/apply.rs
@@ -2,7 +2,7 @@
 
 use crate::rank;
 use crate::record::{
-    Action, Batch, Cell, CellId, Change, ChangeFault, Key, Member, Record, Value, Version, MOST_ENTRIES,
+    Action, Batch, Cell, CellId, Change, ChangeError, Key, Member, Record, Value, Version, MOST_ENTRIES,
     MOST_IN_BATCH, WHOLE,
 };
 use crate::state::State;
@@ -13,15 +13,15 @@
 
 impl State {
     /// Applies what was chosen for the slot after the last, and tells of each change what it came to.
-    pub fn apply(&mut self, slot: u64, batch: &Batch, horizon: u64) -> Vec<(u64, Result<(), ChangeFault>)> {
+    pub fn apply(&mut self, slot: u64, batch: &Batch, horizon: u64) -> Vec<(u64, Result<(), ChangeError>)> {
         let mut outcomes = Vec::new();
         for (index, change) in batch.iter().take(MOST_IN_BATCH).enumerate() {
             let at = |place: u64| Version::at(slot, 4 * index as u64 + place);
             let outcome = match self.get(&Key::Done(change.id)) {
-                Some(_) => Err(ChangeFault::Again),
+                Some(_) => Err(ChangeError::Again),
                 None => self.carry_out(change, at(0)),
             };
-            if outcome != Err(ChangeFault::Again) {
+            if outcome != Err(ChangeError::Again) {
                 let done = Record { key: Key::Done(change.id), version: at(3), value: Some(Value::Done) };
                 self.set(done);
             }
@@ -88,9 +88,9 @@
         u64::from(WHOLE).saturating_sub(given) as u32
     }
 
-    fn carry_out(&mut self, change: &Change, at: Version) -> Result<(), ChangeFault> {
+    fn carry_out(&mut self, change: &Change, at: Version) -> Result<(), ChangeError> {
         if !change.within_bounds() {
-            return Err(ChangeFault::OverBound);
+            return Err(ChangeError::OverBound);
         }
         match &change.action {
             Action::AddCell { cell, region, places, quota } => {
@@ -100,9 +100,9 @@
                 self.add(*cell, name, *address, *incarnation, at)
             }
             Action::Replace { cell, name, address, incarnation } => {
-                let held = self.member(*cell, name).ok_or(ChangeFault::NoMember)?;
+                let held = self.member(*cell, name).ok_or(ChangeError::NoMember)?;
                 if held.incarnation >= *incarnation {
-                    return Err(ChangeFault::NoMember);
+                    return Err(ChangeError::NoMember);
                 }
                 let place = held.place;
                 let member = Member { address: *address, incarnation: *incarnation, place, removed: false };
@@ -111,13 +111,13 @@
             }
             Action::Remove { cell, name } => {
                 let held = self.member(*cell, name).filter(|held| !held.removed);
-                let member = Member { removed: true, ..held.ok_or(ChangeFault::NoMember)?.clone() };
+                let member = Member { removed: true, ..held.ok_or(ChangeError::NoMember)?.clone() };
                 self.write_member(*cell, name, Some(member), at);
                 Ok(())
             }
             Action::Ended { cell, name, incarnation } => {
                 let held = self.member(*cell, name).filter(|held| held.incarnation == *incarnation);
-                held.ok_or(ChangeFault::NoMember)?;
+                held.ok_or(ChangeError::NoMember)?;
                 self.write_member(*cell, name, None, at);
                 Ok(())
             }
@@ -125,7 +125,7 @@
                 let key = Key::Entry(key.clone());
                 let new = self.get(&key).is_none_or(|held| held.value.is_none());
                 if new && self.entries() >= MOST_ENTRIES {
-                    return Err(ChangeFault::OverBound);
+                    return Err(ChangeError::OverBound);
                 }
                 self.set(Record { key, version: at, value: Some(Value::Entry(value.clone())) });
                 Ok(())
@@ -139,7 +139,7 @@
             }
             Action::Grow { cell, by } => {
                 if *by > self.free() {
-                    return Err(ChangeFault::NotFree);
+                    return Err(ChangeError::NotFree);
                 }
                 self.change_cell(*cell, at, |held| {
                     held.quota += by;
@@ -148,7 +148,7 @@
             }
             Action::Shrink { cell, by } => self.change_cell(*cell, at, |held| {
                 if held.escrow > 0 {
-                    return Err(ChangeFault::Pending);
+                    return Err(ChangeError::Pending);
                 }
                 let by = (*by).min(held.quota);
                 held.quota -= by;
@@ -158,7 +158,7 @@
             }),
             Action::Release { cell, at: given_up } => self.change_cell(*cell, at, |held| {
                 if held.escrow == 0 || held.shrunk != *given_up {
-                    return Err(ChangeFault::NothingGivenUp);
+                    return Err(ChangeError::NothingGivenUp);
                 }
                 held.escrow = 0;
                 Ok(())
@@ -173,12 +173,12 @@
         places: u16,
         quota: u32,
         at: Version,
-    ) -> Result<(), ChangeFault> {
+    ) -> Result<(), ChangeError> {
         if self.cell(cell).is_some() {
-            return Err(ChangeFault::CellTwice);
+            return Err(ChangeError::CellTwice);
         }
         if quota > self.free() {
-            return Err(ChangeFault::NotFree);
+            return Err(ChangeError::NotFree);
         }
         let value =
             Cell { region, quota, escrow: 0, shrunk: Version(0), places, members: 0, contacts: Vec::new() };
@@ -193,11 +193,11 @@
         address: SocketAddr,
         incarnation: u32,
         at: Version,
-    ) -> Result<(), ChangeFault> {
-        let places = self.cell(cell).ok_or(ChangeFault::NoCell)?.places;
+    ) -> Result<(), ChangeError> {
+        let places = self.cell(cell).ok_or(ChangeError::NoCell)?.places;
         let cells: Vec<_> = self.cells().map(|(id, _)| id).collect();
         if cells.iter().any(|of| self.member(*of, name).is_some()) {
-            return Err(ChangeFault::Twice);
+            return Err(ChangeError::Twice);
         }
         let mut taken = vec![false; usize::from(places)];
         for (_, holder) in self.holders(cell) {
@@ -205,7 +205,7 @@
                 *place = true;
             }
         }
-        let place = taken.iter().position(|taken| !taken).ok_or(ChangeFault::NoPlace)? as u16;
+        let place = taken.iter().position(|taken| !taken).ok_or(ChangeError::NoPlace)? as u16;
         let member = Member { address, incarnation, place, removed: false };
         self.write_member(cell, name, Some(member), at);
         Ok(())
@@ -234,9 +234,9 @@
         &mut self,
         cell: CellId,
         at: Version,
-        change: impl FnOnce(&mut Cell) -> Result<(), ChangeFault>,
-    ) -> Result<(), ChangeFault> {
-        let mut held = self.cell(cell).ok_or(ChangeFault::NoCell)?.clone();
+        change: impl FnOnce(&mut Cell) -> Result<(), ChangeError>,
+    ) -> Result<(), ChangeError> {
+        let mut held = self.cell(cell).ok_or(ChangeError::NoCell)?.clone();
         change(&mut held)?;
         self.set(Record { key: Key::Cell(cell), version: at, value: Some(Value::Cell(held)) });
         Ok(())
--- a/crates/cells/src/follow.rs
+++ b/crates/cells/src/follow.rs
@@ -2,7 +2,7 @@
 
 use crate::packet::{Message, ROOM};
 use crate::record::{Record, Scope, Version};
-use crate::state::{Delta, DeltaFault, Merged, State};
+use crate::state::{Delta, DeltaError, Merged, State};
 
 /// A state, and the one that takes its place once it is whole.
 pub struct Follower {
@@ -43,7 +43,7 @@
     }
 
     /// Takes in an answer. A state that takes the old one's place tells all of it as news.
-    pub fn take(&mut self, delta: &Delta) -> Result<Merged, DeltaFault> {
+    pub fn take(&mut self, delta: &Delta) -> Result<Merged, DeltaError> {
         if self.anew.is_none() && !self.state.needs_anew(delta) {
             return self.state.merge(delta);
         }
--- a/crates/cells/src/lib.rs
+++ b/crates/cells/src/lib.rs
@@ -22,15 +22,15 @@
 
 pub use apply::HORIZON;
 pub use follow::Follower;
-pub use packet::{fleet, read, write, Ballot, Message, PacketFault, Paxos, LONGEST, ROOM};
+pub use packet::{fleet, read, write, Ballot, Message, PacketError, Paxos, LONGEST, ROOM};
 pub use process::{Kept, Process, Start};
 pub use record::{
-    Action, Batch, Cell, CellId, Change, ChangeFault, Key, Member, Record, Scope, Value, Version,
+    Action, Batch, Cell, CellId, Change, ChangeError, Key, Member, Record, Scope, Value, Version,
     LONGEST_KEY, LONGEST_NAME, LONGEST_VALUE, MOST_ENTRIES, MOST_PLACES, WHOLE,
 };
 pub use replica::{Replica, Stored, Vote};
-pub use roster::{Peer, Peers, RosterFault};
-pub use state::{Delta, DeltaFault, Merged, State};
+pub use roster::{Peer, Peers, RosterError};
+pub use state::{Delta, DeltaError, Merged, State};
 
 use std::net::SocketAddr;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
@@ -43,7 +43,7 @@
     /// A record is new, or has changed, or is gone.
     fn news(&mut self, record: &Record);
     /// What a change that was submitted here came to.
-    fn outcome(&mut self, id: u64, outcome: Result<(), ChangeFault>);
+    fn outcome(&mut self, id: u64, outcome: Result<(), ChangeError>);
     /// A datagram, or a part of one, or of what was stored, was refused.
     fn refused(&mut self, why: &'static str);
 }
--- a/crates/cells/src/packet.rs
+++ b/crates/cells/src/packet.rs
@@ -1,6 +1,6 @@
 //! What goes in one datagram, and what is refused unread.
 
-use crate::record::{Batch, CellId, Change, ChangeFault, Scope, Version};
+use crate::record::{Batch, CellId, Change, ChangeError, Scope, Version};
 use crate::state::Delta;
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
@@ -83,14 +83,14 @@
     Submit(Change),
     Outcome {
         id: u64,
-        outcome: Result<(), ChangeFault>,
+        outcome: Result<(), ChangeError>,
     },
     Paxos(Paxos),
 }
 
 /// Why a datagram is refused; nothing of it is used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum PacketFault {
+pub enum PacketError {
     #[error("of another fleet: see who sends to this address")]
     Foreign,
     #[error("of another format: see that all processes run one version")]
@@ -101,14 +101,14 @@
     Unreadable,
 }
 
-impl PacketFault {
+impl PacketError {
     /// The name it is counted under.
     pub fn name(self) -> &'static str {
         match self {
-            PacketFault::Foreign => "cells datagrams of others",
-            PacketFault::OtherFormat => "cells datagrams of another format",
-            PacketFault::Damaged => "cells datagrams damaged",
-            PacketFault::Unreadable => "cells datagrams not to be read",
+            PacketError::Foreign => "cells datagrams of others",
+            PacketError::OtherFormat => "cells datagrams of another format",
+            PacketError::Damaged => "cells datagrams damaged",
+            PacketError::Unreadable => "cells datagrams not to be read",
         }
     }
 }
@@ -130,25 +130,25 @@
     bytes
 }
 
-pub fn read(fleet: u64, bytes: &[u8]) -> Result<Message, PacketFault> {
+pub fn read(fleet: u64, bytes: &[u8]) -> Result<Message, PacketError> {
     let (Some(format), Some(of), Some(check)) = (bytes.first(), bytes.get(1..9), bytes.get(9..HEAD)) else {
-        return Err(PacketFault::Unreadable);
+        return Err(PacketError::Unreadable);
     };
     if bytes.len() > LONGEST {
-        return Err(PacketFault::Unreadable);
+        return Err(PacketError::Unreadable);
     }
     if of != fleet.to_le_bytes() {
-        return Err(PacketFault::Foreign);
+        return Err(PacketError::Foreign);
     }
     if *format != FORMAT {
-        return Err(PacketFault::OtherFormat);
+        return Err(PacketError::OtherFormat);
     }
     let body = &bytes[HEAD..];
     if check != (xxh3_64_with_seed(body, fleet) as u32).to_le_bytes() {
-        return Err(PacketFault::Damaged);
+        return Err(PacketError::Damaged);
     }
     match postcard::take_from_bytes(body) {
         Ok((message, [])) => Ok(message),
-        _ => Err(PacketFault::Unreadable),
+        _ => Err(PacketError::Unreadable),
     }
 }
--- a/crates/cells/src/process.rs
+++ b/crates/cells/src/process.rs
@@ -7,7 +7,7 @@
 use crate::record::{CellId, Change, Key, Record, Scope, Version};
 use crate::rights::Acks;
 use crate::roster::Peers;
-use crate::state::{Delta, DeltaFault, Merged, State};
+use crate::state::{Delta, DeltaError, Merged, State};
 use crate::swim::Swim;
 use crate::{rank, Surroundings};
 use nanorand::{Rng, WyRand};
@@ -213,7 +213,7 @@
     ) {
         let message = match packet::read(self.fleet, datagram) {
             Ok(message) => message,
-            Err(fault) => return around.refused(fault.name()),
+            Err(error) => return around.refused(error.name()),
         };
         match message {
             Message::Swim(bytes) => self.heard_swim(from, &bytes, now, around),
@@ -277,9 +277,9 @@
     ) {
         let merged = match self.follower.take(delta) {
             Ok(merged) => merged,
-            Err(DeltaFault::Gap) => Merged::default(),
-            Err(DeltaFault::Disorder) => return around.refused("cells answers out of order"),
-            Err(DeltaFault::Fork) => return around.refused("cells answers with a fork"),
+            Err(DeltaError::Gap) => Merged::default(),
+            Err(DeltaError::Disorder) => return around.refused("cells answers out of order"),
+            Err(DeltaError::Fork) => return around.refused("cells answers with a fork"),
         };
         merged.news.iter().for_each(|record| around.news(record));
         let own = |record: &Record| matches!(&record.key, Key::Member(cell, _) if *cell == self.cell);
--- a/crates/cells/src/record.rs
+++ b/crates/cells/src/record.rs
@@ -190,7 +190,7 @@
 
 /// Why a change changes nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error, Serialize, Deserialize)]
-pub enum ChangeFault {
+pub enum ChangeError {
     #[error("counted already: nothing to do")]
     Again,
     #[error("a member of this name is there already: give each process a name of its own, or replace it")]
--- a/crates/cells/src/replica.rs
+++ b/crates/cells/src/replica.rs
@@ -5,9 +5,9 @@
 use crate::packet::{self, Ballot, Message, Paxos};
 use crate::paxos::{Proposal, Queue};
 use crate::rate::Rate;
-use crate::record::{Batch, Change, ChangeFault, Key, Record, Scope, Version};
+use crate::record::{Batch, Change, ChangeError, Key, Record, Scope, Version};
 use crate::roster::Peers;
-use crate::state::{DeltaFault, State};
+use crate::state::{DeltaError, State};
 use crate::Surroundings;
 use nanorand::{Rng, WyRand};
 use serde::{Deserialize, Serialize};
@@ -226,10 +226,10 @@
         around: &mut dyn Surroundings,
     ) {
         if self.state().get(&Key::Done(change.id)).is_some() {
-            self.tell(change.id, Err(ChangeFault::Again), from, now, around);
+            self.tell(change.id, Err(ChangeError::Again), from, now, around);
         } else if !change.within_bounds() {
             around.refused("cells changes over a bound");
-            self.tell(change.id, Err(ChangeFault::OverBound), from, now, around);
+            self.tell(change.id, Err(ChangeError::OverBound), from, now, around);
         } else if !self.queue.push(change, from, from.is_some_and(|from| self.peers.id(from).is_some())) {
             around.refused("cells changes over the queue");
         } else {
@@ -240,7 +240,7 @@
     fn tell(
         &mut self,
         id: u64,
-        outcome: Result<(), ChangeFault>,
+        outcome: Result<(), ChangeError>,
         to: Option<SocketAddr>,
         now: Timestamp,
         around: &mut dyn Surroundings,
@@ -259,7 +259,7 @@
         around: &mut dyn Surroundings,
     ) {
         match packet::read(self.fleet, datagram) {
-            Err(fault) => around.refused(fault.name()),
+            Err(error) => around.refused(error.name()),
             Ok(Message::Paxos(message)) => match self.peers.id(from) {
                 Some(from) => self.heard_paxos(from, message, now, around),
                 None => around.refused("cells votes from no replica"),
@@ -281,9 +281,9 @@
                             self.caught_up(around);
                         }
                     }
-                    Err(DeltaFault::Gap) => {}
-                    Err(DeltaFault::Disorder) => around.refused("cells answers out of order"),
-                    Err(DeltaFault::Fork) => around.refused("cells answers with a fork"),
+                    Err(DeltaError::Gap) => {}
+                    Err(DeltaError::Disorder) => around.refused("cells answers out of order"),
+                    Err(DeltaError::Fork) => around.refused("cells answers with a fork"),
                 }
                 self.propose(now, around);
             }
--- a/crates/cells/src/roster.rs
+++ b/crates/cells/src/roster.rs
@@ -11,7 +11,7 @@
 
 /// Why replicas make no roster.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
-pub enum RosterFault {
+pub enum RosterError {
     #[error("no replica is named: name every machine that is set aside for the log")]
     Empty,
     #[error("{0} replicas: {MOST} at most; ten are enough for any fleet")]
@@ -29,19 +29,19 @@
 pub struct Peers(Vec<Peer>);
 
 impl Peers {
-    pub fn new(peers: Vec<Peer>) -> Result<Self, RosterFault> {
+    pub fn new(peers: Vec<Peer>) -> Result<Self, RosterError> {
         if peers.is_empty() {
-            return Err(RosterFault::Empty);
+            return Err(RosterError::Empty);
         }
         if peers.len() > MOST {
-            return Err(RosterFault::TooMany(peers.len()));
+            return Err(RosterError::TooMany(peers.len()));
         }
         let twice = peers
             .iter()
             .enumerate()
             .find(|(index, peer)| peers[..*index].iter().any(|before| before.address == peer.address));
         match twice {
-            Some((_, peer)) => Err(RosterFault::Twice(peer.address)),
+            Some((_, peer)) => Err(RosterError::Twice(peer.address)),
             None => Ok(Peers(peers)),
         }
     }
--- a/crates/cells/src/state.rs
+++ b/crates/cells/src/state.rs
@@ -38,7 +38,7 @@
 
 /// Why a delta changes nothing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum DeltaFault {
+pub enum DeltaError {
     #[error("a gap before it: what lies between is asked for")]
     Gap,
     #[error("a record that is not in its span or out of order: see that all processes run one version")]
@@ -234,21 +234,21 @@
     }
 
     /// Takes in what another holds.
-    pub fn merge(&mut self, delta: &Delta) -> Result<Merged, DeltaFault> {
+    pub fn merge(&mut self, delta: &Delta) -> Result<Merged, DeltaError> {
         let mut last = delta.after;
         for record in &delta.records {
             if record.version <= last || record.version > delta.to || !self.scope.has(&record.key) {
-                return Err(DeltaFault::Disorder);
+                return Err(DeltaError::Disorder);
             }
             last = record.version;
         }
         // Who holds less than the asker has nothing to give.
         let gives = delta.to > delta.after;
         if (gives && delta.head < delta.to) || delta.horizon > delta.head {
-            return Err(DeltaFault::Disorder);
+            return Err(DeltaError::Disorder);
         }
         if delta.records.iter().any(|record| self.forks(record)) || self.differs(delta) {
-            return Err(DeltaFault::Fork);
+            return Err(DeltaError::Fork);
         }
         let to = self.to;
         let newer = delta.records.iter().filter(|record| record.version > to);
@@ -260,7 +260,7 @@
         }
         self.head = self.head.max(delta.head);
         if delta.after > self.to {
-            return if merged.news.is_empty() { Err(DeltaFault::Gap) } else { Ok(merged) };
+            return if merged.news.is_empty() { Err(DeltaError::Gap) } else { Ok(merged) };
         }
         merged.further = delta.to > self.to;
         self.to = self.to.max(delta.to);
--- a/crates/cells/tests/log.rs
+++ b/crates/cells/tests/log.rs
@@ -1,7 +1,7 @@
 //! The log: what its changes come to, what a replica may do with the disk it has, and what is refused.
 
 use shelfgrade_cells::{
-    write, Action, Ballot, CellId, Change, ChangeFault, Message, Paxos, Peer, Peers, RosterFault, Scope,
+    write, Action, Ballot, CellId, Change, ChangeError, Message, Paxos, Peer, Peers, RosterError, Scope,
     State, Stored, Version, Vote,
 };
 use shelfgrade_trials::cells::fleet::{percentile, TEN};
@@ -76,7 +76,7 @@
     // Its writer never heard of it, and asks another replica.
     world.submit(2, put(1, "k", 1));
     world.passes(2000);
-    assert_eq!(world.outcomes.get(&1), Some(&Err(ChangeFault::Again)));
+    assert_eq!(world.outcomes.get(&1), Some(&Err(ChangeError::Again)));
     for node in 0..3 {
         let state = world.replica(node).expect("runs").state();
         assert_eq!(state.entry("k"), Some(&[2][..]), "the older change undid the newer one");
@@ -107,48 +107,48 @@
         state.apply(slot, &vec![change], 64).pop().map(|(_, outcome)| outcome).expect("one")
     };
     assert_eq!(outcome(cell(1, 1, 2, 600_000)), Ok(()));
-    assert_eq!(outcome(cell(2, 1, 2, 0)), Err(ChangeFault::CellTwice));
-    assert_eq!(outcome(cell(3, 2, 2, 400_001)), Err(ChangeFault::NotFree), "over the whole");
+    assert_eq!(outcome(cell(2, 1, 2, 0)), Err(ChangeError::CellTwice));
+    assert_eq!(outcome(cell(3, 2, 2, 400_001)), Err(ChangeError::NotFree), "over the whole");
     assert_eq!(outcome(cell(4, 2, 2, 400_000)), Ok(()));
     assert_eq!(outcome(add(5, 1, "a")), Ok(()));
-    assert_eq!(outcome(add(6, 1, "a")), Err(ChangeFault::Twice));
-    assert_eq!(outcome(add(7, 2, "a")), Err(ChangeFault::Twice), "in another cell");
-    assert_eq!(outcome(add(8, 3, "b")), Err(ChangeFault::NoCell));
+    assert_eq!(outcome(add(6, 1, "a")), Err(ChangeError::Twice));
+    assert_eq!(outcome(add(7, 2, "a")), Err(ChangeError::Twice), "in another cell");
+    assert_eq!(outcome(add(8, 3, "b")), Err(ChangeError::NoCell));
     assert_eq!(outcome(add(9, 1, "b")), Ok(()));
-    assert_eq!(outcome(add(10, 1, "c")), Err(ChangeFault::NoPlace));
+    assert_eq!(outcome(add(10, 1, "c")), Err(ChangeError::NoPlace));
     let own = CellId(1);
     let of = |name: &str| (own, name.to_owned());
     let (cell, name) = of("a");
     assert_eq!(outcome(Change { id: 11, action: Action::Remove { cell, name } }), Ok(()));
-    assert_eq!(outcome(add(12, 1, "c")), Err(ChangeFault::NoPlace), "nobody said that it ended");
+    assert_eq!(outcome(add(12, 1, "c")), Err(ChangeError::NoPlace), "nobody said that it ended");
     let (cell, name) = of("a");
     let ended =
         |id, incarnation| Change { id, action: Action::Ended { cell, name: name.clone(), incarnation } };
-    assert_eq!(outcome(ended(13, 2)), Err(ChangeFault::NoMember), "another incarnation");
+    assert_eq!(outcome(ended(13, 2)), Err(ChangeError::NoMember), "another incarnation");
     assert_eq!(outcome(ended(14, 1)), Ok(()));
     assert_eq!(outcome(add(15, 1, "c")), Ok(()));
     let grow = |id, by| Change { id, action: Action::Grow { cell: own, by } };
     let shrink = |id, by| Change { id, action: Action::Shrink { cell: own, by } };
-    assert_eq!(outcome(grow(16, 1)), Err(ChangeFault::NotFree));
+    assert_eq!(outcome(grow(16, 1)), Err(ChangeError::NotFree));
     assert_eq!(outcome(shrink(17, 100)), Ok(()));
-    assert_eq!(outcome(grow(18, 1)), Err(ChangeFault::NotFree), "it may be in use still");
-    assert_eq!(outcome(shrink(19, 100)), Err(ChangeFault::Pending));
+    assert_eq!(outcome(grow(18, 1)), Err(ChangeError::NotFree), "it may be in use still");
+    assert_eq!(outcome(shrink(19, 100)), Err(ChangeError::Pending));
     let at = Version::at(17, 0);
     let release = |id, at| Change { id, action: Action::Release { cell: own, at } };
-    assert_eq!(outcome(release(20, Version::at(16, 0))), Err(ChangeFault::NothingGivenUp));
+    assert_eq!(outcome(release(20, Version::at(16, 0))), Err(ChangeError::NothingGivenUp));
     // The number of the slot is the number of the change here.
     assert_eq!(outcome(release(21, at)), Ok(()));
-    assert_eq!(outcome(release(22, at)), Err(ChangeFault::NothingGivenUp), "once");
+    assert_eq!(outcome(release(22, at)), Err(ChangeError::NothingGivenUp), "once");
     assert_eq!(outcome(grow(23, 100)), Ok(()));
-    assert_eq!(outcome(put(24, &"k".repeat(97), 1)), Err(ChangeFault::OverBound));
+    assert_eq!(outcome(put(24, &"k".repeat(97), 1)), Err(ChangeError::OverBound));
 }
 
 #[test]
 fn replicas_that_are_named_twice_are_refused() {
     let peer = |id| Peer { address: address(id), region: 0 };
-    assert_eq!(Peers::new(vec![peer(1), peer(2), peer(1)]), Err(RosterFault::Twice(address(1))));
-    assert_eq!(Peers::new(vec![]), Err(RosterFault::Empty));
-    assert_eq!(Peers::new((0..40).map(peer).collect()), Err(RosterFault::TooMany(40)));
+    assert_eq!(Peers::new(vec![peer(1), peer(2), peer(1)]), Err(RosterError::Twice(address(1))));
+    assert_eq!(Peers::new(vec![]), Err(RosterError::Empty));
+    assert_eq!(Peers::new((0..40).map(peer).collect()), Err(RosterError::TooMany(40)));
 }
 
 #[test]
--- a/crates/cells/tests/spread.rs
+++ b/crates/cells/tests/spread.rs
@@ -2,7 +2,7 @@
 
 use shelfgrade::time::{DurationExt, Timestamp};
 use shelfgrade_cells::{
-    fleet, write, Action, CellId, Change, Delta, DeltaFault, Follower, Key, Message, Record, Scope, State,
+    fleet, write, Action, CellId, Change, Delta, DeltaError, Follower, Key, Message, Record, Scope, State,
     Value, Version,
 };
 use shelfgrade_trials::cells::fleet::{percentile, put};
@@ -203,7 +203,7 @@
     let ahead = record("k1", 6, "ahead");
     assert!(held.take(&delta(5, 6, vec![ahead.clone()])).is_ok_and(|merged| merged.news == [ahead]));
     assert!(!held.state().whole(), "slots 4 and 5 are missing");
-    assert_eq!(held.take(&delta(5, 6, vec![])), Err(DeltaFault::Gap));
+    assert_eq!(held.take(&delta(5, 6, vec![])), Err(DeltaError::Gap));
     assert!(held.take(&delta(3, 6, vec![record("k2", 4, "x")])).is_ok_and(|merged| merged.further));
     assert!(held.state().whole());
 }
@@ -252,16 +252,16 @@
     let mut held = held();
     let before = (held.state().digest(), held.state().to());
     let twice = vec![record("a", 5, "x"), record("b", 4, "x")];
-    assert_eq!(held.take(&delta(3, 5, twice)), Err(DeltaFault::Disorder));
+    assert_eq!(held.take(&delta(3, 5, twice)), Err(DeltaError::Disorder));
     assert_eq!(
         held.take(&delta(3, 4, vec![record("a", 9, "x")])),
-        Err(DeltaFault::Disorder),
+        Err(DeltaError::Disorder),
         "not in its span"
     );
     let fork = record("other", 2, "x");
-    assert_eq!(held.take(&delta(1, 2, vec![fork])), Err(DeltaFault::Fork), "slot 2 wrote something else");
+    assert_eq!(held.take(&delta(1, 2, vec![fork])), Err(DeltaError::Fork), "slot 2 wrote something else");
     let other = Delta { digest: before.0 ^ 1, ..delta(3, 3, vec![]) };
-    assert_eq!(held.take(&other), Err(DeltaFault::Fork), "all up to the same version, and not the same");
+    assert_eq!(held.take(&other), Err(DeltaError::Fork), "all up to the same version, and not the same");
     assert_eq!((held.state().digest(), held.state().to()), before);
 }
 
--- a/crates/cells/tests/stored_bytes.rs
+++ b/crates/cells/tests/stored_bytes.rs
@@ -4,7 +4,7 @@
 use recorded::{hex, Recorded};
 use serde::{de::DeserializeOwned, Serialize};
 use shelfgrade_cells::{
-    fleet, read, write, Action, Ballot, Cell, CellId, Change, ChangeFault, Delta, Kept, Key, Member, Message,
+    fleet, read, write, Action, Ballot, Cell, CellId, Change, ChangeError, Delta, Kept, Key, Member, Message,
     Paxos, Record, Scope, Stored, Value, Version, Vote,
 };
 use std::fmt::Debug;
@@ -94,7 +94,7 @@
         ),
         ("submit", Message::Submit(batch()[0].clone())),
         ("outcome done", Message::Outcome { id: 1 << 40, outcome: Ok(()) }),
-        ("outcome refused", Message::Outcome { id: 1 << 40, outcome: Err(ChangeFault::OverBound) }),
+        ("outcome refused", Message::Outcome { id: 1 << 40, outcome: Err(ChangeError::OverBound) }),
         ("prepare", Message::Paxos(Paxos::Prepare { slot, ballot: BALLOT })),
         (
             "promise",
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -15,9 +15,9 @@
 mod swim;
 
 pub use map::{Entry, Map, Merged, Version, LONGEST_KEY, LONGEST_VALUE};
-pub use packet::{PacketFault, LONGEST};
+pub use packet::{PacketError, LONGEST};
 pub use rights::{Rights, LEASE, RENEW};
-pub use roster::{rank, Life, Roster, RosterFault, Seat};
+pub use roster::{rank, Life, Roster, RosterError, Seat};
 
 use packet::{Message, Packet};
 use serde::{de::DeserializeOwned, Serialize};
@@ -44,7 +44,7 @@
 
 /// Why a value was not put into the map.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
-pub enum PutFault {
+pub enum PutError {
     #[error(
         "{key}: {length} bytes where {LONGEST_VALUE} are the most: shorten it, or split it over several keys"
     )]
@@ -180,7 +180,7 @@
         key: &str,
         value: &T,
         around: &mut dyn Surroundings,
-    ) -> Result<Version, PutFault> {
+    ) -> Result<Version, PutError> {
         let count = self.version(key).map_or(1, |held| held.count + 1);
         let version = Version { count, by: self.me.born };
         self.put_at(key, value, version, around).map(|()| version)
@@ -193,22 +193,22 @@
         value: &T,
         version: Version,
         around: &mut dyn Surroundings,
-    ) -> Result<(), PutFault> {
+    ) -> Result<(), PutError> {
         let value = postcard::to_stdvec(value).unwrap_or_default();
         if value.len() > LONGEST_VALUE || key.len() > LONGEST_KEY {
-            return Err(PutFault::TooLong { key: key.to_owned(), length: value.len() });
+            return Err(PutError::TooLong { key: key.to_owned(), length: value.len() });
         }
         self.write(Entry { key: key.to_owned(), version, owner: self.me.seat, value: Some(value) }, around)
     }
 
     /// Deletes what is under a key, everywhere.
-    pub fn delete(&mut self, key: &str, around: &mut dyn Surroundings) -> Result<(), PutFault> {
+    pub fn delete(&mut self, key: &str, around: &mut dyn Surroundings) -> Result<(), PutError> {
         let Some(held) = self.version(key) else { return Ok(()) };
         let version = Version { count: held.count + 1, by: self.me.born };
         self.write(Entry { key: key.to_owned(), version, owner: self.me.seat, value: None }, around)
     }
 
-    fn write(&mut self, entry: Entry, around: &mut dyn Surroundings) -> Result<(), PutFault> {
+    fn write(&mut self, entry: Entry, around: &mut dyn Surroundings) -> Result<(), PutError> {
         let merged = self.known.borrow_mut().map.merge(entry.clone());
         match merged {
             Merged::News => {
@@ -217,7 +217,7 @@
                 Ok(())
             }
             Merged::Known => Ok(()),
-            Merged::OverBound => Err(PutFault::Full(entry.key)),
+            Merged::OverBound => Err(PutError::Full(entry.key)),
         }
     }
 
@@ -234,8 +234,8 @@
         let packet = match packet::read(&self.roster, datagram) {
             Ok(packet) if packet.message.seats_within(self.roster.size()) => packet,
             Ok(_) => return around.refused("fleet datagrams that name nobody"),
-            Err(PacketFault::Foreign) => return around.refused("fleet datagrams of others"),
-            Err(PacketFault::Damaged) => return around.refused("fleet datagrams damaged"),
+            Err(PacketError::Foreign) => return around.refused("fleet datagrams of others"),
+            Err(PacketError::Damaged) => return around.refused("fleet datagrams damaged"),
             Err(_) => return around.refused("fleet datagrams not to be read"),
         };
         let from = packet.from;
--- a/crates/fleet/src/packet.rs
+++ b/crates/fleet/src/packet.rs
@@ -50,7 +50,7 @@
 
 /// Why a datagram is refused; nothing of it is used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum PacketFault {
+pub enum PacketError {
     #[error("of another fleet, another roster or another format: see who sends to this address")]
     Foreign,
     #[error("damaged on its way: see the network between the processes")]
@@ -73,23 +73,23 @@
     [&tag.to_le_bytes()[..], &check.to_le_bytes()[..], &body].concat()
 }
 
-pub fn read(roster: &Roster, bytes: &[u8]) -> Result<Packet, PacketFault> {
+pub fn read(roster: &Roster, bytes: &[u8]) -> Result<Packet, PacketError> {
     let number = |at: usize| bytes.get(at..at + 8).and_then(|b| b.try_into().ok()).map(u64::from_le_bytes);
-    let (Some(fleet), Some(check)) = (number(0), number(8)) else { return Err(PacketFault::Unreadable) };
+    let (Some(fleet), Some(check)) = (number(0), number(8)) else { return Err(PacketError::Unreadable) };
     if fleet != tag(roster) {
-        return Err(PacketFault::Foreign);
+        return Err(PacketError::Foreign);
     }
     let body = &bytes[16..];
     if check != xxh3_64_with_seed(body, fleet) {
-        return Err(PacketFault::Damaged);
+        return Err(PacketError::Damaged);
     }
-    let (packet, rest): (Packet, _) = postcard::take_from_bytes(body).map_err(|_| PacketFault::Unreadable)?;
+    let (packet, rest): (Packet, _) = postcard::take_from_bytes(body).map_err(|_| PacketError::Unreadable)?;
     if !rest.is_empty() {
-        return Err(PacketFault::Unreadable);
+        return Err(PacketError::Unreadable);
     }
     match roster.name(packet.from.seat) {
         Some(_) => Ok(packet),
-        None => Err(PacketFault::Stranger),
+        None => Err(PacketError::Stranger),
     }
 }
 
--- a/crates/fleet/src/roster.rs
+++ b/crates/fleet/src/roster.rs
@@ -18,7 +18,7 @@
 
 /// Why names make no roster.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
-pub enum RosterFault {
+pub enum RosterError {
     #[error("no fellow is named: name every process of the fleet, this one included")]
     Empty,
     #[error("{0} fellows: a fleet has {MOST} at most; split it in two")]
@@ -49,17 +49,17 @@
 }
 
 impl Roster {
-    pub fn new(fleet: &str, names: impl IntoIterator<Item = String>, me: &str) -> Result<Self, RosterFault> {
+    pub fn new(fleet: &str, names: impl IntoIterator<Item = String>, me: &str) -> Result<Self, RosterError> {
         let mut names: Vec<_> = names.into_iter().collect();
         names.sort();
         if names.is_empty() {
-            return Err(RosterFault::Empty);
+            return Err(RosterError::Empty);
         }
         if names.len() > MOST {
-            return Err(RosterFault::TooMany(names.len()));
+            return Err(RosterError::TooMany(names.len()));
         }
         if let Some(twice) = names.windows(2).find(|pair| pair[0] == pair[1]) {
-            return Err(RosterFault::Twice(twice[0].clone()));
+            return Err(RosterError::Twice(twice[0].clone()));
         }
         let tag =
             names.iter().fold(xxh3_64(fleet.as_bytes()), |tag, name| xxh3_64_with_seed(name.as_bytes(), tag));
@@ -68,9 +68,9 @@
     }
 
     /// The same roster at another of its processes, in one copy where both are in one program.
-    pub fn seen_by(&self, me: &str) -> Result<Self, RosterFault> {
+    pub fn seen_by(&self, me: &str) -> Result<Self, RosterError> {
         let seat = self.shared.names.binary_search_by(|name| name.as_str().cmp(me));
-        let seat = seat.map_err(|_| RosterFault::NotMe(me.to_owned()))?;
+        let seat = seat.map_err(|_| RosterError::NotMe(me.to_owned()))?;
         Ok(Roster { shared: self.shared.clone(), me: Seat(seat as u16) })
     }
 
--- a/crates/maintenance/src/plan.rs
+++ b/crates/maintenance/src/plan.rs
@@ -8,7 +8,7 @@
 //! never empty two sites that either schedule does not allow together: a time that would meet one of those is held back
 //! whole.
 
-use crate::schedule::{Schedule, ScheduleFault, Time, MARGIN_MS};
+use crate::schedule::{Schedule, ScheduleError, Time, MARGIN_MS};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A site as it is now.
@@ -69,7 +69,7 @@
         &mut self,
         now: i64,
         sites: &BTreeMap<String, Site>,
-    ) -> Result<BTreeMap<String, Phase>, ScheduleFault> {
+    ) -> Result<BTreeMap<String, Phase>, ScheduleError> {
         let under_way = |time: &Time| time.empties <= now && now < time.ends;
         let mine = self.schedule.times(&self.schedule.windows, now - MARGIN_MS, now + MARGIN_MS)?;
         let all: usize = sites.values().map(|site| site.servers).sum();
@@ -115,7 +115,7 @@
         sites: &BTreeMap<String, Site>,
         all: usize,
         without: &BTreeSet<&str>,
-    ) -> Result<Option<String>, ScheduleFault> {
+    ) -> Result<Option<String>, ScheduleError> {
         if without.contains(time.site.as_str()) {
             return Ok(None);
         }
--- a/crates/maintenance/src/schedule.rs
+++ b/crates/maintenance/src/schedule.rs
@@ -88,7 +88,7 @@
 
 /// Why a schedule is refused, whole; the one before stays.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
-pub enum ScheduleFault {
+pub enum ScheduleError {
     #[error("line {line}, column {column}: {what}: correct it there")]
     Form { line: usize, column: usize, what: String },
     #[error("time_zone: {0} is not known: name one such as Africa/Dar_es_Salaam")]
@@ -104,23 +104,23 @@
 }
 
 impl Schedule {
-    pub fn parse(text: &str) -> Result<Self, ScheduleFault> {
-        toml::from_str(text).map_err(|fault| {
-            let before = &text[..fault.span().map_or(0, |span| span.start.min(text.len()))];
+    pub fn parse(text: &str) -> Result<Self, ScheduleError> {
+        toml::from_str(text).map_err(|error| {
+            let before = &text[..error.span().map_or(0, |span| span.start.min(text.len()))];
             let line = before.matches('\n').count() + 1;
             let column = before.chars().rev().take_while(|c| *c != '\n').count() + 1;
-            ScheduleFault::Form { line, column, what: fault.message().replace('\n', ", ") }
+            ScheduleError::Form { line, column, what: error.message().replace('\n', ", ") }
         })
     }
 
-    fn zone(&self) -> Result<TimeZone, ScheduleFault> {
-        TimeZone::get(&self.time_zone).map_err(|_| ScheduleFault::Zone(self.time_zone.clone()))
+    fn zone(&self) -> Result<TimeZone, ScheduleError> {
+        TimeZone::get(&self.time_zone).map_err(|_| ScheduleError::Zone(self.time_zone.clone()))
     }
 
     /// Checks it whole, `now` and for a year from then.
-    pub fn check(&self, now: i64) -> Result<(), ScheduleFault> {
+    pub fn check(&self, now: i64) -> Result<(), ScheduleError> {
         self.zone()?;
-        let figure = |key, value, wanted| Err(ScheduleFault::Figure { key, value, wanted });
+        let figure = |key, value, wanted| Err(ScheduleError::Figure { key, value, wanted });
         if self.most_at_once == 0 {
             return figure("most_at_once", 0.0, "one or more");
         }
@@ -128,7 +128,7 @@
             return figure("least_left", self.least_left, "a part from 0 to under 1");
         }
         if self.windows.len() > MOST_WINDOWS {
-            return Err(ScheduleFault::TooMany(self.windows.len()));
+            return Err(ScheduleError::TooMany(self.windows.len()));
         }
         let mut names = BTreeSet::new();
         for window in &self.windows {
@@ -137,7 +137,7 @@
         self.overlaps(now)
     }
 
-    fn overlaps(&self, now: i64) -> Result<(), ScheduleFault> {
+    fn overlaps(&self, now: i64) -> Result<(), ScheduleError> {
         let times = self.times(&self.windows, now, now + AHEAD_DAYS * DAY_MS)?;
         for (index, time) in times.iter().enumerate() {
             // They stand in the order in which they begin, and none lasts longer than the longest.
@@ -148,7 +148,7 @@
                 meets.iter().map(|t| t.site.as_str()).chain([time.site.as_str()]).collect();
             let other = meets.iter().find(|early| early.site != time.site);
             if let Some(first) = other.filter(|_| sites.len() > self.most_at_once) {
-                return Err(ScheduleFault::Overlap {
+                return Err(ScheduleError::Overlap {
                     first: first.window.clone(),
                     second: time.window.clone(),
                     at: shown(time.empties),
@@ -162,26 +162,26 @@
 
     /// All times of these windows that touch the span, in the order in which they begin. An hour that comes twice counts
     /// as the first one, one that does not exist as the hour after it.
-    pub fn times(&self, windows: &[Window], from: i64, to: i64) -> Result<Vec<Time>, ScheduleFault> {
+    pub fn times(&self, windows: &[Window], from: i64, to: i64) -> Result<Vec<Time>, ScheduleError> {
         let zone = self.zone()?;
         let mut times = Vec::new();
         for window in windows {
-            let fault =
-                |what: String| ScheduleFault::Window { window: window.name.clone(), place: "begins", what };
+            let error =
+                |what: String| ScheduleError::Window { window: window.name.clone(), place: "begins", what };
             let first: DateTime =
-                window.begins.parse().map_err(|_| fault(format!("{} is no date and time", window.begins)))?;
+                window.begins.parse().map_err(|_| error(format!("{} is no date and time", window.begins)))?;
             let step = match window.repeats {
                 Repeats::Once => 0,
                 Repeats::Daily => 1,
                 Repeats::Weekly => 7,
             };
             let (lead, lasts) = (i64::from(window.lead_s) * SECOND_MS, i64::from(window.lasts_s) * SECOND_MS);
-            let at = |n: i64| -> Result<i64, ScheduleFault> {
-                let day = first.checked_add((n * step).days()).map_err(|fault_| fault(fault_.to_string()))?;
+            let at = |n: i64| -> Result<i64, ScheduleError> {
+                let day = first.checked_add((n * step).days()).map_err(|fault_| error(fault_.to_string()))?;
                 let zoned = zone
                     .to_ambiguous_zoned_datetime(day)
                     .compatible()
-                    .map_err(|fault_| fault(fault_.to_string()))?;
+                    .map_err(|fault_| error(fault_.to_string()))?;
                 Ok(zoned.timestamp().as_millisecond())
             };
             let began = at(0)?;
@@ -214,24 +214,24 @@
 }
 
 impl Window {
-    fn check(&self, new: bool) -> Result<(), ScheduleFault> {
-        let fault = |place, what: &str| {
-            Err(ScheduleFault::Window { window: self.name.clone(), place, what: what.to_owned() })
+    fn check(&self, new: bool) -> Result<(), ScheduleError> {
+        let error = |place, what: &str| {
+            Err(ScheduleError::Window { window: self.name.clone(), place, what: what.to_owned() })
         };
         if self.name.is_empty() || !new {
-            return fault("name", "a name that no other has is wanted");
+            return error("name", "a name that no other has is wanted");
         }
         if self.site.is_empty() {
-            return fault("site", "the name of a zone is wanted");
+            return error("site", "the name of a zone is wanted");
         }
         if self.begins.parse::<DateTime>().is_err() {
-            return fault("begins", "a local date and time is wanted, such as 2026-12-05T01:00");
+            return error("begins", "a local date and time is wanted, such as 2026-12-05T01:00");
         }
         if !(1..=LONGEST).contains(&self.lasts_s) {
-            return fault("lasts_s", "a second to two weeks is wanted");
+            return error("lasts_s", "a second to two weeks is wanted");
         }
         if !(1..=LONGEST_LEAD).contains(&self.lead_s) {
-            return fault("lead_s", "a second to a day is wanted");
+            return error("lead_s", "a second to a day is wanted");
         }
         let period = match self.repeats {
             Repeats::Once => u32::MAX,
@@ -239,7 +239,7 @@
             Repeats::Weekly => 167 * 3600,
         };
         if self.lead_s + self.lasts_s >= period {
-            return fault("lasts_s", "with its lead it is longer than the time until it comes again");
+            return error("lasts_s", "with its lead it is longer than the time until it comes again");
         }
         Ok(())
     }
--- a/crates/namespaces/src/rules.rs
+++ b/crates/namespaces/src/rules.rs
@@ -127,7 +127,7 @@
 
 /// Why a namespace or the grants are refused, whole; what was there before stays.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum SpaceFault {
+pub enum SpaceError {
     #[error("line {line}, column {column}: {what}: correct it there")]
     Form { line: usize, column: usize, what: String },
     #[error("rule {rule}, {place}: {what}: correct it there")]
@@ -144,11 +144,11 @@
     Grant { customer: String, place: &'static str, what: String },
 }
 
-fn form(text: &str, fault: &toml::de::Error) -> SpaceFault {
-    let before = &text[..fault.span().map_or(0, |span| span.start.min(text.len()))];
+fn form(text: &str, error: &toml::de::Error) -> SpaceError {
+    let before = &text[..error.span().map_or(0, |span| span.start.min(text.len()))];
     let line = before.matches('\n').count() + 1;
     let column = before.chars().rev().take_while(|c| *c != '\n').count() + 1;
-    SpaceFault::Form { line, column, what: fault.message().replace('\n', ", ") }
+    SpaceError::Form { line, column, what: error.message().replace('\n', ", ") }
 }
 
 /// A name of a customer's: it stands in a file's name and in the key that all share.
@@ -169,23 +169,23 @@
 }
 
 impl Grants {
-    pub fn parse(text: &str) -> Result<Self, SpaceFault> {
-        let grants: Grants = toml::from_str(text).map_err(|fault| form(text, &fault))?;
+    pub fn parse(text: &str) -> Result<Self, SpaceError> {
+        let grants: Grants = toml::from_str(text).map_err(|error| form(text, &error))?;
         grants.check().map(|()| grants)
     }
 
-    pub fn check(&self) -> Result<(), SpaceFault> {
+    pub fn check(&self) -> Result<(), SpaceError> {
         let mut seen = BTreeMap::new();
         for grant in &self.grants {
-            let fault = |place, what| SpaceFault::Grant { customer: grant.customer.clone(), place, what };
+            let error = |place, what| SpaceError::Grant { customer: grant.customer.clone(), place, what };
             if !is_name(&grant.customer) {
-                return Err(fault("customer", "letters, digits, dots and dashes are wanted".into()));
+                return Err(error("customer", "letters, digits, dots and dashes are wanted".into()));
             }
             if seen.insert(&grant.customer, ()).is_some() {
-                return Err(SpaceFault::GrantedTwice(grant.customer.clone()));
+                return Err(SpaceError::GrantedTwice(grant.customer.clone()));
             }
             for (place, patterns) in grant.part.lists() {
-                sound(patterns).map_err(|what| fault(place, what))?;
+                sound(patterns).map_err(|what| error(place, what))?;
             }
         }
         Ok(())
@@ -193,35 +193,35 @@
 }
 
 impl Space {
-    pub fn parse(text: &str) -> Result<Self, SpaceFault> {
-        toml::from_str(text).map_err(|fault| form(text, &fault))
+    pub fn parse(text: &str) -> Result<Self, SpaceError> {
+        toml::from_str(text).map_err(|error| form(text, &error))
     }
 
     /// Checks it whole against what its customer is granted.
-    pub fn check(&self, grant: Option<&Grant>) -> Result<(), SpaceFault> {
+    pub fn check(&self, grant: Option<&Grant>) -> Result<(), SpaceError> {
         let grant = grant.filter(|grant| is_name(&self.customer) && grant.customer == self.customer);
-        let grant = grant.ok_or_else(|| SpaceFault::NotGranted(self.customer.clone()))?;
+        let grant = grant.ok_or_else(|| SpaceError::NotGranted(self.customer.clone()))?;
         if self.rules.len() > MOST_RULES {
-            return Err(SpaceFault::TooMany(self.rules.len()));
+            return Err(SpaceError::TooMany(self.rules.len()));
         }
         for (index, rule) in self.rules.iter().enumerate() {
-            let fault = |place, what: String| SpaceFault::Rule { rule: rule.name.clone(), place, what };
+            let error = |place, what: String| SpaceError::Rule { rule: rule.name.clone(), place, what };
             if !is_name(&rule.name) || self.rules[..index].iter().any(|before| before.name == rule.name) {
-                return Err(fault("name", format!("rule {} needs a name that no other has", index + 1)));
+                return Err(error("name", format!("rule {} needs a name that no other has", index + 1)));
             }
             if rule.offerings.len() > MOST_PATTERNS {
-                return Err(fault("offerings", format!("more than {MOST_PATTERNS}")));
+                return Err(error("offerings", format!("more than {MOST_PATTERNS}")));
             }
-            sound(&rule.groups).map_err(|what| fault("groups", what))?;
+            sound(&rule.groups).map_err(|what| error("groups", what))?;
             for ((place, patterns), (_, granted)) in rule.to.lists().into_iter().zip(grant.part.lists()) {
-                sound(patterns).map_err(|what| fault(place, what))?;
+                sound(patterns).map_err(|what| error(place, what))?;
                 let granted = |p: &&Pattern| granted.is_empty() || granted.iter().any(|mine| mine.covers(p));
                 if let Some(beyond) = patterns.iter().find(|pattern| !granted(pattern)) {
-                    return Err(fault(place, format!("{:?} is beyond what is granted", beyond.0)));
+                    return Err(error(place, format!("{:?} is beyond what is granted", beyond.0)));
                 }
             }
             if rule.room.is_some_and(|room| room > grant.room) {
-                return Err(fault("room", format!("more than the {} that are granted", grant.room)));
+                return Err(error("room", format!("more than the {} that are granted", grant.room)));
             }
         }
         Ok(())
--- a/crates/namespaces/src/table.rs
+++ b/crates/namespaces/src/table.rs
@@ -1,6 +1,6 @@
 //! What a session finds: its own customer's rules, and nothing of anybody else's.
 
-use crate::rules::{Grant, Grants, Rule, Space, SpaceFault};
+use crate::rules::{Grant, Grants, Rule, Space, SpaceError};
 use shelfgrade::host::{Listed, ServerId};
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -87,10 +87,10 @@
 
 impl Table {
     /// The grants in one place change whole; namespaces that no longer fit theirs go out of force, and are named.
-    pub fn grant(&mut self, grants: Grants) -> Result<Vec<(String, SpaceFault)>, SpaceFault> {
+    pub fn grant(&mut self, grants: Grants) -> Result<Vec<(String, SpaceError)>, SpaceError> {
         grants.check()?;
         if grants.version < self.grants_version {
-            return Err(SpaceFault::Old { told: grants.version, held: self.grants_version });
+            return Err(SpaceError::Old { told: grants.version, held: self.grants_version });
         }
         (self.grants_version, self.others) = (grants.version, grants.others);
         self.grants = grants.grants.into_iter().map(|grant| (grant.customer.clone(), grant)).collect();
@@ -104,7 +104,7 @@
                     true
                 }
                 (checked, _) => {
-                    out.extend(checked.err().map(|fault| (customer.clone(), fault)));
+                    out.extend(checked.err().map(|error| (customer.clone(), error)));
                     false
                 }
             }
@@ -114,18 +114,18 @@
     }
 
     /// Whether a namespace could be in force by what is granted now.
-    pub fn check(&self, space: &Space) -> Result<(), SpaceFault> {
+    pub fn check(&self, space: &Space) -> Result<(), SpaceError> {
         space.check(self.grants.get(&space.customer))
     }
 
     /// A namespace changes by itself and whole; where it is refused, the one before it stays.
-    pub fn put(&mut self, space: Space) -> Result<Rc<InForce>, SpaceFault> {
+    pub fn put(&mut self, space: Space) -> Result<Rc<InForce>, SpaceError> {
         let grant = self.grants.get(&space.customer);
         space.check(grant)?;
         if let Some(held) = self.spaces.get(&space.customer).filter(|held| held.version() > space.version) {
-            return Err(SpaceFault::Old { told: space.version, held: held.version() });
+            return Err(SpaceError::Old { told: space.version, held: held.version() });
         }
-        let grant = grant.cloned().ok_or_else(|| SpaceFault::NotGranted(space.customer.clone()))?;
+        let grant = grant.cloned().ok_or_else(|| SpaceError::NotGranted(space.customer.clone()))?;
         let customer = space.customer.clone();
         let space = Rc::new(InForce::new(space, grant, (&self.list, self.of_list)));
         self.spaces.insert(customer, space.clone());
--- a/crates/namespaces/tests/unit/rules.rs
+++ b/crates/namespaces/tests/unit/rules.rs
@@ -31,7 +31,7 @@
     let many: String = (0..65).map(|i| format!("[[rule]]\nname = \"r{i}\"\n")).collect();
     assert!(fault(&format!("customer = \"posta\"\nversion = 1\n{many}")).contains("65 rules where 64"));
     let twice = GRANTS.to_owned() + "[[grant]]\ncustomer = \"posta\"\nroom = 1\n";
-    assert_eq!(Grants::parse(&twice), Err(SpaceFault::GrantedTwice("posta".into())));
+    assert_eq!(Grants::parse(&twice), Err(SpaceError::GrantedTwice("posta".into())));
 }
 
 #[test]
--- a/crates/proxy/src/client.rs
+++ b/crates/proxy/src/client.rs
@@ -48,7 +48,7 @@
                     proxy.hands.unanswered.add(self);
                 }
                 Ok(_) => {}
-                Err(fault) => self.foul(fault, Ending::CalledOff, proxy),
+                Err(error) => self.foul(error, Ending::CalledOff, proxy),
             }
         }
         match self.client.ended.get() {
--- a/crates/proxy/src/comeback.rs
+++ b/crates/proxy/src/comeback.rs
@@ -1,7 +1,7 @@
 //! The proxy among its fellows, where the fleet file is named: what the return asks of it, and what it tells the return.
 
 use crate::fellows::{Company, Fellows};
-use crate::fleet_file::{FleetFault, FleetFile};
+use crate::fleet_file::{FleetError, FleetFile};
 use crate::listing::{Entry, Health, Listing};
 use crate::proxy::Proxy;
 use crate::session::{Session, Stage};
@@ -139,7 +139,7 @@
         terms: Terms,
         known: &Listing,
         seed: u64,
-    ) -> Result<(), FleetFault> {
+    ) -> Result<(), FleetError> {
         let dials = known.entries.iter().map(|entry| entry.dial);
         let known = known.lines().into_iter().zip(dials).map(|(listed, dial)| Line { listed, dial });
         let fellows = Fellows::begin(file, terms, known.collect(), seed, self)?;
@@ -224,7 +224,7 @@
     }
 
     fn put<T: Serialize>(&self, key: &str, value: &T, version: u64) -> Result<(), String> {
-        Fellows::put(self, key, value, version).map_err(|fault| fault.to_string())
+        Fellows::put(self, key, value, version).map_err(|error| error.to_string())
     }
 }
 
--- a/crates/proxy/src/discovery.rs
+++ b/crates/proxy/src/discovery.rs
@@ -1,8 +1,8 @@
 //! Discovery over HTTP/1.1: one connection, one call at a time, and after each answer the next watch at once.
 
 use crate::driver::OnLoop;
-use crate::http::{Exchange, HttpFault};
-use crate::listing::{ListFault, Listing};
+use crate::http::{Exchange, HttpError};
+use crate::listing::{ListError, Listing};
 use crate::ring::Ring;
 use crate::socket::Socket;
 use calloop::timer::{TimeoutAction, Timer};
@@ -58,7 +58,7 @@
 
 /// What became of a call that brought no list.
 #[derive(Debug, thiserror::Error)]
-pub enum CallFault {
+pub enum CallError {
     #[error(
         "discovery at {at}: cannot connect ({source}): start it, or correct its address in the start-up file"
     )]
@@ -68,9 +68,9 @@
     #[error("discovery at {at}: silent: asked again at once; if this goes on, look at it and the way there")]
     Silent { at: SocketAddr },
     #[error("discovery at {at}: {source}")]
-    Http { at: SocketAddr, source: HttpFault },
+    Http { at: SocketAddr, source: HttpError },
     #[error("discovery at {at}: {source}")]
-    List { at: SocketAddr, source: ListFault },
+    List { at: SocketAddr, source: ListError },
 }
 
 /// Who follows the list, and whose loop carries the calls.
@@ -78,10 +78,10 @@
     /// Discovery has told a list; true where it is to be watched on from there.
     fn listed(&mut self, listing: &Listing) -> bool;
     /// A call that was out since then was refused or has failed.
-    fn list_failed(&mut self, fault: &CallFault, since: Timestamp);
+    fn list_failed(&mut self, error: &CallError, since: Timestamp);
     /// A watch, or a call that was taken, has had no answer in its time, or one that is of no use: it is broken, and is
     /// asked for anew at once. What it missed counts as told at `due`.
-    fn list_missed(&mut self, fault: &CallFault, due: Timestamp);
+    fn list_missed(&mut self, error: &CallError, due: Timestamp);
 }
 
 pub struct Discovery<F: Follower> {
@@ -153,16 +153,16 @@
         };
         let due = began + COUNTS_AFTER.max(wait + PAST_ITS_WAIT);
         let begun = Exchange::get(self.at.get(), &path)
-            .map_err(|source| CallFault::Http { at: self.at.get(), source });
+            .map_err(|source| CallError::Http { at: self.at.get(), source });
         let dialled = begun.and_then(|(call, bytes)| {
             self.request.borrow_mut().clear();
             self.request.borrow_mut().push(&bytes);
             *self.call.borrow_mut() = Some(call);
-            self.dial(follower).map_err(|source| CallFault::Dial { at: self.at.get(), source })
+            self.dial(follower).map_err(|source| CallError::Dial { at: self.at.get(), source })
         });
         // A failure at once is told as one in time is: not from within this call.
         let first = if dialled.is_ok() { self.pace.dial } else { Duration::ZERO };
-        let (me, ends, fault) = (self.clone(), began + wait + more, Cell::new(dialled.err()));
+        let (me, ends, error) = (self.clone(), began + wait + more, Cell::new(dialled.err()));
         let timer = Timer::from_duration(first);
         let token = follower.handle().insert_source(timer, move |_, _, follower| {
             let left = ends.since(follower.now());
@@ -172,11 +172,11 @@
             }
             me.timer.take();
             let at = me.at.get();
-            let fault =
-                fault.take().unwrap_or(if up { CallFault::Silent { at } } else { CallFault::NotUp { at } });
-            match fault {
-                CallFault::Silent { .. } => me.missed(&fault, due, follower),
-                _ => me.failed(&fault, follower),
+            let error =
+                error.take().unwrap_or(if up { CallError::Silent { at } } else { CallError::NotUp { at } });
+            match error {
+                CallError::Silent { .. } => me.missed(&error, due, follower),
+                _ => me.failed(&error, follower),
             }
             TimeoutAction::Drop
         });
@@ -220,7 +220,7 @@
         let Some(socket) = self.socket.borrow().clone() else { return };
         let at = self.at.get();
         match socket.is_up() {
-            Err(source) => return self.failed(&CallFault::Dial { at, source }, follower),
+            Err(source) => return self.failed(&CallError::Dial { at, source }, follower),
             Ok(false) => return,
             Ok(true) => {}
         }
@@ -260,33 +260,33 @@
                         self.call(true, follower);
                     }
                 }
-                Err(source) => self.failed(&CallFault::List { at, source }, follower),
+                Err(source) => self.failed(&CallError::List { at, source }, follower),
             },
-            Some(Err(source)) => self.failed(&CallFault::Http { at, source }, follower),
+            Some(Err(source)) => self.failed(&CallError::Http { at, source }, follower),
         }
     }
 
-    fn missed(&self, fault: &CallFault, due: Timestamp, follower: &mut F) {
+    fn missed(&self, error: &CallError, due: Timestamp, follower: &mut F) {
         self.heard.set(false);
         self.drop_call(follower);
-        follower.list_missed(fault, due);
+        follower.list_missed(error, due);
     }
 
-    fn failed(&self, fault: &CallFault, follower: &mut F) {
-        let begun = match (fault, &*self.call.borrow()) {
+    fn failed(&self, error: &CallError, follower: &mut F) {
+        let begun = match (error, &*self.call.borrow()) {
             (_, None) => return drop(self.socket.take()),
-            (CallFault::Http { source: HttpFault::CutOff, .. }, Some(call)) => call.has_begun(),
-            (CallFault::Http { source: HttpFault::Status(_), .. }, _) => false,
-            (CallFault::Http { .. } | CallFault::List { .. }, _) => true,
+            (CallError::Http { source: HttpError::CutOff, .. }, Some(call)) => call.has_begun(),
+            (CallError::Http { source: HttpError::Status(_), .. }, _) => false,
+            (CallError::Http { .. } | CallError::List { .. }, _) => true,
             _ => false,
         };
         // Guards against news that was written, and so counts as told, but could not be read, being asked for only
         // after the pause of a refusal. A discovery that writes nothing else is not asked without end.
         if begun && self.heard.get() {
-            return self.missed(fault, follower.now(), follower);
+            return self.missed(error, follower.now(), follower);
         }
         self.drop_call(follower);
-        follower.list_failed(fault, self.began.get());
+        follower.list_failed(error, self.began.get());
     }
 
     /// What was told is not gone by: the next call is for the whole list.
--- a/crates/proxy/src/disk.rs
+++ b/crates/proxy/src/disk.rs
@@ -25,9 +25,9 @@
 pub fn read(folder: &Path) -> Vec<Option<Vec<u8>>> {
     let read = |generation| match read_past_faults(&path(folder, generation)) {
         Ok(bytes) => Some(bytes),
-        Err(fault) if fault.kind() == io::ErrorKind::NotFound => None,
-        Err(fault) => {
-            log::warn!("{}: {fault}: started without it", path(folder, generation).display());
+        Err(error) if error.kind() == io::ErrorKind::NotFound => None,
+        Err(error) => {
+            log::warn!("{}: {error}: started without it", path(folder, generation).display());
             None
         }
     };
@@ -40,7 +40,7 @@
     const PAUSE: Duration = Duration::from_millis(25);
     for _ in 1..TRIES {
         match fs::read(path) {
-            Err(fault) if is_transient(&fault) => std::thread::sleep(PAUSE),
+            Err(error) if is_transient(&error) => std::thread::sleep(PAUSE),
             read => return read,
         }
     }
@@ -91,7 +91,7 @@
     }
 
     fn is_written(&mut self, number: u64, bytes: &[u8]) -> bool {
-        let Err(fault) = replace(&self.folder, number, bytes) else {
+        let Err(error) = replace(&self.folder, number, bytes) else {
             metrics::counter!("snapshots written").increment(1);
             return true;
         };
@@ -100,7 +100,7 @@
         // Guards against a full disk filling the log as well.
         if self.failed.is_power_of_two() {
             let (folder, failed) = (self.folder.display(), self.failed);
-            log::error!("{folder}: no snapshot ({fault}), {failed} so far: see the disk; service goes on");
+            log::error!("{folder}: no snapshot ({error}), {failed} so far: see the disk; service goes on");
         }
         false
     }
@@ -117,8 +117,8 @@
             let _ = ends.send(());
         };
         let thread = std::thread::Builder::new().name("disk".into()).spawn(write);
-        if let Err(fault) = thread {
-            log::error!("no thread for the disk ({fault}): no snapshots");
+        if let Err(error) = thread {
+            log::error!("no thread for the disk ({error}): no snapshots");
         }
         Disk { work: Some(work), ended }
     }
--- a/crates/proxy/src/door.rs
+++ b/crates/proxy/src/door.rs
@@ -2,7 +2,7 @@
 
 use crate::caller::Caller;
 use crate::proxy::Proxy;
-use crate::proxy::ServeFault;
+use crate::proxy::ServeError;
 use crate::socket::Socket;
 use calloop::generic::Generic;
 use calloop::timer::{TimeoutAction, Timer};
@@ -29,15 +29,15 @@
 }
 
 impl Door {
-    pub fn open(at: SocketAddr, handle: &LoopHandle<'static, Proxy>) -> Result<Self, ServeFault> {
-        let cannot = |source| ServeFault::Listen { at, source };
+    pub fn open(at: SocketAddr, handle: &LoopHandle<'static, Proxy>) -> Result<Self, ServeError> {
+        let cannot = |source| ServeError::Listen { at, source };
         let listener = listen(at).map_err(cannot)?;
         let source = Generic::new(listener.try_clone().map_err(cannot)?, Interest::READ, Mode::Level);
         let listening = handle.insert_source(source, |_, _, proxy| {
             proxy.accept();
             Ok(PostAction::Continue)
         });
-        let listening = listening.map_err(|fault| cannot(std::io::Error::other(fault.error)))?;
+        let listening = listening.map_err(|error| cannot(std::io::Error::other(error.error)))?;
         Ok(Door {
             listener,
             listening,
@@ -123,17 +123,17 @@
                     failures = 0;
                     match Socket::new(stream) {
                         Ok(socket) => self.take_in(socket),
-                        Err(fault) => log::warn!("a client's socket: {fault}"),
+                        Err(error) => log::warn!("a client's socket: {error}"),
                     }
                 }
-                Err(fault) if fault.kind() == ErrorKind::WouldBlock => {
+                Err(error) if error.kind() == ErrorKind::WouldBlock => {
                     self.door.queue_is_empty = true;
                     return;
                 }
-                Err(fault) => {
+                Err(error) => {
                     failures += 1;
                     if failures == FAILURES_IN_A_ROW {
-                        return self.accept_later(&fault);
+                        return self.accept_later(&error);
                     }
                 }
             }
@@ -141,14 +141,14 @@
     }
 
     /// Guards against spinning where descriptors have run out all the same.
-    fn accept_later(&mut self, fault: &std::io::Error) {
+    fn accept_later(&mut self, error: &std::io::Error) {
         // Short against any patience, long against the calls before it.
         const PAUSE: Duration = Duration::from_millis(10);
         if std::mem::replace(&mut self.door.paused, true) {
             return;
         }
         self.hands.tally.complain("accepting put off");
-        log::debug!("accept: {fault}");
+        log::debug!("accept: {error}");
         let _ = self.hands.handle.disable(&self.door.listening);
         let again = self.hands.handle.insert_source(Timer::from_duration(PAUSE), |_, _, proxy| {
             // Guards against a listener that is never watched again: it is asked by hand until it can be.
@@ -171,8 +171,8 @@
         let watched = caller.socket.watch(&self.hands.handle, move |proxy| {
             weak.upgrade().inspect(|caller| caller.ready(proxy));
         });
-        if let Err(fault) = watched {
-            log::warn!("a client's connection cannot be watched: {fault}");
+        if let Err(error) = watched {
+            log::warn!("a client's connection cannot be watched: {error}");
             caller.socket.tell("BUSY");
             return self.hands.close_after_last_line(caller.socket.clone());
         }
--- a/crates/proxy/src/fellows.rs
+++ b/crates/proxy/src/fellows.rs
@@ -4,7 +4,7 @@
 
 use crate::disk::{self, Disk};
 use crate::driver::OnLoop;
-use crate::fleet_file::{FleetFault, FleetFile};
+use crate::fleet_file::{FleetError, FleetFile};
 use calloop::generic::Generic;
 use calloop::timer::{TimeoutAction, Timer};
 use calloop::{Interest, Mode, PostAction, RegistrationToken};
@@ -12,7 +12,7 @@
 use shelfgrade::handover::Remembered;
 use shelfgrade::host::Turn;
 use shelfgrade::time::Timestamp;
-use shelfgrade_fleet::{Entry, PutFault, Seat, Surroundings, Version};
+use shelfgrade_fleet::{Entry, PutError, Seat, Surroundings, Version};
 use shelfgrade_recovery::around::{Around, Line, Terms};
 use shelfgrade_recovery::comeback::Comeback;
 use shelfgrade_recovery::order::State;
@@ -128,16 +128,16 @@
         known: Vec<Line>,
         seed: u64,
         company: &mut C,
-    ) -> Result<Rc<Self>, FleetFault> {
+    ) -> Result<Rc<Self>, FleetError> {
         let at = file.addresses[usize::from(file.roster.me().0)];
-        let bind = |source| FleetFault::Bind { at, source };
+        let bind = |source| FleetError::Bind { at, source };
         let socket = UdpSocket::bind(at).map_err(bind)?;
         socket.set_nonblocking(true).map_err(bind)?;
         let name = file.roster.name(file.roster.me()).unwrap_or_default();
         let found = file.state_dir.as_deref().map(disk::read).unwrap_or_default();
-        let (before, faults) = snapshot::newest(&found, file.roster.fleet(), name);
-        for (generation, fault) in faults {
-            log::warn!("snapshot {generation}: {fault}");
+        let (before, errors) = snapshot::newest(&found, file.roster.fleet(), name);
+        for (generation, error) in errors {
+            log::warn!("snapshot {generation}: {error}");
         }
         let now = company.now();
         let mut core = Comeback::new(file.roster.clone(), terms, before, seed, (now, wall_ms(now)));
@@ -164,7 +164,7 @@
             me.ready(company);
             Ok(PostAction::Continue)
         });
-        watched.map_err(|fault| bind(std::io::Error::other(fault.error)))?;
+        watched.map_err(|error| bind(std::io::Error::other(error.error)))?;
         fellows.woke(company);
         Ok(fellows)
     }
@@ -262,7 +262,7 @@
     }
 
     /// Puts a value into what all share, under a version that whoever writes it counts; an older one changes nothing.
-    pub fn put<T: Serialize>(&self, key: &str, value: &T, count: u64) -> Result<(), PutFault> {
+    pub fn put<T: Serialize>(&self, key: &str, value: &T, count: u64) -> Result<(), PutError> {
         let version = Version { count, by: 0 };
         self.core.borrow_mut().fleet_mut().put_at(key, value, version, &mut Out { fellows: self })
     }
@@ -305,7 +305,7 @@
     }
 
     /// Goes by another file, as far as that can be while processes run.
-    pub fn read_again(&self, name: &str) -> Result<(), FleetFault> {
+    pub fn read_again(&self, name: &str) -> Result<(), FleetError> {
         let Some(next) = FleetFile::from_environment(name)? else { return Ok(()) };
         self.file.borrow().may_follow(&next)?;
         *self.file.borrow_mut() = next;
--- a/crates/proxy/src/fleet_file.rs
+++ b/crates/proxy/src/fleet_file.rs
@@ -3,7 +3,7 @@
 
 use crate::transient::is_transient;
 use serde::Deserialize;
-use shelfgrade_fleet::{Roster, RosterFault};
+use shelfgrade_fleet::{Roster, RosterError};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -13,13 +13,13 @@
 pub const NAMED_BY: &str = "SHELFGRADE_FLEET";
 
 #[derive(Debug, thiserror::Error)]
-pub enum FleetFault {
+pub enum FleetError {
     #[error("{path}: cannot be read ({source}): see that the file is there and may be read by this user")]
     Unreadable { path: String, source: std::io::Error },
     #[error("{path}, line {line}, column {column}: {what}: correct it there; deploy/fleet.toml explains every key")]
     Form { path: String, line: usize, column: usize, what: String },
     #[error("{path}, fellows: {source}")]
-    Fellows { path: String, source: RosterFault },
+    Fellows { path: String, source: RosterError },
     #[error("{path}, {key}: {value} where {least} to {most} is wanted: correct it there")]
     Bound { path: String, key: &'static str, value: u64, least: u64, most: u64 },
     #[error("{path}, fellows: {first} and {second} have one address: give each process one of its own")]
@@ -30,11 +30,11 @@
     Fixed { path: String, key: &'static str },
 }
 
-impl FleetFault {
+impl FleetError {
     /// Whether the same may succeed a moment later.
     pub fn is_transient(&self) -> bool {
         match self {
-            FleetFault::Unreadable { source, .. } | FleetFault::Bind { source, .. } => is_transient(source),
+            FleetError::Unreadable { source, .. } | FleetError::Bind { source, .. } => is_transient(source),
             _ => false,
         }
     }
@@ -78,38 +78,38 @@
 
 impl FleetFile {
     /// None where the environment names none: everything is as without it.
-    pub fn from_environment(me: &str) -> Result<Option<Self>, FleetFault> {
+    pub fn from_environment(me: &str) -> Result<Option<Self>, FleetError> {
         std::env::var(NAMED_BY).ok().map(|path| Self::read(Path::new(&path), me)).transpose()
     }
 
-    pub fn read(path: &Path, me: &str) -> Result<Self, FleetFault> {
+    pub fn read(path: &Path, me: &str) -> Result<Self, FleetError> {
         let shown = path.display().to_string();
         let text = std::fs::read_to_string(path)
-            .map_err(|source| FleetFault::Unreadable { path: shown.clone(), source })?;
+            .map_err(|source| FleetError::Unreadable { path: shown.clone(), source })?;
         Self::parse(&shown, &text, me)
     }
 
-    pub fn parse(path: &str, text: &str, me: &str) -> Result<Self, FleetFault> {
+    pub fn parse(path: &str, text: &str, me: &str) -> Result<Self, FleetError> {
         let path = path.to_owned();
-        let file: File = toml::from_str(text).map_err(|fault| {
-            let before = &text[..fault.span().map_or(0, |span| span.start.min(text.len()))];
+        let file: File = toml::from_str(text).map_err(|error| {
+            let before = &text[..error.span().map_or(0, |span| span.start.min(text.len()))];
             let line = before.matches('\n').count() + 1;
             let column = before.chars().rev().take_while(|c| *c != '\n').count() + 1;
-            FleetFault::Form { path: path.clone(), line, column, what: fault.message().replace('\n', ", ") }
+            FleetError::Form { path: path.clone(), line, column, what: error.message().replace('\n', ", ") }
         })?;
         let within = |key, value, least, most| match (least..=most).contains(&value) {
             true => Ok(Duration::from_millis(value)),
-            false => Err(FleetFault::Bound { path: path.clone(), key, value, least, most }),
+            false => Err(FleetError::Bound { path: path.clone(), key, value, least, most }),
         };
         let list_wait = within("list_wait_ms", file.list_wait_ms, 100, 10_000)?;
         let save_every = within("save_every_ms", file.save_every_ms, 100, 60_000)?;
         let roster = Roster::new(&file.fleet, file.fellows.keys().cloned(), me)
-            .map_err(|source| FleetFault::Fellows { path: path.clone(), source })?;
+            .map_err(|source| FleetError::Fellows { path: path.clone(), source })?;
         let mut taken: BTreeMap<SocketAddr, &String> = BTreeMap::new();
         for (name, address) in &file.fellows {
             if let Some(first) = taken.insert(*address, name) {
                 let (first, second) = (first.clone(), name.clone());
-                return Err(FleetFault::OneAddress { path, first, second });
+                return Err(FleetError::OneAddress { path, first, second });
             }
         }
         // Both go by the order of the names.
@@ -128,8 +128,8 @@
     }
 
     /// What cannot change while processes run: parts of the fleet's rights are by the roster.
-    pub fn may_follow(&self, next: &Self) -> Result<(), FleetFault> {
-        let fixed = |key| Err(FleetFault::Fixed { path: next.path.clone(), key });
+    pub fn may_follow(&self, next: &Self) -> Result<(), FleetError> {
+        let fixed = |key| Err(FleetError::Fixed { path: next.path.clone(), key });
         if self.roster != next.roster {
             return fixed("fleet, or the names of the fellows,");
         }
--- a/crates/proxy/src/hands.rs
+++ b/crates/proxy/src/hands.rs
@@ -206,8 +206,8 @@
         let Some(server) = server else { return self.unplaced.push(session.me.clone()) };
         match Attempt::begin(session, server, TAKE_OVER_WITHIN, self.clock.now(), self) {
             Ok(attempt) => drop(session.attempt.replace(Some(attempt))),
-            Err(fault) => {
-                log::warn!("session {}: {fault}", session.id.0);
+            Err(error) => {
+                log::warn!("session {}: {error}", session.id.0);
                 session.answer("ERR", self);
             }
         }
@@ -240,10 +240,10 @@
         };
         match (begun, found) {
             (Ok(attempt), Some(found)) => drop(found.attempt.replace(Some(attempt))),
-            (Err(fault), _) => {
+            (Err(error), _) => {
                 // Out of descriptors, or refused at once: nothing was sent.
-                log::warn!("session {}: {fault}", session.0);
-                let refused = fault.kind() == ErrorKind::ConnectionRefused;
+                log::warn!("session {}: {error}", session.0);
+                let refused = error.kind() == ErrorKind::ConnectionRefused;
                 let ending = if refused { Ending::Unreachable } else { Ending::Moot };
                 self.untold.push_back((session, ending, false));
             }
--- a/crates/proxy/src/http.rs
+++ b/crates/proxy/src/http.rs
@@ -11,7 +11,7 @@
 
 /// What is wrong with an answer, or with what was to be asked.
 #[derive(Debug, thiserror::Error)]
-pub enum HttpFault {
+pub enum HttpError {
     #[error("no HTTP/1.1 ({0}): see what listens at discovery's address, and name the right one")]
     Protocol(#[from] ureq_proto::Error),
     #[error("no address to ask ({0}): correct `discovery` in the start-up file")]
@@ -52,7 +52,7 @@
 
 impl Exchange {
     /// The call, and the bytes to send for it.
-    pub fn get(at: SocketAddr, path: &str) -> Result<(Self, Vec<u8>), HttpFault> {
+    pub fn get(at: SocketAddr, path: &str) -> Result<(Self, Vec<u8>), HttpError> {
         // A path and a host.
         const ROOM: usize = 512;
         let mut call = Call::new(Request::get(format!("http://{at}{path}")).body(())?)?.proceed();
@@ -60,7 +60,7 @@
         let written = call.write(&mut bytes)?;
         bytes.truncate(written);
         let Some(SendRequestResult::RecvResponse(call)) = call.proceed()? else {
-            return Err(HttpFault::CutOff);
+            return Err(HttpError::CutOff);
         };
         Ok((Exchange { part: Some(Part::Head(call)), come: Vec::new(), body: Vec::new(), date: None }, bytes))
     }
@@ -76,9 +76,9 @@
     }
 
     /// The answer, once it is there; `ended` where nothing more can come.
-    pub fn answer(&mut self, ended: bool) -> Result<Option<Answer>, HttpFault> {
+    pub fn answer(&mut self, ended: bool) -> Result<Option<Answer>, HttpError> {
         if self.come.len() + self.body.len() > LONGEST_ANSWER {
-            return Err(HttpFault::Endless);
+            return Err(HttpError::Endless);
         }
         while let Some(part) = self.part.take() {
             let (next, moved) = match part {
@@ -104,12 +104,12 @@
             }
         }
         if ended {
-            return Err(HttpFault::CutOff);
+            return Err(HttpError::CutOff);
         }
         Ok(None)
     }
 
-    fn read_head(&mut self, mut call: Call<RecvResponse>) -> Result<(Part, bool), HttpFault> {
+    fn read_head(&mut self, mut call: Call<RecvResponse>) -> Result<(Part, bool), HttpError> {
         let (used, head) = call.try_response(&self.come, false)?;
         self.come.drain(..used);
         let Some(head) = head else { return Ok((Part::Head(call), used > 0)) };
@@ -119,11 +119,11 @@
             Some(RecvResponseResult::RecvBody(call)) if head.status() == StatusCode::OK => {
                 Ok((Part::Body(call), true))
             }
-            _ => Err(HttpFault::Status(head.status())),
+            _ => Err(HttpError::Status(head.status())),
         }
     }
 
-    fn read_body(&mut self, mut call: Call<RecvBody>) -> Result<(Part, bool), HttpFault> {
+    fn read_body(&mut self, mut call: Call<RecvBody>) -> Result<(Part, bool), HttpError> {
         let (held, room) = (self.body.len(), self.come.len());
         self.body.resize(held + room, 0);
         let (used, written) = call.read(&self.come, &mut self.body[held..])?;
--- a/crates/proxy/src/listing.rs
+++ b/crates/proxy/src/listing.rs
@@ -8,7 +8,7 @@
 
 /// Why a list is refused, which is always whole: the one held before goes on.
 #[derive(Debug, thiserror::Error)]
-pub enum ListFault {
+pub enum ListError {
     #[error("no list of servers ({0}): see what writes it, and that every entry has `host` and `health`")]
     Form(#[from] serde_json::Error),
     #[error("a list in which {host} has no address: give it a `dial`, or say that it is `terminated`")]
@@ -53,11 +53,11 @@
 
 impl Listing {
     /// Reads an answer; one with any part that makes no sense is refused whole.
-    pub fn parse(text: &[u8]) -> Result<Self, ListFault> {
+    pub fn parse(text: &[u8]) -> Result<Self, ListError> {
         let listing: Listing = serde_json::from_slice(text)?;
         for entry in &listing.entries {
             if entry.dial.is_none() && entry.health != Health::Terminated {
-                return Err(ListFault::NoAddress { host: entry.host.clone() });
+                return Err(ListError::NoAddress { host: entry.host.clone() });
             }
         }
         Ok(listing)
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -1,34 +1,34 @@
 //! The real proxy: reads what it is told at its start, and serves until it is told to end.
 
-use shelfgrade_proxy::proxy::{serve, ServeFault};
-use shelfgrade_proxy::start::{Start, StartFault};
+use shelfgrade_proxy::proxy::{serve, ServeError};
+use shelfgrade_proxy::start::{Start, StartError};
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 
 /// Why the program ends other than as told.
 #[derive(Debug, thiserror::Error)]
-enum RunFault {
+enum RunError {
     #[error(transparent)]
-    Start(#[from] StartFault),
+    Start(#[from] StartError),
     #[error(transparent)]
-    Serve(#[from] ServeFault),
+    Serve(#[from] ServeError),
 }
 
-impl RunFault {
+impl RunError {
     fn is_transient(&self) -> bool {
         match self {
-            RunFault::Start(fault) => fault.is_transient(),
-            RunFault::Serve(fault) => fault.is_transient(),
+            RunError::Start(error) => error.is_transient(),
+            RunError::Serve(error) => error.is_transient(),
         }
     }
 }
 
-fn run() -> Result<(), RunFault> {
+fn run() -> Result<(), RunError> {
     Ok(serve(Start::from_environment()?)?)
 }
 
 /// Tries a start again whose calls the system refuses for a moment.
-fn run_past_refusals() -> Result<(), RunFault> {
+fn run_past_refusals() -> Result<(), RunError> {
     // A process that is not ready after thirty seconds counts as crashed; nine in ten have ten.
     const TRIED_FOR: Duration = Duration::from_secs(8);
     const PAUSE: Duration = Duration::from_millis(20);
@@ -36,10 +36,10 @@
     let mut tries = 0_u32;
     loop {
         match run() {
-            Err(fault) if fault.is_transient() && began.elapsed() < TRIED_FOR => {
+            Err(error) if error.is_transient() && began.elapsed() < TRIED_FOR => {
                 tries += 1;
                 if tries.is_power_of_two() {
-                    log::warn!("tried again: {fault}");
+                    log::warn!("tried again: {error}");
                 }
                 std::thread::sleep(PAUSE);
             }
@@ -52,8 +52,8 @@
     env_logger::Builder::from_env(env_logger::Env::default().default_filter_or("info,calloop=error")).init();
     match run_past_refusals() {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            log::error!("{fault}");
+        Err(error) => {
+            log::error!("{error}");
             ExitCode::FAILURE
         }
     }
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -2,13 +2,13 @@
 
 use crate::choosers::Choosers;
 use crate::comeback;
-use crate::discovery::{CallFault, Discovery, Follower, ASKED, PUSHED};
+use crate::discovery::{CallError, Discovery, Follower, ASKED, PUSHED};
 use crate::door::Door;
 use crate::driver::OnLoop;
 use crate::early::Early;
 use crate::ending::Course;
 use crate::fellows::Fellows;
-use crate::fleet_file::{FleetFault, FleetFile};
+use crate::fleet_file::{FleetError, FleetFile};
 use crate::hands::Hands;
 use crate::line::{Open, LONGEST};
 use crate::listing::Listing;
@@ -67,29 +67,29 @@
 
 /// Why a proxy cannot serve, or no longer.
 #[derive(Debug, thiserror::Error)]
-pub enum ServeFault {
+pub enum ServeError {
     #[error("cannot listen on {at} ({source}): see that the address is this machine's and that nobody listens there")]
     Listen { at: SocketAddr, source: std::io::Error },
     #[error("{0}")]
-    Fleet(#[from] FleetFault),
+    Fleet(#[from] FleetError),
     #[error("the event loop: {0}: see the limits on descriptors and memory, and start it again")]
     Loop(#[from] calloop::Error),
 }
 
-impl ServeFault {
+impl ServeError {
     /// Whether another start may succeed a moment later.
     pub fn is_transient(&self) -> bool {
         match self {
-            ServeFault::Listen { source, .. } => is_transient(source),
-            ServeFault::Fleet(fault) => fault.is_transient(),
-            ServeFault::Loop(calloop::Error::IoError(source)) => is_transient(source),
-            ServeFault::Loop(_) => false,
+            ServeError::Listen { source, .. } => is_transient(source),
+            ServeError::Fleet(error) => error.is_transient(),
+            ServeError::Loop(calloop::Error::IoError(source)) => is_transient(source),
+            ServeError::Loop(_) => false,
         }
     }
 }
 
 /// Serves until told to end.
-pub fn serve(start: Start) -> Result<(), ServeFault> {
+pub fn serve(start: Start) -> Result<(), ServeError> {
     let fleet = FleetFile::from_environment(&start.name)?;
     let limits = Limits { sockets: limit_descriptors(start.limits.sockets), ..start.limits };
     let ring = ring_size(limits);
@@ -102,12 +102,12 @@
         Signal::SIGHUP => proxy.told_to_reload(),
         _ => proxy.told_to_end(),
     });
-    signals.map_err(|fault| fault.error)?;
+    signals.map_err(|error| error.error)?;
     let tick = handle.insert_source(Timer::from_duration(TICK), |_, _, proxy| {
         proxy.tick();
         TimeoutAction::ToDuration(TICK)
     });
-    tick.map_err(|fault| fault.error)?;
+    tick.map_err(|error| error.error)?;
 
     // Where the list is pushed, all of it is asked for at the start, so that the answer comes at once.
     let pushed = start.terms.list_is_pushed;
@@ -166,7 +166,7 @@
         proxy.join_fellows(file, terms, &start.known, start.seed)?;
     }
     proxy.settle();
-    let address = proxy.door.address().map_err(|source| ServeFault::Listen { at: start.listen, source })?;
+    let address = proxy.door.address().map_err(|source| ServeError::Listen { at: start.listen, source })?;
     log::info!("{} listens on {address}, {} servers known", proxy.name, start.known.entries.len());
     events.run(None, &mut proxy, |_| {})?;
     tally.log();
@@ -359,17 +359,17 @@
         true
     }
 
-    fn list_failed(&mut self, fault: &CallFault, since: Timestamp) {
-        log::warn!("{fault}");
+    fn list_failed(&mut self, error: &CallError, since: Timestamp) {
+        log::warn!("{error}");
         self.hands.tally.count("list calls failed");
         let now = self.now();
         self.chooser.list_failed(since, now, &mut self.hands);
         self.settle();
     }
 
-    fn list_missed(&mut self, fault: &CallFault, due: Timestamp) {
-        log::warn!("{fault}");
-        let silent = matches!(fault, CallFault::Silent { .. });
+    fn list_missed(&mut self, error: &CallError, due: Timestamp) {
+        log::warn!("{error}");
+        let silent = matches!(error, CallError::Silent { .. });
         self.hands.tally.count(if silent { "list calls silent" } else { "list calls failed" });
         self.chooser.list_lost(due, &mut self.hands);
         self.settle();
--- a/crates/proxy/src/reload.rs
+++ b/crates/proxy/src/reload.rs
@@ -20,17 +20,17 @@
         let Some(told) = self.told_to_reload else { return };
         let start = match Start::from_environment() {
             Ok(start) => start,
-            Err(fault) if fault.is_transient() => return log::debug!("read again later: {fault}"),
-            Err(fault) => {
+            Err(error) if error.is_transient() => return log::debug!("read again later: {error}"),
+            Err(error) => {
                 self.told_to_reload = None;
-                return log::error!("not read again, nothing changes: {fault}");
+                return log::error!("not read again, nothing changes: {error}");
             }
         };
         let fellows = self.fellows.clone();
         match fellows.map_or(Ok(()), |fellows| fellows.read_again(&self.name)) {
             Ok(()) => {}
-            Err(fault) if fault.is_transient() => return log::debug!("read again later: {fault}"),
-            Err(fault) => log::error!("fleet file not read again, nothing changes: {fault}"),
+            Err(error) if error.is_transient() => return log::debug!("read again later: {error}"),
+            Err(error) => log::error!("fleet file not read again, nothing changes: {error}"),
         }
         self.told_to_reload = None;
         self.read_namespaces();
--- a/crates/proxy/src/server.rs
+++ b/crates/proxy/src/server.rs
@@ -230,7 +230,7 @@
         let lines = attempt.lines.borrow_mut().feed(self.down.borrow().latest(read));
         match lines {
             Ok(lines) => lines.iter().for_each(|line| self.server_says(attempt, text(line), proxy)),
-            Err(fault) if attempt.is_up() => self.foul(fault, Ending::Broken, proxy),
+            Err(error) if attempt.is_up() => self.foul(error, Ending::Broken, proxy),
             Err(_) => {
                 proxy.hands.tally.count("long lines");
                 self.attempt_ended(attempt, Ending::Broken, proxy);
--- a/crates/proxy/src/socket.rs
+++ b/crates/proxy/src/socket.rs
@@ -44,8 +44,8 @@
     pub fn new(stream: TcpStream) -> io::Result<Self> {
         stream.set_nonblocking(true)?;
         // Without it small writes may wait for each other, which is no cause to close a connection.
-        if let Err(fault) = stream.set_nodelay(true) {
-            log::debug!("no TCP_NODELAY: {fault}");
+        if let Err(error) = stream.set_nodelay(true) {
+            log::debug!("no TCP_NODELAY: {error}");
         }
         Ok(Socket {
             stream: Rc::new(stream),
@@ -69,8 +69,8 @@
         )?;
         match socket.connect(&to.into()) {
             Ok(()) => {}
-            Err(fault) if fault.raw_os_error() == Some(rustix::io::Errno::INPROGRESS.raw_os_error()) => {}
-            Err(fault) => return Err(fault),
+            Err(error) if error.raw_os_error() == Some(rustix::io::Errno::INPROGRESS.raw_os_error()) => {}
+            Err(error) => return Err(error),
         }
         Self::new(socket.into())
     }
@@ -86,7 +86,7 @@
             call(data);
             Ok(PostAction::Continue)
         });
-        self.watch.set(Some((handle.clone(), token.map_err(|fault| io::Error::other(fault.error))?)));
+        self.watch.set(Some((handle.clone(), token.map_err(|error| io::Error::other(error.error))?)));
         Ok(())
     }
 
@@ -98,16 +98,16 @@
     /// Whether an attempt has come up; an error where it has failed. Guards against a refusal that one asks about
     /// and the next does not hear of: the system tells it once.
     pub fn is_up(&self) -> io::Result<bool> {
-        if let Some(fault) = self.stream.take_error()? {
-            self.refused.set(Some(fault.kind()));
+        if let Some(error) = self.stream.take_error()? {
+            self.refused.set(Some(error.kind()));
         }
         if let Some(kind) = self.refused.get() {
             return Err(kind.into());
         }
         match self.stream.peer_addr() {
             Ok(_) => Ok(true),
-            Err(fault) if fault.kind() == ErrorKind::NotConnected => Ok(false),
-            Err(fault) => Err(fault),
+            Err(error) if error.kind() == ErrorKind::NotConnected => Ok(false),
+            Err(error) => Err(error),
         }
     }
 
@@ -217,8 +217,8 @@
         for _ in 0..FAILURES_IN_A_ROW {
             match act(&self.stream) {
                 Ok(count) => return Some(count),
-                Err(fault) if fault.kind() == ErrorKind::WouldBlock => return None,
-                Err(fault) if is_shortage(&fault) => {}
+                Err(error) if error.kind() == ErrorKind::WouldBlock => return None,
+                Err(error) if is_shortage(&error) => {}
                 Err(_) => {
                     self.ended.set(Some(End::Reset));
                     return None;
--- a/crates/proxy/src/spaces.rs
+++ b/crates/proxy/src/spaces.rs
@@ -54,8 +54,8 @@
     pub fn read(&mut self, folder: &Path, shared: &impl Shared) {
         let files = match std::fs::read_dir(folder) {
             Ok(files) => files,
-            Err(fault) => {
-                return log::error!("{}: {fault}: no namespaces are read from there", folder.display())
+            Err(error) => {
+                return log::error!("{}: {error}: no namespaces are read from there", folder.display())
             }
         };
         let mut paths: Vec<_> = files.filter_map(|file| Some(file.ok()?.path())).collect();
@@ -63,23 +63,23 @@
         // What is granted comes first: the others are checked against it.
         paths.sort_by_key(|path| (path.file_stem().is_none_or(|name| name != GRANTS), path.clone()));
         for path in paths {
-            if let Err(fault) = self.read_file(&path, shared) {
-                log::error!("{}: {fault}; what was there before stays", path.display());
+            if let Err(error) = self.read_file(&path, shared) {
+                log::error!("{}: {error}; what was there before stays", path.display());
             }
         }
     }
 
     /// Guards against a bad file reaching the others, or those that start later and have nothing from before.
     fn read_file(&mut self, path: &Path, shared: &impl Shared) -> Result<(), String> {
-        let text = std::fs::read_to_string(path).map_err(|fault| fault.to_string())?;
+        let text = std::fs::read_to_string(path).map_err(|error| error.to_string())?;
         if path.file_stem().is_some_and(|name| name == GRANTS) {
-            let grants = Grants::parse(&text).map_err(|fault| fault.to_string())?;
+            let grants = Grants::parse(&text).map_err(|error| error.to_string())?;
             put(GRANTS, grants.version, &grants, shared)?;
             self.grant(grants);
             return Ok(());
         }
-        let space = Space::parse(&text).map_err(|fault| fault.to_string())?;
-        self.table.check(&space).map_err(|fault| fault.to_string())?;
+        let space = Space::parse(&text).map_err(|error| error.to_string())?;
+        self.table.check(&space).map_err(|error| error.to_string())?;
         put(&format!("{SPACES}{}", space.customer), space.version, &space, shared)
     }
 
@@ -107,11 +107,11 @@
         match self.table.grant(grants) {
             Ok(out) => {
                 log::info!("grants: version {version} is in force");
-                for (customer, fault) in out {
-                    log::error!("namespace of {customer}: out of force: {fault}");
+                for (customer, error) in out {
+                    log::error!("namespace of {customer}: out of force: {error}");
                 }
             }
-            Err(fault) => log::error!("grants: {fault}; what was there before stays"),
+            Err(error) => log::error!("grants: {error}; what was there before stays"),
         }
     }
 
@@ -129,7 +129,7 @@
                     log::warn!("namespace of {customer}: rule {rule} can never act, as {early} covers it");
                 }
             }
-            Err(fault) => log::error!("namespace of {customer}: {fault}; what was there before stays"),
+            Err(error) => log::error!("namespace of {customer}: {error}; what was there before stays"),
         }
     }
 
@@ -173,7 +173,7 @@
 
 /// Puts something into what all share, in pieces.
 pub fn put<T: Serialize>(whole: &str, version: u64, value: &T, shared: &impl Shared) -> Result<(), String> {
-    let (head, pieces) = cut(version, value).map_err(|fault| fault.to_string())?;
+    let (head, pieces) = cut(version, value).map_err(|error| error.to_string())?;
     for (index, piece) in pieces.iter().enumerate() {
         shared.put(&key(whole, index), piece, version)?;
     }
--- a/crates/proxy/src/start.rs
+++ b/crates/proxy/src/start.rs
@@ -1,34 +1,34 @@
 //! What a proxy is told at its start: the environment, and the file that it names.
 
-use crate::listing::{ListFault, Listing};
+use crate::listing::{ListError, Listing};
 use crate::transient::is_transient;
 use serde::Deserialize;
 use serde_json::value::RawValue;
-use shelfgrade_terms::{Terms, TermsFault};
+use shelfgrade_terms::{Terms, TermsError};
 use std::env;
 use std::net::SocketAddr;
 
 /// Why a start-up file cannot be used; each text says where the fault is and what to do about it.
 #[derive(Debug, thiserror::Error)]
-pub enum StartFault {
+pub enum StartError {
     #[error("RELAY_CONFIG is not set: have it name the start-up file")]
     Unnamed,
     #[error("{path}: cannot be read ({source}): see that the file is there and may be read by this user")]
     Unreadable { path: String, source: std::io::Error },
     #[error("{path}: {source}")]
-    Unusable { path: String, source: FileFault },
+    Unusable { path: String, source: FileError },
 }
 
-impl StartFault {
+impl StartError {
     /// Whether the file may be read a moment later.
     pub fn is_transient(&self) -> bool {
-        matches!(self, StartFault::Unreadable { source, .. } if is_transient(source))
+        matches!(self, StartError::Unreadable { source, .. } if is_transient(source))
     }
 }
 
 /// What is wrong in a start-up file.
 #[derive(Debug, thiserror::Error)]
-pub enum FileFault {
+pub enum FileError {
     #[error("no start-up file ({0}): correct the JSON there")]
     Form(#[from] serde_json::Error),
     #[error("{0} is not set: give it in the file or in the environment")]
@@ -38,9 +38,9 @@
     #[error("seed: {0:?} is not a hexadecimal number: write up to sixteen digits of 0 to 9 and a to f")]
     Seed(String),
     #[error("known: {0}")]
-    Known(#[from] ListFault),
+    Known(#[from] ListError),
     #[error("settings: {0}")]
-    Settings(#[from] TermsFault),
+    Settings(#[from] TermsError),
 }
 
 pub struct Start {
@@ -79,24 +79,24 @@
 impl Start {
     /// Reads the file that `RELAY_CONFIG` names; what it leaves out of name and addresses comes from the
     /// environment.
-    pub fn from_environment() -> Result<Self, StartFault> {
-        let path = env::var("RELAY_CONFIG").map_err(|_| StartFault::Unnamed)?;
+    pub fn from_environment() -> Result<Self, StartError> {
+        let path = env::var("RELAY_CONFIG").map_err(|_| StartError::Unnamed)?;
         let read = std::fs::read_to_string(&path);
-        let text = read.map_err(|source| StartFault::Unreadable { path: path.clone(), source })?;
+        let text = read.map_err(|source| StartError::Unreadable { path: path.clone(), source })?;
         let parsed = Self::parse(&text, |name| env::var(name).ok());
-        parsed.map_err(|source| StartFault::Unusable { path, source })
+        parsed.map_err(|source| StartError::Unusable { path, source })
     }
 
-    pub fn parse(text: &str, environment: impl Fn(&str) -> Option<String>) -> Result<Self, FileFault> {
+    pub fn parse(text: &str, environment: impl Fn(&str) -> Option<String>) -> Result<Self, FileError> {
         let file: File = serde_json::from_str(text)?;
         let or_else = |given: Option<String>, name: &'static str| {
-            given.or_else(|| environment(name)).ok_or(FileFault::Missing(name))
+            given.or_else(|| environment(name)).ok_or(FileError::Missing(name))
         };
         let address = |given, name: &'static str| {
             let text = or_else(given, name)?;
-            text.parse().map_err(|_| FileFault::Address { name, text })
+            text.parse().map_err(|_| FileError::Address { name, text })
         };
-        let seed = u64::from_str_radix(&file.seed, 16).map_err(|_| FileFault::Seed(file.seed))?;
+        let seed = u64::from_str_radix(&file.seed, 16).map_err(|_| FileError::Seed(file.seed))?;
         let known = file.known.map(|known| Listing::parse(known.get().as_bytes())).transpose()?;
         Ok(Start {
             name: or_else(file.name, "RELAY_NAME")?,
@@ -119,8 +119,8 @@
     let reachable = maximum.map_or(wanted, |most| most.min(wanted));
     let reached = match setrlimit(Resource::Nofile, Rlimit { current: Some(reachable), maximum }) {
         Ok(()) => reachable,
-        Err(fault) => {
-            log::warn!("the limit on descriptors stays as it is: {fault}");
+        Err(error) => {
+            log::warn!("the limit on descriptors stays as it is: {error}");
             current.map_or(wanted, |current| current.min(wanted))
         }
     };
--- a/crates/proxy/src/transient.rs
+++ b/crates/proxy/src/transient.rs
@@ -17,13 +17,13 @@
 ];
 
 /// Whether a call on a connection failed for want of memory or buffers, which breaks no connection.
-pub fn is_shortage(fault: &io::Error) -> bool {
+pub fn is_shortage(error: &io::Error) -> bool {
     [Errno::NOMEM, Errno::NOBUFS, Errno::INTR]
         .iter()
-        .any(|errno| fault.raw_os_error() == Some(errno.raw_os_error()))
+        .any(|errno| error.raw_os_error() == Some(errno.raw_os_error()))
 }
 
 /// Whether a call that failed so may be tried again.
-pub fn is_transient(fault: &io::Error) -> bool {
-    fault.raw_os_error().is_some_and(|number| TRANSIENT.iter().any(|errno| errno.raw_os_error() == number))
+pub fn is_transient(error: &io::Error) -> bool {
+    error.raw_os_error().is_some_and(|number| TRANSIENT.iter().any(|errno| errno.raw_os_error() == number))
 }
--- a/crates/proxy/src/windows.rs
+++ b/crates/proxy/src/windows.rs
@@ -38,13 +38,13 @@
     /// Reads the file and spreads it, if it can be used.
     pub fn read(&self, path: &Path, now_ms: i64, shared: &impl Shared) {
         let read = || {
-            let text = std::fs::read_to_string(path).map_err(|fault| fault.to_string())?;
-            let schedule = Schedule::parse(&text).map_err(|fault| fault.to_string())?;
-            schedule.check(now_ms).map_err(|fault| fault.to_string())?;
+            let text = std::fs::read_to_string(path).map_err(|error| error.to_string())?;
+            let schedule = Schedule::parse(&text).map_err(|error| error.to_string())?;
+            schedule.check(now_ms).map_err(|error| error.to_string())?;
             put(WINDOWS, schedule.version, &schedule, shared)
         };
-        if let Err(fault) = read() {
-            log::error!("{}: {fault}; the schedule before stays", path.display());
+        if let Err(error) = read() {
+            log::error!("{}: {error}; the schedule before stays", path.display());
         }
     }
 
@@ -55,9 +55,9 @@
         if schedule.version <= held {
             return;
         }
-        if let Err(fault) = schedule.check(now_ms) {
+        if let Err(error) = schedule.check(now_ms) {
             return log::error!(
-                "maintenance: version {}: {fault}; the schedule before stays",
+                "maintenance: version {}: {error}; the schedule before stays",
                 schedule.version
             );
         }
@@ -78,8 +78,8 @@
         }
         let phases = match plan.at(now_ms, &sites) {
             Ok(phases) => phases,
-            Err(fault) => {
-                log::error!("maintenance: {fault}");
+            Err(error) => {
+                log::error!("maintenance: {error}");
                 return Look::default();
             }
         };
--- a/crates/proxy/tests/unit/listing.rs
+++ b/crates/proxy/tests/unit/listing.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-fn parse(health: &str, dial: &str) -> Result<Listing, ListFault> {
+fn parse(health: &str, dial: &str) -> Result<Listing, ListError> {
     let entry =
         format!(r#"{{"host":"s","dial":{dial},"class":"m2","health":"{health}","born_ms":0,"share":1.0}}"#);
     Listing::parse(format!(r#"{{"seq":4,"whole":true,"hosts":[{entry}]}}"#).as_bytes())
--- a/crates/recovery/src/comeback.rs
+++ b/crates/recovery/src/comeback.rs
@@ -254,8 +254,8 @@
                 continue;
             }
             let put = self.fleet.put_at(&key, fact, version, &mut heard);
-            if let Err(fault) = put {
-                heard.around.refused_list(&fault.to_string());
+            if let Err(error) = put {
+                heard.around.refused_list(&error.to_string());
             }
         }
         if counting != self.counting {
--- a/crates/recovery/src/snapshot.rs
+++ b/crates/recovery/src/snapshot.rs
@@ -41,7 +41,7 @@
 
 /// Why a file is not used. The process starts without it, and asks its fellows and discovery.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum SnapshotFault {
+pub enum SnapshotError {
     #[error("empty: the power went as it was made, or the disk is full; it is written anew")]
     Empty,
     #[error(
@@ -74,24 +74,24 @@
     bytes
 }
 
-pub fn read(bytes: &[u8], fleet: &str, name: &str) -> Result<Saved, SnapshotFault> {
+pub fn read(bytes: &[u8], fleet: &str, name: &str) -> Result<Saved, SnapshotError> {
     if bytes.is_empty() {
-        return Err(SnapshotFault::Empty);
+        return Err(SnapshotError::Empty);
     }
     let known = bytes.len().min(MAGIC.len());
     if bytes[..known] != MAGIC[..known] {
-        return Err(SnapshotFault::NotOne);
+        return Err(SnapshotError::NotOne);
     }
-    let torn = |wanted| SnapshotFault::Torn { held: bytes.len(), wanted };
+    let torn = |wanted| SnapshotError::Torn { held: bytes.len(), wanted };
     let Some((head, body)) = bytes.split_at_checked(HEAD) else { return Err(torn(HEAD)) };
     let format = u16::from_le_bytes([head[8], head[9]]);
     if format > FORMAT {
-        return Err(SnapshotFault::Newer(format));
+        return Err(SnapshotError::Newer(format));
     }
     let length = head[10..18].try_into().map_or(u64::MAX, u64::from_le_bytes);
     let length = usize::try_from(length).unwrap_or(usize::MAX);
     if length > LONGEST {
-        return Err(SnapshotFault::Damaged);
+        return Err(SnapshotError::Damaged);
     }
     if body.len() < length {
         return Err(torn(HEAD + length));
@@ -99,14 +99,14 @@
     let sum = head[18..].try_into().map_or(0, u128::from_le_bytes);
     let body = &body[..length];
     if xxh3_128(body) != sum {
-        return Err(SnapshotFault::Damaged);
+        return Err(SnapshotError::Damaged);
     }
-    let saved: Saved = postcard::from_bytes(body).map_err(|_| SnapshotFault::Damaged)?;
+    let saved: Saved = postcard::from_bytes(body).map_err(|_| SnapshotError::Damaged)?;
     if saved.fleet != fleet {
-        return Err(SnapshotFault::Foreign(saved.fleet));
+        return Err(SnapshotError::Foreign(saved.fleet));
     }
     if saved.name != name {
-        return Err(SnapshotFault::Fellows(saved.name));
+        return Err(SnapshotError::Fellows(saved.name));
     }
     Ok(saved)
 }
@@ -117,17 +117,17 @@
     files: &[Option<Vec<u8>>],
     fleet: &str,
     name: &str,
-) -> (Option<Saved>, Vec<(usize, SnapshotFault)>) {
+) -> (Option<Saved>, Vec<(usize, SnapshotError)>) {
     let mut best: Option<Saved> = None;
-    let mut faults = Vec::new();
+    let mut errors = Vec::new();
     for (generation, bytes) in files.iter().enumerate().filter_map(|(i, bytes)| Some((i, bytes.as_ref()?))) {
         match read(bytes, fleet, name) {
             Ok(saved) if best.as_ref().is_none_or(|best| saved.number > best.number) => best = Some(saved),
             Ok(_) => {}
-            Err(fault) => faults.push((generation, fault)),
+            Err(error) => errors.push((generation, error)),
         }
     }
-    (best, faults)
+    (best, errors)
 }
 
 /// Which file a writing goes to: never the one that holds the last good state.
--- a/crates/recovery/tests/unit/snapshot.rs
+++ b/crates/recovery/tests/unit/snapshot.rs
@@ -28,19 +28,19 @@
     let good = write(&saved(4));
     let fault = |bytes: &[u8]| read(bytes, "dar", "n3").expect_err("a fault");
     assert_eq!(read(&good, "dar", "n3"), Ok(saved(4)));
-    assert_eq!(fault(&[]), SnapshotFault::Empty);
-    assert!(matches!(fault(&good[..good.len() - 1]), SnapshotFault::Torn { .. }));
-    assert!(matches!(fault(&good[..20]), SnapshotFault::Torn { .. }));
-    assert_eq!(fault(b"{\"json\":1}"), SnapshotFault::NotOne);
+    assert_eq!(fault(&[]), SnapshotError::Empty);
+    assert!(matches!(fault(&good[..good.len() - 1]), SnapshotError::Torn { .. }));
+    assert!(matches!(fault(&good[..20]), SnapshotError::Torn { .. }));
+    assert_eq!(fault(b"{\"json\":1}"), SnapshotError::NotOne);
     let mut newer = good.clone();
     newer[8] = 9;
-    assert_eq!(fault(&newer), SnapshotFault::Newer(9));
+    assert_eq!(fault(&newer), SnapshotError::Newer(9));
     let mut damaged = good.clone();
     *damaged.last_mut().expect("bytes") ^= 1;
-    assert_eq!(fault(&damaged), SnapshotFault::Damaged);
+    assert_eq!(fault(&damaged), SnapshotError::Damaged);
     let whose = |fleet, name| read(&good, fleet, name).expect_err("another's");
-    assert_eq!(whose("moshi", "n3"), SnapshotFault::Foreign("dar".into()));
-    assert_eq!(whose("dar", "n4"), SnapshotFault::Fellows("n3".into()));
+    assert_eq!(whose("moshi", "n3"), SnapshotError::Foreign("dar".into()));
+    assert_eq!(whose("dar", "n4"), SnapshotError::Fellows("n3".into()));
 
     let later = write(&saved(5));
     let (best, faults) = newest(&[Some(good.clone()), Some(later.clone())], "dar", "n3");
--- a/crates/terms/src/lib.rs
+++ b/crates/terms/src/lib.rs
@@ -21,7 +21,7 @@
 
 /// Why settings cannot be used.
 #[derive(Debug, thiserror::Error)]
-pub enum TermsFault {
+pub enum TermsError {
     #[error("not what is wanted ({0}): correct the value there")]
     Form(#[from] serde_json::Error),
     #[error(
@@ -179,13 +179,13 @@
 }
 
 /// Reads the terms from the text of their JSON object.
-pub fn parse(seed: u64, text: &str) -> Result<Terms, TermsFault> {
+pub fn parse(seed: u64, text: &str) -> Result<Terms, TermsError> {
     let env: Env = serde_json::from_str(text)?;
     let proxies = env.balancers.map_or(MANY, NonZeroUsize::get);
     let Env { offerings, invariants, bounds, extra, customers, .. } = env;
     let all_hold = all_hold(&extra.tenant_quota_connections);
     if all_hold.is_some() && extra.server_connections.is_some() {
-        return Err(TermsFault::ToldTwice);
+        return Err(TermsError::ToldTwice);
     }
     let warm_up = WarmUp {
         cold_from: invariants.cold_from.0,
--- a/crates/terms/tests/unit/lib.rs
+++ b/crates/terms/tests/unit/lib.rs
@@ -4,7 +4,7 @@
 use shelfgrade::host::{Host, ServerId, SessionId};
 use shelfgrade::time::Timestamp;
 
-fn settings(balancers: &str, cold_ms: &str) -> Result<Terms, TermsFault> {
+fn settings(balancers: &str, cold_ms: &str) -> Result<Terms, TermsError> {
     let text = format!(
         r#"{{{balancers}"discovery":"subscribe","offerings":[],"bounds":{{"most_connects":3}},
         "invariants":{{"overload_factor":4,"cold_ms":{cold_ms},"must_ask_in_ms":10000}}}}"#
--- a/crates/trials/src/cells.rs
+++ b/crates/trials/src/cells.rs
@@ -2,7 +2,7 @@
 
 use nanorand::{Rng, WyRand};
 use shelfgrade::time::{DurationExt, Timestamp};
-use shelfgrade_cells::{CellId, Change, ChangeFault, Key, Peer, Peers, Process, Replica, Start, Stored};
+use shelfgrade_cells::{CellId, Change, ChangeError, Key, Peer, Peers, Process, Replica, Start, Stored};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use std::net::SocketAddr;
@@ -23,7 +23,7 @@
     pub horizon: u64,
     pub one_value: OneValue,
     pub refused: BTreeMap<&'static str, u64>,
-    pub outcomes: BTreeMap<u64, Result<(), ChangeFault>>,
+    pub outcomes: BTreeMap<u64, Result<(), ChangeError>>,
     /// The entry whose arrival is noted, and when each node had it.
     pub watched: Option<String>,
     pub arrivals: BTreeMap<usize, Timestamp>,
--- a/crates/trials/src/cells/parts.rs
+++ b/crates/trials/src/cells/parts.rs
@@ -2,7 +2,7 @@
 
 use shelfgrade::time::Timestamp;
 use shelfgrade_cells::{
-    Batch, CellId, ChangeFault, Kept, Key, Process, Record, Replica, Stored, Surroundings,
+    Batch, CellId, ChangeError, Kept, Key, Process, Record, Replica, Stored, Surroundings,
 };
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -104,7 +104,7 @@
     pub(super) sends: Vec<(SocketAddr, Vec<u8>)>,
     pub(super) stored: Vec<Stored>,
     pub(super) news: Vec<Key>,
-    pub(super) outcomes: Vec<(u64, Result<(), ChangeFault>)>,
+    pub(super) outcomes: Vec<(u64, Result<(), ChangeError>)>,
     pub(super) refused: Vec<&'static str>,
 }
 
@@ -118,7 +118,7 @@
     fn news(&mut self, record: &Record) {
         self.news.push(record.key.clone());
     }
-    fn outcome(&mut self, id: u64, outcome: Result<(), ChangeFault>) {
+    fn outcome(&mut self, id: u64, outcome: Result<(), ChangeError>) {
         self.outcomes.push((id, outcome));
     }
     fn refused(&mut self, why: &'static str) {
