--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -4,7 +4,7 @@
 
 use anyhow::{bail, Context, Result};
 use shelfgrade::choice::Chooser;
-use shelfgrade::host::{Arrival, Ending, Host, Listed, ServerId, SessionId, Standing};
+use shelfgrade::host::{Arrival, Ending, Endpoint, EndpointState, Host, ServerId, SessionId};
 use shelfgrade::time::{DurationExt, Timestamp};
 use shelfgrade_terms::Terms;
 use std::collections::BTreeMap;
@@ -38,7 +38,7 @@
     whole: bool,
     restored: bool,
     missing: usize,
-    lines: Vec<Listed>,
+    lines: Vec<Endpoint>,
 }
 
 #[derive(Default)]
@@ -172,7 +172,7 @@
 
     fn entry(&mut self, line: &Line) -> Result<()> {
         let list = self.list.as_mut().context("ENTRY outside a list")?;
-        list.lines.push(Listed {
+        list.lines.push(Endpoint {
             server: line.required("server")?.into(),
             zone: line.optional("site").unwrap_or_default().to_owned(),
             kind: line.optional("type").unwrap_or_default().to_owned(),
@@ -181,10 +181,10 @@
                 Some(_) => Some(line.point("up_since_ms")?).filter(|p| *p > Timestamp::default()),
                 None => None,
             },
-            standing: match line.required("status")? {
-                "active" => Standing::Active,
-                "leaving" => Standing::Draining,
-                "left" => Standing::Gone,
+            state: match line.required("status")? {
+                "active" => EndpointState::Active,
+                "leaving" => EndpointState::Draining,
+                "left" => EndpointState::Removed,
                 status => bail!("status={status} is unknown"),
             },
         });
--- a/crates/namespaces/src/rules.rs
+++ b/crates/namespaces/src/rules.rs
@@ -1,7 +1,7 @@
 //! A customer's rules and what the operator grants it, as they are written, checked whole.
 
 use serde::{Deserialize, Serialize};
-use shelfgrade::host::Listed;
+use shelfgrade::host::Endpoint;
 use std::collections::BTreeMap;
 
 /// More would make a look-up's time the customer's to choose.
@@ -43,7 +43,7 @@
 }
 
 impl Part {
-    pub fn has(&self, server: &Listed) -> bool {
+    pub fn has(&self, server: &Endpoint) -> bool {
         let any = |patterns: &[Pattern], name: &str| {
             patterns.is_empty() || patterns.iter().any(|p| p.matches(name))
         };
--- a/crates/namespaces/src/table.rs
+++ b/crates/namespaces/src/table.rs
@@ -1,7 +1,7 @@
 //! What a session finds: its own customer's rules, and nothing of anybody else's.
 
 use crate::rules::{Grant, Grants, Rule, Space, SpaceError};
-use shelfgrade::host::{Listed, ServerId};
+use shelfgrade::host::{Endpoint, ServerId};
 use std::collections::HashMap;
 use std::rc::Rc;
 
@@ -18,8 +18,8 @@
 }
 
 impl InForce {
-    fn new(space: Space, grant: Grant, (list, of_list): (&[Listed], u64)) -> Self {
-        let left_by = |has: &dyn Fn(&Listed) -> bool| {
+    fn new(space: Space, grant: Grant, (list, of_list): (&[Endpoint], u64)) -> Self {
+        let left_by = |has: &dyn Fn(&Endpoint) -> bool| {
             let mut left: Vec<_> = list.iter().filter(|l| has(l)).map(|l| l.server.clone()).collect();
             left.sort();
             Rc::from(left)
@@ -80,7 +80,7 @@
     grants: HashMap<String, Grant>,
     grants_version: u64,
     others: u32,
-    list: Vec<Listed>,
+    list: Vec<Endpoint>,
     /// Counts the lists.
     of_list: u64,
 }
@@ -139,7 +139,7 @@
 
     /// The list of servers has changed. Guards against ten thousand namespaces holding up a session for it: each is cut
     /// anew when it is next looked up.
-    pub fn follow(&mut self, list: Vec<Listed>) {
+    pub fn follow(&mut self, list: Vec<Endpoint>) {
         self.list = list;
         self.of_list += 1;
     }
--- a/crates/namespaces/tests/isolation.rs
+++ b/crates/namespaces/tests/isolation.rs
@@ -2,7 +2,7 @@
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use shelfgrade::host::{Listed, Standing};
+use shelfgrade::host::{Endpoint, EndpointState};
 use shelfgrade_namespaces::rules::{Grant, Grants, Part, Pattern, Rule, Space};
 use shelfgrade_namespaces::spread;
 use shelfgrade_namespaces::table::{part_of_room, Found, Table};
@@ -36,14 +36,14 @@
     })
 }
 
-fn list() -> Vec<Listed> {
-    let line = |id: &str| Listed {
+fn list() -> Vec<Endpoint> {
+    let line = |id: &str| Endpoint {
         server: id.into(),
         zone: id[..1].to_owned(),
         kind: "m".into(),
         cell: 0,
         started: None,
-        standing: Standing::Active,
+        state: EndpointState::Active,
     };
     ["a1", "a2", "b1", "b2", "b3"].map(line).to_vec()
 }
--- a/crates/proxy/src/choosers.rs
+++ b/crates/proxy/src/choosers.rs
@@ -3,7 +3,7 @@
 
 use shelfgrade::choice::Chooser;
 use shelfgrade::handover::Remembered;
-use shelfgrade::host::{Arrival, Ending, Host, Listed, ServerId, SessionId, Standing};
+use shelfgrade::host::{Arrival, Ending, Endpoint, EndpointState, Host, ServerId, SessionId};
 use shelfgrade::time::Timestamp;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -30,7 +30,7 @@
     own: BTreeMap<Rc<str>, Own>,
     /// Whose sessions are not the common ones'.
     owner: BTreeMap<SessionId, Rc<str>>,
-    list: BTreeMap<ServerId, Listed>,
+    list: BTreeMap<ServerId, Endpoint>,
     /// What an earlier life remembered, and until when that is of use.
     remembered: Vec<(Remembered, Timestamp)>,
     probing: bool,
@@ -53,24 +53,24 @@
         }
     }
 
-    pub fn start(&mut self, last_held: &[Listed], now: Timestamp, host: &mut dyn Host) {
+    pub fn start(&mut self, last_held: &[Endpoint], now: Timestamp, host: &mut dyn Host) {
         self.keep(last_held, true);
         self.common.start(last_held, now, host);
     }
 
-    fn keep(&mut self, lines: &[Listed], whole: bool) {
+    fn keep(&mut self, lines: &[Endpoint], whole: bool) {
         if whole {
             self.list.clear();
         }
         self.list.extend(lines.iter().map(|line| (line.server.clone(), line.clone())));
-        self.list.retain(|_, line| line.standing != Standing::Gone);
+        self.list.retain(|_, line| line.state != EndpointState::Removed);
     }
 
-    pub fn list(&self) -> Vec<Listed> {
+    pub fn list(&self) -> Vec<Endpoint> {
         self.list.values().cloned().collect()
     }
 
-    pub fn listed(&mut self, lines: &[Listed], whole: bool, now: Timestamp) {
+    pub fn listed(&mut self, lines: &[Endpoint], whole: bool, now: Timestamp) {
         self.keep(lines, whole);
         self.common.listed(lines, whole, now);
         for own in self.own.values_mut() {
@@ -244,6 +244,6 @@
     }
 }
 
-fn granted(list: &BTreeMap<ServerId, Listed>, servers: &[ServerId]) -> Vec<Listed> {
+fn granted(list: &BTreeMap<ServerId, Endpoint>, servers: &[ServerId]) -> Vec<Endpoint> {
     servers.iter().filter_map(|server| list.get(server)).cloned().collect()
 }
--- a/crates/proxy/src/client.rs
+++ b/crates/proxy/src/client.rs
@@ -54,7 +54,9 @@
         match self.client.ended.get() {
             Some(how) if before.is_none() => self.client_ended(how, proxy),
             // A write noticed it first.
-            Some(End::Reset) if self.stage.get() == Stage::Standing => self.client_ended(End::Reset, proxy),
+            Some(End::Reset) if self.stage.get() == Stage::Established => {
+                self.client_ended(End::Reset, proxy)
+            }
             _ => {}
         }
         read > 0
@@ -62,7 +64,7 @@
 
     fn client_ended(&self, how: End, proxy: &mut Proxy) {
         match self.stage.get() {
-            Stage::Standing => {
+            Stage::Established => {
                 self.up_end.set(Some(how));
                 if how == End::Reset {
                     self.down_end.set(Some(how));
--- a/crates/proxy/src/comeback.rs
+++ b/crates/proxy/src/comeback.rs
@@ -1,15 +1,15 @@
 //! The proxy among its fellows, where the fleet file is named: what the return asks of it, and what it tells the return.
 
+use crate::endpoint_list::{EndpointList, Entry, Health};
 use crate::fellows::{Company, Fellows};
 use crate::fleet_file::{FleetError, FleetFile};
-use crate::listing::{Entry, Health, Listing};
 use crate::proxy::Proxy;
 use crate::session::{Session, Stage};
 use crate::spaces::{Changed, Decided, Shared, Spaces};
 use crate::windows::WINDOWS;
 use serde::{de::DeserializeOwned, Serialize};
 use shelfgrade::handover::Remembered;
-use shelfgrade::host::{Host, Listed, ServerId, Standing, Turn};
+use shelfgrade::host::{Endpoint, EndpointState, Host, ServerId, Turn};
 use shelfgrade_recovery::around::{Line, Terms};
 use shelfgrade_recovery::order::{Owed, State};
 use shelfgrade_recovery::trust::{self, Fact};
@@ -44,7 +44,7 @@
         }
         self.look_at_windows();
         self.go_by_lines(lines.iter().map(|line| (line.listed.clone(), line.dial)).collect(), whole);
-        self.told.retain(|_, (line, _)| line.standing != Standing::Gone);
+        self.told.retain(|_, (line, _)| line.state != EndpointState::Removed);
         self.spaces.follow(self.chooser.list());
         let live = self.chooser.customers();
         let changed = live.iter().filter_map(|customer| self.spaces.changed(customer)).collect();
@@ -112,10 +112,10 @@
 impl Proxy {
     /// Where there are fellows, discovery's list goes to the return, which says what of it is gone by; whether it was taken
     /// and discovery is to be watched on from there.
-    pub fn list_for_fellows(&mut self, listing: &Listing) -> Option<bool> {
+    pub fn list_for_fellows(&mut self, list: &EndpointList) -> Option<bool> {
         let fellows = self.fellows.clone()?;
-        let facts = listing.entries.iter().map(|entry| (entry.host.clone(), fact(entry))).collect();
-        let taken = fellows.told(facts, listing.whole, listing.seq, self);
+        let facts = list.entries.iter().map(|entry| (entry.host.clone(), fact(entry))).collect();
+        let taken = fellows.told(facts, list.whole, list.seq, self);
         Some(taken && fellows.watches())
     }
 
@@ -137,7 +137,7 @@
         &mut self,
         file: FleetFile,
         terms: Terms,
-        known: &Listing,
+        known: &EndpointList,
         seed: u64,
     ) -> Result<(), FleetError> {
         let dials = known.entries.iter().map(|entry| entry.dial);
@@ -166,9 +166,9 @@
     }
 
     /// Goes by these lines, as far as windows leave them what they are.
-    fn go_by_lines(&mut self, lines: Vec<(Listed, Option<SocketAddr>)>, whole: bool) {
+    fn go_by_lines(&mut self, lines: Vec<(Endpoint, Option<SocketAddr>)>, whole: bool) {
         let now = self.hands.clock.now();
-        let as_put = |line: &Listed| self.windows.line(line, self.warm_up, now);
+        let as_put = |line: &Endpoint| self.windows.line(line, self.warm_up, now);
         let lines: Vec<_> = lines.iter().map(|(line, dial)| (as_put(line), *dial)).collect();
         self.hands.follow(lines.iter().map(|(line, dial)| (line, *dial)), whole);
         let listed: Vec<_> = lines.into_iter().map(|(line, _)| line).collect();
@@ -182,9 +182,9 @@
         let now = self.hands.clock.now();
         let list: Vec<_> = self.told.values().map(|(line, _)| line.clone()).collect();
         let site_of = |server: &ServerId| self.told.get(server).map(|(line, _)| line.zone.clone());
-        let standing: Vec<_> =
-            self.hands.sessions.values().filter(|c| c.stage.get() == Stage::Standing).collect();
-        let at: Vec<_> = standing
+        let established: Vec<_> =
+            self.hands.sessions.values().filter(|c| c.stage.get() == Stage::Established).collect();
+        let at: Vec<_> = established
             .iter()
             .filter_map(|c| Some((c.id, site_of(&c.attempt.borrow().as_ref()?.server.id)?)))
             .collect();
--- a/crates/proxy/src/discovery.rs
+++ b/crates/proxy/src/discovery.rs
@@ -1,8 +1,8 @@
 //! Discovery over HTTP/1.1: one connection, one call at a time, and after each answer the next watch at once.
 
 use crate::driver::OnLoop;
+use crate::endpoint_list::{EndpointList, ListError};
 use crate::http::{Exchange, HttpError};
-use crate::listing::{ListError, Listing};
 use crate::ring::Ring;
 use crate::socket::Socket;
 use calloop::timer::{TimeoutAction, Timer};
@@ -76,7 +76,7 @@
 /// Who follows the list, and whose loop carries the calls.
 pub trait Follower: OnLoop {
     /// Discovery has told a list; true where it is to be watched on from there.
-    fn listed(&mut self, listing: &Listing) -> bool;
+    fn listed(&mut self, list: &EndpointList) -> bool;
     /// A call that was out since then was refused or has failed.
     fn list_failed(&mut self, error: &CallError, since: Timestamp);
     /// A watch, or a call that was taken, has had no answer in its time, or one that is of no use: it is broken, and is
@@ -240,23 +240,23 @@
             // Between calls it may end as it likes; the next call opens another.
             None if ended => drop(self.socket.take()),
             None | Some(Ok(None)) => {}
-            Some(Ok(Some(answer))) => match Listing::parse(&answer.body) {
+            Some(Ok(Some(answer))) => match EndpointList::parse(&answer.body) {
                 // Guards against following changes to a list that was never had: discovery counts from the start again.
-                Ok(listing) if !listing.whole && self.seq.get().is_some_and(|asked| listing.seq < asked) => {
-                    log::warn!("discovery at {at}: back at version {}: asked for all", listing.seq);
+                Ok(list) if !list.whole && self.seq.get().is_some_and(|asked| list.seq < asked) => {
+                    log::warn!("discovery at {at}: back at version {}: asked for all", list.seq);
                     self.forget(follower);
                     self.ask(follower);
                 }
-                Ok(mut listing) => {
-                    listing.told_at = answer.date;
+                Ok(mut list) => {
+                    list.told_at = answer.date;
                     if !answer.keeps {
                         self.socket.take();
                     }
                     self.stop_timer(follower);
                     self.call.take();
-                    self.seq.set(Some(listing.seq));
+                    self.seq.set(Some(list.seq));
                     self.heard.set(true);
-                    if follower.listed(&listing) {
+                    if follower.listed(&list) {
                         self.call(true, follower);
                     }
                 }
--- a/crates/proxy/src/ending.rs
+++ b/crates/proxy/src/ending.rs
@@ -72,7 +72,7 @@
                 session.answer("ERR", &mut self.hands);
             }
         }
-        let open = in_stage(Stage::Asking).chain(in_stage(Stage::Standing)).next().is_some();
+        let open = in_stage(Stage::Asking).chain(in_stage(Stage::Established)).next().is_some();
         let leaving = in_stage(Stage::Leaving).any(|c| !c.client.is_over());
         let quiet = past >= QUIET_FOR && now.since(self.last_arrival) >= QUIET_FOR;
         // Guards against leaving who has connected, and has sent nothing yet or half of its line.
--- a/crates/proxy/src/listing.rs
+++ b/crates/proxy/src/endpoint_list.rs
@@ -1,7 +1,7 @@
 //! The server list in discovery's form.
 
 use serde::Deserialize;
-use shelfgrade::host::{Listed, Standing};
+use shelfgrade::host::{Endpoint, EndpointState};
 use shelfgrade::time::Timestamp;
 use std::net::SocketAddr;
 use std::time::SystemTime;
@@ -16,7 +16,7 @@
 }
 
 #[derive(Deserialize, Default)]
-pub struct Listing {
+pub struct EndpointList {
     pub seq: u64,
     #[serde(default)]
     pub whole: bool,
@@ -51,41 +51,41 @@
     Terminated,
 }
 
-impl Listing {
+impl EndpointList {
     /// Reads an answer; one with any part that makes no sense is refused whole.
     pub fn parse(text: &[u8]) -> Result<Self, ListError> {
-        let listing: Listing = serde_json::from_slice(text)?;
-        for entry in &listing.entries {
+        let list: EndpointList = serde_json::from_slice(text)?;
+        for entry in &list.entries {
             if entry.dial.is_none() && entry.health != Health::Terminated {
                 return Err(ListError::NoAddress { host: entry.host.clone() });
             }
         }
-        Ok(listing)
+        Ok(list)
     }
 
     /// The list in the module's form, line by line as the entries stand here.
-    pub fn lines(&self) -> Vec<Listed> {
+    pub fn lines(&self) -> Vec<Endpoint> {
         self.entries.iter().map(Entry::line).collect()
     }
 }
 
 impl Entry {
-    fn line(&self) -> Listed {
-        Listed {
+    fn line(&self) -> Endpoint {
+        Endpoint {
             server: self.host.as_str().into(),
             zone: self.site.clone(),
             kind: self.kind.clone(),
             cell: self.block,
             started: (self.born_ms > 0.0).then(|| Timestamp::from_ms(self.born_ms)),
-            standing: match self.health {
-                Health::InService => Standing::Active,
-                Health::Terminating => Standing::Draining,
-                Health::Terminated => Standing::Gone,
+            state: match self.health {
+                Health::InService => EndpointState::Active,
+                Health::Terminating => EndpointState::Draining,
+                Health::Terminated => EndpointState::Removed,
             },
         }
     }
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/listing.rs"]
+#[path = "../tests/unit/endpoint_list.rs"]
 mod tests;
--- a/crates/proxy/src/hands.rs
+++ b/crates/proxy/src/hands.rs
@@ -12,7 +12,7 @@
 use crate::tally::Tally;
 use calloop::timer::{TimeoutAction, Timer};
 use calloop::LoopHandle;
-use shelfgrade::host::{Ending, Host, Listed, ServerId, SessionId, Standing};
+use shelfgrade::host::{Ending, Endpoint, EndpointState, Host, ServerId, SessionId};
 use shelfgrade::time::{DurationExt, Timestamp};
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -169,19 +169,19 @@
     /// Goes by these lines of the list, each with its address, if it has one.
     pub fn follow<'a>(
         &mut self,
-        lines: impl Iterator<Item = (&'a Listed, Option<SocketAddr>)> + Clone,
+        lines: impl Iterator<Item = (&'a Endpoint, Option<SocketAddr>)> + Clone,
         whole: bool,
     ) {
         if whole {
             let told: BTreeSet<_> = lines.clone().map(|(line, _)| &line.server).collect();
             let gone = self.servers.iter().filter(|(id, _)| !told.contains(id));
-            gone.for_each(|(_, server)| server.standing.set(Standing::Gone));
+            gone.for_each(|(_, server)| server.state.set(EndpointState::Removed));
         }
         for (line, dial) in lines {
             let server = self.servers.get(&line.server).cloned().or_else(|| {
                 let server = Server {
                     id: line.server.clone(),
-                    standing: Cell::new(line.standing),
+                    state: Cell::new(line.state),
                     dial: Cell::new(dial?),
                     pulse: Default::default(),
                     notes: Default::default(),
@@ -190,11 +190,11 @@
                 Some(Rc::new(server))
             });
             let Some(server) = server else { continue };
-            server.standing.set(line.standing);
+            server.state.set(line.state);
             server.dial.set(dial.unwrap_or(server.dial.get()));
             self.servers.insert(line.server.clone(), server);
         }
-        self.servers.retain(|_, server| server.standing.get() != Standing::Gone);
+        self.servers.retain(|_, server| server.state.get() != EndpointState::Removed);
     }
 
     /// Connects a session to the server that its line names, or leaves it for when the list names that one.
@@ -271,7 +271,8 @@
         self.tally.count("sent away");
         log::debug!("session {} sent away", session.0);
         let now = self.clock.now();
-        let Some(session) = self.sessions.get(&session).filter(|c| c.stage.get() == Stage::Standing) else {
+        let Some(session) = self.sessions.get(&session).filter(|c| c.stage.get() == Stage::Established)
+        else {
             return;
         };
         session.leaving_line.set(Some(now));
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -7,11 +7,11 @@
 use crate::driver::OnLoop;
 use crate::early::Early;
 use crate::ending::Course;
+use crate::endpoint_list::EndpointList;
 use crate::fellows::Fellows;
 use crate::fleet_file::{FleetError, FleetFile};
 use crate::hands::Hands;
 use crate::line::{Open, LONGEST};
-use crate::listing::Listing;
 use crate::probe::Probe;
 use crate::server::Server;
 use crate::session::{Session, Stage};
@@ -24,7 +24,7 @@
 use calloop::signals::{Signal, Signals};
 use calloop::timer::{TimeoutAction, Timer};
 use calloop::{EventLoop, LoopHandle, LoopSignal};
-use shelfgrade::host::{Arrival, Ending, Listed, ServerId, SessionId};
+use shelfgrade::host::{Arrival, Ending, Endpoint, ServerId, SessionId};
 use shelfgrade::time::{DurationExt, Timestamp};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -39,7 +39,7 @@
     pub spaces: Spaces,
     pub windows: Windows,
     /// The list as the fleet has it, before windows are put on it.
-    pub told: BTreeMap<ServerId, (Listed, Option<SocketAddr>)>,
+    pub told: BTreeMap<ServerId, (Endpoint, Option<SocketAddr>)>,
     pub warm_up: Duration,
     start_times: StartTimes,
     pub hands: Hands,
@@ -309,10 +309,10 @@
         self.look_at_windows();
         let servers: Vec<_> = self.hands.servers.values().cloned().collect();
         let waits =
-            |session: &Session| session.stage.get() == Stage::Standing && session.asked.get().is_some();
+            |session: &Session| session.stage.get() == Stage::Established && session.asked.get().is_some();
         for session in self.hands.unanswered.look(waits) {
             self.hands.tally.count("sessions looked after");
-            if let Some(asked) = session.asked.get().filter(|_| session.stage.get() == Stage::Standing) {
+            if let Some(asked) = session.asked.get().filter(|_| session.stage.get() == Stage::Established) {
                 self.chooser.messages_take(session.id, now.since(asked), now, &mut self.hands);
                 self.settle();
             }
@@ -338,21 +338,21 @@
 }
 
 impl Follower for Proxy {
-    fn listed(&mut self, listing: &Listing) -> bool {
+    fn listed(&mut self, list: &EndpointList) -> bool {
         let now = self.now();
-        log::debug!("list {}: {} lines, whole {}", listing.seq, listing.entries.len(), listing.whole);
+        log::debug!("list {}: {} lines, whole {}", list.seq, list.entries.len(), list.whole);
         self.hands.list_heard.set(true);
-        if let Some(taken) = self.list_for_fellows(listing) {
+        if let Some(taken) = self.list_for_fellows(list) {
             return taken;
         }
-        if listing.told_at.is_some_and(|time| self.start_times.discovery_says(time, now)) {
+        if list.told_at.is_some_and(|time| self.start_times.discovery_says(time, now)) {
             let known = self.start_times.timed_anew(self.chooser.list());
             self.chooser.listed(&known, false, now);
         }
-        let lines = self.start_times.timed(listing.lines(), now);
+        let lines = self.start_times.timed(list.lines(), now);
         self.start_times.list_is_heard();
-        self.hands.follow(lines.iter().zip(listing.entries.iter().map(|entry| entry.dial)), listing.whole);
-        self.chooser.listed(&lines, listing.whole, now);
+        self.hands.follow(lines.iter().zip(list.entries.iter().map(|entry| entry.dial)), list.whole);
+        self.chooser.listed(&lines, list.whole, now);
         self.hands.take_over_waiting();
         self.settle();
         self.list_is_here();
--- a/crates/proxy/src/server.rs
+++ b/crates/proxy/src/server.rs
@@ -11,7 +11,7 @@
 use crate::socket::{End, Socket};
 use calloop::timer::{TimeoutAction, Timer};
 use calloop::{LoopHandle, RegistrationToken};
-use shelfgrade::host::{Ending, ServerId, Standing};
+use shelfgrade::host::{Ending, EndpointState, ServerId};
 use shelfgrade::time::{DurationExt, Timestamp};
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -25,7 +25,7 @@
 /// A server of the list, as far as carrying out needs it.
 pub struct Server {
     pub id: ServerId,
-    pub standing: Cell<Standing>,
+    pub state: Cell<EndpointState>,
     pub dial: Cell<SocketAddr>,
     pub pulse: Pulse,
     pub notes: Notes,
@@ -186,7 +186,7 @@
                         self.attempt_ended(&attempt, attempt.unrun_or(Ending::Broken), proxy);
                         return true;
                     }
-                    Stage::Standing => self.server_ended(how, attempt.farewell.get(), proxy),
+                    Stage::Established => self.server_ended(how, attempt.farewell.get(), proxy),
                     // After the client's end the server's follows.
                     _ => self.down_end.set(self.down_end.get().or(Some(how))),
                 }
@@ -200,7 +200,7 @@
     /// up, and against a line for one that has closed the connection by now: nothing is sent then, which proves that
     /// nothing ran. Whether it may still be sent again the decisions say.
     fn may_begin(&self, attempt: &Attempt, proxy: &mut Proxy) -> bool {
-        let wanted = attempt.server.standing.get() == Standing::Active || self.is_taken_over();
+        let wanted = attempt.server.state.get() == EndpointState::Active || self.is_taken_over();
         let now = proxy.now();
         wanted && proxy.chooser.may_begin(self.id, now) && !attempt.socket.has_left()
     }
@@ -249,7 +249,7 @@
                 "UP" => {
                     attempt.phase.set(Phase::Up);
                     attempt.stop_timer();
-                    self.enter(Stage::Standing, proxy.now());
+                    self.enter(Stage::Established, proxy.now());
                     proxy.stands(self, &attempt.server.id);
                 }
                 "BUSY" => self.attempt_ended(attempt, Ending::TurnedAway, proxy),
--- a/crates/proxy/src/session.rs
+++ b/crates/proxy/src/session.rs
@@ -26,7 +26,7 @@
     /// The module is finding it a server.
     Asking,
     /// It stands: lines pass both ways.
-    Standing,
+    Established,
     /// Over for the module; what is left to write is being written.
     Leaving,
     /// Both connections are closed.
@@ -131,7 +131,7 @@
                 attempt.socket.end(end);
             }
         }
-        if matches!(self.stage.get(), Stage::Standing | Stage::Leaving) {
+        if matches!(self.stage.get(), Stage::Established | Stage::Leaving) {
             written += self.client.write(&mut down);
             if let (Some(end), true) = (self.down_end.get(), down.is_empty()) {
                 self.client.end(end);
@@ -149,7 +149,7 @@
 
     /// The session has ended for the module, with all said that the client will hear of it.
     pub fn over_for_module(&self, ending: Ending, proxy: &mut Proxy) {
-        if self.stage.get() == Stage::Standing {
+        if self.stage.get() == Stage::Established {
             self.enter(Stage::Leaving, proxy.now());
             proxy.hands.due.add(self);
             proxy.ended(self.id, ending, true);
@@ -210,7 +210,7 @@
     pub fn is_due(&self) -> bool {
         match self.stage.get() {
             Stage::Asking => self.is_taken_over(),
-            Stage::Standing => self.leaving_line.get().is_some(),
+            Stage::Established => self.leaving_line.get().is_some(),
             Stage::Leaving => true,
             Stage::Closed => false,
         }
@@ -229,7 +229,9 @@
                 self.answer("ERR", &mut proxy.hands);
             }
             Stage::Leaving if past > LAST_BYTES_WITHIN => self.close(&mut proxy.hands),
-            Stage::Standing if self.leaving_line.get().is_some_and(|at| now.since(at) > LINE_ENDS_WITHIN) => {
+            Stage::Established
+                if self.leaving_line.get().is_some_and(|at| now.since(at) > LINE_ENDS_WITHIN) =>
+            {
                 self.move_without_the_line(proxy);
             }
             _ => {}
--- a/crates/proxy/src/spaces.rs
+++ b/crates/proxy/src/spaces.rs
@@ -4,7 +4,7 @@
 //! version of one spreads it; each is in force by itself, whole, or refused with its place.
 
 use serde::{de::DeserializeOwned, Serialize};
-use shelfgrade::host::{Listed, ServerId};
+use shelfgrade::host::{Endpoint, ServerId};
 use shelfgrade_namespaces::rules::{Grants, Space};
 use shelfgrade_namespaces::spread::{cut, join, key, Head};
 use shelfgrade_namespaces::table::{part_of_room, Found, Table};
@@ -141,7 +141,7 @@
     }
 
     /// The list of servers has changed.
-    pub fn follow(&mut self, list: Vec<Listed>) {
+    pub fn follow(&mut self, list: Vec<Endpoint>) {
         self.table.follow(list);
     }
 
--- a/crates/proxy/src/start.rs
+++ b/crates/proxy/src/start.rs
@@ -1,6 +1,6 @@
 //! What a proxy is told at its start: the environment, and the file that it names.
 
-use crate::listing::{ListError, Listing};
+use crate::endpoint_list::{EndpointList, ListError};
 use crate::transient::is_transient;
 use serde::Deserialize;
 use serde_json::value::RawValue;
@@ -54,7 +54,7 @@
     pub settings: String,
     pub limits: Limits,
     /// The list as this proxy last had it; may be old.
-    pub known: Listing,
+    pub known: EndpointList,
 }
 
 #[derive(Deserialize, Clone, Copy)]
@@ -97,7 +97,7 @@
             text.parse().map_err(|_| FileError::Address { name, text })
         };
         let seed = u64::from_str_radix(&file.seed, 16).map_err(|_| FileError::Seed(file.seed))?;
-        let known = file.known.map(|known| Listing::parse(known.get().as_bytes())).transpose()?;
+        let known = file.known.map(|known| EndpointList::parse(known.get().as_bytes())).transpose()?;
         Ok(Start {
             name: or_else(file.name, "RELAY_NAME")?,
             listen: address(file.listen, "RELAY_LISTEN")?,
--- a/crates/proxy/src/start_times.rs
+++ b/crates/proxy/src/start_times.rs
@@ -1,7 +1,7 @@
 //! When servers started, on this process's clock. The list tells it as Unix time, which this process read once, at its
 //! own start, from a wall clock that may have been off by then.
 
-use shelfgrade::host::{Listed, ServerId, Standing};
+use shelfgrade::host::{Endpoint, EndpointState, ServerId};
 use shelfgrade::time::{DurationExt, Timestamp};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -52,9 +52,9 @@
     }
 
     /// Lines that were timed before, with their starts as they are now.
-    pub fn timed_anew(&self, lines: Vec<Listed>) -> Vec<Listed> {
-        let start_of = |line: &Listed| self.starts.get(&line.server).map(|start| self.here(start));
-        lines.into_iter().map(|line| Listed { started: start_of(&line).or(line.started), ..line }).collect()
+    pub fn timed_anew(&self, lines: Vec<Endpoint>) -> Vec<Endpoint> {
+        let start_of = |line: &Endpoint| self.starts.get(&line.server).map(|start| self.here(start));
+        lines.into_iter().map(|line| Endpoint { started: start_of(&line).or(line.started), ..line }).collect()
     }
 
     fn here(&self, start: &Start) -> Timestamp {
@@ -63,17 +63,17 @@
 
     /// Lines of the list with their starts on this clock. Guards against a wall clock that is off: a start that is new
     /// on a list has just happened, however long ago it is told to be.
-    pub fn timed(&mut self, lines: Vec<Listed>, now: Timestamp) -> Vec<Listed> {
+    pub fn timed(&mut self, lines: Vec<Endpoint>, now: Timestamp) -> Vec<Endpoint> {
         if self.starts.len() > REMEMBERED {
             // Who is forgotten and listed again counts as cold once more.
             self.starts.clear();
         }
-        lines.into_iter().map(|line| Listed { started: self.start_of(&line, now), ..line }).collect()
+        lines.into_iter().map(|line| Endpoint { started: self.start_of(&line, now), ..line }).collect()
     }
 
-    fn start_of(&mut self, line: &Listed, now: Timestamp) -> Option<Timestamp> {
+    fn start_of(&mut self, line: &Endpoint, now: Timestamp) -> Option<Timestamp> {
         let told = line.started?;
-        if line.standing == Standing::Gone {
+        if line.state == EndpointState::Removed {
             return Some(told);
         }
         let known = self.starts.get(&line.server).copied().filter(|start| start.told == told);
--- a/crates/proxy/src/windows.rs
+++ b/crates/proxy/src/windows.rs
@@ -4,7 +4,7 @@
 //! The file is the fleet file's `maintenance`. Whoever has a newer version spreads it; it comes into force whole.
 
 use crate::spaces::{put, whole, Shared};
-use shelfgrade::host::{Listed, ServerId, Standing};
+use shelfgrade::host::{Endpoint, EndpointState, ServerId};
 use shelfgrade::time::Timestamp;
 use shelfgrade_maintenance::plan::{goes, short_by, Phase, Plan, Site};
 use shelfgrade_maintenance::schedule::{shown, Schedule};
@@ -22,7 +22,7 @@
     plan: Option<Plan>,
     phases: BTreeMap<String, Phase>,
     /// What each server was put to last.
-    put: BTreeMap<ServerId, Standing>,
+    put: BTreeMap<ServerId, EndpointState>,
 }
 
 /// What a look at the clock brought.
@@ -69,12 +69,12 @@
     }
 
     /// Looks at the clock; `list` is the list as discovery has it, `held` how many sessions this process has at a site.
-    pub fn look(&mut self, now_ms: i64, list: &[Listed], held: impl Fn(&str) -> usize) -> Look {
+    pub fn look(&mut self, now_ms: i64, list: &[Endpoint], held: impl Fn(&str) -> usize) -> Look {
         let Some(plan) = &mut self.plan else { return Look::default() };
         let mut sites: BTreeMap<String, Site> = BTreeMap::new();
         for line in list {
             let site = sites.entry(line.zone.clone()).or_insert(Site { servers: 0 });
-            site.servers += usize::from(line.standing == Standing::Active);
+            site.servers += usize::from(line.state == EndpointState::Active);
         }
         let phases = match plan.at(now_ms, &sites) {
             Ok(phases) => phases,
@@ -108,14 +108,14 @@
         }
         self.phases = phases;
         let now: BTreeMap<_, _> =
-            list.iter().map(|line| (line.server.clone(), self.standing(line, list, now_ms))).collect();
+            list.iter().map(|line| (line.server.clone(), self.state(line, list, now_ms))).collect();
         look.changed = now != self.put;
         self.put = now;
         look
     }
 
     /// What a server is for the decisions.
-    fn standing(&self, line: &Listed, list: &[Listed], now_ms: i64) -> Standing {
+    fn state(&self, line: &Endpoint, list: &[Endpoint], now_ms: i64) -> EndpointState {
         let mates = || list.iter().filter(|other| other.zone == line.zone);
         let drains = match self.phases.get(&line.zone) {
             Some(Phase::Closed { .. }) => true,
@@ -125,20 +125,20 @@
             }
             _ => false,
         };
-        if drains && line.standing == Standing::Active {
-            Standing::Draining
+        if drains && line.state == EndpointState::Active {
+            EndpointState::Draining
         } else {
-            line.standing
+            line.state
         }
     }
 
     /// A line of the list as the decisions get it: draining in its site's window, and cold after it.
-    pub fn line(&self, line: &Listed, warm_up: Duration, now: Timestamp) -> Listed {
+    pub fn line(&self, line: &Endpoint, warm_up: Duration, now: Timestamp) -> Endpoint {
         let Some(plan) = &self.plan else { return line.clone() };
-        let standing = self.put.get(&line.server).copied().unwrap_or(line.standing);
+        let state = self.put.get(&line.server).copied().unwrap_or(line.state);
         let back = plan.back_since(&line.zone).map(|ms| Timestamp::from_ms(ms as f64));
-        let back = back.filter(|back| now.since(*back) < warm_up && standing == Standing::Active);
-        Listed { standing, started: line.started.max(back), ..line.clone() }
+        let back = back.filter(|back| now.since(*back) < warm_up && state == EndpointState::Active);
+        Endpoint { state, started: line.started.max(back), ..line.clone() }
     }
 
     pub fn are_none(&self) -> bool {
--- a/crates/proxy/tests/unit/listing.rs
+++ b/crates/proxy/tests/unit/endpoint_list.rs
@@ -2,17 +2,17 @@
 
 use super::*;
 
-fn parse(health: &str, dial: &str) -> Result<Listing, ListError> {
+fn parse(health: &str, dial: &str) -> Result<EndpointList, ListError> {
     let entry =
         format!(r#"{{"host":"s","dial":{dial},"class":"m2","health":"{health}","born_ms":0,"share":1.0}}"#);
-    Listing::parse(format!(r#"{{"seq":4,"whole":true,"hosts":[{entry}]}}"#).as_bytes())
+    EndpointList::parse(format!(r#"{{"seq":4,"whole":true,"hosts":[{entry}]}}"#).as_bytes())
 }
 
 #[test]
 fn an_answer_is_taken_whole_or_not_at_all() {
     let listing = parse("in_service", r#""127.0.0.1:80""#).expect("a good answer");
     let line = &listing.lines()[0];
-    assert_eq!((&*line.server, line.started, line.standing), ("s", None, Standing::Active));
+    assert_eq!((&*line.server, line.started, line.state), ("s", None, EndpointState::Active));
     assert_eq!(line.kind, "m2");
     assert!(parse("terminated", "null").is_ok());
     assert!(parse("in_service", "null").is_err());
@@ -20,7 +20,7 @@
     assert!(parse("dozing", r#""127.0.0.1:80""#).is_err());
     let without = |class: &str| {
         let entry = format!(r#"{{"host":"s","dial":"127.0.0.1:80",{class}"health":"in_service"}}"#);
-        Listing::parse(format!(r#"{{"seq":4,"hosts":[{entry}]}}"#).as_bytes())
+        EndpointList::parse(format!(r#"{{"seq":4,"hosts":[{entry}]}}"#).as_bytes())
     };
     assert!(without("").is_ok_and(|listing| listing.lines()[0].kind.is_empty()), "kinds may be left out");
     assert!(without(r#""class":7,"#).is_err());
--- a/crates/proxy/tests/unit/start_times.rs
+++ b/crates/proxy/tests/unit/start_times.rs
@@ -3,14 +3,14 @@
 use super::*;
 use std::time::Duration;
 
-fn line(server: &str, started_ms: f64) -> Listed {
-    Listed {
+fn line(server: &str, started_ms: f64) -> Endpoint {
+    Endpoint {
         server: server.into(),
         zone: "a".into(),
         kind: String::new(),
         cell: 0,
         started: (started_ms > 0.0).then(|| Timestamp::from_ms(started_ms)),
-        standing: Standing::Active,
+        state: EndpointState::Active,
     }
 }
 
--- a/crates/recovery/src/around.rs
+++ b/crates/recovery/src/around.rs
@@ -1,14 +1,14 @@
 //! What a comeback is told at its start, and what it asks of the process round it.
 
 use crate::order::{Owed, State};
-use shelfgrade::host::Listed;
+use shelfgrade::host::Endpoint;
 use shelfgrade_fleet::{Entry, Seat, Surroundings};
 use std::net::SocketAddr;
 use std::time::Duration;
 
 /// A line of the list to go by.
 pub struct Line {
-    pub listed: Listed,
+    pub listed: Endpoint,
     pub dial: Option<SocketAddr>,
 }
 
--- a/crates/recovery/src/comeback.rs
+++ b/crates/recovery/src/comeback.rs
@@ -8,7 +8,7 @@
 use crate::snapshot::{Held, Saved};
 use crate::trust::{digest, server, Fact, Health, Restored, BEATS, LIST, SERVERS};
 use nanorand::{Rng, WyRand};
-use shelfgrade::host::{Listed, ServerId, Turn};
+use shelfgrade::host::{Endpoint, ServerId, Turn};
 use shelfgrade::time::Timestamp;
 use shelfgrade_fleet::{Entry, Fleet, Roster, Seat, Version};
 use std::collections::{BTreeMap, BTreeSet};
@@ -23,7 +23,7 @@
     facts: BTreeMap<String, Fact>,
     /// What was known of servers before this life, and of which count of discovery's: not told to anybody.
     before: (u64, BTreeMap<String, Fact>),
-    candidates: Vec<Listed>,
+    candidates: Vec<Endpoint>,
     /// Where the start-up file has its servers.
     dials: BTreeMap<ServerId, SocketAddr>,
     held: Vec<(u64, String, f64)>,
@@ -113,7 +113,7 @@
         for Line { listed, dial } in lines {
             self.dials.extend(dial.map(|dial| (listed.server.clone(), dial)));
             if !held.contains(&listed.server) {
-                self.candidates.push(Listed { started: Some(now), ..listed });
+                self.candidates.push(Endpoint { started: Some(now), ..listed });
             }
         }
     }
@@ -194,8 +194,8 @@
     /// The wait for the list is over: the servers known from before have to do, all as cold.
     fn go_by_what_was(&mut self, now: Timestamp, around: &mut dyn Around) {
         // Guards against servers that can be chosen and not be dialled: those that the start-up file alone knows.
-        let before = |line: &Listed| self.before.1.get(&*line.server).and_then(|fact| fact.dial);
-        let dial = |line: &Listed| before(line).or(self.dials.get(&line.server).copied());
+        let before = |line: &Endpoint| self.before.1.get(&*line.server).and_then(|fact| fact.dial);
+        let dial = |line: &Endpoint| before(line).or(self.dials.get(&line.server).copied());
         let lines: Vec<_> =
             self.candidates.iter().map(|c| Line { dial: dial(c), listed: c.clone() }).collect();
         let why =
--- a/crates/recovery/src/trust.rs
+++ b/crates/recovery/src/trust.rs
@@ -2,7 +2,7 @@
 
 use crate::snapshot::Saved;
 use serde::{Deserialize, Serialize};
-use shelfgrade::host::{Listed, Standing};
+use shelfgrade::host::{Endpoint, EndpointState};
 use shelfgrade::time::Timestamp;
 use shelfgrade_fleet::Entry;
 use std::net::SocketAddr;
@@ -34,11 +34,11 @@
 }
 
 impl Health {
-    pub fn standing(self) -> Standing {
+    pub fn state(self) -> EndpointState {
         match self {
-            Health::InService => Standing::Active,
-            Health::Terminating => Standing::Draining,
-            Health::Terminated => Standing::Gone,
+            Health::InService => EndpointState::Active,
+            Health::Terminating => EndpointState::Draining,
+            Health::Terminated => EndpointState::Removed,
         }
     }
 }
@@ -53,14 +53,14 @@
         self
     }
 
-    pub fn line(&self, host: &str, started: Option<Timestamp>) -> Listed {
-        Listed {
+    pub fn line(&self, host: &str, started: Option<Timestamp>) -> Endpoint {
+        Endpoint {
             server: host.into(),
             zone: self.site.clone(),
             kind: self.kind.clone(),
             cell: self.block,
             started,
-            standing: self.health.standing(),
+            state: self.health.state(),
         }
     }
 }
@@ -84,7 +84,7 @@
     pub entries: Vec<Entry>,
     /// Servers as candidates. Guards against taking one for warm: what took the power from this process took it from
     /// them, so all count as started now, until discovery or a fellow that has heard it since says when they were.
-    pub candidates: Vec<Listed>,
+    pub candidates: Vec<Endpoint>,
     /// Where clients' connections stood, by their keys' hashes, for servers whose start turns out unchanged.
     pub held: Vec<(u64, String, f64)>,
     /// The least that this life may be born at, so that it is later than the last one whatever the clock says.
@@ -93,7 +93,7 @@
 
 impl Restored {
     pub fn from(saved: Saved, now: Timestamp) -> Self {
-        let fact = |entry: &Entry| -> Option<Listed> {
+        let fact = |entry: &Entry| -> Option<Endpoint> {
             let (host, fact) = server(entry)?;
             Some(fact.line(&host, Some(now))).filter(|_| fact.health != Health::Terminated)
         };
--- a/crates/recovery/tests/unit/trust.rs
+++ b/crates/recovery/tests/unit/trust.rs
@@ -29,8 +29,8 @@
     let saved = Saved { fleet, name, number: 1, at_ms: 9, born: 40, entries: entries.clone(), held };
     let now = Timestamp::from_ms(77_000.0);
     let restored = Restored::from(saved, now);
-    let lines: Vec<_> = restored.candidates.iter().map(|l| (&*l.server, l.started, l.standing)).collect();
-    assert_eq!(lines, [("s1", Some(now), Standing::Active), ("s2", Some(now), Standing::Draining)]);
+    let lines: Vec<_> = restored.candidates.iter().map(|l| (&*l.server, l.started, l.state)).collect();
+    assert_eq!(lines, [("s1", Some(now), EndpointState::Active), ("s2", Some(now), EndpointState::Draining)]);
     assert_eq!((restored.entries, restored.born), (entries, 41));
     assert_eq!(restored.held, [(8, "s1".to_owned(), 0.0)]);
 }
--- a/crates/trials/src/decisions.rs
+++ b/crates/trials/src/decisions.rs
@@ -80,7 +80,7 @@
 /// One proxy's decisions with all its sessions standing.
 pub struct Decisions {
     size: Size,
-    list: Vec<Listed>,
+    list: Vec<Endpoint>,
     chooser: Chooser,
     now: Timestamp,
     last_id: u64,
@@ -207,7 +207,7 @@
             let (chooser, now) = (&mut self.chooser, self.now);
             let at = change / 2 * 7919 % self.list.len();
             let line = &mut self.list[at];
-            line.standing = if change % 2 == 0 { Standing::Draining } else { Standing::Active };
+            line.state = if change % 2 == 0 { EndpointState::Draining } else { EndpointState::Active };
             let line = std::slice::from_ref(line);
             self.took.takes("line", || chooser.listed(line, false, now));
             self.took.takes("whole list", || chooser.listed(&self.list, true, now));
@@ -229,13 +229,13 @@
     }
 }
 
-fn listed(index: usize) -> Listed {
-    Listed {
+fn listed(index: usize) -> Endpoint {
+    Endpoint {
         server: format!("s-{index:05}").into(),
         zone: format!("z{:02}", index % ZONES),
         kind: format!("m{}", index % KINDS),
         cell: 0,
         started: None,
-        standing: Standing::Active,
+        state: EndpointState::Active,
     }
 }
--- a/src/choice/mod.rs
+++ b/src/choice/mod.rs
@@ -24,7 +24,7 @@
 mod relief;
 mod trust;
 
-use crate::host::{Arrival, Ending, Host, Listed, Offering, SessionId};
+use crate::host::{Arrival, Ending, Endpoint, Host, Offering, SessionId};
 pub use crate::record::WarmUp;
 use crate::record::{Attempt, Server, Session, Shelf};
 use crate::time::{DurationExt, Timestamp};
@@ -101,13 +101,13 @@
         }
     }
 
-    pub fn start(&mut self, last_held: &[Listed], now: Timestamp, host: &mut dyn Host) {
+    pub fn start(&mut self, last_held: &[Endpoint], now: Timestamp, host: &mut dyn Host) {
         self.listed(last_held, true, now);
         self.list_failed(now, now, host);
     }
 
     /// Lines of the server list; a server absent from a `whole` list is gone.
-    pub fn listed(&mut self, lines: &[Listed], whole: bool, now: Timestamp) {
+    pub fn listed(&mut self, lines: &[Endpoint], whole: bool, now: Timestamp) {
         self.list_calls = (None, Timestamp::NEVER);
         self.shelf.follow(lines, whole, now);
         self.shelf.set_half_lives();
--- a/src/choice/placement.rs
+++ b/src/choice/placement.rs
@@ -1,7 +1,7 @@
 //! Which server gets a session: the design's choice with the load skip, and what passes a server over.
 
 use super::{Pick, Stage, Step};
-use crate::host::{Ending, Host, Standing};
+use crate::host::{Ending, EndpointState, Host};
 use crate::record::{Attempt, Server, Session, Shelf, WarmUp};
 use crate::time::Timestamp;
 use nanorand::{Rng, WyRand};
@@ -22,7 +22,7 @@
         let all = self.shelf.servers.borrow();
         let left = session.left_of(&all);
         let servers = left.as_ref().unwrap_or(&all);
-        let active = || servers.iter().filter(|s| s.standing.get() == Standing::Active);
+        let active = || servers.iter().filter(|s| s.state.get() == EndpointState::Active);
         let add =
             |n: [f64; 3], s: &Rc<Server>| [n[0] + 1.0, n[1] + s.open(), n[2] + f64::from(s.waiting.get())];
         let [number, open, out] = active().fold([0.0; 3], add);
@@ -41,7 +41,7 @@
         let most = if session.returned && blind { 1.0 / (1.0 + MORE as f64) } else { 1.0 };
         let first = session.turn.map_or(1.0 - draw, |turn| turn.before);
         let usable = |s: &&Rc<Server>, part: f64| {
-            s.standing.get() == Standing::Active
+            s.state.get() == EndpointState::Active
                 && session.may_go_to(s, now)
                 && !session.attempts.borrow().iter().any(|c| Rc::ptr_eq(&c.server, s))
                 && first <= self.warm_up.share(s, [part, crowd, most, servers.len() as f64], now)
@@ -96,7 +96,7 @@
 
 impl Stage for Placement {
     fn forth(&mut self, session: &Rc<Session>, pick: &mut Pick, now: Timestamp, host: &mut dyn Host) -> Step {
-        let there = |s: &Rc<Server>| s.standing.get() == Standing::Active;
+        let there = |s: &Rc<Server>| s.state.get() == EndpointState::Active;
         *pick = pick.take().filter(there).or_else(|| self.choose(session, now, host));
         match pick {
             _ if session.hails.get() => Step::Keep,
--- a/src/choice/recall.rs
+++ b/src/choice/recall.rs
@@ -1,7 +1,7 @@
 //! What the table answers: where a mid-flow session's connection stands.
 
 use super::{Pick, Stage, Step};
-use crate::host::{Host, Standing};
+use crate::host::{EndpointState, Host};
 use crate::record::{Attempt, Known, Session, Shelf};
 use crate::time::Timestamp;
 use std::rc::Rc;
@@ -22,7 +22,7 @@
             let table = self.shelf.table.borrow();
             // Guards against all that a server held coming back to it when it has just restarted.
             let server = table.get(&session.key).filter(|known| now < known.until).and_then(Known::server);
-            *pick = server.filter(|s| s.standing.get() == Standing::Active);
+            *pick = server.filter(|s| s.state.get() == EndpointState::Active);
         }
         Step::Pass
     }
--- a/src/choice/relief.rs
+++ b/src/choice/relief.rs
@@ -1,7 +1,7 @@
 //! Who is looked at, and who is sent away: rounds, strain, relief, and the end.
 
 use super::Chooser;
-use crate::host::{Host, SessionId, Standing};
+use crate::host::{EndpointState, Host, SessionId};
 use crate::record::Server;
 use crate::time::{DurationExt, Timestamp};
 use std::rc::{Rc, Weak};
@@ -22,7 +22,7 @@
         for server in self.shelf.servers.borrow().iter() {
             let every = EVERY[usize::from(server.distrust(now) > Server::FADED)];
             let every = every.scaled((ENOUGH / server.open().max(1.0)).max(1.0));
-            if server.standing.get() == Standing::Draining {
+            if server.state.get() == EndpointState::Draining {
                 self.relieve(server, true, 1.0, host);
             } else if probing && server.open() > 0.0 && now.since(server.probed.get()) >= every {
                 server.probed.set(now);
@@ -92,7 +92,7 @@
             return;
         }
         let servers = self.shelf.servers.borrow();
-        let active = || servers.iter().filter(|s| s.standing.get() == Standing::Active);
+        let active = || servers.iter().filter(|s| s.state.get() == EndpointState::Active);
         let before = |g| active().filter(|s| s.rank(g) < server.rank(g)).count();
         let guest = |g| before(g) >= self.shelf.width(g, active().count());
         let held = server.held.borrow();
--- a/src/handover.rs
+++ b/src/handover.rs
@@ -1,7 +1,7 @@
 //! What a host may hand over from an earlier life of the proxy, and take from this one; nothing is decided here.
 
 use crate::choice::Chooser;
-use crate::host::Standing;
+use crate::host::EndpointState;
 use crate::record::Known;
 use crate::time::Timestamp;
 use std::rc::Rc;
@@ -41,7 +41,7 @@
     /// Takes in what an earlier life remembered, for so long; true where the server is there and has not started since.
     pub fn remember(&mut self, remembered: &Remembered, within: Duration, now: Timestamp) -> bool {
         let server = self.shelf.find(&remembered.server).filter(|server| {
-            server.started.get() == remembered.started && server.standing.get() == Standing::Active
+            server.started.get() == remembered.started && server.state.get() == EndpointState::Active
         });
         let Some(server) = server else { return false };
         let mut table = self.shelf.table.borrow_mut();
--- a/src/host.rs
+++ b/src/host.rs
@@ -90,16 +90,16 @@
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Standing {
+pub enum EndpointState {
     #[default]
     Active,
     Draining,
-    Gone,
+    Removed,
 }
 
 /// A line of the server list.
 #[derive(Clone, Debug)]
-pub struct Listed {
+pub struct Endpoint {
     pub server: ServerId,
     pub zone: String,
     /// The kind of machine.
@@ -107,7 +107,7 @@
     pub cell: u64,
     /// When it last started; none for long ago.
     pub started: Option<Timestamp>,
-    pub standing: Standing,
+    pub state: EndpointState,
 }
 
 /// How an attempt ended.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -36,13 +36,13 @@
 //! let offering = Offering { effect: Effect::Replayable, soft_limit: None, message_limit: None };
 //! let pause = Duration::from_millis(2000);
 //! let mut chooser = Chooser::new(7, vec![offering], 4, pause, None, warm_up);
-//! let server = Listed {
+//! let server = Endpoint {
 //!     server: "192.0.2.1:80".into(),
 //!     zone: "a".into(),
 //!     kind: "m2".into(),
 //!     cell: 0,
 //!     started: None,
-//!     standing: Standing::Active,
+//!     standing: EndpointState::Active,
 //! };
 //! chooser.start(&[server], now, &mut host);
 //! let arrival = Arrival {
--- a/src/record.rs
+++ b/src/record.rs
@@ -1,6 +1,6 @@
 //! What a proxy keeps of servers and sessions: plain records, on which `choice` decides.
 
-use crate::host::{Arrival, Effect, Ending, Listed, Offering, ServerId, SessionId, Standing, Turn};
+use crate::host::{Arrival, Effect, Ending, Endpoint, EndpointState, Offering, ServerId, SessionId, Turn};
 use crate::time::{DurationExt, Timestamp};
 use nanorand::{Rng, WyRand};
 use std::cell::{Cell, RefCell};
@@ -17,7 +17,7 @@
     /// What it may share trouble with others by: hashes of its zone and its kind, unlike where the names are.
     pub(crate) kin: [u64; 2],
     pub(crate) cell: u64,
-    pub(crate) standing: Cell<Standing>,
+    pub(crate) state: Cell<EndpointState>,
     pub(crate) started: Cell<Option<Timestamp>>,
     /// The connections that this proxy placed and that stand.
     pub(crate) held: RefCell<BTreeMap<SessionId, Weak<Session>>>,
@@ -100,7 +100,7 @@
     }
 
     /// Takes in lines of the list; who is absent from a `whole` one is gone, and what is gone is forgotten.
-    pub(crate) fn follow(&self, lines: &[Listed], whole: bool, now: Timestamp) {
+    pub(crate) fn follow(&self, lines: &[Endpoint], whole: bool, now: Timestamp) {
         for line in lines {
             let server = self.find(&line.server).unwrap_or_else(|| {
                 let server = Rc::new(Server::named(line));
@@ -113,14 +113,17 @@
                 server.started.set(line.started);
                 server.distrust.set((0.0, now));
             }
-            server.standing.set(line.standing);
+            server.state.set(line.state);
         }
         let mut servers = self.servers.borrow_mut();
         if whole {
             let told: BTreeSet<_> = lines.iter().map(|l| &l.server).collect();
-            servers.iter().filter(|s| !told.contains(&s.id)).for_each(|s| s.standing.set(Standing::Gone));
+            servers
+                .iter()
+                .filter(|s| !told.contains(&s.id))
+                .for_each(|s| s.state.set(EndpointState::Removed));
         }
-        servers.retain(|s| s.standing.get() != Standing::Gone);
+        servers.retain(|s| s.state.get() != EndpointState::Removed);
     }
 
     pub(crate) fn note_arrival(&self, now: Timestamp) {
@@ -148,7 +151,7 @@
 }
 
 impl Server {
-    fn named(line: &Listed) -> Self {
+    fn named(line: &Endpoint) -> Self {
         Server {
             id: line.server.clone(),
             hash: xxh3_64(line.server.as_bytes()),
--- a/tests/stories/books.rs
+++ b/tests/stories/books.rs
@@ -15,7 +15,7 @@
     /// It waits for a sign of life.
     Waiting,
     Out(ServerId),
-    Standing(ServerId),
+    Established(ServerId),
     Over,
 }
 
@@ -23,7 +23,7 @@
 struct Model {
     luck: WyRand,
     sessions: BTreeMap<u64, (Stage, usize)>,
-    list: BTreeMap<ServerId, Standing>,
+    list: BTreeMap<ServerId, EndpointState>,
     /// Connects that fail before they are begun, told as soon as the module has finished.
     at_once: VecDeque<u64>,
     alarms: Vec<Timestamp>,
@@ -62,7 +62,7 @@
 
 impl Host for Model {
     fn connect(&mut self, session: SessionId, server: &ServerId, _: Duration) {
-        assert_eq!(self.list.get(server), Some(&Standing::Active), "{session:?} to {server}");
+        assert_eq!(self.list.get(server), Some(&EndpointState::Active), "{session:?} to {server}");
         let was = self.becomes(session.0, Stage::Out(server.clone()));
         assert_eq!(was, Stage::Waiting, "one attempt at a time, and none for who has left: {session:?}");
         self.attempts += 1;
@@ -77,7 +77,7 @@
         self.answered(session);
     }
     fn send_away(&mut self, session: SessionId) {
-        assert!(matches!(self.sessions[&session.0].0, Stage::Standing(_)), "{session:?}");
+        assert!(matches!(self.sessions[&session.0].0, Stage::Established(_)), "{session:?}");
         self.sent_away.push(session.0);
     }
     fn subscribe(&mut self) {}
@@ -106,7 +106,7 @@
         let model = Model {
             luck: WyRand::new_seed(seed),
             sessions: BTreeMap::new(),
-            list: list.iter().map(|line| (line.server.clone(), line.standing)).collect(),
+            list: list.iter().map(|line| (line.server.clone(), line.state)).collect(),
             at_once: VecDeque::new(),
             alarms: Vec::new(),
             asked: Vec::new(),
@@ -131,7 +131,7 @@
             self.ended(session, ending, false);
         }
         for session in std::mem::take(&mut self.model.sent_away) {
-            if matches!(self.model.sessions[&session].0, Stage::Standing(_)) {
+            if matches!(self.model.sessions[&session].0, Stage::Established(_)) {
                 self.ended(session, Ending::CalledOff, true);
             }
         }
@@ -176,7 +176,7 @@
             i if i < endings.len() => self.ended(session, endings[i], false),
             _ => {
                 let Stage::Out(server) = self.model.sessions[&session].0.clone() else { return };
-                self.model.becomes(session, Stage::Standing(server));
+                self.model.becomes(session, Stage::Established(server));
                 self.chooser.stands(SessionId(session), self.now);
             }
         }
@@ -184,11 +184,12 @@
 
     fn list_changes(&mut self) {
         let id = TWELVE[self.model.draw(TWELVE.len())];
-        let standing = [Standing::Active, Standing::Active, Standing::Draining, Standing::Gone];
-        let standing = standing[self.model.draw(standing.len())];
+        let state =
+            [EndpointState::Active, EndpointState::Active, EndpointState::Draining, EndpointState::Removed];
+        let state = state[self.model.draw(state.len())];
         let started = (self.model.draw(4) == 0).then_some(self.now);
-        self.model.list.insert(id.into(), standing);
-        self.chooser.listed(&[Listed { standing, started, ..server(id) }], false, self.now);
+        self.model.list.insert(id.into(), state);
+        self.chooser.listed(&[Endpoint { state, started, ..server(id) }], false, self.now);
     }
 
     fn step(&mut self) {
@@ -205,7 +206,7 @@
                 }
             }
             6 => {
-                if let Some(session) = self.model.one_of(|s| matches!(s, Stage::Standing(_))) {
+                if let Some(session) = self.model.one_of(|s| matches!(s, Stage::Established(_))) {
                     let ending = [Ending::Finished, Ending::Broken, Ending::CalledOff][self.model.draw(3)];
                     self.ended(session, ending, true);
                 }
@@ -222,7 +223,7 @@
                 }
             }
             9 => {
-                if let Some(session) = self.model.one_of(|s| matches!(s, Stage::Standing(_))) {
+                if let Some(session) = self.model.one_of(|s| matches!(s, Stage::Established(_))) {
                     let took = Duration::from_millis(self.model.draw(4000) as u64);
                     self.chooser.messages_take(SessionId(session), took, self.now, &mut self.model);
                 }
@@ -251,7 +252,7 @@
             self.ended(session, Ending::TimedOut, false);
             self.settles();
         }
-        for session in self.model.in_stage(|s| matches!(s, Stage::Standing(_))) {
+        for session in self.model.in_stage(|s| matches!(s, Stage::Established(_))) {
             self.ended(session, Ending::Finished, true);
         }
     }
--- a/tests/stories/fake.rs
+++ b/tests/stories/fake.rs
@@ -63,15 +63,15 @@
     next: u64,
 }
 
-pub fn server(id: &str) -> Listed {
+pub fn server(id: &str) -> Endpoint {
     let zone = id[..1].to_owned();
-    Listed {
+    Endpoint {
         server: id.into(),
         zone,
         kind: String::new(),
         cell: 0,
         started: None,
-        standing: Standing::Active,
+        state: EndpointState::Active,
     }
 }
 
@@ -91,16 +91,16 @@
 }
 
 impl Proxy {
-    pub fn with(list: &[Listed]) -> Self {
+    pub fn with(list: &[Endpoint]) -> Self {
         Self::seeded(7, list)
     }
 
-    pub fn seeded(seed: u64, list: &[Listed]) -> Self {
+    pub fn seeded(seed: u64, list: &[Endpoint]) -> Self {
         Self::among(3, None, seed, list)
     }
 
     /// One of so many, whose part of what the servers can hold is this, if the settings tell.
-    pub fn among(proxies: usize, part: Option<f64>, seed: u64, list: &[Listed]) -> Self {
+    pub fn among(proxies: usize, part: Option<f64>, seed: u64, list: &[Endpoint]) -> Self {
         let many = proxies as f64;
         let warm_up = WarmUp {
             cold_from: 0.3,
@@ -115,7 +115,7 @@
     }
 
     /// One that goes by these terms on cold servers.
-    pub fn by(warm_up: WarmUp, seed: u64, list: &[Listed]) -> Self {
+    pub fn by(warm_up: WarmUp, seed: u64, list: &[Endpoint]) -> Self {
         let referenced = Effect::Referenced { among: Circle::Zone, window: Duration::from_millis(1500) };
         let message_limit = Some(Duration::from_millis(50));
         let offerings = [Effect::Replayable, Effect::SingleUse, referenced];
--- a/tests/stories/gathering.rs
+++ b/tests/stories/gathering.rs
@@ -42,7 +42,7 @@
 #[test]
 fn a_change_of_the_list_moves_only_the_homes_of_the_server_that_went() {
     let (mut before, mut after) = (Proxy::of_twelve(), Proxy::of_twelve());
-    after.chooser.listed(&[Listed { standing: Standing::Gone, ..server("a3") }], false, after.now);
+    after.chooser.listed(&[Endpoint { state: EndpointState::Removed, ..server("a3") }], false, after.now);
     let groups: Vec<String> = (0..60).map(|i| format!("bank-{i}")).collect();
     let homes: Vec<_> = groups.iter().map(|g| (home(&mut before, g), home(&mut after, g))).collect();
     let moved = homes.iter().filter(|(was, is)| was != is).collect::<Vec<_>>();
@@ -143,7 +143,11 @@
     proxy.lives(1000);
     assert!(proxy.notes.attempts.is_empty() && proxy.notes.pushed_back.is_empty());
     let stays = proxy.arrives(Arrival { group: Some("g"), ..plain("k") });
-    proxy.chooser.listed(&[Listed { standing: Standing::Draining, ..server(&asked[0]) }], false, proxy.now);
+    proxy.chooser.listed(
+        &[Endpoint { state: EndpointState::Draining, ..server(&asked[0]) }],
+        false,
+        proxy.now,
+    );
     proxy.answers(&asked[0], 3);
     assert!(proxy.sent_to(stays).len() == 1 && proxy.last_place() != asked[0]);
 }
@@ -185,7 +189,7 @@
         let place_of = |seed: u64| {
             let mut proxy = Proxy::among(150, None, seed, &list);
             proxy.notes.mute = true;
-            proxy.chooser.listed(&[Listed { started: Some(proxy.now), ..server(cold) }], false, proxy.now);
+            proxy.chooser.listed(&[Endpoint { started: Some(proxy.now), ..server(cold) }], false, proxy.now);
             // By then it may have nearly all that it can bear.
             proxy.passes(7900);
             proxy.settles(Arrival { group: Some("g"), returned, ..plain(&format!("key{seed}")) })
--- a/tests/stories/order.rs
+++ b/tests/stories/order.rs
@@ -18,7 +18,7 @@
 fn a_draining_or_gone_pick_passes_to_the_next_in_order() {
     let mut proxy = Proxy::of_four();
     let key = key_for("a2");
-    proxy.chooser.listed(&[Listed { standing: Standing::Draining, ..server("a2") }], false, proxy.now);
+    proxy.chooser.listed(&[Endpoint { state: EndpointState::Draining, ..server("a2") }], false, proxy.now);
     assert_eq!(proxy.settles(plain(&key)).as_deref(), Some("b1"));
     proxy.chooser.listed(&["b1", "b2"].map(server), true, proxy.now);
     for i in 0..50 {
@@ -63,7 +63,7 @@
     let key = key_for("a2");
     let stray = Arrival { mid_flow: true, ..plain(&key) };
     assert_eq!(proxy.settles(stray).as_deref(), Some("a2"));
-    proxy.chooser.listed(&[Listed { standing: Standing::Draining, ..server("a2") }], false, proxy.now);
+    proxy.chooser.listed(&[Endpoint { state: EndpointState::Draining, ..server("a2") }], false, proxy.now);
     assert_eq!(proxy.settles(stray).as_deref(), Some("b1"));
 }
 
@@ -72,7 +72,7 @@
     let mut proxy = Proxy::with(&[]);
     let keyless = Arrival { key: None, ..plain("") };
     assert_eq!(proxy.settles(keyless), None);
-    proxy.chooser.listed(&[Listed { standing: Standing::Draining, ..server("a1") }], true, proxy.now);
+    proxy.chooser.listed(&[Endpoint { state: EndpointState::Draining, ..server("a1") }], true, proxy.now);
     assert_eq!(proxy.settles(plain("any")), None);
     assert_eq!(proxy.notes.pushed_back.len(), 2);
     assert!(proxy.notes.pushed_back.iter().all(|(_, pause)| *pause > Duration::ZERO));
--- a/tests/stories/ramp.rs
+++ b/tests/stories/ramp.rs
@@ -233,8 +233,8 @@
 
     fn zone(&mut self, back: Option<Timestamp>) {
         let cold: Vec<_> = (0..self.day.cold).map(|i| name(i, self.day.cold)).collect();
-        let standing = if back.is_some() { Standing::Active } else { Standing::Gone };
-        let lines: Vec<_> = cold.iter().map(|id| Listed { started: back, standing, ..server(id) }).collect();
+        let state = if back.is_some() { EndpointState::Active } else { EndpointState::Removed };
+        let lines: Vec<_> = cold.iter().map(|id| Endpoint { started: back, state, ..server(id) }).collect();
         for proxy in 0..self.proxies.len() {
             self.proxies[proxy].now = Timestamp::from_ms(self.now_ms);
             self.proxies[proxy].chooser.listed(&lines, false, Timestamp::from_ms(self.now_ms));
--- a/tests/stories/relief.rs
+++ b/tests/stories/relief.rs
@@ -103,7 +103,7 @@
     }
     let place = proxy.sent_to(1)[0].clone();
     let held: Vec<u64> = (1..=8).filter(|c| proxy.sent_to(*c) == [place.clone()]).collect();
-    let draining = Listed { standing: Standing::Draining, ..server(&place) };
+    let draining = Endpoint { state: EndpointState::Draining, ..server(&place) };
     proxy.chooser.listed(&[draining], false, proxy.now);
     proxy.chooser.look_round(true, proxy.now, &mut proxy.notes);
     assert!(proxy.notes.sent_away.len() <= 1, "one at a time");
