--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -24,10 +24,10 @@
     }
 }
 
-/// One instance: its decisions, and the names by which its sessions call offerings.
+/// One instance: its decisions, and the names by which its sessions call request classes.
 struct Instance {
     chooser: Chooser,
-    offerings: Vec<String>,
+    classes: Vec<String>,
     may_probe: bool,
     list_is_pushed: bool,
 }
@@ -110,8 +110,8 @@
     fn event(&mut self, who: u64, line: &Line) -> Result<()> {
         if line.name == "BORN" {
             let terms = shelfgrade_terms::parse(line.whole("salt")?, line.required("env")?).context("env")?;
-            let Terms { chooser, offerings, may_probe, list_is_pushed, .. } = terms;
-            self.instances.insert(who, Instance { chooser, offerings, may_probe, list_is_pushed });
+            let Terms { chooser, classes, may_probe, list_is_pushed, .. } = terms;
+            self.instances.insert(who, Instance { chooser, classes, may_probe, list_is_pushed });
             return Ok(());
         }
         if line.name == "HALT" {
@@ -124,7 +124,7 @@
             .get_mut(&who)
             .with_context(|| format!("{} for instance {who}, which is not running", line.name))?;
         let host = self.reply.of(who, instance);
-        let Instance { chooser, offerings, list_is_pushed, .. } = instance;
+        let Instance { chooser, classes, list_is_pushed, .. } = instance;
         match line.name {
             "TARGETS" => {
                 let form = line.required("form")?;
@@ -143,8 +143,8 @@
                 self.list = Some(OpenList { who, whole, restored, missing, lines: Vec::new() });
                 self.close_list_when_full();
             }
-            "REQUEST" => chooser.arrived(&arrival(line, offerings)?, now, host),
-            "PREEXISTING" => chooser.open_already(&arrival(line, offerings)?, line.required("server")?, now),
+            "REQUEST" => chooser.arrived(&arrival(line, classes)?, now, host),
+            "PREEXISTING" => chooser.open_already(&arrival(line, classes)?, line.required("server")?, now),
             "FLOWING" => chooser.stands(line.session()?, now),
             "FINISHED" => chooser.ended(line.session()?, ending(line)?, line.flag("last")?, now, host),
             "HEARTBEAT" => match line.whole("what")? {
@@ -205,11 +205,11 @@
     }
 }
 
-fn arrival<'a>(line: &Line<'a>, offerings: &[String]) -> Result<Arrival<'a>> {
+fn arrival<'a>(line: &Line<'a>, classes: &[String]) -> Result<Arrival<'a>> {
     let priority = line.required("priority")?;
     Ok(Arrival {
         session: line.session()?,
-        offering: offerings.iter().position(|o| o == priority),
+        class: classes.iter().position(|o| o == priority),
         key: line.optional("object"),
         group: line.optional("group"),
         patience_ends: line.point("due_ms")?,
--- a/crates/namespaces/src/rules.rs
+++ b/crates/namespaces/src/rules.rs
@@ -59,7 +59,7 @@
 #[serde(deny_unknown_fields)]
 pub struct Rule {
     pub name: String,
-    /// All offerings where none is named.
+    /// All request classes where none is named.
     #[serde(default)]
     pub offerings: Vec<String>,
     /// Client groups; all, and those without one, where none is named.
--- a/crates/proxy/src/caller.rs
+++ b/crates/proxy/src/caller.rs
@@ -78,7 +78,7 @@
             }
             return proxy.heard_of(self);
         }
-        match line.and_then(|line| Open::parse(line, &proxy.offerings)) {
+        match line.and_then(|line| Open::parse(line, &proxy.classes)) {
             Some(_) if proxy.hands.is_full() => {
                 self.refuse("BUSY", "pushed back for want of descriptors", proxy);
             }
--- a/crates/proxy/src/comeback.rs
+++ b/crates/proxy/src/comeback.rs
@@ -26,7 +26,7 @@
     let owed =
         settings.owed.iter().map(|(soft_limit, benefit)| Owed { soft_limit: *soft_limit, benefit: *benefit });
     Terms {
-        offerings: owed.collect(),
+        classes: owed.collect(),
         shares: settings.customers.iter().map(|(_, share)| *share).collect(),
         wait: file.list_wait,
         warm_up: settings.warm_up,
@@ -129,7 +129,7 @@
         let fellows = self.fellows.clone()?;
         let opening = &session.opening;
         let customer = opening.customer.as_ref().and_then(|t| self.customers.iter().position(|c| c == t));
-        fellows.turn((Some(opening.offering), customer), xxh3_64(opening.key.as_bytes()), self)
+        fellows.turn((Some(opening.class), customer), xxh3_64(opening.key.as_bytes()), self)
     }
 
     /// Begins to be one of several, where the environment names a file for that.
@@ -213,8 +213,8 @@
     /// What the namespace of its customer decides of a session, where there is one.
     pub fn rule_for(&mut self, session: &Session) -> Option<Decided> {
         let opening = &session.opening;
-        let offering = self.offerings.get(opening.offering).map_or("", String::as_str);
-        self.spaces.decide(opening.customer.as_deref(), offering, opening.group.as_deref())
+        let class = self.classes.get(opening.class).map_or("", String::as_str);
+        self.spaces.decide(opening.customer.as_deref(), class, opening.group.as_deref())
     }
 }
 
--- a/crates/proxy/src/line.rs
+++ b/crates/proxy/src/line.rs
@@ -60,8 +60,8 @@
     /// New with every connection.
     pub id: u64,
     pub key: String,
-    /// The offering's position among the names given.
-    pub offering: usize,
+    /// The request class's position among the names given.
+    pub class: usize,
     /// How long the client waits.
     pub patience: Duration,
     pub group: Option<String>,
@@ -75,7 +75,7 @@
 impl Open {
     /// Reads a line whole or not at all. Guards against sending on what a server cannot use: the errors that
     /// it answers would count against its health. Fields never heard of pass, if they are well formed.
-    pub fn parse(line: &str, offerings: &[String]) -> Option<Self> {
+    pub fn parse(line: &str, classes: &[String]) -> Option<Self> {
         // As many as 32 bits hold, which keeps clear of overflows. Guards against refusing what was open before the
         // start: where it has no end, its wait is 4294967 ms.
         const LONGEST_MS: f64 = u32::MAX as f64;
@@ -103,7 +103,7 @@
             line: line.to_owned(),
             id: u64::from_str_radix(id, 16).ok()?,
             key: Some(key).filter(|key| !key.is_empty())?.to_owned(),
-            offering: offerings.iter().position(|o| values.get("c") == Some(&o.as_str()))?,
+            class: classes.iter().position(|o| values.get("c") == Some(&o.as_str()))?,
             patience: Duration::from_ms(wait),
             group: named("g"),
             customer: named("t"),
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -43,8 +43,8 @@
     pub warm_up: Duration,
     start_times: StartTimes,
     pub hands: Hands,
-    /// The offerings' names in their order.
-    pub offerings: Vec<String>,
+    /// The request classes' names in their order.
+    pub classes: Vec<String>,
     pub door: Door,
     pub discovery: Rc<Discovery<Proxy>>,
     pub early: Early,
@@ -132,7 +132,7 @@
         warm_up: start.terms.warm_up,
         start_times: StartTimes::default(),
         hands,
-        offerings: start.terms.offerings,
+        classes: start.terms.classes,
         door,
         discovery: Discovery::new(start.discovery, seq, if pushed { PUSHED } else { ASKED }, start.seed),
         early: match &fleet {
@@ -380,7 +380,7 @@
     let opening = &session.opening;
     Arrival {
         session: session.id,
-        offering: Some(opening.offering),
+        class: Some(opening.class),
         key: Some(&opening.key),
         group: opening.group.as_deref(),
         patience_ends,
--- a/crates/proxy/src/spaces.rs
+++ b/crates/proxy/src/spaces.rs
@@ -151,10 +151,10 @@
     }
 
     /// What decides a session; none where its customer has no namespace.
-    pub fn decide(&mut self, customer: Option<&str>, offering: &str, group: Option<&str>) -> Option<Decided> {
+    pub fn decide(&mut self, customer: Option<&str>, class: &str, group: Option<&str>) -> Option<Decided> {
         let customer = customer?;
         let (seat, seats) = self.seat;
-        match self.table.look_up(Some(customer), offering, group) {
+        match self.table.look_up(Some(customer), class, group) {
             Found::NoSpace => None,
             // Nothing of the fleet is left for it.
             Found::NoRule => {
--- a/crates/proxy/tests/unit/line.rs
+++ b/crates/proxy/tests/unit/line.rs
@@ -12,7 +12,7 @@
 fn a_first_line_is_read_and_only_its_wait_changes() {
     let line = format!("{HEAD} c=mail,t=acme,d=2000,h=1.5e3,x-new=3,g=5c0f,r=1,again=1");
     let open = parse(&line).expect("a good line");
-    assert_eq!((open.id, &*open.key, open.offering), (0x9b1f_03aa_5c7e_2d41, "7f3a9c21e0b4d655", 1));
+    assert_eq!((open.id, &*open.key, open.class), (0x9b1f_03aa_5c7e_2d41, "7f3a9c21e0b4d655", 1));
     assert_eq!((open.patience, open.group.as_deref()), (Duration::from_millis(2000), Some("5c0f")));
     assert!(open.returned && !open.mid_flow && open.at.is_none());
     assert_eq!(open.for_server(Duration::from_ms(730.9)), line.replace("2000", "730") + "\r\n");
--- a/crates/recovery/src/around.rs
+++ b/crates/recovery/src/around.rs
@@ -28,7 +28,7 @@
 
 /// What the settings say of a return.
 pub struct Terms {
-    pub offerings: Vec<Owed>,
+    pub classes: Vec<Owed>,
     /// Shares of the customers, by their places in the settings.
     pub shares: Vec<f64>,
     /// How long the list is waited for, how long a server warms up, and how long a client stays away at most.
--- a/crates/recovery/src/comeback.rs
+++ b/crates/recovery/src/comeback.rs
@@ -60,7 +60,7 @@
             fleet: Fleet::new(roster, born, seed, now),
             asking,
             counting: Counting::default(),
-            back: Return::new(terms.offerings, terms.shares, spans, now),
+            back: Return::new(terms.classes, terms.shares, spans, now),
             facts: BTreeMap::new(),
             before: Default::default(),
             candidates: Vec::new(),
--- a/crates/recovery/src/order.rs
+++ b/crates/recovery/src/order.rs
@@ -31,7 +31,7 @@
     }
 }
 
-/// What an offering is owed.
+/// What a request class is owed.
 #[derive(Debug, Clone, Copy)]
 pub struct Owed {
     pub soft_limit: Option<Duration>,
@@ -44,12 +44,12 @@
 /// The most arrivals that are remembered.
 const SAMPLES: usize = 4096;
 /// A customer that has had less than this part of its share of what was let in goes first. Guards against one whose
-/// offerings are all owed later getting nothing at all; half leaves room for what is owed first.
+/// request classes are all owed later getting nothing at all; half leaves room for what is owed first.
 const SURE: f64 = 0.5;
 
 struct Came {
     at: Timestamp,
-    offering: Option<usize>,
+    class: Option<usize>,
     customer: Option<usize>,
     let_in: bool,
 }
@@ -57,7 +57,7 @@
 pub struct Return {
     state: State,
     until: Timestamp,
-    offerings: Vec<Owed>,
+    classes: Vec<Owed>,
     /// Shares of the customers, by their places in the settings.
     shares: Vec<f64>,
     warm_up: Duration,
@@ -72,7 +72,7 @@
     /// `wait`: how long the list is waited for. `warm_up`: how long a server takes to be warm. `most_pause`: the longest
     /// that a client stays away when told to.
     pub fn new(
-        offerings: Vec<Owed>,
+        classes: Vec<Owed>,
         shares: Vec<f64>,
         (wait, warm_up, most_pause): (Duration, Duration, Duration),
         now: Timestamp,
@@ -80,7 +80,7 @@
         Return {
             state: State::Waiting,
             until: now + wait,
-            offerings,
+            classes,
             shares,
             warm_up,
             most_pause,
@@ -120,7 +120,7 @@
     /// that are owed alike take turns; `luck` is from 0 to 1.
     pub fn turn(
         &mut self,
-        (offering, customer): (Option<usize>, Option<usize>),
+        (class, customer): (Option<usize>, Option<usize>),
         key: u64,
         luck: f64,
         now: Timestamp,
@@ -139,10 +139,10 @@
                 const LEAST: Duration = Duration::from_millis(50);
                 let past = now.since(*self.opened.get_or_insert(now)).max(LEAST);
                 let whole = past >= CROWD;
-                self.before((offering, customer), whole, key) * CROWD.ratio_to(past).max(1.0)
+                self.before((class, customer), whole, key) * CROWD.ratio_to(past).max(1.0)
             }
         };
-        self.came.push_back(Came { at: now, offering, customer, let_in: false });
+        self.came.push_back(Came { at: now, class, customer, let_in: false });
         self.came.drain(..self.came.len().saturating_sub(SAMPLES));
         Some(Turn { before, again: self.again(luck, now) })
     }
@@ -153,21 +153,21 @@
     }
 
     /// The part of the crowd that goes before such a session, from 0 to 1; `whole` where that is a whole crowd's time.
-    fn before(&self, (offering, customer): (Option<usize>, Option<usize>), whole: bool, key: u64) -> f64 {
+    fn before(&self, (class, customer): (Option<usize>, Option<usize>), whole: bool, key: u64) -> f64 {
         if whole && self.is_sure(customer) {
             return 0.0;
         }
-        let mine = self.rank(offering);
-        let earlier = self.came.iter().filter(|came| self.rank(came.offering) < mine).count() as f64;
-        let alike = self.came.iter().filter(|came| self.rank(came.offering) == mine).count() as f64 + 1.0;
+        let mine = self.rank(class);
+        let earlier = self.came.iter().filter(|came| self.rank(came.class) < mine).count() as f64;
+        let alike = self.came.iter().filter(|came| self.rank(came.class) == mine).count() as f64 + 1.0;
         // Who is owed alike takes turns by key, so that no client gets in by asking often.
         let place = (key >> 11) as f64 / (1u64 << 53) as f64;
         (earlier + alike * place) / (self.came.len() as f64 + 1.0)
     }
 
     /// The tightest soft limit first, then the highest benefit; what is not known comes last.
-    fn rank(&self, offering: Option<usize>) -> (u64, i64) {
-        let owed = offering.and_then(|o| self.offerings.get(o));
+    fn rank(&self, class: Option<usize>) -> (u64, i64) {
+        let owed = class.and_then(|o| self.classes.get(o));
         let limit = owed.and_then(|o| o.soft_limit).map_or(u64::MAX, |limit| (limit.as_ms() * 1000.0) as u64);
         (limit, owed.map_or(0, |o| -(o.benefit * 1000.0) as i64))
     }
--- a/crates/recovery/tests/unit/order.rs
+++ b/crates/recovery/tests/unit/order.rs
@@ -13,9 +13,9 @@
 
 fn returning() -> Return {
     let owed = |ms, benefit| Owed { soft_limit: Some(Duration::from_millis(ms)), benefit };
-    let offerings = vec![owed(300, 3.0), owed(500, 5.0), owed(800, 3.0)];
+    let classes = vec![owed(300, 3.0), owed(500, 5.0), owed(800, 3.0)];
     let spans = (Duration::from_millis(2000), Duration::from_millis(8000), Duration::from_millis(2000));
-    Return::new(offerings, vec![0.6, 0.3, 0.1], spans, at(1000))
+    Return::new(classes, vec![0.6, 0.3, 0.1], spans, at(1000))
 }
 
 fn key(i: u64) -> u64 {
@@ -45,10 +45,10 @@
     // A third of each, and room for a third of all.
     let mut in_by: BTreeMap<usize, usize> = BTreeMap::new();
     for i in 0..2900u64 {
-        let offering = [STATUS, ALARM, FAULT][(i % 3) as usize];
-        let turn = back.turn((Some(offering), None), key(i), 0.5, at(1100 + i)).expect("a turn");
+        let class = [STATUS, ALARM, FAULT][(i % 3) as usize];
+        let turn = back.turn((Some(class), None), key(i), 0.5, at(1100 + i)).expect("a turn");
         if i >= 2300 && turn.before <= 1.0 / 3.0 {
-            *in_by.entry(offering).or_default() += 1;
+            *in_by.entry(class).or_default() += 1;
         }
     }
     assert!(in_by[&ALARM] > 180 && in_by.get(&FAULT).copied().unwrap_or(0) < 20, "{in_by:?}");
@@ -61,8 +61,8 @@
     back.list_is_here([Some(at(1000))].into_iter(), at(1100));
     let (mut all, mut its) = (0.0, 0.0);
     for i in 0..5000u64 {
-        let (offering, customer) = if i % 4 == 0 { (STATUS, 1) } else { (ALARM, 0) };
-        let turn = back.turn((Some(offering), Some(customer)), key(i), 0.5, at(1100 + i)).expect("a turn");
+        let (class, customer) = if i % 4 == 0 { (STATUS, 1) } else { (ALARM, 0) };
+        let turn = back.turn((Some(class), Some(customer)), key(i), 0.5, at(1100 + i)).expect("a turn");
         if turn.before <= 0.25 {
             back.let_in();
             let counts = f64::from(u8::from(i >= 3000));
--- a/crates/terms/src/lib.rs
+++ b/crates/terms/src/lib.rs
@@ -3,7 +3,7 @@
 
 use serde::Deserialize;
 use shelfgrade::choice::{Chooser, WarmUp};
-use shelfgrade::host::{Circle, Effect, Offering};
+use shelfgrade::host::{Idempotency, KeyScope, RequestClass};
 use shelfgrade::time::DurationExt;
 use std::collections::BTreeMap;
 use std::num::{NonZeroU32, NonZeroUsize};
@@ -54,7 +54,8 @@
     #[serde(default, rename = "charges")]
     _charges: BTreeMap<String, Amount>,
     discovery: Discovery,
-    offerings: Vec<Class>,
+    #[serde(rename = "offerings")]
+    classes: Vec<ClassSetting>,
     bounds: Bounds,
     invariants: Invariants,
     #[serde(default)]
@@ -78,11 +79,11 @@
 }
 
 #[derive(Deserialize)]
-struct Class {
+struct ClassSetting {
     name: String,
-    idempotency: Idempotency,
+    idempotency: IdempotencySetting,
     #[serde(default)]
-    group: Group,
+    group: KeyScopeSetting,
     #[serde(default)]
     window_ms: Amount,
     soft_limit_ms: Option<Amount>,
@@ -93,7 +94,7 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case")]
-enum Idempotency {
+enum IdempotencySetting {
     Repeatable,
     ByKey,
     Once,
@@ -101,7 +102,7 @@
 
 #[derive(Deserialize, Default, Clone, Copy)]
 #[serde(rename_all = "snake_case")]
-enum Group {
+enum KeyScopeSetting {
     All,
     Zone,
     /// The narrowest, where the settings leave it out.
@@ -156,8 +157,8 @@
 /// A proxy's terms, read.
 pub struct Terms {
     pub chooser: Chooser,
-    /// The offerings' names in their order.
-    pub offerings: Vec<String>,
+    /// The request classes' names in their order.
+    pub classes: Vec<String>,
     /// What each is owed, in the same order: the time within which a connection should stand, and a second's benefit.
     pub owed: Vec<(Option<Duration>, f64)>,
     /// The customers' names and shares.
@@ -166,7 +167,7 @@
     pub warm_up: Duration,
     /// The longest that a client stays away when told to.
     pub most_pause: Duration,
-    /// The longest that any client waits for its connection; none where an offering does not tell.
+    /// The longest that any client waits for its connection; none where a request class does not tell.
     pub longest_patience: Option<Duration>,
     /// A connection that is not established within this has failed; none where the terms leave it open.
     pub dial_time_out: Option<Duration>,
@@ -182,7 +183,7 @@
 pub fn parse(seed: u64, text: &str) -> Result<Terms, TermsError> {
     let env: Env = serde_json::from_str(text)?;
     let proxies = env.balancers.map_or(MANY, NonZeroUsize::get);
-    let Env { offerings, invariants, bounds, extra, customers, .. } = env;
+    let Env { classes, invariants, bounds, extra, customers, .. } = env;
     let all_hold = all_hold(&extra.tenant_quota_connections);
     if all_hold.is_some() && extra.server_connections.is_some() {
         return Err(TermsError::ToldTwice);
@@ -203,20 +204,20 @@
         Discovery::Subscribe => Some(Duration::from_ms(invariants.must_ask_in_ms.0)),
     };
     let owed =
-        offerings.iter().map(|class| (class.soft_limit_ms.map(|l| Duration::from_ms(l.0)), class.benefit.0));
+        classes.iter().map(|class| (class.soft_limit_ms.map(|l| Duration::from_ms(l.0)), class.benefit.0));
     let owed = owed.collect();
-    let patience = offerings.iter().map(|class| class.patience_ms.map(|p| Duration::from_ms(p.0)));
+    let patience = classes.iter().map(|class| class.patience_ms.map(|p| Duration::from_ms(p.0)));
     let longest_patience = patience.collect::<Option<Vec<_>>>().and_then(|all| all.into_iter().max());
     let (span, most_pause) = (warm_up.cold_span, Duration::from_ms(bounds.max_retry_after_ms.0));
-    let known = offerings.iter().enumerate().map(|(i, class)| Offering {
-        effect: match class.idempotency {
-            Idempotency::Repeatable => Effect::Replayable,
-            Idempotency::Once => Effect::SingleUse,
-            Idempotency::ByKey => Effect::Referenced {
-                among: match class.group {
-                    Group::All => Circle::All,
-                    Group::Zone => Circle::Zone,
-                    Group::Cell => Circle::Cell,
+    let known = classes.iter().enumerate().map(|(i, class)| RequestClass {
+        idempotency: match class.idempotency {
+            IdempotencySetting::Repeatable => Idempotency::Idempotent,
+            IdempotencySetting::Once => Idempotency::NonIdempotent,
+            IdempotencySetting::ByKey => Idempotency::Keyed {
+                scope: match class.group {
+                    KeyScopeSetting::All => KeyScope::All,
+                    KeyScopeSetting::Zone => KeyScope::Zone,
+                    KeyScopeSetting::Cell => KeyScope::Cell,
                 },
                 window: Duration::from_ms(class.window_ms.0),
             },
@@ -227,7 +228,7 @@
     let chooser = Chooser::new(seed, known.collect(), bounds.max_attempts, most_pause, must_ask_in, warm_up);
     Ok(Terms {
         chooser,
-        offerings: offerings.into_iter().map(|o| o.name).collect(),
+        classes: classes.into_iter().map(|o| o.name).collect(),
         owed,
         customers: customers.into_iter().map(|c| (c.name, c.share.0)).collect(),
         warm_up: span,
--- a/crates/trials/src/clients.rs
+++ b/crates/trials/src/clients.rs
@@ -11,7 +11,7 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout, timeout_at, Instant};
 
-/// An offering, as the settings have it.
+/// A request class, as the settings have it.
 pub struct Class {
     pub name: &'static str,
     pub idempotency: &'static str,
--- a/crates/trials/src/decisions.rs
+++ b/crates/trials/src/decisions.rs
@@ -103,13 +103,13 @@
             each_holds: 0.0,
             proxies: PROXIES as f64,
         };
-        let offering = Offering {
-            effect: Effect::Replayable,
+        let class = RequestClass {
+            idempotency: Idempotency::Idempotent,
             soft_limit: Some(Duration::from_millis(800)),
             message_limit: Some(Duration::from_millis(250)),
         };
         let must_ask_in = Some(Duration::from_millis(10_000));
-        let chooser = Chooser::new(7, vec![offering], 4, Duration::from_millis(2000), must_ask_in, warm_up);
+        let chooser = Chooser::new(7, vec![class], 4, Duration::from_millis(2000), must_ask_in, warm_up);
         let mut decisions = Decisions {
             size,
             list,
@@ -151,7 +151,7 @@
         let (key, group) = (format!("lift-{id}"), format!("g{group}"));
         let arrival = Arrival {
             session: SessionId(id),
-            offering: Some(0),
+            class: Some(0),
             key: Some(&key),
             group: Some(&group),
             patience_ends: self.now + Duration::from_millis(4800),
--- a/crates/trials/src/drawn.rs
+++ b/crates/trials/src/drawn.rs
@@ -53,7 +53,7 @@
     fn begin(roster: Roster, _: u64, seed: u64, now: Timestamp, wall_ms: u64) -> Self {
         let owed = |ms, benefit| Owed { soft_limit: Some(Duration::from_millis(ms)), benefit };
         let terms = Terms {
-            offerings: vec![owed(300, 3.0), owed(500, 5.0), owed(800, 1.0)],
+            classes: vec![owed(300, 3.0), owed(500, 5.0), owed(800, 1.0)],
             shares: vec![0.5, 0.3, 0.2],
             wait: Duration::from_millis(2000),
             warm_up: Duration::from_millis(8600),
--- a/crates/trials/tests/customers.rs
+++ b/crates/trials/tests/customers.rs
@@ -42,7 +42,7 @@
 /// One trial at a time: each wants the machine's cores for its processes.
 static CORES: tokio::sync::Mutex<()> = tokio::sync::Mutex::const_new(());
 
-/// The servers that a customer's sessions of some offerings were sent to since a moment.
+/// The servers that a customer's sessions of some request classes were sent to since a moment.
 fn servers(trial: &Trial, customer: usize, class: Option<usize>, since: Duration) -> BTreeSet<usize> {
     let seen = trial.record.seen();
     let its = |id: &u64| {
--- a/src/choice/again.rs
+++ b/src/choice/again.rs
@@ -1,6 +1,6 @@
 //! Whether a session may be sent again, and where: no effect happens twice.
 
-use crate::host::{Circle, Effect, Ending};
+use crate::host::{Ending, Idempotency, KeyScope};
 use crate::record::{Attempt, Server, Session};
 use crate::time::Timestamp;
 use std::rc::Rc;
@@ -30,19 +30,19 @@
 
     fn may_follow(&self, earlier: &[Attempt], server: &Server, now: Timestamp) -> bool {
         let Some((first, sent)) = may_have_run(earlier) else { return true };
-        match self.effect {
-            Effect::Replayable => true,
-            Effect::SingleUse => false,
-            Effect::Referenced { window, .. } if now.since(sent) + HELD_UP >= window => false,
-            Effect::Referenced { among: Circle::All, .. } => true,
-            Effect::Referenced { among: Circle::Zone, .. } => first.kin[0] == server.kin[0],
-            Effect::Referenced { among: Circle::Cell, .. } => first.cell == server.cell,
+        match self.idempotency {
+            Idempotency::Idempotent => true,
+            Idempotency::NonIdempotent => false,
+            Idempotency::Keyed { window, .. } if now.since(sent) + HELD_UP >= window => false,
+            Idempotency::Keyed { scope: KeyScope::All, .. } => true,
+            Idempotency::Keyed { scope: KeyScope::Zone, .. } => first.kin[0] == server.kin[0],
+            Idempotency::Keyed { scope: KeyScope::Cell, .. } => first.cell == server.cell,
         }
     }
 
     /// Whether a pushback's promise, that another try is harmless, would be true.
     pub(super) fn may_push_back(&self) -> bool {
-        matches!(self.effect, Effect::Replayable | Effect::Referenced { among: Circle::All, .. })
+        matches!(self.idempotency, Idempotency::Idempotent | Idempotency::Keyed { scope: KeyScope::All, .. })
             || may_have_run(&self.attempts.borrow()).is_none()
     }
 }
--- a/src/choice/dispatch.rs
+++ b/src/choice/dispatch.rs
@@ -1,7 +1,7 @@
 //! How long an attempt may take, and what its end says.
 
 use super::{Pick, Stage, Step};
-use crate::host::{Effect, Ending, Host};
+use crate::host::{Ending, Host, Idempotency};
 use crate::record::{Attempt, Session, Shelf};
 use crate::time::{DurationExt, Timestamp};
 use std::rc::Rc;
@@ -19,7 +19,7 @@
         // Guards against a patience spent on one silent server: half of what is left stays for another.
         let half = left.scaled(0.5);
         let by_gaps = |u| if u > half { left } else { half.scaled(0.5).max(u) };
-        let all = last || session.effect == Effect::SingleUse || self.shelf.window(now) < 1.0;
+        let all = last || session.idempotency == Idempotency::NonIdempotent || self.shelf.window(now) < 1.0;
         let time_out = if all { left } else { self.shelf.unusual_after().map_or(half, by_gaps) };
         host.connect(session.id, &server.id, time_out);
         server.note_sent(now);
--- a/src/choice/mod.rs
+++ b/src/choice/mod.rs
@@ -24,7 +24,7 @@
 mod relief;
 mod trust;
 
-use crate::host::{Arrival, Ending, Endpoint, Host, Offering, SessionId};
+use crate::host::{Arrival, Ending, Endpoint, Host, RequestClass, SessionId};
 pub use crate::record::WarmUp;
 use crate::record::{Attempt, Server, Session, Shelf};
 use crate::time::{DurationExt, Timestamp};
@@ -50,8 +50,8 @@
 
 /// The decisions of one proxy.
 pub struct Chooser {
-    offerings: Vec<Offering>,
-    /// The most delicate offering's, as any may be held by a server; no sign of life in this time is strain.
+    classes: Vec<RequestClass>,
+    /// The most delicate request class's, as any may be held by a server; no sign of life in this time is strain.
     message_limit: Duration,
     most_pause: Duration,
     pub(crate) shelf: Rc<Shelf>,
@@ -73,17 +73,17 @@
     /// `most_pause`: the longest wait a client keeps to. `must_ask_in`: none where the list comes unasked.
     pub fn new(
         seed: u64,
-        offerings: Vec<Offering>,
+        classes: Vec<RequestClass>,
         max_attempts: usize,
         most_pause: Duration,
         must_ask_in: Option<Duration>,
         warm_up: WarmUp,
     ) -> Self {
         let shelf = Rc::new(Shelf::new(max_attempts, seed, warm_up.proxies));
-        let message_limit = offerings.iter().filter_map(|o| o.message_limit).min();
+        let message_limit = classes.iter().filter_map(|o| o.message_limit).min();
         Chooser {
             message_limit: message_limit.unwrap_or(Duration::from_millis(100)),
-            offerings,
+            classes,
             most_pause,
             must_ask_in,
             asks_at: None,
@@ -215,8 +215,8 @@
     }
 
     fn enter(&mut self, arrival: &Arrival) -> Rc<Session> {
-        let offering = arrival.offering.and_then(|o| self.offerings.get(o));
-        let session = Rc::new(Session::arriving(arrival, offering));
+        let class = arrival.class.and_then(|o| self.classes.get(o));
+        let session = Rc::new(Session::arriving(arrival, class));
         self.shelf.note_group(&session);
         self.sessions.insert(arrival.session, session.clone());
         session
--- a/src/host.rs
+++ b/src/host.rs
@@ -31,29 +31,29 @@
 
 /// Whether a session may run more than once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Effect {
-    Replayable,
+pub enum Idempotency {
+    Idempotent,
     /// Carries a mark by which the servers of `among` drop its repeats for `window`.
-    Referenced {
-        among: Circle,
+    Keyed {
+        scope: KeyScope,
         window: Duration,
     },
     /// The most delicate kind, which any is taken for that is not known.
     #[default]
-    SingleUse,
+    NonIdempotent,
 }
 
 /// Which servers know each other's marks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Circle {
+pub enum KeyScope {
     All,
     Zone,
     Cell,
 }
 
 #[derive(Clone, Copy, Debug)]
-pub struct Offering {
-    pub effect: Effect,
+pub struct RequestClass {
+    pub idempotency: Idempotency,
     /// The time within which its connection should stand.
     pub soft_limit: Option<Duration>,
     /// The time within which a message on a standing connection should be answered.
@@ -64,8 +64,8 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Arrival<'a> {
     pub session: SessionId,
-    /// Position in the offerings given at the start; none if unknown.
-    pub offering: Option<usize>,
+    /// Position in the request classes given at the start; none if unknown.
+    pub class: Option<usize>,
     pub key: Option<&'a str>,
     /// Connections of one group share work where they share a server.
     pub group: Option<&'a str>,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -33,9 +33,9 @@
 //!     each_holds: 30.0,
 //!     proxies: 3.0,
 //! };
-//! let offering = Offering { effect: Effect::Replayable, soft_limit: None, message_limit: None };
+//! let request class = RequestClass { effect: Idempotency::Idempotent, soft_limit: None, message_limit: None };
 //! let pause = Duration::from_millis(2000);
-//! let mut chooser = Chooser::new(7, vec![offering], 4, pause, None, warm_up);
+//! let mut chooser = Chooser::new(7, vec![request class], 4, pause, None, warm_up);
 //! let server = Endpoint {
 //!     server: "192.0.2.1:80".into(),
 //!     zone: "a".into(),
@@ -47,7 +47,7 @@
 //! chooser.start(&[server], now, &mut host);
 //! let arrival = Arrival {
 //!     session: SessionId(1),
-//!     offering: Some(0),
+//!     request class: Some(0),
 //!     key: Some("lift-12"),
 //!     group: None,
 //!     patience_ends: now + Duration::from_millis(3000),
--- a/src/record.rs
+++ b/src/record.rs
@@ -1,6 +1,8 @@
 //! What a proxy keeps of servers and sessions: plain records, on which `choice` decides.
 
-use crate::host::{Arrival, Effect, Ending, Endpoint, EndpointState, Offering, ServerId, SessionId, Turn};
+use crate::host::{
+    Arrival, Ending, Endpoint, EndpointState, Idempotency, RequestClass, ServerId, SessionId, Turn,
+};
 use crate::time::{DurationExt, Timestamp};
 use nanorand::{Rng, WyRand};
 use std::cell::{Cell, RefCell};
@@ -268,7 +270,7 @@
     /// Hashes of the client key and of the group.
     pub(crate) key: u64,
     pub(crate) group: Option<u64>,
-    pub(crate) effect: Effect,
+    pub(crate) idempotency: Idempotency,
     /// The time within which its connection should stand.
     pub(crate) soft_limit: Option<Duration>,
     pub(crate) patience_ends: Timestamp,
@@ -289,14 +291,14 @@
 }
 
 impl Session {
-    /// As it arrives; an offering never heard of is treated as the most delicate kind.
-    pub(crate) fn arriving(arrival: &Arrival, offering: Option<&Offering>) -> Self {
+    /// As it arrives; a request class never heard of is treated as the most delicate kind.
+    pub(crate) fn arriving(arrival: &Arrival, class: Option<&RequestClass>) -> Self {
         Session {
             id: arrival.session,
             key: arrival.key.map_or(arrival.session.0, |k| xxh3_64(k.as_bytes())),
             group: arrival.group.map(|g| xxh3_64(g.as_bytes())),
-            effect: offering.map(|o| o.effect).unwrap_or_default(),
-            soft_limit: offering.and_then(|o| o.soft_limit),
+            idempotency: class.map(|o| o.idempotency).unwrap_or_default(),
+            soft_limit: class.and_then(|o| o.soft_limit),
             patience_ends: arrival.patience_ends,
             mid_flow: arrival.mid_flow,
             returned: arrival.returned,
--- a/tests/stories/answers.rs
+++ b/tests/stories/answers.rs
@@ -6,15 +6,15 @@
 #[test]
 fn a_single_use_session_is_never_sent_after_it_may_have_run() {
     let mut proxy = Proxy::of_four();
-    let delicate = Arrival { offering: Some(SINGLE_USE), ..plain("job") };
+    let delicate = Arrival { class: Some(NON_IDEMPOTENT), ..plain("job") };
     let run = proxy.arrives(delicate);
     proxy.ends(run, Ending::Broken);
     assert_eq!((proxy.sent_to(run).len(), &proxy.notes.forfeited), (1, &vec![run]));
     let unrun = proxy.arrives(delicate);
     proxy.ends(unrun, Ending::TurnedAway);
     assert_eq!(proxy.sent_to(unrun).len(), 2, "proven not to have run, it may be sent again");
-    // An offering never heard of is handled as carefully.
-    let unknown = proxy.arrives(Arrival { offering: None, ..plain("what") });
+    // A request class never heard of is handled as carefully.
+    let unknown = proxy.arrives(Arrival { class: None, ..plain("what") });
     proxy.ends(unknown, Ending::TimedOut);
     assert_eq!(proxy.notes.forfeited, [run, unknown]);
 }
@@ -23,7 +23,7 @@
 fn a_referenced_session_stays_in_its_circle_and_window() {
     let mut proxy = Proxy::of_four();
     let key = key_for("a2");
-    let marked = Arrival { offering: Some(REFERENCED), ..plain(&key) };
+    let marked = Arrival { class: Some(KEYED), ..plain(&key) };
     let session = proxy.arrives(marked);
     proxy.ends(session, Ending::Broken);
     proxy.ends(session, Ending::Broken);
--- a/tests/stories/books.rs
+++ b/tests/stories/books.rs
@@ -152,7 +152,7 @@
         let patience = self.model.draw(2500) as u64;
         let arrival = Arrival {
             session: SessionId(self.last),
-            offering: [Some(REPLAYABLE), Some(SINGLE_USE), Some(REFERENCED), None][self.model.draw(4)],
+            class: [Some(IDEMPOTENT), Some(NON_IDEMPOTENT), Some(KEYED), None][self.model.draw(4)],
             group: (self.model.draw(3) > 0).then_some(&*group),
             patience_ends: self.now + Duration::from_millis(patience),
             mid_flow: self.model.draw(5) == 0,
--- a/tests/stories/fake.rs
+++ b/tests/stories/fake.rs
@@ -47,9 +47,9 @@
     }
 }
 
-pub const REPLAYABLE: usize = 0;
-pub const SINGLE_USE: usize = 1;
-pub const REFERENCED: usize = 2;
+pub const IDEMPOTENT: usize = 0;
+pub const NON_IDEMPOTENT: usize = 1;
+pub const KEYED: usize = 2;
 pub const MUST_ASK_IN: Duration = Duration::from_millis(10_000);
 pub const PATIENCE: Duration = Duration::from_millis(2000);
 pub const SOFT_LIMIT: Duration = Duration::from_millis(300);
@@ -79,7 +79,7 @@
 pub fn plain<'a>(key: &'a str) -> Arrival<'a> {
     Arrival {
         session: SessionId(0),
-        offering: Some(REPLAYABLE),
+        class: Some(IDEMPOTENT),
         key: Some(key),
         group: None,
         patience_ends: Timestamp::default(),
@@ -116,13 +116,14 @@
 
     /// One that goes by these terms on cold servers.
     pub fn by(warm_up: WarmUp, seed: u64, list: &[Endpoint]) -> Self {
-        let referenced = Effect::Referenced { among: Circle::Zone, window: Duration::from_millis(1500) };
+        let keyed = Idempotency::Keyed { scope: KeyScope::Zone, window: Duration::from_millis(1500) };
         let message_limit = Some(Duration::from_millis(50));
-        let offerings = [Effect::Replayable, Effect::SingleUse, referenced];
-        let offerings =
-            offerings.map(|effect| Offering { effect, soft_limit: Some(SOFT_LIMIT), message_limit }).to_vec();
+        let classes = [Idempotency::Idempotent, Idempotency::NonIdempotent, keyed];
+        let classes = classes
+            .map(|idempotency| RequestClass { idempotency, soft_limit: Some(SOFT_LIMIT), message_limit })
+            .to_vec();
         let pause = Duration::from_millis(1000);
-        let chooser = Chooser::new(seed, offerings, 4, pause, Some(MUST_ASK_IN), warm_up);
+        let chooser = Chooser::new(seed, classes, 4, pause, Some(MUST_ASK_IN), warm_up);
         let mut proxy =
             Proxy { chooser, notes: Notes::default(), now: Timestamp::from_ms(60_000.0), next: 0 };
         proxy.chooser.start(list, proxy.now, &mut proxy.notes);
--- a/tests/stories/ramp.rs
+++ b/tests/stories/ramp.rs
@@ -192,7 +192,7 @@
                     group,
                     returned,
                     mid_flow: client.is_multiple_of(10),
-                    offering: Some([REPLAYABLE, REPLAYABLE, SINGLE_USE][(client % 3) as usize]),
+                    class: Some([IDEMPOTENT, IDEMPOTENT, NON_IDEMPOTENT][(client % 3) as usize]),
                     ..plain(&key)
                 };
                 let session = self.proxies[proxy].arrives(arrival);
