--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -212,7 +212,7 @@
         class: classes.iter().position(|o| o == priority),
         key: line.optional("object"),
         group: line.optional("group"),
-        patience_ends: line.point("due_ms")?,
+        deadline: line.point("due_ms")?,
         mid_flow: line.flag("stray")?,
         returned: line.flag("returned")?,
         turn: None,
--- a/crates/proxy/src/comeback.rs
+++ b/crates/proxy/src/comeback.rs
@@ -23,8 +23,10 @@
 
 /// What the settings say of a return.
 pub fn terms(settings: &Settings, file: &FleetFile) -> Terms {
-    let owed =
-        settings.owed.iter().map(|(soft_limit, benefit)| Owed { soft_limit: *soft_limit, benefit: *benefit });
+    let owed = settings.owed.iter().map(|(connect_latency_objective, priority_weight)| Owed {
+        connect_latency_objective: *connect_latency_objective,
+        priority_weight: *priority_weight,
+    });
     Terms {
         classes: owed.collect(),
         shares: settings.customers.iter().map(|(_, share)| *share).collect(),
--- a/crates/proxy/src/door.rs
+++ b/crates/proxy/src/door.rs
@@ -142,7 +142,7 @@
 
     /// Guards against spinning where descriptors have run out all the same.
     fn accept_later(&mut self, error: &std::io::Error) {
-        // Short against any patience, long against the calls before it.
+        // Short against any request timeout, long against the calls before it.
         const PAUSE: Duration = Duration::from_millis(10);
         if std::mem::replace(&mut self.door.paused, true) {
             return;
--- a/crates/proxy/src/early.rs
+++ b/crates/proxy/src/early.rs
@@ -48,7 +48,7 @@
         self.until.is_some()
     }
 
-    /// Keeps a session until then, and no longer than half of its patience.
+    /// Keeps a session until then, and no longer than half of its request timeout.
     pub fn holds(&mut self, session: &Rc<Session>, hands: &Hands) {
         self.sessions.push(Rc::downgrade(session));
         let timer = Timer::from_duration(longest_wait(session));
@@ -62,7 +62,7 @@
 
 /// How long a session may wait for the list.
 fn longest_wait(session: &Session) -> Duration {
-    session.opening.patience.scaled(0.5)
+    session.opening.request_timeout.scaled(0.5)
 }
 
 impl Proxy {
@@ -79,7 +79,7 @@
     }
 
     /// Called with each tick, and for each session when its time is up: nobody waits past the bound, and no session past
-    /// half of its patience.
+    /// half of its request timeout.
     pub fn end_of_waiting(&mut self) {
         let now = self.now();
         let Some(until) = self.early.until else { return };
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Hands a session to the decisions; its patience counts from when it came.
+    /// Hands a session to the decisions; its request timeout counts from when it came.
     pub fn place(&mut self, session: &Rc<Session>) {
         if session.stage.get() == Stage::Asking {
             let now = self.now();
@@ -112,7 +112,8 @@
             }
             let among = ruled.as_ref().map(|ruled| &ruled.among);
             let whose = ruled.as_ref().map(|ruled| &ruled.customer);
-            let arrival = crate::proxy::arrival(session, session.since.get() + session.opening.patience);
+            let arrival =
+                crate::proxy::arrival(session, session.since.get() + session.opening.request_timeout);
             *session.place.borrow_mut() = ruled.as_ref().map(|ruled| ruled.place.clone());
             self.chooser.arrived(whose, &Arrival { turn, among, ..arrival }, now, &mut self.hands);
             // Not turned away: it was let in, or is about to be.
--- a/crates/proxy/src/ending.rs
+++ b/crates/proxy/src/ending.rs
@@ -7,10 +7,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Killing comes this long after the signal and the longest patience of any client,
+/// Killing comes this long after the signal and the longest request timeout of any client,
 const KILLED_AFTER: Duration = Duration::from_millis(700);
 /// of which no more than this counts, or where the settings do not tell.
-const MOST_PATIENCE: Duration = Duration::from_millis(3000);
+const MOST_REQUEST_TIMEOUT: Duration = Duration::from_millis(3000);
 
 /// When what happens after the signal: all of it follows from the settings. Guards against a process that is killed
 /// with answers and moves still owed, where clients wait for less than three seconds.
@@ -27,13 +27,14 @@
 }
 
 impl Course {
-    pub fn by(longest_patience: Option<Duration>) -> Self {
+    pub fn by(longest_request_timeout: Option<Duration>) -> Self {
         // Enough for last lines to be read and for one more look, ticks being a tenth of a second apart.
         const LAST_WORDS: Duration = Duration::from_millis(500);
         const SPARE: Duration = Duration::from_millis(200);
         // Another look comes before the end, for answers that are still being written.
         const LAST_CALL: Duration = Duration::from_millis(350);
-        let killed = longest_patience.unwrap_or(MOST_PATIENCE).min(MOST_PATIENCE) + KILLED_AFTER;
+        let killed =
+            longest_request_timeout.unwrap_or(MOST_REQUEST_TIMEOUT).min(MOST_REQUEST_TIMEOUT) + KILLED_AFTER;
         let before = |span: Duration| (Timestamp::default() + killed - span).since(Timestamp::default());
         Course {
             // What is left then is enough to go one after the other.
--- a/crates/proxy/src/line.rs
+++ b/crates/proxy/src/line.rs
@@ -63,7 +63,7 @@
     /// The request class's position among the names given.
     pub class: usize,
     /// How long the client waits.
-    pub patience: Duration,
+    pub request_timeout: Duration,
     pub group: Option<String>,
     pub customer: Option<String>,
     /// The server where it was open before the start.
@@ -104,7 +104,7 @@
             id: u64::from_str_radix(id, 16).ok()?,
             key: Some(key).filter(|key| !key.is_empty())?.to_owned(),
             class: classes.iter().position(|o| values.get("c") == Some(&o.as_str()))?,
-            patience: Duration::from_ms(wait),
+            request_timeout: Duration::from_ms(wait),
             group: named("g"),
             customer: named("t"),
             at: named("at"),
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -148,7 +148,7 @@
         pulses_taken: now,
         told_to_reload: None,
         told_to_end: None,
-        course: Course::by(start.terms.longest_patience),
+        course: Course::by(start.terms.longest_request_timeout),
         last_arrival: now,
     };
     // With fellows, what is known from before is for the return to judge.
@@ -376,14 +376,14 @@
     }
 }
 
-pub fn arrival(session: &Session, patience_ends: Timestamp) -> Arrival<'_> {
+pub fn arrival(session: &Session, deadline: Timestamp) -> Arrival<'_> {
     let opening = &session.opening;
     Arrival {
         session: session.id,
         class: Some(opening.class),
         key: Some(&opening.key),
         group: opening.group.as_deref(),
-        patience_ends,
+        deadline,
         mid_flow: opening.mid_flow,
         returned: opening.returned,
         turn: None,
--- a/crates/proxy/tests/sockets/calls.rs
+++ b/crates/proxy/tests/sockets/calls.rs
@@ -72,7 +72,7 @@
         let plan = Plan::new();
         let server = Place::new("s1");
         // Killing comes 1.9 s after the signal.
-        let program = plan.start(Terms { patience_ms: 1200, sockets: 1024, ..USUAL }, &[&server]);
+        let program = plan.start(Terms { request_timeout_ms: 1200, sockets: 1024, ..USUAL }, &[&server]);
         answers_all(server, "BUSY\r\n");
         plan.fail(Call::Accept, 500, Failure::Error(error));
         program.terminate();
--- a/crates/proxy/tests/sockets/ending.rs
+++ b/crates/proxy/tests/sockets/ending.rs
@@ -1,6 +1,6 @@
 //! Stories of the end: who is at the door, in a stage, or in its queue when the signal comes.
 //!
-//! What a process still owes 0.7 s after the longest patience of its clients, three seconds at most, is lost.
+//! What a process still owes 0.7 s after the longest request timeout of its clients, three seconds at most, is lost.
 
 use crate::stand::{list, next_call, Place, Program, Terms, PUSHED, USUAL};
 use rustix::process::Signal;
@@ -8,11 +8,11 @@
 use std::time::{Duration, Instant};
 
 /// Clients of another customer wait for 1.2 s at most, so that killing comes 1.9 s after the signal.
-const HASTY: Terms = Terms { patience_ms: 1200, ..USUAL };
+const HASTY: Terms = Terms { request_timeout_ms: 1200, ..USUAL };
 
-/// All times of the end were fit for patience of three seconds: moves began when the process was killed.
+/// All times of the end were fit for request timeout of three seconds: moves began when the process was killed.
 #[test]
-fn where_patience_is_short_all_is_answered_and_moved_before_the_process_is_killed() {
+fn where_request_timeout_is_short_all_is_answered_and_moved_before_the_process_is_killed() {
     let server = Place::new("s1");
     let program = Program::start(HASTY, &[&server]);
     let mut standing: Vec<_> = (0..3).map(|_| program.settles(&server)).collect();
--- a/crates/proxy/tests/sockets/gone.rs
+++ b/crates/proxy/tests/sockets/gone.rs
@@ -142,7 +142,7 @@
     }
 }
 
-/// The list does not come: half of the client's patience is over while the program stands still.
+/// The list does not come: half of the client's request timeout is over while the program stands still.
 #[test]
 fn nothing_is_connected_to_for_a_client_that_left_before_its_wait_for_the_list_was_over() {
     for by in ALL {
--- a/crates/proxy/tests/sockets/listing.rs
+++ b/crates/proxy/tests/sockets/listing.rs
@@ -141,7 +141,10 @@
     let (mut hasty, mut patient) = (program.opens("lift-1", ",d=600"), program.opens("lift-2", ",d=3000"));
     let _first = server.serve();
     assert_eq!(hasty.line(), "UP 0123");
-    assert!(began.elapsed() < Duration::from_millis(550), "a session waits for half of its patience at most");
+    assert!(
+        began.elapsed() < Duration::from_millis(550),
+        "a session waits for half of its request timeout at most"
+    );
     let mut front = program.client();
     assert_eq!(front.say("PING\r\n").line(), "PONG");
     let _second = server.serve();
--- a/crates/proxy/tests/sockets/ready.rs
+++ b/crates/proxy/tests/sockets/ready.rs
@@ -115,7 +115,7 @@
 
 /// Who waits for the list was looked after with each tick alone: a client of 20 ms had its answer up to 100 ms later.
 #[test]
-fn a_client_of_little_patience_does_not_wait_for_a_tick_while_the_list_is_awaited() {
+fn a_client_of_little_request_timeout_does_not_wait_for_a_tick_while_the_list_is_awaited() {
     let server = Place::new("s1");
     let program = Program::start(PUSHED, &[&server]);
     let _never_answered = program.discovery.called();
--- a/crates/proxy/tests/sockets/settings.rs
+++ b/crates/proxy/tests/sockets/settings.rs
@@ -19,7 +19,7 @@
     /// How the list comes.
     pub discovery: &'static str,
     /// The longest that a client waits, and how many attempts it may have.
-    pub patience_ms: u64,
+    pub request_timeout_ms: u64,
     pub attempts: u64,
     /// How long it may go without asking for the list.
     pub must_ask_ms: u64,
@@ -42,7 +42,7 @@
     quota: "0",
     balancers: "null",
     discovery: "subscribe",
-    patience_ms: 3000,
+    request_timeout_ms: 3000,
     attempts: 3,
     must_ask_ms: 1500,
     seed: "8c1f30d27a5be964",
@@ -59,11 +59,19 @@
     let entries: Vec<_> = known.iter().map(|p| p.entry("in_service")).collect();
     let Terms { effect, probes, tells_delay, sockets, dial_ms, aim_ms, quota, balancers, .. } = terms;
     let Terms {
-        discovery: how, patience_ms, attempts, must_ask_ms, seed, cold_ms, cold_from, window_ms, ..
+        discovery: how,
+        request_timeout_ms,
+        attempts,
+        must_ask_ms,
+        seed,
+        cold_ms,
+        cold_from,
+        window_ms,
+        ..
     } = terms;
     let settings = format!(
         r#"{{"balancers":{balancers},"discovery":"{how}","offerings":[{{"name":"alarm","idempotency":"{effect}",
-        "group":"all","window_ms":{window_ms},"patience_ms":{patience_ms}}}],
+        "group":"all","window_ms":{window_ms},"patience_ms":{request_timeout_ms}}}],
         "bounds":{{"most_connects":{attempts},"max_retry_after_ms":500,"probes":{probes},"dial_timeout_ms":{dial_ms}}},
         "invariants":{{"overload_factor":4,"must_ask_in_ms":{must_ask_ms},"cold_ms":{cold_ms},"cold_from":{cold_from}}},
         "extra":{{"message_aim_ms":[{aim_ms}],"tells_delay":{tells_delay},"tenant_quota_connections":[{quota}]}}}}"#
--- a/crates/proxy/tests/sockets/soak/mod.rs
+++ b/crates/proxy/tests/sockets/soak/mod.rs
@@ -17,7 +17,7 @@
 
 const SERVERS: usize = 4;
 const CLIENTS: usize = 24;
-/// Killing comes so long after the signal and the clients' patience; new connections come for as long at the most.
+/// Killing comes so long after the signal and the clients' request timeout; new connections come for as long at the most.
 const KILLED_AFTER: Duration = Duration::from_millis(700);
 const FRONT_NOTICES: Duration = Duration::from_millis(300);
 
@@ -48,13 +48,13 @@
 fn soak(seed: u64) -> Vec<String> {
     let mut chance = WyRand::new_seed(seed);
     let effect = ["repeatable", "by_key", "once"][chance.generate_range(0..3_usize)];
-    let patience_ms = [900, 1800, 3000][chance.generate_range(0..3_usize)];
+    let request_timeout_ms = [900, 1800, 3000][chance.generate_range(0..3_usize)];
     let is_crowded = chance.generate_range(0..3_u32) == 0;
     let sockets = if is_crowded { 160 } else { 512 };
     let places: Vec<_> = (0..SERVERS).map(|i| Place::new(&format!("s{i}"))).collect();
     let terms = Terms {
         effect,
-        patience_ms,
+        request_timeout_ms,
         sockets,
         window_ms: WINDOW_MS,
         probes: chance.generate(),
@@ -69,7 +69,7 @@
     let run = Arc::new(Run {
         seed,
         effect,
-        patience: Duration::from_millis(patience_ms),
+        request_timeout: Duration::from_millis(request_timeout_ms),
         address: program.address,
         seen: Mutex::default(),
         front_has_left: AtomicBool::new(false),
@@ -108,7 +108,7 @@
     rules(&run);
     let mut seen = run.seen.lock().unwrap();
     println!(
-        "seed {seed}: {effect}, {patience_ms} ms, {sockets} sockets: {} requests sent on, {} ended by servers, {} drained, {} calls failed",
+        "seed {seed}: {effect}, {request_timeout_ms} ms, {sockets} sockets: {} requests sent on, {} ended by servers, {} drained, {} calls failed",
         seen.sent.len(),
         seen.ended_by_server.len(),
         seen.drains.len().min(1),
@@ -137,7 +137,7 @@
     }
     thread::sleep(FRONT_NOTICES.saturating_sub(told.elapsed()));
     run.front_has_left.store(true, SeqCst);
-    while told.elapsed() < run.patience + KILLED_AFTER {
+    while told.elapsed() < run.request_timeout + KILLED_AFTER {
         if program.child.try_wait().unwrap().is_some() {
             let (code, log) = program.exit();
             if code != Some(0) || log.contains("panicked") || log.contains("does not hold") {
--- a/crates/proxy/tests/sockets/soak/parts.rs
+++ b/crates/proxy/tests/sockets/soak/parts.rs
@@ -41,7 +41,7 @@
 pub struct Run {
     pub seed: u64,
     pub effect: &'static str,
-    pub patience: Duration,
+    pub request_timeout: Duration,
     pub address: SocketAddr,
     pub seen: Mutex<Seen>,
     /// New connections have stopped.
@@ -167,8 +167,9 @@
     let mut wire = Wire::new(stream);
     // One request in five has very little time.
     let is_hasty = chance.generate_range(0..5_u32) == 0;
-    let patience = if is_hasty { Duration::from_millis(chance.generate_range(0..80)) } else { run.patience };
-    let (ms, key) = (patience.as_millis(), chance.generate::<u16>());
+    let request_timeout =
+        if is_hasty { Duration::from_millis(chance.generate_range(0..80)) } else { run.request_timeout };
+    let (ms, key) = (request_timeout.as_millis(), chance.generate::<u16>());
     let line = format!("OPEN {id} lift-{key} c=alarm,d={ms}\r\n");
     let what = chance.generate_range(0..14_u32);
     match what {
@@ -199,7 +200,7 @@
         return pause(chance.generate_range(0..60));
     }
     let answer = wire.line();
-    let late = asked.elapsed() > patience + ANSWER_SLACK;
+    let late = asked.elapsed() > request_timeout + ANSWER_SLACK;
     let is_final = answer == "UP 0123" || answer == "ERR" || answer == "BUSY" || answer.starts_with("BUSY ");
     if late || !is_final {
         return run.breach(format!("{id}: {answer:?} after {:?}", asked.elapsed()));
--- a/crates/proxy/tests/unit/ending.rs
+++ b/crates/proxy/tests/unit/ending.rs
@@ -3,17 +3,18 @@
 use super::*;
 
 #[test]
-fn the_course_of_the_end_follows_from_the_longest_patience_and_is_over_before_the_killing() {
-    for (patience, killed) in [(Some(300), 1000), (Some(1200), 1900), (Some(4800), 3700), (None, 3700)] {
-        let course = Course::by(patience.map(Duration::from_millis));
+fn the_course_of_the_end_follows_from_the_longest_request_timeout_and_is_over_before_the_killing() {
+    for (request_timeout, killed) in [(Some(300), 1000), (Some(1200), 1900), (Some(4800), 3700), (None, 3700)]
+    {
+        let course = Course::by(request_timeout.map(Duration::from_millis));
         assert!(course.stay_for < course.open_for && course.open_for < course.gone_within);
         // A beat, and the time to leave.
         assert!(
             course.gone_within + Duration::from_millis(150) < Duration::from_millis(killed),
             "{course:?}"
         );
-        // Who comes 0.4 s after the signal with the longest patience is answered within it.
-        let last = patience.unwrap_or(3000).min(3000) + 400;
+        // Who comes 0.4 s after the signal with the longest request timeout is answered within it.
+        let last = request_timeout.unwrap_or(3000).min(3000) + 400;
         assert!(course.open_for + Duration::from_millis(100) <= Duration::from_millis(last), "{course:?}");
     }
 }
--- a/crates/proxy/tests/unit/line.rs
+++ b/crates/proxy/tests/unit/line.rs
@@ -13,13 +13,13 @@
     let line = format!("{HEAD} c=mail,t=acme,d=2000,h=1.5e3,x-new=3,g=5c0f,r=1,again=1");
     let open = parse(&line).expect("a good line");
     assert_eq!((open.id, &*open.key, open.class), (0x9b1f_03aa_5c7e_2d41, "7f3a9c21e0b4d655", 1));
-    assert_eq!((open.patience, open.group.as_deref()), (Duration::from_millis(2000), Some("5c0f")));
+    assert_eq!((open.request_timeout, open.group.as_deref()), (Duration::from_millis(2000), Some("5c0f")));
     assert!(open.returned && !open.mid_flow && open.at.is_none());
     assert_eq!(open.for_server(Duration::from_ms(730.9)), line.replace("2000", "730") + "\r\n");
     assert!(parse(&format!("{HEAD} c=chat,d=1800.5,mid=1")).expect("good").mid_flow);
     assert_eq!(parse(&format!("{HEAD} c=chat,d=9,at=s-1")).expect("good").at.as_deref(), Some("s-1"));
     let endless = parse(&format!("{HEAD} c=chat,d=4294967,at=s-1")).expect("good");
-    assert_eq!(endless.patience, Duration::from_millis(4_294_967));
+    assert_eq!(endless.request_timeout, Duration::from_millis(4_294_967));
 }
 
 /// Each of these would be answered with an error by every server that it was sent to.
--- a/crates/recovery/src/order.rs
+++ b/crates/recovery/src/order.rs
@@ -34,9 +34,9 @@
 /// What a request class is owed.
 #[derive(Debug, Clone, Copy)]
 pub struct Owed {
-    pub soft_limit: Option<Duration>,
-    /// Benefit of a connection's second; any unit, the same for all.
-    pub benefit: f64,
+    pub connect_latency_objective: Option<Duration>,
+    /// priority weight of a connection's second; any unit, the same for all.
+    pub priority_weight: f64,
 }
 
 /// How long what came counts as the crowd: as long as the module's own.
@@ -165,11 +165,13 @@
         (earlier + alike * place) / (self.came.len() as f64 + 1.0)
     }
 
-    /// The tightest soft limit first, then the highest benefit; what is not known comes last.
+    /// The tightest connect latency objective first, then the highest priority weight; what is not known comes last.
     fn rank(&self, class: Option<usize>) -> (u64, i64) {
         let owed = class.and_then(|o| self.classes.get(o));
-        let limit = owed.and_then(|o| o.soft_limit).map_or(u64::MAX, |limit| (limit.as_ms() * 1000.0) as u64);
-        (limit, owed.map_or(0, |o| -(o.benefit * 1000.0) as i64))
+        let limit = owed
+            .and_then(|o| o.connect_latency_objective)
+            .map_or(u64::MAX, |limit| (limit.as_ms() * 1000.0) as u64);
+        (limit, owed.map_or(0, |o| -(o.priority_weight * 1000.0) as i64))
     }
 
     fn is_sure(&self, customer: Option<usize>) -> bool {
--- a/crates/recovery/tests/unit/order.rs
+++ b/crates/recovery/tests/unit/order.rs
@@ -12,7 +12,10 @@
 }
 
 fn returning() -> Return {
-    let owed = |ms, benefit| Owed { soft_limit: Some(Duration::from_millis(ms)), benefit };
+    let owed = |ms, priority_weight| Owed {
+        connect_latency_objective: Some(Duration::from_millis(ms)),
+        priority_weight,
+    };
     let classes = vec![owed(300, 3.0), owed(500, 5.0), owed(800, 3.0)];
     let spans = (Duration::from_millis(2000), Duration::from_millis(8000), Duration::from_millis(2000));
     Return::new(classes, vec![0.6, 0.3, 0.1], spans, at(1000))
--- a/crates/terms/src/lib.rs
+++ b/crates/terms/src/lib.rs
@@ -86,10 +86,12 @@
     group: KeyScopeSetting,
     #[serde(default)]
     window_ms: Amount,
-    soft_limit_ms: Option<Amount>,
-    patience_ms: Option<Amount>,
-    #[serde(default)]
-    benefit: Amount,
+    #[serde(rename = "soft_limit_ms")]
+    connect_latency_objective_ms: Option<Amount>,
+    #[serde(rename = "patience_ms")]
+    request_timeout_ms: Option<Amount>,
+    #[serde(default, rename = "benefit")]
+    priority_weight: Amount,
 }
 
 #[derive(Deserialize)]
@@ -137,8 +139,8 @@
 
 #[derive(Deserialize, Default)]
 struct Extra {
-    #[serde(default)]
-    message_aim_ms: Vec<Amount>,
+    #[serde(default, rename = "message_aim_ms")]
+    message_latency_objectives_ms: Vec<Amount>,
     /// None for a customer whose share has no bound.
     #[serde(default)]
     tenant_quota_connections: Vec<Option<Amount>>,
@@ -159,7 +161,7 @@
     pub chooser: Chooser,
     /// The request classes' names in their order.
     pub classes: Vec<String>,
-    /// What each is owed, in the same order: the time within which a connection should stand, and a second's benefit.
+    /// What each is owed, in the same order: the time within which a connection should stand, and a second's priority weight.
     pub owed: Vec<(Option<Duration>, f64)>,
     /// The customers' names and shares.
     pub customers: Vec<(String, f64)>,
@@ -168,7 +170,7 @@
     /// The longest that a client stays away when told to.
     pub most_pause: Duration,
     /// The longest that any client waits for its connection; none where a request class does not tell.
-    pub longest_patience: Option<Duration>,
+    pub longest_request_timeout: Option<Duration>,
     /// A connection that is not established within this has failed; none where the terms leave it open.
     pub dial_time_out: Option<Duration>,
     /// The list is pushed: what its service has counts as told, whether or not it was heard.
@@ -203,11 +205,14 @@
         Discovery::Automatic => None,
         Discovery::Subscribe => Some(Duration::from_ms(invariants.must_ask_in_ms.0)),
     };
-    let owed =
-        classes.iter().map(|class| (class.soft_limit_ms.map(|l| Duration::from_ms(l.0)), class.benefit.0));
+    let owed = classes.iter().map(|class| {
+        (class.connect_latency_objective_ms.map(|l| Duration::from_ms(l.0)), class.priority_weight.0)
+    });
     let owed = owed.collect();
-    let patience = classes.iter().map(|class| class.patience_ms.map(|p| Duration::from_ms(p.0)));
-    let longest_patience = patience.collect::<Option<Vec<_>>>().and_then(|all| all.into_iter().max());
+    let request_timeout =
+        classes.iter().map(|class| class.request_timeout_ms.map(|p| Duration::from_ms(p.0)));
+    let longest_request_timeout =
+        request_timeout.collect::<Option<Vec<_>>>().and_then(|all| all.into_iter().max());
     let (span, most_pause) = (warm_up.cold_span, Duration::from_ms(bounds.max_retry_after_ms.0));
     let known = classes.iter().enumerate().map(|(i, class)| RequestClass {
         idempotency: match class.idempotency {
@@ -222,8 +227,11 @@
                 window: Duration::from_ms(class.window_ms.0),
             },
         },
-        soft_limit: class.soft_limit_ms.map(|limit| Duration::from_ms(limit.0)),
-        message_limit: extra.message_aim_ms.get(i).map(|limit| Duration::from_ms(limit.0)),
+        connect_latency_objective: class.connect_latency_objective_ms.map(|limit| Duration::from_ms(limit.0)),
+        message_latency_objective: extra
+            .message_latency_objectives_ms
+            .get(i)
+            .map(|limit| Duration::from_ms(limit.0)),
     });
     let chooser = Chooser::new(seed, known.collect(), bounds.max_attempts, most_pause, must_ask_in, warm_up);
     Ok(Terms {
@@ -233,7 +241,7 @@
         customers: customers.into_iter().map(|c| (c.name, c.share.0)).collect(),
         warm_up: span,
         most_pause,
-        longest_patience,
+        longest_request_timeout,
         dial_time_out: Some(bounds.dial_timeout_ms.0).filter(|ms| *ms > 0.0).map(Duration::from_ms),
         list_is_pushed: must_ask_in.is_none(),
         tells_delay: extra.tells_delay,
--- a/crates/trials/src/checks.rs
+++ b/crates/trials/src/checks.rs
@@ -70,7 +70,7 @@
     };
     let mut breaches = Vec::new();
     for (id, asked) in &seen.tries {
-        let until = asked.at + asked.patience + ANSWER_SLACK;
+        let until = asked.at + asked.request_timeout + ANSWER_SLACK;
         if until > now || away(asked.process, asked.at, until) {
             continue;
         }
@@ -132,14 +132,14 @@
 
 /// Of the alarms' tries from a moment on, how many stood, how many of these within 300 ms, and how many were pushed back.
 pub fn alarms(seen: &Seen, from: Duration, to: Duration) -> (usize, usize, usize) {
-    const SOFT_LIMIT: Duration = Duration::from_millis(300);
+    const CONNECT_LATENCY_OBJECTIVE: Duration = Duration::from_millis(300);
     let tries = seen.tries.values().filter(|asked| asked.class == ALARM && asked.at >= from && asked.at < to);
     let (mut stood, mut in_time, mut pushed) = (0, 0, 0);
     for asked in tries {
         match asked.answers.first() {
             Some((at, answer)) if answer.starts_with("UP") => {
                 stood += 1;
-                in_time += usize::from(*at - asked.at <= SOFT_LIMIT);
+                in_time += usize::from(*at - asked.at <= CONNECT_LATENCY_OBJECTIVE);
             }
             Some((_, answer)) if answer.starts_with("BUSY") => pushed += 1,
             _ => {}
--- a/crates/trials/src/clients.rs
+++ b/crates/trials/src/clients.rs
@@ -15,9 +15,9 @@
 pub struct Class {
     pub name: &'static str,
     pub idempotency: &'static str,
-    pub soft_limit_ms: u64,
-    pub patience_ms: u64,
-    pub benefit: f64,
+    pub connect_latency_objective_ms: u64,
+    pub request_timeout_ms: u64,
+    pub priority_weight: f64,
     /// Of a hundred clients.
     pub part: usize,
 }
@@ -28,33 +28,33 @@
     Class {
         name: "alarm",
         idempotency: "repeatable",
-        soft_limit_ms: 300,
-        patience_ms: 1800,
-        benefit: 3.0,
+        connect_latency_objective_ms: 300,
+        request_timeout_ms: 1800,
+        priority_weight: 3.0,
         part: 25,
     },
     Class {
         name: "fault",
         idempotency: "repeatable",
-        soft_limit_ms: 500,
-        patience_ms: 3000,
-        benefit: 5.0,
+        connect_latency_objective_ms: 500,
+        request_timeout_ms: 3000,
+        priority_weight: 5.0,
         part: 15,
     },
     Class {
         name: "status",
         idempotency: "repeatable",
-        soft_limit_ms: 800,
-        patience_ms: 4800,
-        benefit: 1.0,
+        connect_latency_objective_ms: 800,
+        request_timeout_ms: 4800,
+        priority_weight: 1.0,
         part: 45,
     },
     Class {
         name: "settle",
         idempotency: "once",
-        soft_limit_ms: 800,
-        patience_ms: 3000,
-        benefit: 2.0,
+        connect_latency_objective_ms: 800,
+        request_timeout_ms: 3000,
+        priority_weight: 2.0,
         part: 15,
     },
 ];
@@ -153,17 +153,17 @@
             self.key,
             class.name,
             CUSTOMERS[self.customer].0,
-            class.patience_ms,
+            class.request_timeout_ms,
             self.group,
             u8::from(again)
         );
-        let patience = Duration::from_millis(class.patience_ms);
+        let request_timeout = Duration::from_millis(class.request_timeout_ms);
         let asked = Try {
             at: self.record.now(),
             process,
             class: self.class,
             customer: self.customer,
-            patience,
+            request_timeout,
             first,
             answers: Vec::new(),
             over: None,
@@ -173,8 +173,8 @@
             self.over(id);
             return (false, None);
         }
-        // What is still to come after its patience is looked at for a while: nothing should.
-        let until = Instant::now() + patience + Duration::from_millis(700);
+        // What is still to come after its request timeout is looked at for a while: nothing should.
+        let until = Instant::now() + request_timeout + Duration::from_millis(700);
         let Ok(Ok(Some(answer))) = timeout_at(until, lines.next_line()).await else {
             self.over(id);
             return (false, None);
--- a/crates/trials/src/decisions.rs
+++ b/crates/trials/src/decisions.rs
@@ -105,8 +105,8 @@
         };
         let class = RequestClass {
             idempotency: Idempotency::Idempotent,
-            soft_limit: Some(Duration::from_millis(800)),
-            message_limit: Some(Duration::from_millis(250)),
+            connect_latency_objective: Some(Duration::from_millis(800)),
+            message_latency_objective: Some(Duration::from_millis(250)),
         };
         let must_ask_in = Some(Duration::from_millis(10_000));
         let chooser = Chooser::new(7, vec![class], 4, Duration::from_millis(2000), must_ask_in, warm_up);
@@ -154,7 +154,7 @@
             class: Some(0),
             key: Some(&key),
             group: Some(&group),
-            patience_ends: self.now + Duration::from_millis(4800),
+            deadline: self.now + Duration::from_millis(4800),
             mid_flow: false,
             returned,
             turn: None,
--- a/crates/trials/src/drawn.rs
+++ b/crates/trials/src/drawn.rs
@@ -51,7 +51,10 @@
 
 impl Core for Comeback {
     fn begin(roster: Roster, _: u64, seed: u64, now: Timestamp, wall_ms: u64) -> Self {
-        let owed = |ms, benefit| Owed { soft_limit: Some(Duration::from_millis(ms)), benefit };
+        let owed = |ms, priority_weight| Owed {
+            connect_latency_objective: Some(Duration::from_millis(ms)),
+            priority_weight,
+        };
         let terms = Terms {
             classes: vec![owed(300, 3.0), owed(500, 5.0), owed(800, 1.0)],
             shares: vec![0.5, 0.3, 0.2],
--- a/crates/trials/src/process.rs
+++ b/crates/trials/src/process.rs
@@ -178,10 +178,10 @@
 
 fn start_file(process: &Process, given: &Given, size: usize) -> String {
     let classes = CLASSES.iter().map(|class| {
-        let (name, idempotency, limit, benefit) =
-            (class.name, class.idempotency, class.soft_limit_ms, class.benefit);
+        let (name, idempotency, limit, priority_weight) =
+            (class.name, class.idempotency, class.connect_latency_objective_ms, class.priority_weight);
         format!(
-            r#"{{"name":"{name}","idempotency":"{idempotency}","soft_limit_ms":{limit},"benefit":{benefit}}}"#
+            r#"{{"name":"{name}","idempotency":"{idempotency}","soft_limit_ms":{limit},"benefit":{priority_weight}}}"#
         )
     });
     let customers = CUSTOMERS.iter().map(|(name, share)| format!(r#"{{"name":"{name}","share":{share}}}"#));
--- a/crates/trials/src/record.rs
+++ b/crates/trials/src/record.rs
@@ -11,7 +11,7 @@
     pub process: usize,
     pub class: usize,
     pub customer: usize,
-    pub patience: Duration,
+    pub request_timeout: Duration,
     /// The client's first try since it last stood, or since it came.
     pub first: bool,
     /// Every line that came back before the client was up, and after a final answer.
--- a/crates/trials/src/standing.rs
+++ b/crates/trials/src/standing.rs
@@ -297,7 +297,7 @@
         "OPEN {id:016x} lift-{index} c={},t={},d={},g=g{}\r\n",
         class.name,
         CUSTOMERS[0].0,
-        class.patience_ms,
+        class.request_timeout_ms,
         index / 8
     );
     let stream = TcpStream::connect(address).await.map_err(|_| PAUSE)?;
--- a/src/choice/dispatch.rs
+++ b/src/choice/dispatch.rs
@@ -14,9 +14,9 @@
 impl Stage for Dispatch {
     fn forth(&mut self, session: &Rc<Session>, pick: &mut Pick, now: Timestamp, host: &mut dyn Host) -> Step {
         let Some(server) = pick.take() else { return Step::End };
-        let left = session.patience_ends.since(now);
+        let left = session.deadline.since(now);
         let last = session.attempts.borrow().len() + 1 >= self.shelf.max_attempts;
-        // Guards against a patience spent on one silent server: half of what is left stays for another.
+        // Guards against a request timeout spent on one silent server: half of what is left stays for another.
         let half = left.scaled(0.5);
         let by_gaps = |u| if u > half { left } else { half.scaled(0.5).max(u) };
         let all = last || session.idempotency == Idempotency::NonIdempotent || self.shelf.window(now) < 1.0;
--- a/src/choice/mod.rs
+++ b/src/choice/mod.rs
@@ -52,7 +52,7 @@
 pub struct Chooser {
     classes: Vec<RequestClass>,
     /// The most delicate request class's, as any may be held by a server; no sign of life in this time is strain.
-    message_limit: Duration,
+    message_latency_objective: Duration,
     most_pause: Duration,
     pub(crate) shelf: Rc<Shelf>,
     /// How long a proxy may go without asking for the list; none where an agent of its own pushes it.
@@ -80,9 +80,9 @@
         warm_up: WarmUp,
     ) -> Self {
         let shelf = Rc::new(Shelf::new(max_attempts, seed, warm_up.proxies));
-        let message_limit = classes.iter().filter_map(|o| o.message_limit).min();
+        let message_latency_objective = classes.iter().filter_map(|o| o.message_latency_objective).min();
         Chooser {
-            message_limit: message_limit.unwrap_or(Duration::from_millis(100)),
+            message_latency_objective: message_latency_objective.unwrap_or(Duration::from_millis(100)),
             classes,
             most_pause,
             must_ask_in,
@@ -229,7 +229,8 @@
                 Step::Pass => continue,
                 Step::Keep if session.hails.get() => {
                     // Guards against a session held by servers that give no sign.
-                    let until = now + self.message_limit.min(session.patience_ends.since(now).scaled(0.5));
+                    let until =
+                        now + self.message_latency_objective.min(session.deadline.since(now).scaled(0.5));
                     self.hailing.push((until, Rc::downgrade(session)));
                     return host.wake(until);
                 }
--- a/src/choice/pacing.rs
+++ b/src/choice/pacing.rs
@@ -45,7 +45,7 @@
 
 impl Stage for Pacing {
     fn forth(&mut self, session: &Rc<Session>, _: &mut Pick, now: Timestamp, _: &mut dyn Host) -> Step {
-        let may = session.attempts.borrow().len() < self.shelf.max_attempts && now < session.patience_ends;
+        let may = session.attempts.borrow().len() < self.shelf.max_attempts && now < session.deadline;
         // Guards against a storm of tries that keeps a jam alive.
         let turn = may && (session.mid_flow || session.hailed.get() || self.shelf.has_turn(now));
         Some(Step::Pass).filter(|_| turn).unwrap_or(Step::End)
@@ -57,7 +57,7 @@
         let (window, took) = (self.shelf.window(now), now.since(attempt.sent));
         let window = match attempt.ending {
             _ if session.stands.get() || session.mid_flow => return,
-            None if session.soft_limit.is_none_or(|l| took <= l) => {
+            None if session.connect_latency_objective.is_none_or(|l| took <= l) => {
                 (window + window.min(1.0 / window)).min(self.widest)
             }
             None | Some(Ending::TimedOut | Ending::Errored) => (window * 0.5).max(self.narrowest),
--- a/src/choice/relief.rs
+++ b/src/choice/relief.rs
@@ -38,7 +38,8 @@
         const TO: f64 = 2.1;
         let Some(server) = self.shelf.find(server) else { return };
         // What was given up in place of an answer has taken longer.
-        let waiting = if took <= self.message_limit { server.hailed_by.take() } else { Vec::new() };
+        let waiting =
+            if took <= self.message_latency_objective { server.hailed_by.take() } else { Vec::new() };
         for session in waiting.iter().filter_map(Weak::upgrade).filter(|c| c.hails.take()) {
             self.offer(&session, Some(server.clone()), now, host);
         }
@@ -64,7 +65,7 @@
         let attempts = session.attempts.borrow();
         let Some(attempt) = attempts.last() else { return };
         // Up to a quarter of the limit is no cause for distrust; from the limit on nothing more should come.
-        let late = (delay.ratio_to(self.message_limit) - 0.25) / 0.75;
+        let late = (delay.ratio_to(self.message_latency_objective) - 0.25) / 0.75;
         self.strained(&attempt.server, late, now, host);
     }
 
--- a/src/host.rs
+++ b/src/host.rs
@@ -55,9 +55,9 @@
 pub struct RequestClass {
     pub idempotency: Idempotency,
     /// The time within which its connection should stand.
-    pub soft_limit: Option<Duration>,
+    pub connect_latency_objective: Option<Duration>,
     /// The time within which a message on a standing connection should be answered.
-    pub message_limit: Option<Duration>,
+    pub message_latency_objective: Option<Duration>,
 }
 
 /// A session as it arrives.
@@ -69,7 +69,7 @@
     pub key: Option<&'a str>,
     /// Connections of one group share work where they share a server.
     pub group: Option<&'a str>,
-    pub patience_ends: Timestamp,
+    pub deadline: Timestamp,
     /// Packets of a connection that some server already holds.
     pub mid_flow: bool,
     /// The client has come back after a break or after being sent away.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -33,7 +33,7 @@
 //!     each_holds: 30.0,
 //!     proxies: 3.0,
 //! };
-//! let request class = RequestClass { effect: Idempotency::Idempotent, soft_limit: None, message_limit: None };
+//! let request class = RequestClass { effect: Idempotency::Idempotent, connect_latency_objective: None, message_latency_objective: None };
 //! let pause = Duration::from_millis(2000);
 //! let mut chooser = Chooser::new(7, vec![request class], 4, pause, None, warm_up);
 //! let server = Endpoint {
@@ -50,7 +50,7 @@
 //!     request class: Some(0),
 //!     key: Some("lift-12"),
 //!     group: None,
-//!     patience_ends: now + Duration::from_millis(3000),
+//!     deadline: now + Duration::from_millis(3000),
 //!     mid_flow: false,
 //!     returned: false,
 //!     turn: None,
--- a/tests/stories/answers.rs
+++ b/tests/stories/answers.rs
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn every_session_gets_one_answer_by_the_end_of_its_patience_and_nothing_after() {
+fn every_session_gets_one_answer_by_the_end_of_its_request_timeout_and_nothing_after() {
     let mut proxy = Proxy::of_four();
     let session = proxy.arrives(plain("slow"));
     while proxy.notes.pushed_back.is_empty() {
@@ -45,7 +45,7 @@
         proxy.now = proxy.now + time_out;
         proxy.ends(session, Ending::TimedOut);
     }
-    assert!(proxy.now <= shelfgrade::time::Timestamp::from_ms(60_000.0) + PATIENCE);
+    assert!(proxy.now <= shelfgrade::time::Timestamp::from_ms(60_000.0) + REQUEST_TIMEOUT);
     assert!(proxy.sent_to(session).len() >= 2, "the time-outs leave room for another attempt");
     let before = proxy.notes.attempts.len();
     proxy.ends(session, Ending::TimedOut);
@@ -75,10 +75,10 @@
 }
 
 #[test]
-fn a_connect_waits_its_patience_out_where_long_silences_are_usual_everywhere() {
+fn a_connect_waits_its_request_timeout_out_where_long_silences_are_usual_everywhere() {
     let mut proxy = Proxy::of_four();
     proxy.arrives(plain("first"));
-    assert!(proxy.notes.attempts[0].2 < PATIENCE);
+    assert!(proxy.notes.attempts[0].2 < REQUEST_TIMEOUT);
     proxy.chooser.stands(SessionId(1), proxy.now);
     for i in 0..6 {
         let session = proxy.arrives(plain(&format!("jam-{i}")));
@@ -86,5 +86,5 @@
         proxy.chooser.stands(SessionId(session), proxy.now);
     }
     proxy.arrives(plain("later"));
-    assert_eq!(proxy.notes.attempts.last().map(|c| c.2), Some(PATIENCE));
+    assert_eq!(proxy.notes.attempts.last().map(|c| c.2), Some(REQUEST_TIMEOUT));
 }
--- a/tests/stories/books.rs
+++ b/tests/stories/books.rs
@@ -149,12 +149,12 @@
     fn arrives(&mut self) {
         self.last += 1;
         let (key, group) = (format!("k{}", self.model.draw(40)), format!("g{}", self.model.draw(5)));
-        let patience = self.model.draw(2500) as u64;
+        let request_timeout = self.model.draw(2500) as u64;
         let arrival = Arrival {
             session: SessionId(self.last),
             class: [Some(IDEMPOTENT), Some(NON_IDEMPOTENT), Some(KEYED), None][self.model.draw(4)],
             group: (self.model.draw(3) > 0).then_some(&*group),
-            patience_ends: self.now + Duration::from_millis(patience),
+            deadline: self.now + Duration::from_millis(request_timeout),
             mid_flow: self.model.draw(5) == 0,
             returned: self.model.draw(3) == 0,
             ..plain(&key)
--- a/tests/stories/fake.rs
+++ b/tests/stories/fake.rs
@@ -51,8 +51,8 @@
 pub const NON_IDEMPOTENT: usize = 1;
 pub const KEYED: usize = 2;
 pub const MUST_ASK_IN: Duration = Duration::from_millis(10_000);
-pub const PATIENCE: Duration = Duration::from_millis(2000);
-pub const SOFT_LIMIT: Duration = Duration::from_millis(300);
+pub const REQUEST_TIMEOUT: Duration = Duration::from_millis(2000);
+pub const CONNECT_LATENCY_OBJECTIVE: Duration = Duration::from_millis(300);
 
 pub const TWELVE: [&str; 12] = ["a1", "a2", "a3", "a4", "a5", "a6", "b1", "b2", "b3", "b4", "b5", "b6"];
 
@@ -82,7 +82,7 @@
         class: Some(IDEMPOTENT),
         key: Some(key),
         group: None,
-        patience_ends: Timestamp::default(),
+        deadline: Timestamp::default(),
         mid_flow: false,
         returned: false,
         turn: None,
@@ -117,10 +117,14 @@
     /// One that goes by these terms on cold servers.
     pub fn by(warm_up: WarmUp, seed: u64, list: &[Endpoint]) -> Self {
         let keyed = Idempotency::Keyed { scope: KeyScope::Zone, window: Duration::from_millis(1500) };
-        let message_limit = Some(Duration::from_millis(50));
+        let message_latency_objective = Some(Duration::from_millis(50));
         let classes = [Idempotency::Idempotent, Idempotency::NonIdempotent, keyed];
         let classes = classes
-            .map(|idempotency| RequestClass { idempotency, soft_limit: Some(SOFT_LIMIT), message_limit })
+            .map(|idempotency| RequestClass {
+                idempotency,
+                connect_latency_objective: Some(CONNECT_LATENCY_OBJECTIVE),
+                message_latency_objective,
+            })
             .to_vec();
         let pause = Duration::from_millis(1000);
         let chooser = Chooser::new(seed, classes, 4, pause, Some(MUST_ASK_IN), warm_up);
@@ -153,12 +157,12 @@
     /// Lets a session arrive and gives its number.
     pub fn arrives(&mut self, arrival: Arrival) -> u64 {
         self.next += 1;
-        let ends = if arrival.patience_ends == Timestamp::default() {
-            self.now + PATIENCE
+        let ends = if arrival.deadline == Timestamp::default() {
+            self.now + REQUEST_TIMEOUT
         } else {
-            arrival.patience_ends
+            arrival.deadline
         };
-        let arrival = Arrival { session: SessionId(self.next), patience_ends: ends, ..arrival };
+        let arrival = Arrival { session: SessionId(self.next), deadline: ends, ..arrival };
         self.chooser.arrived(&arrival, self.now, &mut self.notes);
         self.next
     }
--- a/tests/stories/gathering.rs
+++ b/tests/stories/gathering.rs
@@ -125,7 +125,7 @@
     assert_eq!(proxy.notes.attempts.len(), 2);
     let third = proxy.arrives(Arrival {
         group: Some("g"),
-        patience_ends: proxy.now + Duration::from_millis(20),
+        deadline: proxy.now + Duration::from_millis(20),
         ..plain("k")
     });
     let fourth = proxy.arrives(Arrival { group: Some("g"), ..plain("k") });
--- a/tests/stories/jams.rs
+++ b/tests/stories/jams.rs
@@ -80,13 +80,13 @@
 #[test]
 fn attempts_that_stand_late_are_the_sign_of_a_jam_and_those_in_time_of_none() {
     assert_eq!(let_in_after(300, 300, 0), 60);
-    // Where there is a jam another server would do no better: an attempt waits its client's patience out.
+    // Where there is a jam another server would do no better: an attempt waits its client's request timeout out.
     let mut proxy = Proxy::among(300, None, 1, &TWELVE.map(server));
     let wait = |proxy: &mut Proxy| {
         proxy.arrives(plain("k"));
         proxy.notes.attempts.last().map(|c| c.2)
     };
-    assert_eq!(wait(&mut proxy), Some(PATIENCE.scaled(0.5)));
+    assert_eq!(wait(&mut proxy), Some(REQUEST_TIMEOUT.scaled(0.5)));
     wait(&mut proxy);
     wait(&mut proxy);
     proxy.passes(301);
@@ -95,5 +95,5 @@
     for _ in 4..40 {
         wait(&mut proxy);
     }
-    assert_eq!(wait(&mut proxy), Some(PATIENCE));
+    assert_eq!(wait(&mut proxy), Some(REQUEST_TIMEOUT));
 }
