--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -4,7 +4,7 @@
 
 use anyhow::{bail, Context, Result};
 use shelfgrade::choice::Chooser;
-use shelfgrade::host::{Arrival, Ending, Endpoint, EndpointState, Host, ServerId, SessionId};
+use shelfgrade::host::{Arrival, AttemptOutcome, Endpoint, EndpointState, Host, ServerId, SessionId};
 use shelfgrade::time::{DurationExt, Timestamp};
 use shelfgrade_terms::Terms;
 use std::collections::BTreeMap;
@@ -146,7 +146,7 @@
             "REQUEST" => chooser.arrived(&arrival(line, classes)?, now, host),
             "PREEXISTING" => chooser.open_already(&arrival(line, classes)?, line.required("server")?, now),
             "FLOWING" => chooser.stands(line.session()?, now),
-            "FINISHED" => chooser.ended(line.session()?, ending(line)?, line.flag("last")?, now, host),
+            "FINISHED" => chooser.ended(line.session()?, outcome(line)?, line.flag("last")?, now, host),
             "HEARTBEAT" => match line.whole("what")? {
                 1 => chooser.load_is(line.session()?, line.number("value")?),
                 2 => chooser.messages_take(line.session()?, line.span("value")?, now, host),
@@ -156,7 +156,7 @@
             "HANGUP" => chooser.left(line.session()?),
             "FIRED" => {
                 line.whole("label")?;
-                chooser.woke(now, host);
+                chooser.on_timer(now, host);
             }
             // Nothing is decided by these yet, but a malformed one is still a fault.
             "MESSAGE" => drop(line.whole("from")?),
@@ -220,16 +220,16 @@
     })
 }
 
-fn ending(line: &Line) -> Result<Ending> {
+fn outcome(line: &Line) -> Result<AttemptOutcome> {
     Ok(match line.whole("result")? {
-        1 => Ending::Finished,
-        2 => Ending::Errored,
-        3 => Ending::TurnedAway,
-        4 => Ending::TimedOut,
-        5 => Ending::Unreachable,
-        6 => Ending::Broken,
-        7 => Ending::CalledOff,
-        8 => Ending::Moot,
+        1 => AttemptOutcome::Completed,
+        2 => AttemptOutcome::Failed,
+        3 => AttemptOutcome::Rejected,
+        4 => AttemptOutcome::TimedOut,
+        5 => AttemptOutcome::Unreachable,
+        6 => AttemptOutcome::ConnectionLost,
+        7 => AttemptOutcome::Cancelled,
+        8 => AttemptOutcome::NotSent,
         code => bail!("result={code} is unknown"),
     })
 }
@@ -267,15 +267,15 @@
         self.say(format_args!("SUBMIT_TO ref={:016x} server={server} max_wait_ms={wait}", session.0));
     }
 
-    fn push_back(&mut self, session: SessionId, pause: Duration) {
-        self.say(format_args!("SHED ref={:016x} wait_ms={}", session.0, pause.as_ms()));
+    fn reject(&mut self, session: SessionId, retry_after: Duration) {
+        self.say(format_args!("SHED ref={:016x} wait_ms={}", session.0, retry_after.as_ms()));
     }
 
-    fn forfeit(&mut self, session: SessionId) {
+    fn fail(&mut self, session: SessionId) {
         self.say(format_args!("RESPOND_ERROR ref={:016x}", session.0));
     }
 
-    fn send_away(&mut self, session: SessionId) {
+    fn migrate(&mut self, session: SessionId) {
         self.say(format_args!("MIGRATE ref={:016x}", session.0));
     }
 
@@ -292,7 +292,7 @@
         self.may_probe
     }
 
-    fn wake(&mut self, at: Timestamp) {
+    fn schedule_wakeup(&mut self, at: Timestamp) {
         self.say(format_args!("SET_TIMER instant_ms={} label=0", at.as_ms()));
     }
 }
--- a/crates/cells/src/process.rs
+++ b/crates/cells/src/process.rs
@@ -334,10 +334,10 @@
     }
 
     /// To be called when [`Process::next`] says so, or more often.
-    pub fn woke(&mut self, now: Timestamp, around: &mut dyn Surroundings) {
+    pub fn on_timer(&mut self, now: Timestamp, around: &mut dyn Surroundings) {
         if let Some(swim) = &mut self.swim {
             let mut sends = Vec::new();
-            swim.woke(now, &mut sends);
+            swim.on_timer(now, &mut sends);
             self.carry(sends, now, around);
         }
         if let Some((asked, until)) = self.waits {
--- a/crates/cells/src/replica.rs
+++ b/crates/cells/src/replica.rs
@@ -349,7 +349,7 @@
     }
 
     /// To be called when [`Replica::next`] says so, or more often.
-    pub fn woke(&mut self, now: Timestamp, around: &mut dyn Surroundings) {
+    pub fn on_timer(&mut self, now: Timestamp, around: &mut dyn Surroundings) {
         if now >= self.pulls {
             self.pulls = now + PULL;
             let others: Vec<u8> = self.peers.iter().map(|(id, _)| id).filter(|id| *id != self.id).collect();
--- a/crates/cells/src/swim.rs
+++ b/crates/cells/src/swim.rs
@@ -129,7 +129,7 @@
         read
     }
 
-    pub fn woke(&mut self, now: Timestamp, sends: &mut Sends) {
+    pub fn on_timer(&mut self, now: Timestamp, sends: &mut Sends) {
         while let Some(due) = self.timers.first_entry().filter(|due| due.key().0 <= now) {
             let timer = due.remove();
             // A timer that the library no longer knows is none of its concern.
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -298,12 +298,12 @@
     }
 
     /// The time has come that `next` names.
-    pub fn woke(&mut self, now: Timestamp, wall_ms: u64, around: &mut dyn Surroundings) {
+    pub fn on_timer(&mut self, now: Timestamp, wall_ms: u64, around: &mut dyn Surroundings) {
         // Often while it is new and may know nothing, then as often as the membership probes.
         const NEW: Duration = Duration::from_millis(5000);
         const COMPARE: [Duration; 2] = [Duration::from_millis(200), Duration::from_millis(1000)];
         let mut out = outbox(&self.roster, self.me, wall_ms, around);
-        self.swim.woke(now, &self.roster, &mut out);
+        self.swim.on_timer(now, &self.roster, &mut out);
         if now >= self.next_compare {
             self.next_compare = now + COMPARE[usize::from(now.since(self.began) >= NEW)];
             let alive = self.swim.alive();
@@ -331,7 +331,7 @@
         self.after(renewed, around);
     }
 
-    /// When `woke` is to be called next.
+    /// When `on_timer` is to be called next.
     pub fn next(&self) -> Timestamp {
         self.swim.next().min(self.next_compare).min(self.next_ask)
     }
--- a/crates/fleet/src/swim.rs
+++ b/crates/fleet/src/swim.rs
@@ -207,7 +207,7 @@
         read
     }
 
-    pub fn woke(&mut self, now: Timestamp, roster: &Roster, around: &mut impl Around) {
+    pub fn on_timer(&mut self, now: Timestamp, roster: &Roster, around: &mut impl Around) {
         while let Some(due) = self.timers.first_entry().filter(|due| due.key().0 <= now) {
             let timer = due.remove();
             // A timer that the library no longer knows is none of its concern.
--- a/crates/fleet/tests/unit/packet.rs
+++ b/crates/fleet/tests/unit/packet.rs
@@ -63,7 +63,7 @@
     let now = Timestamp::from_ms(50.0);
     let mut fleet = Fleet::new(roster(), 1_790_000_000_000_123, 42, now);
     let mut sent = Sent::default();
-    fleet.woke(now, 1_790_000_000_456, &mut sent);
+    fleet.on_timer(now, 1_790_000_000_456, &mut sent);
     let sent: Vec<_> = sent.0.iter().map(|(to, bytes)| format!("{} {}", to.0, hex(bytes))).collect();
     assert_eq!(sent.join(" "), RECORDED.digits("first"));
 }
--- a/crates/proxy/src/choosers.rs
+++ b/crates/proxy/src/choosers.rs
@@ -3,7 +3,7 @@
 
 use shelfgrade::choice::Chooser;
 use shelfgrade::handover::Remembered;
-use shelfgrade::host::{Arrival, Ending, Endpoint, EndpointState, Host, ServerId, SessionId};
+use shelfgrade::host::{Arrival, AttemptOutcome, Endpoint, EndpointState, Host, ServerId, SessionId};
 use shelfgrade::time::Timestamp;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -181,12 +181,12 @@
     pub fn ended(
         &mut self,
         session: SessionId,
-        ending: Ending,
+        outcome: AttemptOutcome,
         done: bool,
         now: Timestamp,
         host: &mut dyn Host,
     ) {
-        self.of(session).ended(session, ending, done, now, host);
+        self.of(session).ended(session, outcome, done, now, host);
     }
 
     pub fn left(&mut self, session: SessionId) {
@@ -201,8 +201,8 @@
         self.of(session).messages_take(session, took, now, host);
     }
 
-    pub fn woke(&mut self, now: Timestamp, host: &mut dyn Host) {
-        self.all().for_each(|chooser| chooser.woke(now, host));
+    pub fn on_timer(&mut self, now: Timestamp, host: &mut dyn Host) {
+        self.all().for_each(|chooser| chooser.on_timer(now, host));
     }
 
     pub fn look_round(&mut self, probing: bool, now: Timestamp, host: &mut dyn Host) {
--- a/crates/proxy/src/client.rs
+++ b/crates/proxy/src/client.rs
@@ -4,7 +4,7 @@
 use crate::proxy::Proxy;
 use crate::session::{Session, Stage};
 use crate::socket::End;
-use shelfgrade::host::Ending;
+use shelfgrade::host::AttemptOutcome;
 use shelfgrade::time::DurationExt;
 use std::time::Duration;
 
@@ -48,7 +48,7 @@
                     proxy.hands.unanswered.add(self);
                 }
                 Ok(_) => {}
-                Err(error) => self.foul(error, Ending::CalledOff, proxy),
+                Err(error) => self.foul(error, AttemptOutcome::Cancelled, proxy),
             }
         }
         match self.client.ended.get() {
@@ -69,7 +69,7 @@
                 if how == End::Reset {
                     self.down_end.set(Some(how));
                 }
-                self.over_for_module(Ending::CalledOff, proxy);
+                self.over_for_module(AttemptOutcome::Cancelled, proxy);
             }
             Stage::Asking | Stage::Leaving | Stage::Closed => {}
         }
@@ -84,6 +84,6 @@
 }
 
 /// How a pushback is written.
-pub fn busy(pause: Duration) -> String {
-    format!("BUSY {}", pause.as_ms().ceil())
+pub fn busy(retry_after: Duration) -> String {
+    format!("BUSY {}", retry_after.as_ms().ceil())
 }
--- a/crates/proxy/src/comeback.rs
+++ b/crates/proxy/src/comeback.rs
@@ -198,7 +198,7 @@
         for (session, site) in at {
             if look.begun.contains(&site) {
                 self.hands.tally.count("moved as their site's window began");
-                self.hands.send_away(session);
+                self.hands.migrate(session);
             }
         }
         self.settle();
--- a/crates/proxy/src/fellows.rs
+++ b/crates/proxy/src/fellows.rs
@@ -165,7 +165,7 @@
             Ok(PostAction::Continue)
         });
         watched.map_err(|error| bind(std::io::Error::other(error.error)))?;
-        fellows.woke(company);
+        fellows.on_timer(company);
         Ok(fellows)
     }
 
@@ -190,9 +190,9 @@
         self.file.borrow().addresses.contains(&from)
     }
 
-    fn woke(self: &Rc<Self>, company: &mut C) {
+    fn on_timer(self: &Rc<Self>, company: &mut C) {
         let now = company.now();
-        self.core.borrow_mut().woke((now, wall_ms(now)), &mut Out { fellows: self });
+        self.core.borrow_mut().on_timer((now, wall_ms(now)), &mut Out { fellows: self });
         self.save(now, company);
         self.settle(company);
     }
@@ -215,7 +215,7 @@
         let me = self.clone();
         let token = company.handle().insert_source(timer, move |_, _, company| {
             me.timer.take();
-            me.woke(company);
+            me.on_timer(company);
             TimeoutAction::Drop
         });
         self.timer.set(token.ok());
--- a/crates/proxy/src/hands.rs
+++ b/crates/proxy/src/hands.rs
@@ -12,7 +12,7 @@
 use crate::tally::Tally;
 use calloop::timer::{TimeoutAction, Timer};
 use calloop::LoopHandle;
-use shelfgrade::host::{Ending, Endpoint, EndpointState, Host, ServerId, SessionId};
+use shelfgrade::host::{AttemptOutcome, Endpoint, EndpointState, Host, ServerId, SessionId};
 use shelfgrade::time::{DurationExt, Timestamp};
 use std::cell::Cell;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -46,7 +46,7 @@
     pub list_heard: Cell<bool>,
     pub sockets: usize,
     /// What came of a call while the module was speaking, to be told when it has finished.
-    pub untold: VecDeque<(SessionId, Ending, bool)>,
+    pub untold: VecDeque<(SessionId, AttemptOutcome, bool)>,
     pub wants_list: Cell<bool>,
     /// What the module asked to be woken at, last.
     pub wakes_at: Timestamp,
@@ -230,13 +230,13 @@
             .must(found.is_some() && server.is_some(), "an attempt is for a session and a server that are");
         let begun = match (&found, server) {
             (Some(found), _) if !found.still_asks(self) => {
-                return self.untold.push_back((session, Ending::CalledOff, true));
+                return self.untold.push_back((session, AttemptOutcome::Cancelled, true));
             }
             (Some(found), Some(server)) => {
                 self.tally.must(found.attempt.borrow().is_none(), "one attempt at a time");
                 Attempt::begin(found, server, time_out, self.clock.now(), self)
             }
-            _ => return self.untold.push_back((session, Ending::Moot, false)),
+            _ => return self.untold.push_back((session, AttemptOutcome::NotSent, false)),
         };
         match (begun, found) {
             (Ok(attempt), Some(found)) => drop(found.attempt.replace(Some(attempt))),
@@ -244,22 +244,22 @@
                 // Out of descriptors, or refused at once: nothing was sent.
                 log::warn!("session {}: {error}", session.0);
                 let refused = error.kind() == ErrorKind::ConnectionRefused;
-                let ending = if refused { Ending::Unreachable } else { Ending::Moot };
-                self.untold.push_back((session, ending, false));
+                let outcome = if refused { AttemptOutcome::Unreachable } else { AttemptOutcome::NotSent };
+                self.untold.push_back((session, outcome, false));
             }
             _ => {}
         }
     }
 
-    fn push_back(&mut self, session: SessionId, pause: Duration) {
+    fn reject(&mut self, session: SessionId, retry_after: Duration) {
         self.tally.count("pushed back");
-        log::debug!("session {} pushed back for {} ms", session.0, pause.as_ms());
+        log::debug!("session {} pushed back for {} ms", session.0, retry_after.as_ms());
         if let Some(session) = self.sessions.get(&session).cloned() {
-            session.answer(&busy(pause), self);
+            session.answer(&busy(retry_after), self);
         }
     }
 
-    fn forfeit(&mut self, session: SessionId) {
+    fn fail(&mut self, session: SessionId) {
         self.tally.count("forfeited");
         log::debug!("session {} forfeited", session.0);
         if let Some(session) = self.sessions.get(&session).cloned() {
@@ -267,7 +267,7 @@
         }
     }
 
-    fn send_away(&mut self, session: SessionId) {
+    fn migrate(&mut self, session: SessionId) {
         self.tally.count("sent away");
         log::debug!("session {} sent away", session.0);
         let now = self.clock.now();
@@ -278,7 +278,7 @@
         session.leaving_line.set(Some(now));
         self.due.add(session);
         if session.try_moving(now) {
-            self.untold.push_back((session.id, Ending::CalledOff, true));
+            self.untold.push_back((session.id, AttemptOutcome::Cancelled, true));
         }
     }
 
@@ -292,12 +292,12 @@
         self.wants_list.set(true);
     }
 
-    fn wake(&mut self, at: Timestamp) {
+    fn schedule_wakeup(&mut self, at: Timestamp) {
         self.wakes_at = at;
         let timer = Timer::from_duration(at.since(self.clock.now()));
         let set = self.handle.insert_source(timer, |_, _, proxy| {
             let now = proxy.now();
-            proxy.chooser.woke(now, &mut proxy.hands);
+            proxy.chooser.on_timer(now, &mut proxy.hands);
             proxy.settle();
             TimeoutAction::Drop
         });
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -24,7 +24,7 @@
 use calloop::signals::{Signal, Signals};
 use calloop::timer::{TimeoutAction, Timer};
 use calloop::{EventLoop, LoopHandle, LoopSignal};
-use shelfgrade::host::{Arrival, Ending, Endpoint, ServerId, SessionId};
+use shelfgrade::host::{Arrival, AttemptOutcome, Endpoint, ServerId, SessionId};
 use shelfgrade::time::{DurationExt, Timestamp};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -232,17 +232,17 @@
     }
 
     /// An attempt, or a standing connection, has ended; `done` where the client's side has its end by that.
-    pub fn ended(&mut self, session: SessionId, ending: Ending, done: bool) {
-        log::debug!("session {} ended: {ending:?}, done {done}", session.0);
+    pub fn ended(&mut self, session: SessionId, outcome: AttemptOutcome, done: bool) {
+        log::debug!("session {} ended: {outcome:?}, done {done}", session.0);
         let now = self.now();
-        self.chooser.ended(session, ending, done, now, &mut self.hands);
+        self.chooser.ended(session, outcome, done, now, &mut self.hands);
         self.settle();
     }
 
     /// The client has left before its answer; the attempt that was out has ended with it.
     pub fn left(&mut self, session: SessionId) {
         self.chooser.left(session);
-        self.ended(session, Ending::CalledOff, true);
+        self.ended(session, AttemptOutcome::Cancelled, true);
     }
 
     /// A probe has come back, or was given up, after this long.
@@ -265,15 +265,15 @@
     pub fn move_now(&mut self, session: &Session) {
         let now = self.now();
         if session.try_moving(now) {
-            self.ended(session.id, Ending::CalledOff, true);
+            self.ended(session.id, AttemptOutcome::Cancelled, true);
         }
     }
 
     /// Tells the module what came of its own calls.
     pub fn settle(&mut self) {
-        while let Some((session, ending, done)) = self.hands.untold.pop_front() {
+        while let Some((session, outcome, done)) = self.hands.untold.pop_front() {
             let now = self.now();
-            self.chooser.ended(session, ending, done, now, &mut self.hands);
+            self.chooser.ended(session, outcome, done, now, &mut self.hands);
         }
         if self.hands.wants_list.take() && self.asks_discovery() {
             self.discovery.clone().ask(self);
--- a/crates/proxy/src/server.rs
+++ b/crates/proxy/src/server.rs
@@ -11,7 +11,7 @@
 use crate::socket::{End, Socket};
 use calloop::timer::{TimeoutAction, Timer};
 use calloop::{LoopHandle, RegistrationToken};
-use shelfgrade::host::{Ending, EndpointState, ServerId};
+use shelfgrade::host::{AttemptOutcome, EndpointState, ServerId};
 use shelfgrade::time::{DurationExt, Timestamp};
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -50,7 +50,7 @@
     gives_up: Timestamp,
     timer: Cell<Option<(LoopHandle<'static, Proxy>, RegistrationToken)>>,
     /// What the server's last line says of an end that follows it.
-    farewell: Cell<Ending>,
+    farewell: Cell<AttemptOutcome>,
 }
 
 impl Attempt {
@@ -75,7 +75,7 @@
             lines: RefCell::default(),
             gives_up: now + time_out,
             timer: Cell::default(),
-            farewell: Cell::new(Ending::Broken),
+            farewell: Cell::new(AttemptOutcome::ConnectionLost),
         });
         // What was open before the start has only this one attempt.
         let dial = hands.dial_time_out.filter(|_| !session.is_taken_over());
@@ -122,16 +122,16 @@
         // Guards against time running out just as the answer, or the client's end, comes in.
         session.ready(proxy);
         if session.current(self) && self.phase.get() != Phase::Up {
-            session.attempt_ended(self, self.unrun_or(Ending::TimedOut), proxy);
+            session.attempt_ended(self, self.unrun_or(AttemptOutcome::TimedOut), proxy);
         }
     }
 
     /// Before the first line's last byte is written nothing can have run.
-    fn unrun_or(&self, ending: Ending) -> Ending {
+    fn unrun_or(&self, outcome: AttemptOutcome) -> AttemptOutcome {
         if self.phase.get() < Phase::Waiting {
-            Ending::Unreachable
+            AttemptOutcome::Unreachable
         } else {
-            ending
+            outcome
         }
     }
 }
@@ -163,7 +163,7 @@
                     attempt.give_up_in(wait, self, &proxy.hands.handle);
                 }
                 Ok(true) | Err(_) => {
-                    self.attempt_ended(&attempt, Ending::Unreachable, proxy);
+                    self.attempt_ended(&attempt, AttemptOutcome::Unreachable, proxy);
                     return true;
                 }
             }
@@ -183,7 +183,7 @@
             Some(how) if self.current(&attempt) && (before.is_none() || how == End::Reset) => {
                 match self.stage.get() {
                     Stage::Asking => {
-                        self.attempt_ended(&attempt, attempt.unrun_or(Ending::Broken), proxy);
+                        self.attempt_ended(&attempt, attempt.unrun_or(AttemptOutcome::ConnectionLost), proxy);
                         return true;
                     }
                     Stage::Established => self.server_ended(how, attempt.farewell.get(), proxy),
@@ -230,10 +230,10 @@
         let lines = attempt.lines.borrow_mut().feed(self.down.borrow().latest(read));
         match lines {
             Ok(lines) => lines.iter().for_each(|line| self.server_says(attempt, text(line), proxy)),
-            Err(error) if attempt.is_up() => self.foul(error, Ending::Broken, proxy),
+            Err(error) if attempt.is_up() => self.foul(error, AttemptOutcome::ConnectionLost, proxy),
             Err(_) => {
                 proxy.hands.tally.count("long lines");
-                self.attempt_ended(attempt, Ending::Broken, proxy);
+                self.attempt_ended(attempt, AttemptOutcome::ConnectionLost, proxy);
             }
         }
     }
@@ -252,16 +252,16 @@
                     self.enter(Stage::Established, proxy.now());
                     proxy.stands(self, &attempt.server.id);
                 }
-                "BUSY" => self.attempt_ended(attempt, Ending::TurnedAway, proxy),
-                "MOVE" => self.attempt_ended(attempt, Ending::CalledOff, proxy),
-                _ => self.attempt_ended(attempt, Ending::Errored, proxy),
+                "BUSY" => self.attempt_ended(attempt, AttemptOutcome::Rejected, proxy),
+                "MOVE" => self.attempt_ended(attempt, AttemptOutcome::Cancelled, proxy),
+                _ => self.attempt_ended(attempt, AttemptOutcome::Failed, proxy),
             }
             return;
         }
         attempt.farewell.set(match word {
-            "BYE" => Ending::Finished,
-            "MOVE" => Ending::CalledOff,
-            _ => Ending::Broken,
+            "BYE" => AttemptOutcome::Completed,
+            "MOVE" => AttemptOutcome::Cancelled,
+            _ => AttemptOutcome::ConnectionLost,
         });
         let asked = self.asked.take();
         match (word, asked) {
@@ -287,13 +287,13 @@
     }
 
     /// An attempt has ended without a connection; the module says how it goes on.
-    pub fn attempt_ended(&self, attempt: &Attempt, ending: Ending, proxy: &mut Proxy) {
-        log::debug!("session {} at {}: {ending:?}", self.id.0, attempt.server.id);
+    pub fn attempt_ended(&self, attempt: &Attempt, outcome: AttemptOutcome, proxy: &mut Proxy) {
+        log::debug!("session {} at {}: {outcome:?}", self.id.0, attempt.server.id);
         self.attempt.borrow_mut().take();
         self.down.borrow_mut().clear();
         if self.is_taken_over() {
             return self.answer("ERR", &mut proxy.hands);
         }
-        proxy.ended(self.id, ending, false);
+        proxy.ended(self.id, outcome, false);
     }
 }
--- a/crates/proxy/src/session.rs
+++ b/crates/proxy/src/session.rs
@@ -9,7 +9,7 @@
 use crate::ring::Ring;
 use crate::server::Attempt;
 use crate::socket::{End, Socket};
-use shelfgrade::host::{Ending, SessionId};
+use shelfgrade::host::{AttemptOutcome, SessionId};
 use shelfgrade::time::Timestamp;
 use std::cell::{Cell, RefCell};
 use std::rc::{Rc, Weak};
@@ -141,26 +141,26 @@
     }
 
     /// The server has ended a standing connection: the client's side ends the same way.
-    pub fn server_ended(&self, how: End, ending: Ending, proxy: &mut Proxy) {
+    pub fn server_ended(&self, how: End, outcome: AttemptOutcome, proxy: &mut Proxy) {
         self.down_end.set(Some(how));
         self.up_end.set(Some(how));
-        self.over_for_module(ending, proxy);
+        self.over_for_module(outcome, proxy);
     }
 
     /// The session has ended for the module, with all said that the client will hear of it.
-    pub fn over_for_module(&self, ending: Ending, proxy: &mut Proxy) {
+    pub fn over_for_module(&self, outcome: AttemptOutcome, proxy: &mut Proxy) {
         if self.stage.get() == Stage::Established {
             self.enter(Stage::Leaving, proxy.now());
             proxy.hands.due.add(self);
-            proxy.ended(self.id, ending, true);
+            proxy.ended(self.id, outcome, true);
         }
     }
 
     /// A peer has broken the protocol: its connection ends, and the session with it, however the module is
     /// told that it ended.
-    pub fn foul(&self, _: TooLong, ending: Ending, proxy: &mut Proxy) {
+    pub fn foul(&self, _: TooLong, outcome: AttemptOutcome, proxy: &mut Proxy) {
         proxy.hands.tally.complain("long lines");
-        self.server_ended(End::Fin, ending, proxy);
+        self.server_ended(End::Fin, outcome, proxy);
         self.enter(Stage::Leaving, proxy.now());
     }
 
@@ -186,7 +186,7 @@
             return proxy.move_now(self);
         }
         proxy.hands.tally.count("moved inside a line");
-        self.server_ended(End::Fin, Ending::CalledOff, proxy);
+        self.server_ended(End::Fin, AttemptOutcome::Cancelled, proxy);
         self.flush();
     }
 
--- a/crates/recovery/src/comeback.rs
+++ b/crates/recovery/src/comeback.rs
@@ -145,9 +145,9 @@
         self.fleet.next().min(self.next_beat)
     }
 
-    pub fn woke(&mut self, (now, wall_ms): (Timestamp, u64), around: &mut dyn Around) {
+    pub fn on_timer(&mut self, (now, wall_ms): (Timestamp, u64), around: &mut dyn Around) {
         let mut heard = Heard { around, entries: Vec::new() };
-        self.fleet.woke(now, wall_ms, &mut heard);
+        self.fleet.on_timer(now, wall_ms, &mut heard);
         let entries = heard.entries;
         self.after(entries, now, around);
         if now < self.next_beat {
@@ -158,7 +158,7 @@
         if self.back.waited(now) {
             self.go_by_what_was(now, around);
         }
-        if self.back.woke(now) {
+        if self.back.on_timer(now) {
             around.enters(State::Serving, "all servers are warm");
         }
         let corrected = self.fleet.clock_correction_ms();
--- a/crates/recovery/src/order.rs
+++ b/crates/recovery/src/order.rs
@@ -107,7 +107,7 @@
     }
 
     /// Looks at the clock; true where the state has changed.
-    pub fn woke(&mut self, now: Timestamp) -> bool {
+    pub fn on_timer(&mut self, now: Timestamp) -> bool {
         let over = self.state == State::Warming && self.warm_at.is_none_or(|warm| now >= warm);
         if over {
             self.state = State::Serving;
--- a/crates/recovery/tests/unit/order.rs
+++ b/crates/recovery/tests/unit/order.rs
@@ -33,7 +33,7 @@
     assert!(!back.waited(at(2900)) && back.waited(at(3000)));
     back.list_is_here([None, Some(at(1200))].into_iter(), at(1600));
     assert_eq!(back.state(), State::Warming);
-    assert!(!back.woke(at(9100)) && back.woke(at(9200)));
+    assert!(!back.on_timer(at(9100)) && back.on_timer(at(9200)));
     assert_eq!((back.state(), back.turn((Some(ALARM), None), 1, 0.5, at(9300))), (State::Serving, None));
     let mut other = returning();
     other.list_is_here([None, Some(at(0))].into_iter(), at(8100));
--- a/crates/terms/tests/unit/lib.rs
+++ b/crates/terms/tests/unit/lib.rs
@@ -71,14 +71,14 @@
 
 impl Host for Alarms {
     fn connect(&mut self, _: SessionId, _: &ServerId, _: Duration) {}
-    fn push_back(&mut self, _: SessionId, _: Duration) {}
-    fn forfeit(&mut self, _: SessionId) {}
-    fn send_away(&mut self, _: SessionId) {}
+    fn reject(&mut self, _: SessionId, _: Duration) {}
+    fn fail(&mut self, _: SessionId) {}
+    fn migrate(&mut self, _: SessionId) {}
     fn subscribe(&mut self) {}
     fn probe(&mut self, _: &ServerId) -> bool {
         false
     }
-    fn wake(&mut self, at: Timestamp) {
+    fn schedule_wakeup(&mut self, at: Timestamp) {
         self.0.push(at);
     }
 }
--- a/crates/trials/src/cells.rs
+++ b/crates/trials/src/cells.rs
@@ -290,8 +290,8 @@
                 What::Wake if self.nodes[event.to].armed == event.at => {
                     self.nodes[event.to].armed = Timestamp::NEVER;
                     self.call(event.to, |core, out| match core {
-                        Core::Replica(core) => core.woke(now, out),
-                        Core::Process(core) => core.woke(now, out),
+                        Core::Replica(core) => core.on_timer(now, out),
+                        Core::Process(core) => core.on_timer(now, out),
                     });
                 }
                 What::Wake => {}
--- a/crates/trials/src/decisions.rs
+++ b/crates/trials/src/decisions.rs
@@ -31,14 +31,14 @@
 
 impl Host for Idle {
     fn connect(&mut self, _: SessionId, _: &ServerId, _: Duration) {}
-    fn push_back(&mut self, _: SessionId, _: Duration) {}
-    fn forfeit(&mut self, _: SessionId) {}
-    fn send_away(&mut self, _: SessionId) {}
+    fn reject(&mut self, _: SessionId, _: Duration) {}
+    fn fail(&mut self, _: SessionId) {}
+    fn migrate(&mut self, _: SessionId) {}
     fn subscribe(&mut self) {}
     fn probe(&mut self, _: &ServerId) -> bool {
         false
     }
-    fn wake(&mut self, _: Timestamp) {}
+    fn schedule_wakeup(&mut self, _: Timestamp) {}
 }
 
 /// Nanoseconds of each kind of event.
@@ -170,7 +170,7 @@
             let Some(over) = self.standing.pop_front() else { return };
             let (chooser, now) = (&mut self.chooser, self.now);
             self.took.takes("end", || {
-                chooser.ended(SessionId(over), Ending::Finished, true, now, &mut Idle);
+                chooser.ended(SessionId(over), AttemptOutcome::Completed, true, now, &mut Idle);
             });
             self.last_id += 1;
             let (id, returned) = (self.last_id, turn % 2 == 1);
--- a/crates/trials/src/drawn.rs
+++ b/crates/trials/src/drawn.rs
@@ -27,7 +27,7 @@
     fn begin(roster: Roster, born: u64, seed: u64, now: Timestamp, wall_ms: u64) -> Self;
     fn fleet(&self) -> &Fleet;
     fn next(&self) -> Timestamp;
-    fn woke(&mut self, now: Timestamp, wall_ms: u64, asked: &mut Asked);
+    fn on_timer(&mut self, now: Timestamp, wall_ms: u64, asked: &mut Asked);
     fn heard(&mut self, datagram: &[u8], now: Timestamp, wall_ms: u64, asked: &mut Asked);
 }
 
@@ -41,8 +41,8 @@
     fn next(&self) -> Timestamp {
         Fleet::next(self)
     }
-    fn woke(&mut self, now: Timestamp, wall_ms: u64, asked: &mut Asked) {
-        Fleet::woke(self, now, wall_ms, asked);
+    fn on_timer(&mut self, now: Timestamp, wall_ms: u64, asked: &mut Asked) {
+        Fleet::on_timer(self, now, wall_ms, asked);
     }
     fn heard(&mut self, datagram: &[u8], now: Timestamp, wall_ms: u64, asked: &mut Asked) {
         Fleet::heard(self, datagram, now, wall_ms, asked);
@@ -70,8 +70,8 @@
     fn next(&self) -> Timestamp {
         Comeback::next(self)
     }
-    fn woke(&mut self, now: Timestamp, wall_ms: u64, asked: &mut Asked) {
-        Comeback::woke(self, (now, wall_ms), asked);
+    fn on_timer(&mut self, now: Timestamp, wall_ms: u64, asked: &mut Asked) {
+        Comeback::on_timer(self, (now, wall_ms), asked);
     }
     fn heard(&mut self, datagram: &[u8], now: Timestamp, wall_ms: u64, asked: &mut Asked) {
         Comeback::heard(self, datagram, (now, wall_ms), asked);
@@ -305,7 +305,7 @@
                 self.hand_over(usize::from(to.0), &datagram);
             } else if let Some((_, seat)) = alarm {
                 let (now, wall) = (self.now, self.wall_ms(seat));
-                self.with(seat, |core, around| core.woke(now, wall, around));
+                self.with(seat, |core, around| core.on_timer(now, wall, around));
             }
         }
         self.now = end;
--- a/crates/trials/src/hollow.rs
+++ b/crates/trials/src/hollow.rs
@@ -76,8 +76,8 @@
     fn heard(&mut self, _: usize, datagram: &[u8], now: Timestamp, out: &mut Outbox) {
         self.act(out, |fleet, around| fleet.heard(datagram, now, now.as_ms() as u64, around));
     }
-    fn woke(&mut self, now: Timestamp, out: &mut Outbox) {
-        self.act(out, |fleet, around| fleet.woke(now, now.as_ms() as u64, around));
+    fn on_timer(&mut self, now: Timestamp, out: &mut Outbox) {
+        self.act(out, |fleet, around| fleet.on_timer(now, now.as_ms() as u64, around));
     }
     fn next(&self) -> Timestamp {
         self.fleet.next()
--- a/crates/trials/src/region.rs
+++ b/crates/trials/src/region.rs
@@ -141,7 +141,7 @@
                     self.usage[to].heard_bytes += datagram.bytes.len() as u64;
                 }
             } else if let Some((_, process)) = alarm {
-                self.call(process, |core, now, out| core.woke(now, out));
+                self.call(process, |core, now, out| core.on_timer(now, out));
             }
         }
         self.now = end;
--- a/crates/trials/src/simulation.rs
+++ b/crates/trials/src/simulation.rs
@@ -31,7 +31,7 @@
 pub trait Core: 'static {
     fn heard(&mut self, from: usize, datagram: &[u8], now: Timestamp, out: &mut Outbox);
     /// The time has come that `next` named.
-    fn woke(&mut self, now: Timestamp, out: &mut Outbox);
+    fn on_timer(&mut self, now: Timestamp, out: &mut Outbox);
     fn next(&self) -> Timestamp;
 }
 
--- a/crates/trials/src/sockets.rs
+++ b/crates/trials/src/sockets.rs
@@ -98,7 +98,7 @@
         let mut datagram = [0; LONGEST];
         while let Some(left) = end.checked_duration_since(Instant::now()).filter(|left| !left.is_zero()) {
             while let Some((_, at)) = self.alarms.first().copied().filter(|first| first.0 <= self.now()) {
-                self.act(at, |core, now, out| core.woke(now, out));
+                self.act(at, |core, now, out| core.on_timer(now, out));
             }
             let due =
                 self.alarms.first().map_or(Duration::from_millis(1000), |first| first.0.since(self.now()));
--- a/crates/trials/tests/simulation.rs
+++ b/crates/trials/tests/simulation.rs
@@ -20,7 +20,7 @@
         let said = u64::from_le_bytes(datagram.try_into().expect("eight bytes")) as f64 / 1000.0;
         self.heard.push((from, now.as_ms() - said));
     }
-    fn woke(&mut self, now: Timestamp, out: &mut Outbox) {
+    fn on_timer(&mut self, now: Timestamp, out: &mut Outbox) {
         self.next = now + Duration::from_millis(100);
         let word = ((now.as_ms() * 1000.0) as u64).to_le_bytes().to_vec();
         out.extend([1, 5, 20, 40].map(|further| ((self.process + further) % self.size, word.clone())));
--- a/crates/trials/tests/size.rs
+++ b/crates/trials/tests/size.rs
@@ -114,7 +114,7 @@
         fn refused(&mut self, _: &'static str) {}
     }
     let later = others.now + std::time::Duration::from_millis(2000);
-    others.processes[0].core.as_mut().expect("runs").woke(later, 0, &mut Catch(&mut caught));
+    others.processes[0].core.as_mut().expect("runs").on_timer(later, 0, &mut Catch(&mut caught));
     let foreign = caught.pop().expect("a datagram");
     let mine = {
         let mut caught = Vec::new();
--- a/src/choice/again.rs
+++ b/src/choice/again.rs
@@ -1,6 +1,6 @@
 //! Whether a session may be sent again, and where: no effect happens twice.
 
-use crate::host::{Ending, Idempotency, KeyScope};
+use crate::host::{AttemptOutcome, Idempotency, KeyScope};
 use crate::record::{Attempt, Server, Session};
 use crate::time::Timestamp;
 use std::rc::Rc;
@@ -11,7 +11,7 @@
 
 /// The first attempt that may have run, which binds all that follows.
 fn may_have_run(attempts: &[Attempt]) -> Option<(Rc<Server>, Timestamp)> {
-    let first = attempts.iter().find(|c| !c.ending.is_some_and(Ending::proves_unrun))?;
+    let first = attempts.iter().find(|c| !c.outcome.is_some_and(AttemptOutcome::is_safe_to_retry))?;
     Some((first.server.clone(), first.sent))
 }
 
@@ -41,7 +41,7 @@
     }
 
     /// Whether a pushback's promise, that another try is harmless, would be true.
-    pub(super) fn may_push_back(&self) -> bool {
+    pub(super) fn may_reject(&self) -> bool {
         matches!(self.idempotency, Idempotency::Idempotent | Idempotency::Keyed { scope: KeyScope::All, .. })
             || may_have_run(&self.attempts.borrow()).is_none()
     }
--- a/src/choice/dispatch.rs
+++ b/src/choice/dispatch.rs
@@ -1,7 +1,7 @@
 //! How long an attempt may take, and what its end says.
 
 use super::{Pick, Stage, Step};
-use crate::host::{Ending, Host, Idempotency};
+use crate::host::{AttemptOutcome, Host, Idempotency};
 use crate::record::{Attempt, Session, Shelf};
 use crate::time::{DurationExt, Timestamp};
 use std::rc::Rc;
@@ -24,7 +24,7 @@
         host.connect(session.id, &server.id, time_out);
         server.note_sent(now);
         server.silent_since.set(server.silent_since.get().or(Some(now)));
-        session.attempts.borrow_mut().push(Attempt { server, sent: now, ending: None });
+        session.attempts.borrow_mut().push(Attempt { server, sent: now, outcome: None });
         session.hailed.set(false);
         Step::Keep
     }
@@ -35,10 +35,10 @@
             return drop(server.held.borrow_mut().remove(&session.id));
         }
         server.waiting.set(server.waiting.get().saturating_sub(1));
-        if attempt.ending != Some(Ending::TimedOut) || server.waiting.get() == 0 {
+        if attempt.outcome != Some(AttemptOutcome::TimedOut) || server.waiting.get() == 0 {
             server.silent_since.set((server.waiting.get() > 0).then_some(now));
         }
-        if attempt.ending.is_none() {
+        if attempt.outcome.is_none() {
             server.held.borrow_mut().insert(session.id, Rc::downgrade(session));
             // A connection that was open before this proxy started says nothing of the time it took.
             if now > attempt.sent {
--- a/src/choice/mod.rs
+++ b/src/choice/mod.rs
@@ -24,7 +24,7 @@
 mod relief;
 mod trust;
 
-use crate::host::{Arrival, Ending, Endpoint, Host, RequestClass, SessionId};
+use crate::host::{Arrival, AttemptOutcome, Endpoint, Host, RequestClass, SessionId};
 pub use crate::record::WarmUp;
 use crate::record::{Attempt, Server, Session, Shelf};
 use crate::time::{DurationExt, Timestamp};
@@ -120,7 +120,7 @@
     }
 
     /// The time has come that the host was asked to wake this proxy at.
-    pub fn woke(&mut self, now: Timestamp, host: &mut dyn Host) {
+    pub fn on_timer(&mut self, now: Timestamp, host: &mut dyn Host) {
         if self.asks_at.take_if(|at| *at <= now).is_some() {
             host.subscribe();
         }
@@ -143,7 +143,7 @@
     pub fn open_already(&mut self, arrival: &Arrival, server: &str, now: Timestamp) {
         let Some(server) = self.shelf.find(server) else { return };
         let session = self.enter(arrival);
-        session.attempts.borrow_mut().push(Attempt { server, sent: now, ending: None });
+        session.attempts.borrow_mut().push(Attempt { server, sent: now, outcome: None });
         self.bring_back(&session, None, now);
     }
 
@@ -156,14 +156,14 @@
     pub fn ended(
         &mut self,
         session: SessionId,
-        ending: Ending,
+        outcome: AttemptOutcome,
         done: bool,
         now: Timestamp,
         host: &mut dyn Host,
     ) {
         let Some(session) = self.sessions.get(&session).cloned() else { return };
         let over = done || session.stands.get() || session.answered.get();
-        self.bring_back(&session, Some(ending), now);
+        self.bring_back(&session, Some(outcome), now);
         if over {
             self.sessions.remove(&session.id);
         } else {
@@ -211,7 +211,7 @@
             Some(all) if now < all => (all + pause.scaled(self.shelf.luck())).min(now + most),
             Some(_) => least.max(since + pause),
         };
-        host.wake(*self.asks_at.insert(at));
+        host.schedule_wakeup(*self.asks_at.insert(at));
     }
 
     fn enter(&mut self, arrival: &Arrival) -> Rc<Session> {
@@ -232,30 +232,30 @@
                     let until =
                         now + self.message_latency_objective.min(session.deadline.since(now).scaled(0.5));
                     self.hailing.push((until, Rc::downgrade(session)));
-                    return host.wake(until);
+                    return host.schedule_wakeup(until);
                 }
                 Step::Keep => return,
                 Step::End => break,
             }
         }
         self.sessions.remove(&session.id);
-        if session.may_push_back() {
+        if session.may_reject() {
             let again = || self.most_pause.scaled(0.5 + 0.5 * self.shelf.luck());
-            host.push_back(session.id, session.turn.map_or_else(again, |turn| turn.again));
+            host.reject(session.id, session.turn.map_or_else(again, |turn| turn.again));
         } else {
-            host.forfeit(session.id);
+            host.fail(session.id);
         }
     }
 
-    fn bring_back(&mut self, session: &Rc<Session>, ending: Option<Ending>, now: Timestamp) {
+    fn bring_back(&mut self, session: &Rc<Session>, outcome: Option<AttemptOutcome>, now: Timestamp) {
         let mut attempts = session.attempts.borrow_mut();
         let Some(attempt) = attempts.last_mut() else { return };
         // Guards against a session that no server can use costing all of them their trust: one error counts.
-        let again = ending == Some(Ending::Errored) && session.errored.replace(true);
-        attempt.ending = if again { Some(Ending::CalledOff) } else { ending };
+        let again = outcome == Some(AttemptOutcome::Failed) && session.errored.replace(true);
+        attempt.outcome = if again { Some(AttemptOutcome::Cancelled) } else { outcome };
         for stage in self.stages.iter_mut().rev() {
             stage.back(session, attempt, now);
         }
-        session.stands.set(ending.is_none());
+        session.stands.set(outcome.is_none());
     }
 }
--- a/src/choice/pacing.rs
+++ b/src/choice/pacing.rs
@@ -1,7 +1,7 @@
 //! How many attempts may be out at once.
 
 use super::{Pick, Stage, Step};
-use crate::host::{Ending, Host};
+use crate::host::{AttemptOutcome, Host};
 use crate::record::{Attempt, Session, Shelf};
 use crate::time::{DurationExt, Timestamp};
 use std::rc::Rc;
@@ -55,12 +55,14 @@
     /// a whole one stood in time, or by as much again where it is a part of one.
     fn back(&mut self, session: &Rc<Session>, attempt: &Attempt, now: Timestamp) {
         let (window, took) = (self.shelf.window(now), now.since(attempt.sent));
-        let window = match attempt.ending {
+        let window = match attempt.outcome {
             _ if session.stands.get() || session.mid_flow => return,
             None if session.connect_latency_objective.is_none_or(|l| took <= l) => {
                 (window + window.min(1.0 / window)).min(self.widest)
             }
-            None | Some(Ending::TimedOut | Ending::Errored) => (window * 0.5).max(self.narrowest),
+            None | Some(AttemptOutcome::TimedOut | AttemptOutcome::Failed) => {
+                (window * 0.5).max(self.narrowest)
+            }
             _ => return,
         };
         self.shelf.window.set((window, now));
--- a/src/choice/placement.rs
+++ b/src/choice/placement.rs
@@ -1,7 +1,7 @@
 //! Which server gets a session: the design's choice with the load skip, and what passes a server over.
 
 use super::{Pick, Stage, Step};
-use crate::host::{Ending, EndpointState, Host};
+use crate::host::{AttemptOutcome, EndpointState, Host};
 use crate::record::{Attempt, Server, Session, Shelf, WarmUp};
 use crate::time::Timestamp;
 use nanorand::{Rng, WyRand};
@@ -106,13 +106,18 @@
     }
 
     fn back(&mut self, session: &Rc<Session>, attempt: &Attempt, now: Timestamp) {
-        attempt.server.broke.set(matches!(attempt.ending, Some(Ending::Unreachable | Ending::Broken)));
+        attempt.server.broke.set(matches!(
+            attempt.outcome,
+            Some(AttemptOutcome::Unreachable | AttemptOutcome::ConnectionLost)
+        ));
         // One bad ending takes half of the trust that is left, one that the server itself gave rather less.
-        let keeps = match attempt.ending {
+        let keeps = match attempt.outcome {
             // Guards against distrusting whoever rightly resets a mid-flow connection that another holds.
-            Some(Ending::Broken) if session.mid_flow && !session.stands.get() => return,
-            Some(Ending::TimedOut | Ending::Unreachable | Ending::Broken) => 0.5,
-            Some(Ending::Errored | Ending::TurnedAway) => 0.7,
+            Some(AttemptOutcome::ConnectionLost) if session.mid_flow && !session.stands.get() => return,
+            Some(AttemptOutcome::TimedOut | AttemptOutcome::Unreachable | AttemptOutcome::ConnectionLost) => {
+                0.5
+            }
+            Some(AttemptOutcome::Failed | AttemptOutcome::Rejected) => 0.7,
             _ => return,
         };
         attempt.server.distrust.set((1.0 - (1.0 - attempt.server.distrust(now)) * keeps, now));
--- a/src/choice/recall.rs
+++ b/src/choice/recall.rs
@@ -35,12 +35,12 @@
             self.swept = now;
             table.retain(|_, known| now < known.until);
         }
-        let until = attempt.ending.map_or(Timestamp::NEVER, |_| now + TABLE_TIME_OUT);
+        let until = attempt.outcome.map_or(Timestamp::NEVER, |_| now + TABLE_TIME_OUT);
         let has_room = table.len() < MOST_KEYS;
         match table.get_mut(&session.key) {
             // It stood there before its server may have started anew, of which the list can tell first.
             Some(known) if session.stands.get() && known.is_at(&attempt.server) => known.until = until,
-            _ if (attempt.ending.is_none() || session.stands.get()) && has_room => {
+            _ if (attempt.outcome.is_none() || session.stands.get()) && has_room => {
                 table.insert(session.key, Known::at(&attempt.server, until));
             }
             _ => {}
--- a/src/choice/relief.rs
+++ b/src/choice/relief.rs
@@ -18,7 +18,7 @@
         // Who holds less than this looks less often, as it could relieve less.
         const ENOUGH: f64 = 4.0;
         self.looks_at = Some((now + ROUND, probing));
-        host.wake(now + ROUND);
+        host.schedule_wakeup(now + ROUND);
         for server in self.shelf.servers.borrow().iter() {
             let every = EVERY[usize::from(server.distrust(now) > Server::FADED)];
             let every = every.scaled((ENOUGH / server.open().max(1.0)).max(1.0));
@@ -60,7 +60,7 @@
         let Some(session) = self.sessions.get(&session) else { return };
         // Guards against a client held by a server that has gone without a word.
         if delay > LOST && session.stands.get() && !session.answered.replace(true) {
-            host.send_away(session.id);
+            host.migrate(session.id);
         }
         let attempts = session.attempts.borrow();
         let Some(attempt) = attempts.last() else { return };
@@ -102,7 +102,7 @@
         let first = weighed.max_by(|a, b| a.0.cmp(&b.0).then(a.1.total_cmp(&b.1)));
         if let Some((_, _, session)) = first.filter(|(guest, ..)| *guest || piled_up) {
             session.answered.set(true);
-            host.send_away(session.id);
+            host.migrate(session.id);
         }
     }
 
@@ -111,7 +111,7 @@
         let staying = || self.sessions.values().filter(|c| c.stands.get() && !c.answered.get());
         for session in staying().take(staying().count().div_ceil(calls_left.max(1))) {
             session.answered.set(true);
-            host.send_away(session.id);
+            host.migrate(session.id);
         }
     }
 }
--- a/src/host.rs
+++ b/src/host.rs
@@ -9,18 +9,18 @@
 pub trait Host {
     /// Starts an attempt; a session's attempts count 0, 1, 2 … in the order of these calls.
     fn connect(&mut self, session: SessionId, server: &ServerId, time_out: Duration);
-    /// Final answer: not done, trying again is harmless, best after `pause`.
-    fn push_back(&mut self, session: SessionId, pause: Duration);
+    /// Final answer: not done, trying again is harmless, best after `retry_after`.
+    fn reject(&mut self, session: SessionId, retry_after: Duration);
     /// Final answer: not done, nothing promised.
-    fn forfeit(&mut self, session: SessionId);
+    fn fail(&mut self, session: SessionId);
     /// Ends a standing connection politely; its client comes again as a new session.
-    fn send_away(&mut self, session: SessionId);
+    fn migrate(&mut self, session: SessionId);
     /// Asks to be sent every change of the server list from now on; a host that is sent it unasked does nothing.
     fn subscribe(&mut self);
     /// Has a server give a sign of life; how long that took comes as `probed`. False where it is not allowed.
     fn probe(&mut self, server: &ServerId) -> bool;
-    /// Asks for a call of `woke` at `at`.
-    fn wake(&mut self, at: Timestamp);
+    /// Asks for a call of `on_timer` at `at`.
+    fn schedule_wakeup(&mut self, at: Timestamp);
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
@@ -112,20 +112,20 @@
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
-    Finished,
-    Errored,
-    TurnedAway,
+pub enum AttemptOutcome {
+    Completed,
+    Failed,
+    Rejected,
     TimedOut,
     Unreachable,
-    Broken,
-    CalledOff,
-    Moot,
+    ConnectionLost,
+    Cancelled,
+    NotSent,
 }
 
-impl Ending {
+impl AttemptOutcome {
     /// Whether this proves that the session did not run.
-    pub fn proves_unrun(self) -> bool {
-        matches!(self, Ending::TurnedAway | Ending::Unreachable | Ending::Moot)
+    pub fn is_safe_to_retry(self) -> bool {
+        matches!(self, AttemptOutcome::Rejected | AttemptOutcome::Unreachable | AttemptOutcome::NotSent)
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -14,12 +14,12 @@
 //!     fn connect(&mut self, session: SessionId, server: &ServerId, _: Duration) {
 //!         self.0.push(format!("session {} to {server}", session.0));
 //!     }
-//!     fn push_back(&mut self, _: SessionId, _: Duration) {}
-//!     fn forfeit(&mut self, _: SessionId) {}
-//!     fn send_away(&mut self, _: SessionId) {}
+//!     fn reject(&mut self, _: SessionId, _: Duration) {}
+//!     fn fail(&mut self, _: SessionId) {}
+//!     fn migrate(&mut self, _: SessionId) {}
 //!     fn subscribe(&mut self) {}
 //!     fn probe(&mut self, _: &ServerId) -> bool { false }
-//!     fn wake(&mut self, _: Timestamp) {}
+//!     fn schedule_wakeup(&mut self, _: Timestamp) {}
 //! }
 //!
 //! let now = Timestamp::from_ms(1000.0);
--- a/src/record.rs
+++ b/src/record.rs
@@ -1,7 +1,7 @@
 //! What a proxy keeps of servers and sessions: plain records, on which `choice` decides.
 
 use crate::host::{
-    Arrival, Ending, Endpoint, EndpointState, Idempotency, RequestClass, ServerId, SessionId, Turn,
+    Arrival, AttemptOutcome, Endpoint, EndpointState, Idempotency, RequestClass, ServerId, SessionId, Turn,
 };
 use crate::time::{DurationExt, Timestamp};
 use nanorand::{Rng, WyRand};
@@ -260,7 +260,7 @@
 pub(crate) struct Attempt {
     pub(crate) server: Rc<Server>,
     pub(crate) sent: Timestamp,
-    pub(crate) ending: Option<Ending>,
+    pub(crate) outcome: Option<AttemptOutcome>,
 }
 
 /// A session from its arrival to its final answer or, once it stands, to its end.
--- a/tests/stories/books.rs
+++ b/tests/stories/books.rs
@@ -28,7 +28,7 @@
     at_once: VecDeque<u64>,
     alarms: Vec<Timestamp>,
     asked: Vec<ServerId>,
-    sent_away: Vec<u64>,
+    migrated: Vec<u64>,
     may_probe: bool,
     attempts: usize,
 }
@@ -70,22 +70,22 @@
             self.at_once.push_back(session.0);
         }
     }
-    fn push_back(&mut self, session: SessionId, _: Duration) {
+    fn reject(&mut self, session: SessionId, _: Duration) {
         self.answered(session);
     }
-    fn forfeit(&mut self, session: SessionId) {
+    fn fail(&mut self, session: SessionId) {
         self.answered(session);
     }
-    fn send_away(&mut self, session: SessionId) {
+    fn migrate(&mut self, session: SessionId) {
         assert!(matches!(self.sessions[&session.0].0, Stage::Established(_)), "{session:?}");
-        self.sent_away.push(session.0);
+        self.migrated.push(session.0);
     }
     fn subscribe(&mut self) {}
     fn probe(&mut self, server: &ServerId) -> bool {
         self.asked.extend(self.may_probe.then(|| server.clone()));
         self.may_probe
     }
-    fn wake(&mut self, at: Timestamp) {
+    fn schedule_wakeup(&mut self, at: Timestamp) {
         self.alarms.push(at);
     }
 }
@@ -110,7 +110,7 @@
             at_once: VecDeque::new(),
             alarms: Vec::new(),
             asked: Vec::new(),
-            sent_away: Vec::new(),
+            migrated: Vec::new(),
             may_probe: seed % 3 < 2,
             attempts: 0,
         };
@@ -119,20 +119,20 @@
         play
     }
 
-    fn ended(&mut self, session: u64, ending: Ending, done: bool) {
+    fn ended(&mut self, session: u64, outcome: AttemptOutcome, done: bool) {
         self.model.becomes(session, if done { Stage::Over } else { Stage::Waiting });
-        self.chooser.ended(SessionId(session), ending, done, self.now, &mut self.model);
+        self.chooser.ended(SessionId(session), outcome, done, self.now, &mut self.model);
     }
 
     /// As the host does once the module has finished.
     fn settles(&mut self) {
         while let Some(session) = self.model.at_once.pop_front() {
-            let ending = [Ending::Moot, Ending::Unreachable][self.model.draw(2)];
-            self.ended(session, ending, false);
+            let outcome = [AttemptOutcome::NotSent, AttemptOutcome::Unreachable][self.model.draw(2)];
+            self.ended(session, outcome, false);
         }
-        for session in std::mem::take(&mut self.model.sent_away) {
+        for session in std::mem::take(&mut self.model.migrated) {
             if matches!(self.model.sessions[&session].0, Stage::Established(_)) {
-                self.ended(session, Ending::CalledOff, true);
+                self.ended(session, AttemptOutcome::Cancelled, true);
             }
         }
     }
@@ -142,7 +142,7 @@
         self.chooser.left(SessionId(session));
         // Where nothing is out, not every host tells of an end besides.
         if was != Stage::Waiting || self.model.draw(2) == 0 {
-            self.ended(session, Ending::CalledOff, true);
+            self.ended(session, AttemptOutcome::Cancelled, true);
         }
     }
 
@@ -164,16 +164,16 @@
     }
 
     fn comes_back(&mut self, session: u64) {
-        let endings = [
-            Ending::Errored,
-            Ending::TurnedAway,
-            Ending::TimedOut,
-            Ending::Unreachable,
-            Ending::Broken,
-            Ending::CalledOff,
+        let outcomes = [
+            AttemptOutcome::Failed,
+            AttemptOutcome::Rejected,
+            AttemptOutcome::TimedOut,
+            AttemptOutcome::Unreachable,
+            AttemptOutcome::ConnectionLost,
+            AttemptOutcome::Cancelled,
         ];
-        match self.model.draw(endings.len() * 2) {
-            i if i < endings.len() => self.ended(session, endings[i], false),
+        match self.model.draw(outcomes.len() * 2) {
+            i if i < outcomes.len() => self.ended(session, outcomes[i], false),
             _ => {
                 let Stage::Out(server) = self.model.sessions[&session].0.clone() else { return };
                 self.model.becomes(session, Stage::Established(server));
@@ -207,8 +207,12 @@
             }
             6 => {
                 if let Some(session) = self.model.one_of(|s| matches!(s, Stage::Established(_))) {
-                    let ending = [Ending::Finished, Ending::Broken, Ending::CalledOff][self.model.draw(3)];
-                    self.ended(session, ending, true);
+                    let outcome = [
+                        AttemptOutcome::Completed,
+                        AttemptOutcome::ConnectionLost,
+                        AttemptOutcome::Cancelled,
+                    ][self.model.draw(3)];
+                    self.ended(session, outcome, true);
                 }
             }
             7 => (0..1 + self.model.draw(3)).for_each(|_| self.list_changes()),
@@ -239,21 +243,21 @@
         let now = self.now;
         let due = self.model.alarms.extract_if(.., |at| *at <= now).count();
         if due > 0 {
-            self.chooser.woke(now, &mut self.model);
+            self.chooser.on_timer(now, &mut self.model);
         }
     }
 
     /// Whatever is left comes to its end.
     fn winds_up(&mut self) {
         self.now = self.now + Duration::from_millis(5000);
-        self.chooser.woke(self.now, &mut self.model);
+        self.chooser.on_timer(self.now, &mut self.model);
         self.settles();
         while let Some(session) = self.model.one_of(|s| matches!(s, Stage::Out(_))) {
-            self.ended(session, Ending::TimedOut, false);
+            self.ended(session, AttemptOutcome::TimedOut, false);
             self.settles();
         }
         for session in self.model.in_stage(|s| matches!(s, Stage::Established(_))) {
-            self.ended(session, Ending::Finished, true);
+            self.ended(session, AttemptOutcome::Completed, true);
         }
     }
 }
--- a/tests/stories/cold.rs
+++ b/tests/stories/cold.rs
@@ -40,7 +40,7 @@
                 let session = SessionId(240 / proxies + 1 + i);
                 proxy.chooser.left(session);
                 proxy.chooser.stands(session, proxy.now);
-                proxy.chooser.ended(session, Ending::Finished, true, proxy.now, &mut proxy.notes);
+                proxy.chooser.ended(session, AttemptOutcome::Completed, true, proxy.now, &mut proxy.notes);
                 proxy.passes(20);
             }
             total += proxy.notes.attempts[before..].iter().filter(|(_, place, _)| place == "a7").count();
@@ -220,7 +220,9 @@
         let keys: Vec<_> = (0..160).map(|i| format!("key-{i}")).collect();
         let held: Vec<_> = keys.iter().map(|key| proxy.settles(plain(key)).expect("a server")).collect();
         let there: Vec<_> = (0..keys.len()).filter(|i| held[*i] == "a1").collect();
-        let end = |proxy: &mut Proxy| there.iter().for_each(|i| proxy.ends(*i as u64 + 1, Ending::Broken));
+        let end = |proxy: &mut Proxy| {
+            there.iter().for_each(|i| proxy.ends(*i as u64 + 1, AttemptOutcome::ConnectionLost))
+        };
         proxy.passes(1000);
         if ends_heard == Some(true) {
             end(&mut proxy);
--- a/tests/stories/fake.rs
+++ b/tests/stories/fake.rs
@@ -10,9 +10,9 @@
 pub struct Notes {
     /// Every connect, with the time-out it was given.
     pub attempts: Vec<(u64, String, Duration)>,
-    pub pushed_back: Vec<(u64, Duration)>,
-    pub forfeited: Vec<u64>,
-    pub sent_away: Vec<u64>,
+    pub rejected: Vec<(u64, Duration)>,
+    pub failed: Vec<u64>,
+    pub migrated: Vec<u64>,
     pub subscribed: usize,
     pub probed: Vec<String>,
     /// Probes are not allowed.
@@ -24,14 +24,14 @@
     fn connect(&mut self, session: SessionId, server: &ServerId, time_out: Duration) {
         self.attempts.push((session.0, server.to_string(), time_out));
     }
-    fn push_back(&mut self, session: SessionId, pause: Duration) {
-        self.pushed_back.push((session.0, pause));
+    fn reject(&mut self, session: SessionId, retry_after: Duration) {
+        self.rejected.push((session.0, retry_after));
     }
-    fn forfeit(&mut self, session: SessionId) {
-        self.forfeited.push(session.0);
+    fn fail(&mut self, session: SessionId) {
+        self.failed.push(session.0);
     }
-    fn send_away(&mut self, session: SessionId) {
-        self.sent_away.push(session.0);
+    fn migrate(&mut self, session: SessionId) {
+        self.migrated.push(session.0);
     }
     fn subscribe(&mut self) {
         self.subscribed += 1;
@@ -42,7 +42,7 @@
         }
         !self.mute
     }
-    fn wake(&mut self, at: Timestamp) {
+    fn schedule_wakeup(&mut self, at: Timestamp) {
         self.alarms.push(at);
     }
 }
@@ -186,8 +186,14 @@
         place
     }
 
-    pub fn ends(&mut self, session: u64, ending: Ending) {
-        self.chooser.ended(SessionId(session), ending, ending == Ending::Finished, self.now, &mut self.notes);
+    pub fn ends(&mut self, session: u64, outcome: AttemptOutcome) {
+        self.chooser.ended(
+            SessionId(session),
+            outcome,
+            outcome == AttemptOutcome::Completed,
+            self.now,
+            &mut self.notes,
+        );
     }
 
     pub fn messages_take(&mut self, session: u64, ms: u64) {
@@ -203,7 +209,7 @@
         let end = self.now + Duration::from_millis(ms);
         while let Some(i) = self.notes.alarms.iter().position(|at| *at <= end) {
             self.now = self.now.max(self.notes.alarms.remove(i));
-            self.chooser.woke(self.now, &mut self.notes);
+            self.chooser.on_timer(self.now, &mut self.notes);
         }
         self.now = end;
     }
--- a/tests/stories/gathering.rs
+++ b/tests/stories/gathering.rs
@@ -28,7 +28,7 @@
         let session = proxy.arrives(Arrival { group: Some(&group), returned: true, ..plain(&key) });
         while proxy.sent_to(session).last().is_some_and(|place| gone.contains(&place.as_str())) {
             let tried = proxy.sent_to(session).len();
-            proxy.ends(session, Ending::Unreachable);
+            proxy.ends(session, AttemptOutcome::Unreachable);
             if proxy.sent_to(session).len() == tried {
                 break;
             }
@@ -36,7 +36,7 @@
         proxy.chooser.stands(SessionId(session), proxy.now);
         proxy.passes(20);
     }
-    assert_eq!(proxy.notes.pushed_back.len(), 0, "two are sound");
+    assert_eq!(proxy.notes.rejected.len(), 0, "two are sound");
 }
 
 #[test]
@@ -141,7 +141,7 @@
     proxy.chooser.left(SessionId(left));
     asked.iter().for_each(|place| proxy.answers(place, 3));
     proxy.lives(1000);
-    assert!(proxy.notes.attempts.is_empty() && proxy.notes.pushed_back.is_empty());
+    assert!(proxy.notes.attempts.is_empty() && proxy.notes.rejected.is_empty());
     let stays = proxy.arrives(Arrival { group: Some("g"), ..plain("k") });
     proxy.chooser.listed(
         &[Endpoint { state: EndpointState::Draining, ..server(&asked[0]) }],
@@ -178,7 +178,7 @@
     let third = home(&mut proxy, "bank").expect("the one after");
     proxy.strains(&[&third], 500);
     assert_eq!(home(&mut proxy, "bank"), None);
-    assert_eq!(proxy.notes.pushed_back.len(), 1);
+    assert_eq!(proxy.notes.rejected.len(), 1);
 }
 
 /// Three servers for each group where none can be asked: on days of strain half of all load was the groups' own.
--- a/tests/stories/jams.rs
+++ b/tests/stories/jams.rs
@@ -20,7 +20,7 @@
             // As long as it is sent somewhere else.
             for tried in 1..=4 {
                 if proxy.sent_to(session).len() == tried {
-                    proxy.ends(session, Ending::Errored);
+                    proxy.ends(session, AttemptOutcome::Failed);
                 }
             }
             proxy.passes(100);
@@ -37,16 +37,16 @@
     for i in 0..6 {
         let session = proxy.arrives(plain(&format!("jam-{i}")));
         for _ in 0..4 {
-            proxy.ends(session, Ending::Errored);
+            proxy.ends(session, AttemptOutcome::Failed);
         }
     }
-    let (sent, pushed) = (proxy.notes.attempts.len(), proxy.notes.pushed_back.len());
+    let (sent, pushed) = (proxy.notes.attempts.len(), proxy.notes.rejected.len());
     for i in 0..50 {
         proxy.arrives(plain(&format!("storm-{i}")));
     }
     let went = proxy.notes.attempts.len() - sent;
     assert!(went <= 1, "no storm: {went}");
-    assert_eq!(proxy.notes.pushed_back.len() - pushed, 50 - went, "all others are answered at once");
+    assert_eq!(proxy.notes.rejected.len() - pushed, 50 - went, "all others are answered at once");
 }
 
 /// How many of sixty, each one of so many proxies, let a client in, so long after a jam behind all servers in which
--- a/tests/stories/order.rs
+++ b/tests/stories/order.rs
@@ -51,7 +51,7 @@
     let stray = Arrival { mid_flow: true, ..plain(&key) };
     assert_eq!(proxy.settles(stray).as_deref(), Some(away.as_str()));
     for session in 1..=last + 1 {
-        proxy.ends(session, Ending::Finished);
+        proxy.ends(session, AttemptOutcome::Completed);
     }
     proxy.passes(31_000);
     assert_eq!(proxy.settles(stray).as_deref(), Some("a2"));
@@ -74,9 +74,9 @@
     assert_eq!(proxy.settles(keyless), None);
     proxy.chooser.listed(&[Endpoint { state: EndpointState::Draining, ..server("a1") }], true, proxy.now);
     assert_eq!(proxy.settles(plain("any")), None);
-    assert_eq!(proxy.notes.pushed_back.len(), 2);
-    assert!(proxy.notes.pushed_back.iter().all(|(_, pause)| *pause > Duration::ZERO));
-    proxy.ends(77, Ending::Finished);
+    assert_eq!(proxy.notes.rejected.len(), 2);
+    assert!(proxy.notes.rejected.iter().all(|(_, pause)| *pause > Duration::ZERO));
+    proxy.ends(77, AttemptOutcome::Completed);
     proxy.messages_take(77, 500);
     proxy.chooser.left(SessionId(77));
     proxy.chooser.open_already(&plain("open"), "unheard-of", proxy.now);
@@ -135,7 +135,7 @@
     let mut proxy = Proxy::of_four();
     for i in 0..20 {
         let session = proxy.arrives(Arrival { mid_flow: true, ..plain(&format!("stray-{i}")) });
-        proxy.ends(session, Ending::Broken);
+        proxy.ends(session, AttemptOutcome::ConnectionLost);
         assert_eq!(proxy.sent_to(session).len(), 2, "and the next may hold it");
         proxy.chooser.stands(SessionId(session), proxy.now);
     }
--- a/tests/stories/ramp.rs
+++ b/tests/stories/ramp.rs
@@ -63,7 +63,7 @@
 enum Event {
     Comes { client: u64, proxy: usize, returned: bool, tries: u32 },
     Stands { session: u64, place: String },
-    Refused { session: u64, ending: bool },
+    Refused { session: u64, outcome: bool },
     Breaks { session: u64 },
     Ends { session: u64 },
     Wakes,
@@ -206,23 +206,23 @@
                 }
                 self.clients.entry((at, session)).and_modify(|c| c.2 = place);
             }
-            Event::Refused { session, ending } => {
-                let ending = if ending { Ending::TurnedAway } else { Ending::Unreachable };
-                self.proxies[at].ends(session, ending);
+            Event::Refused { session, outcome } => {
+                let outcome = if outcome { AttemptOutcome::Rejected } else { AttemptOutcome::Unreachable };
+                self.proxies[at].ends(session, outcome);
             }
             Event::Breaks { session } => {
                 let Some((client, _, _)) = self.clients.remove(&(at, session)) else { return };
-                self.proxies[at].ends(session, Ending::Broken);
+                self.proxies[at].ends(session, AttemptOutcome::ConnectionLost);
                 self.again(client, 1, at, 300.0);
             }
             Event::Ends { session } => {
                 if self.clients.remove(&(at, session)).is_some() {
-                    self.proxies[at].ends(session, Ending::Finished);
+                    self.proxies[at].ends(session, AttemptOutcome::Completed);
                 }
             }
             Event::Wakes => {
                 let proxy = &mut self.proxies[at];
-                proxy.chooser.woke(now, &mut proxy.notes);
+                proxy.chooser.on_timer(now, &mut proxy.notes);
             }
             Event::Answers { place } => self.proxies[at].answers(&place, 3),
             Event::Lost => self.zone(None),
@@ -267,7 +267,7 @@
             }
             let odd = self.luck.generate();
             if self.below(20.0) < 1.0 {
-                self.at(self.now_ms + late, at, Event::Refused { session, ending: odd });
+                self.at(self.now_ms + late, at, Event::Refused { session, outcome: odd });
             } else {
                 let lasts = -8000.0 * f64::ln(1.0 - self.below(0.999));
                 self.at(self.now_ms + late, at, Event::Stands { session, place });
@@ -278,12 +278,12 @@
             let answered = self.now_ms + 1.0 + self.below(4.0);
             self.at(answered, at, Event::Answers { place });
         }
-        let back = notes.pushed_back.iter().map(|p| (p.0, p.1.as_ms()));
-        let away = notes.sent_away.iter().map(|c| (*c, 500.0));
+        let back = notes.rejected.iter().map(|p| (p.0, p.1.as_ms()));
+        let away = notes.migrated.iter().map(|c| (*c, 500.0));
         for (session, pause) in back.chain(away).collect::<Vec<_>>() {
             let Some((client, tries, place)) = self.clients.remove(&(at, session)) else { continue };
             if !place.is_empty() {
-                self.proxies[at].ends(session, Ending::Finished);
+                self.proxies[at].ends(session, AttemptOutcome::Completed);
             }
             self.again(client, tries + 1, at, pause);
         }
--- a/tests/stories/relief.rs
+++ b/tests/stories/relief.rs
@@ -12,7 +12,7 @@
         let mut proxy = Proxy::seeded(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15), &TWELVE.map(server));
         proxy.settles(plain("lift-1"));
         proxy.messages_take(1, 500);
-        proxy.notes.sent_away.len()
+        proxy.notes.migrated.len()
     };
     let away: usize = (0..100).map(strained).sum();
     assert!((20..=50).contains(&away), "{away}");
@@ -29,12 +29,12 @@
     proxy.settles(member(&light));
     proxy.settles(member(&heavy));
     proxy.chooser.load_is(SessionId(3), 9.0);
-    while proxy.notes.sent_away.is_empty() {
+    while proxy.notes.migrated.is_empty() {
         proxy.messages_take(2, 200);
     }
-    assert_eq!(proxy.notes.sent_away, [3], "the heavier guest");
+    assert_eq!(proxy.notes.migrated, [3], "the heavier guest");
     (0..50).for_each(|_| proxy.messages_take(2, 200));
-    assert_eq!(proxy.notes.sent_away, [3, 2], "each once, and nobody who is at home");
+    assert_eq!(proxy.notes.migrated, [3, 2], "each once, and nobody who is at home");
     assert_eq!(proxy.settles(returned(&heavy)).as_deref(), Some(home.as_str()));
 }
 
@@ -43,9 +43,9 @@
     let mut proxy = Proxy::of_four();
     home(&mut proxy, "bank");
     (0..50).for_each(|_| proxy.messages_take(1, 100));
-    assert!(proxy.notes.sent_away.is_empty());
+    assert!(proxy.notes.migrated.is_empty());
     (0..50).for_each(|_| proxy.messages_take(1, 500));
-    assert_eq!(proxy.notes.sent_away, [1]);
+    assert_eq!(proxy.notes.migrated, [1]);
 }
 
 /// With a third of a strained server's guests at a time a fleet strained all over was never relieved.
@@ -55,9 +55,9 @@
         let strained = |seed: u64| {
             let mut proxy = Proxy::seeded(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15), &TWELVE.map(server));
             proxy.strains(&["a2", "a3", "a4"], others);
-            let before = proxy.notes.sent_away.len();
+            let before = proxy.notes.migrated.len();
             proxy.strains(&["a1"], 500);
-            proxy.notes.sent_away.len() - before
+            proxy.notes.migrated.len() - before
         };
         (0..100).map(strained).sum::<usize>()
     };
@@ -83,12 +83,12 @@
     for ms in [2, 3] {
         proxy.chooser.probed(&place, Duration::from_millis(ms), proxy.now, &mut proxy.notes);
     }
-    assert!(proxy.notes.sent_away.is_empty(), "a probe half as slow again is chance");
+    assert!(proxy.notes.migrated.is_empty(), "a probe half as slow again is chance");
     for _ in 0..12 {
         proxy.chooser.probed(&place, Duration::from_millis(30), proxy.now, &mut proxy.notes);
     }
-    assert!(!proxy.notes.sent_away.is_empty());
-    assert!(proxy.notes.sent_away.iter().all(|c| proxy.sent_to(*c) == [place.clone()]));
+    assert!(!proxy.notes.migrated.is_empty());
+    assert!(proxy.notes.migrated.iter().all(|c| proxy.sent_to(*c) == [place.clone()]));
     let before = proxy.notes.probed.iter().filter(|p| **p == place).count();
     proxy.lives(2200);
     let after = proxy.notes.probed.iter().filter(|p| **p == place).count();
@@ -106,11 +106,11 @@
     let draining = Endpoint { state: EndpointState::Draining, ..server(&place) };
     proxy.chooser.listed(&[draining], false, proxy.now);
     proxy.chooser.look_round(true, proxy.now, &mut proxy.notes);
-    assert!(proxy.notes.sent_away.len() <= 1, "one at a time");
+    assert!(proxy.notes.migrated.len() <= 1, "one at a time");
     proxy.lives(8000);
-    let mut sent_away = proxy.notes.sent_away.clone();
-    sent_away.sort_unstable();
-    assert_eq!(sent_away, held);
+    let mut migrated = proxy.notes.migrated.clone();
+    migrated.sort_unstable();
+    assert_eq!(migrated, held);
 }
 
 #[test]
@@ -119,7 +119,7 @@
     proxy.settles(plain("lift-1"));
     proxy.messages_take(1, 4000);
     proxy.messages_take(1, 5000);
-    assert_eq!(proxy.notes.sent_away, [1]);
+    assert_eq!(proxy.notes.migrated, [1]);
 }
 
 #[test]
@@ -133,5 +133,5 @@
     proxy.passes(60_000);
     assert_eq!(proxy.settles(plain(&key)).as_deref(), Some("a1"));
     proxy.chooser.probed("a1", Duration::from_millis(2), proxy.now, &mut proxy.notes);
-    assert!(proxy.notes.sent_away.is_empty());
+    assert!(proxy.notes.migrated.is_empty());
 }
--- a/tests/stories/trust.rs
+++ b/tests/stories/trust.rs
@@ -23,7 +23,7 @@
         proxy.messages_take(session, 500);
     }
     let session = proxy.arrives(plain("one more"));
-    assert_eq!(proxy.notes.pushed_back.iter().map(|(c, _)| *c).collect::<Vec<_>>(), [session]);
+    assert_eq!(proxy.notes.rejected.iter().map(|(c, _)| *c).collect::<Vec<_>>(), [session]);
 }
 
 #[test]
@@ -61,7 +61,7 @@
     for _ in 0..3 {
         let bad = proxy.arrives(plain("bad"));
         for _ in 0..4 {
-            proxy.ends(bad, Ending::Errored);
+            proxy.ends(bad, AttemptOutcome::Failed);
         }
         assert_eq!(proxy.sent_to(bad).len(), 4, "it may still be the servers");
     }
@@ -72,7 +72,7 @@
     }
     let elsewhere = proxy.notes.attempts[before..].iter().filter(|c| c.1 != first).count();
     assert!(elsewhere >= 100 * 11 / 12 - 5, "the others keep theirs: {elsewhere}");
-    assert!(proxy.notes.pushed_back.len() <= 5, "{:?}", proxy.notes.pushed_back.len());
+    assert!(proxy.notes.rejected.len() <= 5, "{:?}", proxy.notes.rejected.len());
 }
 
 /// One kind of machine restarted within half a second: who held three of them went on to the others of their kind.
