--- a/crates/adapter/src/main.rs
+++ b/crates/adapter/src/main.rs
@@ -3,7 +3,7 @@
 mod wire;
 
 use anyhow::{bail, Context, Result};
-use shelfgrade::choice::Chooser;
+use shelfgrade::choice::LoadBalancer;
 use shelfgrade::host::{Arrival, AttemptOutcome, Endpoint, EndpointState, Host, ServerId, SessionId};
 use shelfgrade::time::{DurationExt, Timestamp};
 use shelfgrade_terms::Terms;
@@ -26,7 +26,7 @@
 
 /// One instance: its decisions, and the names by which its sessions call request classes.
 struct Instance {
-    chooser: Chooser,
+    balancer: LoadBalancer,
     classes: Vec<String>,
     may_probe: bool,
     list_is_pushed: bool,
@@ -110,8 +110,8 @@
     fn event(&mut self, who: u64, line: &Line) -> Result<()> {
         if line.name == "BORN" {
             let terms = shelfgrade_terms::parse(line.whole("salt")?, line.required("env")?).context("env")?;
-            let Terms { chooser, classes, may_probe, list_is_pushed, .. } = terms;
-            self.instances.insert(who, Instance { chooser, classes, may_probe, list_is_pushed });
+            let Terms { balancer, classes, may_probe, list_is_pushed, .. } = terms;
+            self.instances.insert(who, Instance { balancer, classes, may_probe, list_is_pushed });
             return Ok(());
         }
         if line.name == "HALT" {
@@ -124,7 +124,7 @@
             .get_mut(&who)
             .with_context(|| format!("{} for instance {who}, which is not running", line.name))?;
         let host = self.reply.of(who, instance);
-        let Instance { chooser, classes, list_is_pushed, .. } = instance;
+        let Instance { balancer, classes, list_is_pushed, .. } = instance;
         match line.name {
             "TARGETS" => {
                 let form = line.required("form")?;
@@ -134,7 +134,7 @@
                     "replace" | "restored" => true,
                     "unavailable" if *list_is_pushed => return Ok(()),
                     "unavailable" => {
-                        chooser.list_failed(now, now, host);
+                        balancer.on_poll_failed(now, now, host);
                         return Ok(());
                     }
                     _ => bail!("form={form} is unknown"),
@@ -143,26 +143,30 @@
                 self.list = Some(OpenList { who, whole, restored, missing, lines: Vec::new() });
                 self.close_list_when_full();
             }
-            "REQUEST" => chooser.arrived(&arrival(line, classes)?, now, host),
-            "PREEXISTING" => chooser.open_already(&arrival(line, classes)?, line.required("server")?, now),
-            "FLOWING" => chooser.stands(line.session()?, now),
-            "FINISHED" => chooser.ended(line.session()?, outcome(line)?, line.flag("last")?, now, host),
+            "REQUEST" => balancer.on_request(&arrival(line, classes)?, now, host),
+            "PREEXISTING" => {
+                balancer.restore_session(&arrival(line, classes)?, line.required("server")?, now)
+            }
+            "FLOWING" => balancer.on_established(line.session()?, now),
+            "FINISHED" => {
+                balancer.on_attempt_ended(line.session()?, outcome(line)?, line.flag("last")?, now, host)
+            }
             "HEARTBEAT" => match line.whole("what")? {
-                1 => chooser.load_is(line.session()?, line.number("value")?),
-                2 => chooser.messages_take(line.session()?, line.span("value")?, now, host),
+                1 => balancer.on_load_report(line.session()?, line.number("value")?),
+                2 => balancer.on_message_latency(line.session()?, line.span("value")?, now, host),
                 // A kind of note that is not known tells nothing.
                 _ => {}
             },
-            "HANGUP" => chooser.left(line.session()?),
+            "HANGUP" => balancer.on_client_closed(line.session()?),
             "FIRED" => {
                 line.whole("label")?;
-                chooser.on_timer(now, host);
+                balancer.on_timer(now, host);
             }
             // Nothing is decided by these yet, but a malformed one is still a fault.
             "MESSAGE" => drop(line.whole("from")?),
             // Only a probe that was served tells how long work takes.
             "STATUS_BACK" if line.whole("result")? == 1 => {
-                chooser.probed(line.required("server")?, line.span("cost_time_ms")?, now, host);
+                balancer.on_health_check(line.required("server")?, line.span("cost_time_ms")?, now, host);
             }
             "STATUS_BACK" => drop(line.required("server")?),
             name => bail!("{name} is no message of this wire"),
@@ -198,9 +202,9 @@
         let Some(instance) = self.instances.get_mut(&list.who) else { return };
         if list.restored {
             let host = self.reply.of(list.who, instance);
-            instance.chooser.start(&list.lines, self.now, host);
+            instance.balancer.start(&list.lines, self.now, host);
         } else {
-            instance.chooser.listed(&list.lines, list.whole, self.now);
+            instance.balancer.on_endpoints(&list.lines, list.whole, self.now);
         }
     }
 }
@@ -285,7 +289,7 @@
         }
     }
 
-    fn probe(&mut self, server: &ServerId) -> bool {
+    fn check_health(&mut self, server: &ServerId) -> bool {
         if self.may_probe {
             self.say(format_args!("ASK_LOAD server={server}"));
         }
--- a/crates/proxy/src/choosers.rs
+++ b/crates/proxy/src/choosers.rs
@@ -1,8 +1,8 @@
 //! The decisions of one process: one set for all sessions, and one for each customer that has a namespace, so that no
 //! customer's storm, jam or strain is another's. Each is the same decision module.
 
-use shelfgrade::choice::Chooser;
-use shelfgrade::handover::Remembered;
+use shelfgrade::choice::LoadBalancer;
+use shelfgrade::handover::FlowEntry;
 use shelfgrade::host::{Arrival, AttemptOutcome, Endpoint, EndpointState, Host, ServerId, SessionId};
 use shelfgrade::time::Timestamp;
 use std::collections::{BTreeMap, BTreeSet};
@@ -10,10 +10,10 @@
 use std::time::Duration;
 
 /// Makes decisions for one more customer, from a seed.
-pub type Make = Box<dyn Fn(u64) -> Option<Chooser>>;
+pub type Make = Box<dyn Fn(u64) -> Option<LoadBalancer>>;
 
 struct Own {
-    chooser: Chooser,
+    balancer: LoadBalancer,
     /// What its customer is granted, in the order of the ids, and the part of the whole.
     granted: Rc<[ServerId]>,
     share: f64,
@@ -21,8 +21,8 @@
     idle_since: Option<Timestamp>,
 }
 
-pub struct Choosers {
-    common: Chooser,
+pub struct TenantBalancers {
+    common: LoadBalancer,
     common_share: f64,
     make: Make,
     seed: u64,
@@ -32,14 +32,14 @@
     owner: BTreeMap<SessionId, Rc<str>>,
     list: BTreeMap<ServerId, Endpoint>,
     /// What an earlier life remembered, and until when that is of use.
-    remembered: Vec<(Remembered, Timestamp)>,
+    remembered: Vec<(FlowEntry, Timestamp)>,
     probing: bool,
     part: f64,
 }
 
-impl Choosers {
-    pub fn new(common: Chooser, make: Make, seed: u64) -> Self {
-        Choosers {
+impl TenantBalancers {
+    pub fn new(common: LoadBalancer, make: Make, seed: u64) -> Self {
+        TenantBalancers {
             common,
             common_share: 1.0,
             make,
@@ -70,20 +70,20 @@
         self.list.values().cloned().collect()
     }
 
-    pub fn listed(&mut self, lines: &[Endpoint], whole: bool, now: Timestamp) {
+    pub fn on_endpoints(&mut self, lines: &[Endpoint], whole: bool, now: Timestamp) {
         self.keep(lines, whole);
-        self.common.listed(lines, whole, now);
+        self.common.on_endpoints(lines, whole, now);
         for own in self.own.values_mut() {
-            own.chooser.listed(&granted(&self.list, &own.granted), true, now);
+            own.balancer.on_endpoints(&granted(&self.list, &own.granted), true, now);
         }
     }
 
-    pub fn list_lost(&mut self, due: Timestamp, host: &mut dyn Host) {
-        self.common.list_lost(due, host);
+    pub fn on_watch_lost(&mut self, due: Timestamp, host: &mut dyn Host) {
+        self.common.on_watch_lost(due, host);
     }
 
-    pub fn list_failed(&mut self, since: Timestamp, now: Timestamp, host: &mut dyn Host) {
-        self.common.list_failed(since, now, host);
+    pub fn on_poll_failed(&mut self, since: Timestamp, now: Timestamp, host: &mut dyn Host) {
+        self.common.on_poll_failed(since, now, host);
     }
 
     /// Customers that have decisions of their own now.
@@ -95,8 +95,8 @@
     pub fn has_space(&mut self, customer: &Rc<str>, servers: &Rc<[ServerId]>, share: f64, now: Timestamp) {
         if let Some(own) = self.own.get_mut(customer) {
             (own.granted, own.share) = (servers.clone(), share);
-            own.chooser.listed(&granted(&self.list, servers), true, now);
-            self.may_do(self.part);
+            own.balancer.on_endpoints(&granted(&self.list, servers), true, now);
+            self.set_quota_fraction(self.part);
         }
     }
 
@@ -114,46 +114,46 @@
     ) {
         let seed = self.seed ^ xxhash_rust::xxh3::xxh3_64(customer.as_bytes());
         // The settings made the common ones, so they make these.
-        let Some(mut chooser) = (self.make)(seed) else { return };
-        chooser.listed(&granted(&self.list, &servers), true, now);
-        chooser.look_round(self.probing, now, host);
+        let Some(mut balancer) = (self.make)(seed) else { return };
+        balancer.on_endpoints(&granted(&self.list, &servers), true, now);
+        balancer.start_periodic_checks(self.probing, now, host);
         self.remembered.retain(|(_, until)| now < *until);
         for (remembered, until) in &self.remembered {
-            chooser.remember(remembered, until.since(now), now);
+            balancer.restore_flow(remembered, until.since(now), now);
         }
-        self.own.insert(customer, Own { chooser, granted: servers, share, idle_since: None });
-        self.may_do(self.part);
+        self.own.insert(customer, Own { balancer, granted: servers, share, idle_since: None });
+        self.set_quota_fraction(self.part);
     }
 
     /// The part of the whole for those without a namespace.
     pub fn common_has(&mut self, share: f64) {
         self.common_share = share;
-        self.may_do(self.part);
+        self.set_quota_fraction(self.part);
     }
 
     /// What this process may do of what the fleet may, in parts of one proxy's; 0 where nobody has said.
-    pub fn may_do(&mut self, part: f64) {
+    pub fn set_quota_fraction(&mut self, part: f64) {
         self.part = part;
         let part = if part > 0.0 { part } else { 1.0 };
-        self.common.may_do(part * self.common_share);
-        self.own.values().for_each(|own| own.chooser.may_do(part * own.share));
+        self.common.set_quota_fraction(part * self.common_share);
+        self.own.values().for_each(|own| own.balancer.set_quota_fraction(part * own.share));
     }
 
     pub fn proxies(&self) -> f64 {
         self.common.proxies()
     }
 
-    fn of(&mut self, session: SessionId) -> &mut Chooser {
+    fn of(&mut self, session: SessionId) -> &mut LoadBalancer {
         let own = self.owner.get(&session).and_then(|customer| self.own.get_mut(customer));
-        own.map_or(&mut self.common, |own| &mut own.chooser)
+        own.map_or(&mut self.common, |own| &mut own.balancer)
     }
 
-    fn all(&mut self) -> impl Iterator<Item = &mut Chooser> {
-        std::iter::once(&mut self.common).chain(self.own.values_mut().map(|own| &mut own.chooser))
+    fn all(&mut self) -> impl Iterator<Item = &mut LoadBalancer> {
+        std::iter::once(&mut self.common).chain(self.own.values_mut().map(|own| &mut own.balancer))
     }
 
     /// `customer`: whose decisions it is for, where not the common ones'.
-    pub fn arrived(
+    pub fn on_request(
         &mut self,
         customer: Option<&Rc<str>>,
         arrival: &Arrival,
@@ -163,22 +163,22 @@
         if let Some(customer) = customer {
             self.owner.insert(arrival.session, customer.clone());
         }
-        self.of(arrival.session).arrived(arrival, now, host);
+        self.of(arrival.session).on_request(arrival, now, host);
     }
 
-    pub fn open_already(&mut self, arrival: &Arrival, server: &str, now: Timestamp) {
-        self.of(arrival.session).open_already(arrival, server, now);
+    pub fn restore_session(&mut self, arrival: &Arrival, server: &str, now: Timestamp) {
+        self.of(arrival.session).restore_session(arrival, server, now);
     }
 
-    pub fn stands(&mut self, session: SessionId, now: Timestamp) {
-        self.of(session).stands(session, now);
+    pub fn on_established(&mut self, session: SessionId, now: Timestamp) {
+        self.of(session).on_established(session, now);
     }
 
-    pub fn may_begin(&mut self, session: SessionId, now: Timestamp) -> bool {
-        self.of(session).may_begin(session, now)
+    pub fn may_send_request(&mut self, session: SessionId, now: Timestamp) -> bool {
+        self.of(session).may_send_request(session, now)
     }
 
-    pub fn ended(
+    pub fn on_attempt_ended(
         &mut self,
         session: SessionId,
         outcome: AttemptOutcome,
@@ -186,46 +186,52 @@
         now: Timestamp,
         host: &mut dyn Host,
     ) {
-        self.of(session).ended(session, outcome, done, now, host);
+        self.of(session).on_attempt_ended(session, outcome, done, now, host);
     }
 
-    pub fn left(&mut self, session: SessionId) {
-        self.of(session).left(session);
+    pub fn on_client_closed(&mut self, session: SessionId) {
+        self.of(session).on_client_closed(session);
     }
 
-    pub fn load_is(&mut self, session: SessionId, load: f64) {
-        self.of(session).load_is(session, load);
+    pub fn on_load_report(&mut self, session: SessionId, load: f64) {
+        self.of(session).on_load_report(session, load);
     }
 
-    pub fn messages_take(&mut self, session: SessionId, took: Duration, now: Timestamp, host: &mut dyn Host) {
-        self.of(session).messages_take(session, took, now, host);
+    pub fn on_message_latency(
+        &mut self,
+        session: SessionId,
+        took: Duration,
+        now: Timestamp,
+        host: &mut dyn Host,
+    ) {
+        self.of(session).on_message_latency(session, took, now, host);
     }
 
     pub fn on_timer(&mut self, now: Timestamp, host: &mut dyn Host) {
-        self.all().for_each(|chooser| chooser.on_timer(now, host));
+        self.all().for_each(|balancer| balancer.on_timer(now, host));
     }
 
-    pub fn look_round(&mut self, probing: bool, now: Timestamp, host: &mut dyn Host) {
+    pub fn start_periodic_checks(&mut self, probing: bool, now: Timestamp, host: &mut dyn Host) {
         self.probing = probing;
-        self.common.look_round(probing, now, host);
+        self.common.start_periodic_checks(probing, now, host);
     }
 
-    pub fn probed(&mut self, server: &str, took: Duration, now: Timestamp, host: &mut dyn Host) {
-        self.all().for_each(|chooser| chooser.probed(server, took, now, host));
+    pub fn on_health_check(&mut self, server: &str, took: Duration, now: Timestamp, host: &mut dyn Host) {
+        self.all().for_each(|balancer| balancer.on_health_check(server, took, now, host));
     }
 
-    pub fn ends(&mut self, calls_left: usize, host: &mut dyn Host) {
-        self.all().for_each(|chooser| chooser.ends(calls_left, host));
+    pub fn migrate_sessions(&mut self, calls_left: usize, host: &mut dyn Host) {
+        self.all().for_each(|balancer| balancer.migrate_sessions(calls_left, host));
     }
 
-    pub fn remembered(&self) -> Vec<Remembered> {
-        let own = self.own.values().flat_map(|own| own.chooser.remembered());
-        self.common.remembered().into_iter().chain(own).collect()
+    pub fn flow_entries(&self) -> Vec<FlowEntry> {
+        let own = self.own.values().flat_map(|own| own.balancer.flow_entries());
+        self.common.flow_entries().into_iter().chain(own).collect()
     }
 
-    pub fn remember(&mut self, remembered: &Remembered, within: Duration, now: Timestamp) -> bool {
+    pub fn restore_flow(&mut self, remembered: &FlowEntry, within: Duration, now: Timestamp) -> bool {
         self.remembered.push((remembered.clone(), now + within));
-        self.all().fold(false, |known, chooser| chooser.remember(remembered, within, now) | known)
+        self.all().fold(false, |known, balancer| balancer.restore_flow(remembered, within, now) | known)
     }
 
     /// Called once a second: forgets whose sessions those were that are no more, and the decisions of who has had none
--- a/crates/proxy/src/client.rs
+++ b/crates/proxy/src/client.rs
@@ -31,7 +31,7 @@
         if self.stage.get() == Stage::Asking {
             let asks = self.still_asks(&mut proxy.hands);
             if !asks {
-                proxy.left(self.id);
+                proxy.on_client_closed(self.id);
             }
             return !asks;
         }
--- a/crates/proxy/src/comeback.rs
+++ b/crates/proxy/src/comeback.rs
@@ -8,7 +8,7 @@
 use crate::spaces::{Changed, Decided, Shared, Spaces};
 use crate::windows::WINDOWS;
 use serde::{de::DeserializeOwned, Serialize};
-use shelfgrade::handover::Remembered;
+use shelfgrade::handover::FlowEntry;
 use shelfgrade::host::{Endpoint, EndpointState, Host, ServerId, Turn};
 use shelfgrade_recovery::around::{Line, Terms};
 use shelfgrade_recovery::order::{Owed, State};
@@ -31,7 +31,7 @@
         classes: owed.collect(),
         shares: settings.customers.iter().map(|(_, share)| *share).collect(),
         wait: file.list_wait,
-        warm_up: settings.warm_up,
+        slow_start: settings.slow_start,
         most_pause: settings.most_pause,
     }
 }
@@ -47,8 +47,8 @@
         self.look_at_windows();
         self.go_by_lines(lines.iter().map(|line| (line.listed.clone(), line.dial)).collect(), whole);
         self.told.retain(|_, (line, _)| line.state != EndpointState::Removed);
-        self.spaces.follow(self.chooser.list());
-        let live = self.chooser.customers();
+        self.spaces.follow(self.balancer.list());
+        let live = self.balancer.customers();
         let changed = live.iter().filter_map(|customer| self.spaces.changed(customer)).collect();
         self.go_by(changed);
         self.hands.take_over_waiting();
@@ -69,9 +69,9 @@
         self.list_is_here();
     }
 
-    fn held_before(&mut self, remembered: &Remembered) {
+    fn held_before(&mut self, remembered: &FlowEntry) {
         let now = self.hands.clock.now();
-        if self.chooser.remember(remembered, REMEMBERED, now) {
+        if self.balancer.restore_flow(remembered, REMEMBERED, now) {
             self.hands.tally.count("keys known from before");
         }
     }
@@ -80,20 +80,20 @@
         self.hands.tally.complain("lists not taken");
         self.discovery.forget(self);
         let now = self.hands.clock.now();
-        self.chooser.list_failed(now, now, &mut self.hands);
+        self.balancer.on_poll_failed(now, now, &mut self.hands);
         self.settle();
     }
 
-    fn may_do(&mut self, part: f64) {
+    fn set_quota_fraction(&mut self, part: f64) {
         // The decisions use half of the bound on a cold server and leave the rest to chance, as each proxy guesses its
         // part. Parts that are known leave less of it: with half as much again the nearest of three losses of power, at
         // six and at forty processes, came to three quarters of the bound.
         const SURER: f64 = 1.5;
-        self.chooser.may_do(part * self.chooser.proxies() * SURER);
+        self.balancer.set_quota_fraction(part * self.balancer.proxies() * SURER);
     }
 
-    fn remembered(&self) -> Vec<Remembered> {
-        self.chooser.remembered()
+    fn flow_entries(&self) -> Vec<FlowEntry> {
+        self.balancer.flow_entries()
     }
 
     fn shared(&mut self, key: &str) {
@@ -170,11 +170,11 @@
     /// Goes by these lines, as far as windows leave them what they are.
     fn go_by_lines(&mut self, lines: Vec<(Endpoint, Option<SocketAddr>)>, whole: bool) {
         let now = self.hands.clock.now();
-        let as_put = |line: &Endpoint| self.windows.line(line, self.warm_up, now);
+        let as_put = |line: &Endpoint| self.windows.line(line, self.slow_start, now);
         let lines: Vec<_> = lines.iter().map(|(line, dial)| (as_put(line), *dial)).collect();
         self.hands.follow(lines.iter().map(|(line, dial)| (line, *dial)), whole);
         let listed: Vec<_> = lines.into_iter().map(|(line, _)| line).collect();
-        self.chooser.listed(&listed, whole, now);
+        self.balancer.on_endpoints(&listed, whole, now);
     }
 
     /// Called once a second, and with each word of the list before anybody goes by it: sites empty, close and come back by
@@ -207,9 +207,9 @@
     fn go_by(&mut self, changed: Vec<Changed>) {
         let now = self.hands.clock.now();
         for (customer, servers, share) in changed {
-            self.chooser.has_space(&customer, &servers, share, now);
+            self.balancer.has_space(&customer, &servers, share, now);
         }
-        self.chooser.common_has(self.spaces.common_share());
+        self.balancer.common_has(self.spaces.common_share());
     }
 
     /// What the namespace of its customer decides of a session, where there is one.
--- a/crates/proxy/src/discovery.rs
+++ b/crates/proxy/src/discovery.rs
@@ -76,12 +76,12 @@
 /// Who follows the list, and whose loop carries the calls.
 pub trait Follower: OnLoop {
     /// Discovery has told a list; true where it is to be watched on from there.
-    fn listed(&mut self, list: &EndpointList) -> bool;
+    fn on_endpoints(&mut self, list: &EndpointList) -> bool;
     /// A call that was out since then was refused or has failed.
-    fn list_failed(&mut self, error: &CallError, since: Timestamp);
+    fn on_poll_failed(&mut self, error: &CallError, since: Timestamp);
     /// A watch, or a call that was taken, has had no answer in its time, or one that is of no use: it is broken, and is
     /// asked for anew at once. What it missed counts as told at `due`.
-    fn list_missed(&mut self, error: &CallError, due: Timestamp);
+    fn on_watch_lost(&mut self, error: &CallError, due: Timestamp);
 }
 
 pub struct Discovery<F: Follower> {
@@ -256,7 +256,7 @@
                     self.call.take();
                     self.seq.set(Some(list.seq));
                     self.heard.set(true);
-                    if follower.listed(&list) {
+                    if follower.on_endpoints(&list) {
                         self.call(true, follower);
                     }
                 }
@@ -269,7 +269,7 @@
     fn missed(&self, error: &CallError, due: Timestamp, follower: &mut F) {
         self.heard.set(false);
         self.drop_call(follower);
-        follower.list_missed(error, due);
+        follower.on_watch_lost(error, due);
     }
 
     fn failed(&self, error: &CallError, follower: &mut F) {
@@ -286,7 +286,7 @@
             return self.missed(error, follower.now(), follower);
         }
         self.drop_call(follower);
-        follower.list_failed(error, self.began.get());
+        follower.on_poll_failed(error, self.began.get());
     }
 
     /// What was told is not gone by: the next call is for the whole list.
--- a/crates/proxy/src/early.rs
+++ b/crates/proxy/src/early.rs
@@ -106,16 +106,16 @@
                 turn = Some(turn.unwrap_or(Turn { before: 2.0, again: NO_ROOM }))
                     .map(|t| Turn { before: 2.0, ..t });
             }
-            if let Some(ruled) = ruled.as_ref().filter(|ruled| !self.chooser.knows(&ruled.customer)) {
+            if let Some(ruled) = ruled.as_ref().filter(|ruled| !self.balancer.knows(&ruled.customer)) {
                 let space = self.spaces.changed(&ruled.customer);
-                space.into_iter().for_each(|space| self.chooser.begin(space, now, &mut self.hands));
+                space.into_iter().for_each(|space| self.balancer.begin(space, now, &mut self.hands));
             }
             let among = ruled.as_ref().map(|ruled| &ruled.among);
             let whose = ruled.as_ref().map(|ruled| &ruled.customer);
             let arrival =
                 crate::proxy::arrival(session, session.since.get() + session.opening.request_timeout);
             *session.place.borrow_mut() = ruled.as_ref().map(|ruled| ruled.place.clone());
-            self.chooser.arrived(whose, &Arrival { turn, among, ..arrival }, now, &mut self.hands);
+            self.balancer.on_request(whose, &Arrival { turn, among, ..arrival }, now, &mut self.hands);
             // Not turned away: it was let in, or is about to be.
             let let_in = turn.is_some() && session.stage.get() == Stage::Asking;
             self.fellows.iter().filter(|_| let_in).for_each(|fellows| fellows.let_in());
--- a/crates/proxy/src/ending.rs
+++ b/crates/proxy/src/ending.rs
@@ -62,7 +62,7 @@
         let Some(past) = self.told_to_end.map(|told| now.since(told)) else { return };
         if past >= stay_for {
             let ticks_left = open_for.as_ms() - past.as_ms();
-            self.chooser.ends((ticks_left / TICK.as_millis() as f64) as usize, &mut self.hands);
+            self.balancer.migrate_sessions((ticks_left / TICK.as_millis() as f64) as usize, &mut self.hands);
             self.settle();
         }
         let sessions: Vec<Rc<Session>> = self.hands.sessions.values().cloned().collect();
--- a/crates/proxy/src/fellows.rs
+++ b/crates/proxy/src/fellows.rs
@@ -9,7 +9,7 @@
 use calloop::timer::{TimeoutAction, Timer};
 use calloop::{Interest, Mode, PostAction, RegistrationToken};
 use serde::{de::DeserializeOwned, Serialize};
-use shelfgrade::handover::Remembered;
+use shelfgrade::handover::FlowEntry;
 use shelfgrade::host::Turn;
 use shelfgrade::time::Timestamp;
 use shelfgrade_fleet::{Entry, PutError, Seat, Surroundings, Version};
@@ -28,13 +28,13 @@
     fn follow(&mut self, lines: Vec<Line>, whole: bool);
     fn watch(&mut self, watches: bool);
     fn enters(&mut self, state: State);
-    fn held_before(&mut self, remembered: &Remembered);
+    fn held_before(&mut self, remembered: &FlowEntry);
     /// Discovery's list was not gone by: all of it is to be asked for again, after a while.
     fn list_not_taken(&mut self);
     /// What this process may do of what the fleet may, from 0 to 1.
-    fn may_do(&mut self, part: f64);
+    fn set_quota_fraction(&mut self, part: f64);
     /// What the decisions remember, for the disk.
-    fn remembered(&self) -> Vec<Remembered>;
+    fn flow_entries(&self) -> Vec<FlowEntry>;
     /// Something that others put into what all share is new, or has changed.
     fn shared(&mut self, key: &str);
     fn complain(&self, what: &'static str);
@@ -111,7 +111,7 @@
     }
     fn held_before(&mut self, key: u64, server: &str, started_ms: f64) {
         let started = (started_ms > 0.0).then(|| Timestamp::from_ms(started_ms));
-        let remembered = Remembered { key, server: server.to_owned(), started };
+        let remembered = FlowEntry { key, server: server.to_owned(), started };
         self.tell(move |company| company.held_before(&remembered));
     }
     fn refused_list(&mut self, why: &str) {
@@ -207,7 +207,7 @@
             told.into_iter().for_each(|tell| tell(company));
         }
         let now = company.now();
-        company.may_do(self.core.borrow().part(now));
+        company.set_quota_fraction(self.core.borrow().part(now));
         if let Some(token) = self.timer.take() {
             company.handle().remove(token);
         }
@@ -235,7 +235,7 @@
     }
 
     fn bytes(&self, now: Timestamp, company: &C) -> (u64, Vec<u8>) {
-        let held = company.remembered().into_iter().map(|held| (held.key, held.server));
+        let held = company.flow_entries().into_iter().map(|held| (held.key, held.server));
         let saved = self.core.borrow_mut().save(held, wall_ms(now));
         (saved.number, snapshot::write(&saved))
     }
@@ -252,7 +252,7 @@
     /// was stopped: they are asked for again with each.
     pub fn turn(&self, of: (Option<usize>, Option<usize>), key: u64, company: &mut C) -> Option<Turn> {
         let now = company.now();
-        company.may_do(self.core.borrow().part(now));
+        company.set_quota_fraction(self.core.borrow().part(now));
         self.core.borrow_mut().turn(of, key, now)
     }
 
--- a/crates/proxy/src/hands.rs
+++ b/crates/proxy/src/hands.rs
@@ -282,7 +282,7 @@
         }
     }
 
-    fn probe(&mut self, server: &ServerId) -> bool {
+    fn check_health(&mut self, server: &ServerId) -> bool {
         let server = self.servers.get(server).filter(|_| self.may_probe).cloned();
         self.to_probe.extend(server.clone());
         server.is_some()
@@ -297,7 +297,7 @@
         let timer = Timer::from_duration(at.since(self.clock.now()));
         let set = self.handle.insert_source(timer, |_, _, proxy| {
             let now = proxy.now();
-            proxy.chooser.on_timer(now, &mut proxy.hands);
+            proxy.balancer.on_timer(now, &mut proxy.hands);
             proxy.settle();
             TimeoutAction::Drop
         });
--- a/crates/proxy/src/http.rs
+++ b/crates/proxy/src/http.rs
@@ -75,7 +75,7 @@
         !self.come.is_empty() || matches!(self.part, Some(Part::Body(_)))
     }
 
-    /// The answer, once it is there; `ended` where nothing more can come.
+    /// The answer, once it is there; `on_attempt_ended` where nothing more can come.
     pub fn answer(&mut self, ended: bool) -> Result<Option<Answer>, HttpError> {
         if self.come.len() + self.body.len() > LONGEST_ANSWER {
             return Err(HttpError::Endless);
--- a/crates/proxy/src/probe.rs
+++ b/crates/proxy/src/probe.rs
@@ -36,7 +36,7 @@
         }
         if let Some(asked) = out_since {
             server.probe.take();
-            proxy.probed(server, now.since(asked));
+            proxy.on_health_check(server, now.since(asked));
         }
         let usable = standing.filter(|p| out_since.is_none() && p.socket.ended.get().is_none());
         let Some(probe) = usable.or_else(|| Self::open(server, proxy)) else { return };
@@ -94,7 +94,7 @@
                 let asked = self.asked.take();
                 // Anything else tells nothing of how long work takes.
                 if let (Some(asked), "PONG") = (asked, text(&line)) {
-                    proxy.probed(server, proxy.now().since(asked));
+                    proxy.on_health_check(server, proxy.now().since(asked));
                 }
             }
         }
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -1,6 +1,6 @@
 //! The proxy: owns the decisions, hears from the sockets, and carries out what is decided.
 
-use crate::choosers::Choosers;
+use crate::choosers::TenantBalancers;
 use crate::comeback;
 use crate::discovery::{CallError, Discovery, Follower, ASKED, PUSHED};
 use crate::door::Door;
@@ -35,12 +35,12 @@
 pub const TICK: Duration = Duration::from_millis(100);
 
 pub struct Proxy {
-    pub chooser: Choosers,
+    pub balancer: TenantBalancers,
     pub spaces: Spaces,
     pub windows: Windows,
     /// The list as the fleet has it, before windows are put on it.
     pub told: BTreeMap<ServerId, (Endpoint, Option<SocketAddr>)>,
-    pub warm_up: Duration,
+    pub slow_start: Duration,
     start_times: StartTimes,
     pub hands: Hands,
     /// The request classes' names in their order.
@@ -121,15 +121,15 @@
     let tally = hands.tally.clone();
     let mut proxy = Proxy {
         // What the settings made once they make again.
-        chooser: Choosers::new(
-            start.terms.chooser,
-            Box::new(move |seed| shelfgrade_terms::parse(seed, &settings).ok().map(|terms| terms.chooser)),
+        balancer: TenantBalancers::new(
+            start.terms.balancer,
+            Box::new(move |seed| shelfgrade_terms::parse(seed, &settings).ok().map(|terms| terms.balancer)),
             start.seed,
         ),
         spaces: Spaces::new((0, 1)),
         windows: Windows::default(),
         told: BTreeMap::new(),
-        warm_up: start.terms.warm_up,
+        slow_start: start.terms.slow_start,
         start_times: StartTimes::default(),
         hands,
         classes: start.terms.classes,
@@ -156,12 +156,12 @@
     let known = proxy.start_times.timed(known, now);
     let dials = start.known.entries.iter().map(|entry| entry.dial);
     proxy.hands.follow(known.iter().zip(dials), true);
-    proxy.chooser.start(&known, now, &mut proxy.hands);
+    proxy.balancer.start(&known, now, &mut proxy.hands);
     if !pushed && fleet.is_none() {
         proxy.early = Early::until_its_turn(now, proxy.hands.wakes_at);
     }
     // Lines come back at once here however strained a server is.
-    proxy.chooser.look_round(!proxy.hands.tells_delay, now, &mut proxy.hands);
+    proxy.balancer.start_periodic_checks(!proxy.hands.tells_delay, now, &mut proxy.hands);
     if let Some((file, terms)) = fleet.zip(return_terms) {
         proxy.join_fellows(file, terms, &start.known, start.seed)?;
     }
@@ -220,44 +220,44 @@
     }
 
     /// The session's connection is up.
-    pub fn stands(&mut self, session: &Session, server: &ServerId) {
+    pub fn on_established(&mut self, session: &Session, server: &ServerId) {
         let now = self.now();
         if session.is_taken_over() {
-            self.chooser.open_already(&arrival(session, now), server, now);
+            self.balancer.restore_session(&arrival(session, now), server, now);
         } else {
             self.hands.tally.count("connections up");
             log::debug!("session {} stands at {server}", session.id.0);
-            self.chooser.stands(session.id, now);
+            self.balancer.on_established(session.id, now);
         }
     }
 
     /// An attempt, or a standing connection, has ended; `done` where the client's side has its end by that.
-    pub fn ended(&mut self, session: SessionId, outcome: AttemptOutcome, done: bool) {
+    pub fn on_attempt_ended(&mut self, session: SessionId, outcome: AttemptOutcome, done: bool) {
         log::debug!("session {} ended: {outcome:?}, done {done}", session.0);
         let now = self.now();
-        self.chooser.ended(session, outcome, done, now, &mut self.hands);
+        self.balancer.on_attempt_ended(session, outcome, done, now, &mut self.hands);
         self.settle();
     }
 
     /// The client has left before its answer; the attempt that was out has ended with it.
-    pub fn left(&mut self, session: SessionId) {
-        self.chooser.left(session);
-        self.ended(session, AttemptOutcome::Cancelled, true);
+    pub fn on_client_closed(&mut self, session: SessionId) {
+        self.balancer.on_client_closed(session);
+        self.on_attempt_ended(session, AttemptOutcome::Cancelled, true);
     }
 
     /// A probe has come back, or was given up, after this long.
-    pub fn probed(&mut self, server: &Server, took: Duration) {
+    pub fn on_health_check(&mut self, server: &Server, took: Duration) {
         self.hands.tally.count("probes");
         log::debug!("probe of {} took {} ms", server.id, took.as_ms());
         let now = self.now();
-        self.chooser.probed(&server.id, took, now, &mut self.hands);
+        self.balancer.on_health_check(&server.id, took, now, &mut self.hands);
         self.settle();
     }
 
     /// A server has told how long messages take there.
-    pub fn messages_take(&mut self, session: SessionId, took: Duration) {
+    pub fn on_message_latency(&mut self, session: SessionId, took: Duration) {
         let now = self.now();
-        self.chooser.messages_take(session, took, now, &mut self.hands);
+        self.balancer.on_message_latency(session, took, now, &mut self.hands);
         self.settle();
     }
 
@@ -265,7 +265,7 @@
     pub fn move_now(&mut self, session: &Session) {
         let now = self.now();
         if session.try_moving(now) {
-            self.ended(session.id, AttemptOutcome::Cancelled, true);
+            self.on_attempt_ended(session.id, AttemptOutcome::Cancelled, true);
         }
     }
 
@@ -273,7 +273,7 @@
     pub fn settle(&mut self) {
         while let Some((session, outcome, done)) = self.hands.untold.pop_front() {
             let now = self.now();
-            self.chooser.ended(session, outcome, done, now, &mut self.hands);
+            self.balancer.on_attempt_ended(session, outcome, done, now, &mut self.hands);
         }
         if self.hands.wants_list.take() && self.asks_discovery() {
             self.discovery.clone().ask(self);
@@ -305,7 +305,7 @@
         }
         self.pulses_taken = now;
         let there = &self.hands.sessions;
-        self.chooser.sweep(|session| there.contains_key(session), now);
+        self.balancer.sweep(|session| there.contains_key(session), now);
         self.look_at_windows();
         let servers: Vec<_> = self.hands.servers.values().cloned().collect();
         let waits =
@@ -313,14 +313,14 @@
         for session in self.hands.unanswered.look(waits) {
             self.hands.tally.count("sessions looked after");
             if let Some(asked) = session.asked.get().filter(|_| session.stage.get() == Stage::Established) {
-                self.chooser.messages_take(session.id, now.since(asked), now, &mut self.hands);
+                self.balancer.on_message_latency(session.id, now.since(asked), now, &mut self.hands);
                 self.settle();
             }
         }
         for server in servers {
             if let Some((took, session)) = server.pulse.take() {
                 log::debug!("messages at {} take {} ms", server.id, took.as_ms());
-                self.chooser.messages_take(session.id, took, now, &mut self.hands);
+                self.balancer.on_message_latency(session.id, took, now, &mut self.hands);
                 self.settle();
             }
         }
@@ -338,7 +338,7 @@
 }
 
 impl Follower for Proxy {
-    fn listed(&mut self, list: &EndpointList) -> bool {
+    fn on_endpoints(&mut self, list: &EndpointList) -> bool {
         let now = self.now();
         log::debug!("list {}: {} lines, whole {}", list.seq, list.entries.len(), list.whole);
         self.hands.list_heard.set(true);
@@ -346,32 +346,32 @@
             return taken;
         }
         if list.told_at.is_some_and(|time| self.start_times.discovery_says(time, now)) {
-            let known = self.start_times.timed_anew(self.chooser.list());
-            self.chooser.listed(&known, false, now);
+            let known = self.start_times.timed_anew(self.balancer.list());
+            self.balancer.on_endpoints(&known, false, now);
         }
         let lines = self.start_times.timed(list.lines(), now);
         self.start_times.list_is_heard();
         self.hands.follow(lines.iter().zip(list.entries.iter().map(|entry| entry.dial)), list.whole);
-        self.chooser.listed(&lines, list.whole, now);
+        self.balancer.on_endpoints(&lines, list.whole, now);
         self.hands.take_over_waiting();
         self.settle();
         self.list_is_here();
         true
     }
 
-    fn list_failed(&mut self, error: &CallError, since: Timestamp) {
+    fn on_poll_failed(&mut self, error: &CallError, since: Timestamp) {
         log::warn!("{error}");
         self.hands.tally.count("list calls failed");
         let now = self.now();
-        self.chooser.list_failed(since, now, &mut self.hands);
+        self.balancer.on_poll_failed(since, now, &mut self.hands);
         self.settle();
     }
 
-    fn list_missed(&mut self, error: &CallError, due: Timestamp) {
+    fn on_watch_lost(&mut self, error: &CallError, due: Timestamp) {
         log::warn!("{error}");
         let silent = matches!(error, CallError::Silent { .. });
         self.hands.tally.count(if silent { "list calls silent" } else { "list calls failed" });
-        self.chooser.list_lost(due, &mut self.hands);
+        self.balancer.on_watch_lost(due, &mut self.hands);
         self.settle();
     }
 }
--- a/crates/proxy/src/reload.rs
+++ b/crates/proxy/src/reload.rs
@@ -37,7 +37,7 @@
         let moves = self.discovery.clone().move_to(start.discovery, self);
         log::info!("read again: discovery {}{}", start.discovery, if moves { "" } else { ", as before" });
         if moves {
-            self.chooser.list_lost(told + COUNTS_AFTER, &mut self.hands);
+            self.balancer.on_watch_lost(told + COUNTS_AFTER, &mut self.hands);
             self.settle();
         }
     }
--- a/crates/proxy/src/server.rs
+++ b/crates/proxy/src/server.rs
@@ -153,7 +153,7 @@
             }
             match up {
                 Ok(false) => return false,
-                Ok(true) if self.may_begin(&attempt, proxy) => {
+                Ok(true) if self.may_send_request(&attempt, proxy) => {
                     let line = self.opening.for_server(attempt.gives_up.since(proxy.now()));
                     let mut first = Ring::new(line.len());
                     first.push(line.as_bytes());
@@ -199,10 +199,10 @@
     /// Guards against something new at a server that was listed as draining, or went, while its attempt came
     /// up, and against a line for one that has closed the connection by now: nothing is sent then, which proves that
     /// nothing ran. Whether it may still be sent again the decisions say.
-    fn may_begin(&self, attempt: &Attempt, proxy: &mut Proxy) -> bool {
+    fn may_send_request(&self, attempt: &Attempt, proxy: &mut Proxy) -> bool {
         let wanted = attempt.server.state.get() == EndpointState::Active || self.is_taken_over();
         let now = proxy.now();
-        wanted && proxy.chooser.may_begin(self.id, now) && !attempt.socket.has_left()
+        wanted && proxy.balancer.may_send_request(self.id, now) && !attempt.socket.has_left()
     }
 
     fn current(&self, attempt: &Rc<Attempt>) -> bool {
@@ -250,7 +250,7 @@
                     attempt.phase.set(Phase::Up);
                     attempt.stop_timer();
                     self.enter(Stage::Established, proxy.now());
-                    proxy.stands(self, &attempt.server.id);
+                    proxy.on_established(self, &attempt.server.id);
                 }
                 "BUSY" => self.attempt_ended(attempt, AttemptOutcome::Rejected, proxy),
                 "MOVE" => self.attempt_ended(attempt, AttemptOutcome::Cancelled, proxy),
@@ -280,9 +280,9 @@
         let now = proxy.now();
         if proxy.hands.tells_delay && server.notes.is_delay(told, now) {
             log::debug!("messages at {} take {told} ms, it says", server.id);
-            proxy.messages_take(self.id, Duration::from_ms(told));
+            proxy.on_message_latency(self.id, Duration::from_ms(told));
         } else {
-            proxy.chooser.load_is(self.id, told);
+            proxy.balancer.on_load_report(self.id, told);
         }
     }
 
@@ -294,6 +294,6 @@
         if self.is_taken_over() {
             return self.answer("ERR", &mut proxy.hands);
         }
-        proxy.ended(self.id, outcome, false);
+        proxy.on_attempt_ended(self.id, outcome, false);
     }
 }
--- a/crates/proxy/src/session.rs
+++ b/crates/proxy/src/session.rs
@@ -152,7 +152,7 @@
         if self.stage.get() == Stage::Established {
             self.enter(Stage::Leaving, proxy.now());
             proxy.hands.due.add(self);
-            proxy.ended(self.id, outcome, true);
+            proxy.on_attempt_ended(self.id, outcome, true);
         }
     }
 
--- a/crates/proxy/src/socket.rs
+++ b/crates/proxy/src/socket.rs
@@ -116,7 +116,7 @@
         matches!(self.stream.peek(&mut [0]), Ok(0))
     }
 
-    /// Whether the peer has neither sent anything that is still to be read nor ended; where it has ended, `ended` says
+    /// Whether the peer has neither sent anything that is still to be read nor ended; where it has ended, `on_attempt_ended` says
     /// so from then on.
     pub fn rests(&self) -> bool {
         if self.ended.get().is_some() {
--- a/crates/proxy/src/windows.rs
+++ b/crates/proxy/src/windows.rs
@@ -133,11 +133,11 @@
     }
 
     /// A line of the list as the decisions get it: draining in its site's window, and cold after it.
-    pub fn line(&self, line: &Endpoint, warm_up: Duration, now: Timestamp) -> Endpoint {
+    pub fn line(&self, line: &Endpoint, slow_start: Duration, now: Timestamp) -> Endpoint {
         let Some(plan) = &self.plan else { return line.clone() };
         let state = self.put.get(&line.server).copied().unwrap_or(line.state);
         let back = plan.back_since(&line.zone).map(|ms| Timestamp::from_ms(ms as f64));
-        let back = back.filter(|back| now.since(*back) < warm_up && state == EndpointState::Active);
+        let back = back.filter(|back| now.since(*back) < slow_start && state == EndpointState::Active);
         Endpoint { state, started: line.started.max(back), ..line.clone() }
     }
 
--- a/crates/recovery/src/around.rs
+++ b/crates/recovery/src/around.rs
@@ -33,7 +33,7 @@
     pub shares: Vec<f64>,
     /// How long the list is waited for, how long a server warms up, and how long a client stays away at most.
     pub wait: Duration,
-    pub warm_up: Duration,
+    pub slow_start: Duration,
     pub most_pause: Duration,
 }
 
--- a/crates/recovery/src/comeback.rs
+++ b/crates/recovery/src/comeback.rs
@@ -55,7 +55,7 @@
         let restored = before.map(|saved| Restored::from(saved, now));
         let born = restored.as_ref().map_or(0, |restored| restored.born).max(wall_ms * 1000);
         let asking = Asking::new(roster.me(), roster.seats(), roster.tag(), now);
-        let spans = (terms.wait, terms.warm_up, terms.most_pause);
+        let spans = (terms.wait, terms.slow_start, terms.most_pause);
         let mut comeback = Comeback {
             fleet: Fleet::new(roster, born, seed, now),
             asking,
--- a/crates/recovery/src/order.rs
+++ b/crates/recovery/src/order.rs
@@ -60,7 +60,7 @@
     classes: Vec<Owed>,
     /// Shares of the customers, by their places in the settings.
     shares: Vec<f64>,
-    warm_up: Duration,
+    slow_start: Duration,
     most_pause: Duration,
     warm_at: Option<Timestamp>,
     /// When the first session came that might be let in.
@@ -69,12 +69,12 @@
 }
 
 impl Return {
-    /// `wait`: how long the list is waited for. `warm_up`: how long a server takes to be warm. `most_pause`: the longest
+    /// `wait`: how long the list is waited for. `slow_start`: how long a server takes to be warm. `most_pause`: the longest
     /// that a client stays away when told to.
     pub fn new(
         classes: Vec<Owed>,
         shares: Vec<f64>,
-        (wait, warm_up, most_pause): (Duration, Duration, Duration),
+        (wait, slow_start, most_pause): (Duration, Duration, Duration),
         now: Timestamp,
     ) -> Self {
         Return {
@@ -82,7 +82,7 @@
             until: now + wait,
             classes,
             shares,
-            warm_up,
+            slow_start,
             most_pause,
             warm_at: None,
             opened: None,
@@ -96,7 +96,7 @@
 
     /// The list is agreed, or the bound on the wait has passed: `starts` are those of the servers that may be sent to.
     pub fn list_is_here(&mut self, starts: impl Iterator<Item = Option<Timestamp>>, now: Timestamp) {
-        let warm = starts.flatten().map(|start| start + self.warm_up).filter(|warm| *warm > now);
+        let warm = starts.flatten().map(|start| start + self.slow_start).filter(|warm| *warm > now);
         self.warm_at = warm.max();
         self.state = if self.warm_at.is_some() { State::Warming } else { State::Serving };
     }
@@ -190,7 +190,7 @@
     fn again(&self, luck: f64, now: Timestamp) -> Duration {
         const LEAST: Duration = Duration::from_millis(100);
         let left = match self.state {
-            State::Waiting => self.until.since(now) + self.warm_up,
+            State::Waiting => self.until.since(now) + self.slow_start,
             _ => self.warm_at.map_or(Duration::ZERO, |warm| warm.since(now)),
         };
         LEAST + left.min(self.most_pause.scaled(0.95)).scaled(luck)
--- a/crates/terms/src/lib.rs
+++ b/crates/terms/src/lib.rs
@@ -2,7 +2,7 @@
 //! them. Unknown keys are ignored.
 
 use serde::Deserialize;
-use shelfgrade::choice::{Chooser, WarmUp};
+use shelfgrade::choice::{LoadBalancer, SlowStart};
 use shelfgrade::host::{Idempotency, KeyScope, RequestClass};
 use shelfgrade::time::DurationExt;
 use std::collections::BTreeMap;
@@ -151,14 +151,14 @@
 }
 
 /// What all customers together may have open; none where one of them has no bound, or there is none.
-fn all_hold(quotas: &[Option<Amount>]) -> Option<f64> {
+fn total_capacity(quotas: &[Option<Amount>]) -> Option<f64> {
     let bounds = quotas.iter().map(|quota| quota.map(|q| q.0)).collect::<Option<Vec<_>>>()?;
     Some(bounds.iter().sum()).filter(|all| *all > 0.0)
 }
 
 /// A proxy's terms, read.
 pub struct Terms {
-    pub chooser: Chooser,
+    pub balancer: LoadBalancer,
     /// The request classes' names in their order.
     pub classes: Vec<String>,
     /// What each is owed, in the same order: the time within which a connection should stand, and a second's priority weight.
@@ -166,7 +166,7 @@
     /// The customers' names and shares.
     pub customers: Vec<(String, f64)>,
     /// How long a server takes to be warm.
-    pub warm_up: Duration,
+    pub slow_start: Duration,
     /// The longest that a client stays away when told to.
     pub most_pause: Duration,
     /// The longest that any client waits for its connection; none where a request class does not tell.
@@ -186,19 +186,19 @@
     let env: Env = serde_json::from_str(text)?;
     let proxies = env.balancers.map_or(MANY, NonZeroUsize::get);
     let Env { classes, invariants, bounds, extra, customers, .. } = env;
-    let all_hold = all_hold(&extra.tenant_quota_connections);
-    if all_hold.is_some() && extra.server_connections.is_some() {
+    let total_capacity = total_capacity(&extra.tenant_quota_connections);
+    if total_capacity.is_some() && extra.server_connections.is_some() {
         return Err(TermsError::ToldTwice);
     }
-    let warm_up = WarmUp {
-        cold_from: invariants.cold_from.0,
-        cold_span: Duration::from_ms(invariants.cold_ms.0),
-        fall_multiple: invariants.overload_factor.0,
-        overload_span: Some(invariants.overload_for_ms.0)
+    let slow_start = SlowStart {
+        initial_fraction: invariants.cold_from.0,
+        duration: Duration::from_ms(invariants.cold_ms.0),
+        overload_factor: invariants.overload_factor.0,
+        overload_window: Some(invariants.overload_for_ms.0)
             .filter(|ms| *ms > 0.0)
             .map_or(OVERLOAD_SPAN, Duration::from_ms),
-        all_hold,
-        each_holds: extra.server_connections.map_or(HOLDS, |each| each.get() as f64),
+        total_capacity,
+        server_capacity: extra.server_connections.map_or(HOLDS, |each| each.get() as f64),
         proxies: proxies as f64,
     };
     let must_ask_in = match env.discovery {
@@ -213,7 +213,7 @@
         classes.iter().map(|class| class.request_timeout_ms.map(|p| Duration::from_ms(p.0)));
     let longest_request_timeout =
         request_timeout.collect::<Option<Vec<_>>>().and_then(|all| all.into_iter().max());
-    let (span, most_pause) = (warm_up.cold_span, Duration::from_ms(bounds.max_retry_after_ms.0));
+    let (span, most_pause) = (slow_start.duration, Duration::from_ms(bounds.max_retry_after_ms.0));
     let known = classes.iter().enumerate().map(|(i, class)| RequestClass {
         idempotency: match class.idempotency {
             IdempotencySetting::Repeatable => Idempotency::Idempotent,
@@ -233,13 +233,14 @@
             .get(i)
             .map(|limit| Duration::from_ms(limit.0)),
     });
-    let chooser = Chooser::new(seed, known.collect(), bounds.max_attempts, most_pause, must_ask_in, warm_up);
+    let balancer =
+        LoadBalancer::new(seed, known.collect(), bounds.max_attempts, most_pause, must_ask_in, slow_start);
     Ok(Terms {
-        chooser,
+        balancer,
         classes: classes.into_iter().map(|o| o.name).collect(),
         owed,
         customers: customers.into_iter().map(|c| (c.name, c.share.0)).collect(),
-        warm_up: span,
+        slow_start: span,
         most_pause,
         longest_request_timeout,
         dial_time_out: Some(bounds.dial_timeout_ms.0).filter(|ms| *ms > 0.0).map(Duration::from_ms),
--- a/crates/terms/tests/unit/lib.rs
+++ b/crates/terms/tests/unit/lib.rs
@@ -60,7 +60,7 @@
         let text = r#"{"discovery":"subscribe","offerings":[],"bounds":{"most_connects":3},
             "invariants":{"overload_factor":4,"must_ask_in_ms":10000}}"#;
         let now = Timestamp::from_ms(1000.0);
-        parse(seed, text).expect("terms").chooser.start(&[], now, &mut host);
+        parse(seed, text).expect("terms").balancer.start(&[], now, &mut host);
         host.0[0].since(now) > Duration::from_millis(2000)
     };
     assert!((0..30).any(late));
@@ -75,7 +75,7 @@
     fn fail(&mut self, _: SessionId) {}
     fn migrate(&mut self, _: SessionId) {}
     fn subscribe(&mut self) {}
-    fn probe(&mut self, _: &ServerId) -> bool {
+    fn check_health(&mut self, _: &ServerId) -> bool {
         false
     }
     fn schedule_wakeup(&mut self, at: Timestamp) {
--- a/crates/trials/src/decisions.rs
+++ b/crates/trials/src/decisions.rs
@@ -3,7 +3,7 @@
 
 use hdrhistogram::Histogram;
 use serde_json::{json, Value};
-use shelfgrade::choice::{Chooser, WarmUp};
+use shelfgrade::choice::{LoadBalancer, SlowStart};
 use shelfgrade::host::*;
 use shelfgrade::time::Timestamp;
 use std::collections::{BTreeMap, VecDeque};
@@ -35,7 +35,7 @@
     fn fail(&mut self, _: SessionId) {}
     fn migrate(&mut self, _: SessionId) {}
     fn subscribe(&mut self) {}
-    fn probe(&mut self, _: &ServerId) -> bool {
+    fn check_health(&mut self, _: &ServerId) -> bool {
         false
     }
     fn schedule_wakeup(&mut self, _: Timestamp) {}
@@ -81,7 +81,7 @@
 pub struct Decisions {
     size: Size,
     list: Vec<Endpoint>,
-    chooser: Chooser,
+    balancer: LoadBalancer,
     now: Timestamp,
     last_id: u64,
     standing: VecDeque<u64>,
@@ -93,14 +93,14 @@
 impl Decisions {
     /// `allocated`: how many bytes are in use now.
     pub fn begin(size: Size, allocated: impl Fn() -> usize) -> Self {
-        let list: Vec<_> = (0..size.servers).map(listed).collect();
-        let warm_up = WarmUp {
-            cold_from: 0.3,
-            cold_span: Duration::from_millis(8600),
-            fall_multiple: 4.0,
-            overload_span: Duration::from_millis(2000),
-            all_hold: Some(CONNECTIONS as f64),
-            each_holds: 0.0,
+        let list: Vec<_> = (0..size.servers).map(endpoint).collect();
+        let slow_start = SlowStart {
+            initial_fraction: 0.3,
+            duration: Duration::from_millis(8600),
+            overload_factor: 4.0,
+            overload_window: Duration::from_millis(2000),
+            total_capacity: Some(CONNECTIONS as f64),
+            server_capacity: 0.0,
             proxies: PROXIES as f64,
         };
         let class = RequestClass {
@@ -109,11 +109,12 @@
             message_latency_objective: Some(Duration::from_millis(250)),
         };
         let must_ask_in = Some(Duration::from_millis(10_000));
-        let chooser = Chooser::new(7, vec![class], 4, Duration::from_millis(2000), must_ask_in, warm_up);
+        let balancer =
+            LoadBalancer::new(7, vec![class], 4, Duration::from_millis(2000), must_ask_in, slow_start);
         let mut decisions = Decisions {
             size,
             list,
-            chooser,
+            balancer,
             now: Timestamp::from_ms(60_000.0),
             last_id: 0,
             standing: VecDeque::with_capacity(size.sessions),
@@ -121,7 +122,7 @@
             bytes: (0.0, 0.0),
         };
         let empty = allocated();
-        decisions.chooser.start(&decisions.list, decisions.now, &mut Idle);
+        decisions.balancer.start(&decisions.list, decisions.now, &mut Idle);
         let listed = allocated();
         for _ in 0..size.sessions {
             decisions.last_id += 1;
@@ -131,7 +132,7 @@
                 // As a hash spreads them.
                 let mix = arrival.session.0.wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 32;
                 let at = decisions.list[mix as usize % decisions.size.servers].server.clone();
-                decisions.chooser.open_already(arrival, &at, decisions.now);
+                decisions.balancer.restore_session(arrival, &at, decisions.now);
             });
         }
         let held = allocated();
@@ -168,20 +169,20 @@
         for turn in 0..sessions {
             self.now = self.now + Duration::from_millis(1);
             let Some(over) = self.standing.pop_front() else { return };
-            let (chooser, now) = (&mut self.chooser, self.now);
+            let (balancer, now) = (&mut self.balancer, self.now);
             self.took.takes("end", || {
-                chooser.ended(SessionId(over), AttemptOutcome::Completed, true, now, &mut Idle);
+                balancer.on_attempt_ended(SessionId(over), AttemptOutcome::Completed, true, now, &mut Idle);
             });
             self.last_id += 1;
             let (id, returned) = (self.last_id, turn % 2 == 1);
             self.with_arrival(id, returned, |decisions, arrival| {
-                let Decisions { chooser, took, now, .. } = decisions;
+                let Decisions { balancer, took, now, .. } = decisions;
                 let what = if returned { "arrival back" } else { "arrival" };
-                took.takes(what, || chooser.arrived(arrival, *now, &mut Idle));
+                took.takes(what, || balancer.on_request(arrival, *now, &mut Idle));
             });
             self.now = self.now + Duration::from_millis(1);
-            let (chooser, now) = (&mut self.chooser, self.now);
-            self.took.takes("stands", || chooser.stands(SessionId(id), now));
+            let (balancer, now) = (&mut self.balancer, self.now);
+            self.took.takes("stands", || balancer.on_established(SessionId(id), now));
             self.standing.push_back(id);
         }
     }
@@ -194,8 +195,8 @@
             for note in 0..notes {
                 self.now = self.now + Duration::from_millis(1000);
                 let id = self.standing[note * self.standing.len() / notes];
-                let (chooser, now) = (&mut self.chooser, self.now);
-                self.took.takes(what, || chooser.messages_take(SessionId(id), delay, now, &mut Idle));
+                let (balancer, now) = (&mut self.balancer, self.now);
+                self.took.takes(what, || balancer.on_message_latency(SessionId(id), delay, now, &mut Idle));
             }
         }
     }
@@ -204,16 +205,17 @@
     pub fn lists(&mut self, changes: usize) {
         for change in 0..changes {
             self.now = self.now + Duration::from_millis(100);
-            let (chooser, now) = (&mut self.chooser, self.now);
+            let (balancer, now) = (&mut self.balancer, self.now);
             let at = change / 2 * 7919 % self.list.len();
             let line = &mut self.list[at];
             line.state = if change % 2 == 0 { EndpointState::Draining } else { EndpointState::Active };
             let line = std::slice::from_ref(line);
-            self.took.takes("line", || chooser.listed(line, false, now));
-            self.took.takes("whole list", || chooser.listed(&self.list, true, now));
+            self.took.takes("line", || balancer.on_endpoints(line, false, now));
+            self.took.takes("whole list", || balancer.on_endpoints(&self.list, true, now));
         }
-        let (chooser, now) = (&mut self.chooser, self.now);
-        (0..changes).for_each(|_| self.took.takes("round", || chooser.look_round(true, now, &mut Idle)));
+        let (balancer, now) = (&mut self.balancer, self.now);
+        (0..changes)
+            .for_each(|_| self.took.takes("round", || balancer.start_periodic_checks(true, now, &mut Idle)));
     }
 
     pub fn point(&self) -> Value {
@@ -229,7 +231,7 @@
     }
 }
 
-fn listed(index: usize) -> Endpoint {
+fn endpoint(index: usize) -> Endpoint {
     Endpoint {
         server: format!("s-{index:05}").into(),
         zone: format!("z{:02}", index % ZONES),
--- a/crates/trials/src/drawn.rs
+++ b/crates/trials/src/drawn.rs
@@ -59,7 +59,7 @@
             classes: vec![owed(300, 3.0), owed(500, 5.0), owed(800, 1.0)],
             shares: vec![0.5, 0.3, 0.2],
             wait: Duration::from_millis(2000),
-            warm_up: Duration::from_millis(8600),
+            slow_start: Duration::from_millis(8600),
             most_pause: Duration::from_millis(2000),
         };
         Comeback::new(roster, terms, None, seed, (now, wall_ms))
--- a/crates/trials/src/server.rs
+++ b/crates/trials/src/server.rs
@@ -145,10 +145,10 @@
 
     /// How strong it is now, from what it starts with to 1.
     fn strength(&self, state: &State) -> f64 {
-        let warmth = state.started.map_or(1.0, |at| {
+        let warm_fraction = state.started.map_or(1.0, |at| {
             ((self.record.now() - at).as_secs_f64() / self.make.cold.as_secs_f64()).min(1.0)
         });
-        self.make.cold_from + (1.0 - self.make.cold_from) * warmth
+        self.make.cold_from + (1.0 - self.make.cold_from) * warm_fraction
     }
 
     async fn serve(self: Arc<Self>, stream: TcpStream) {
--- a/src/choice/again.rs
+++ b/src/choice/again.rs
@@ -23,7 +23,7 @@
 
     /// Whether its last attempt, which has come up, may carry its first line now. Guards against an attempt that takes
     /// so long to come up that repeats are no longer dropped by then.
-    pub(super) fn may_begin(&self, now: Timestamp) -> bool {
+    pub(super) fn may_send_request(&self, now: Timestamp) -> bool {
         let attempts = self.attempts.borrow();
         attempts.split_last().is_none_or(|(last, earlier)| self.may_follow(earlier, &last.server, now))
     }
--- a/src/choice/cold.rs
+++ b/src/choice/cold.rs
@@ -1,9 +1,9 @@
 //! What a server that just started may be sent, and how much of the fleet this proxy sees.
 
-use crate::record::{Server, Shelf, WarmUp};
+use crate::record::{Server, Shelf, SlowStart};
 use crate::time::Timestamp;
 
-impl WarmUp {
+impl SlowStart {
     /// The share of sessions that one of so `many` may have. Guards against pushing a cold one over: the
     /// crowd that came just now is this proxy's part of all that comes, what is open its part of what fills.
     pub(super) fn share(&self, server: &Server, [part, crowd, most, many]: [f64; 4], now: Timestamp) -> f64 {
@@ -11,9 +11,12 @@
         const USED: f64 = 0.5;
         let budget = |span| self.budget(server, part, span, now);
         // Guards against a rush, a run of chance or of one group: past this proxy's part of the budget none follows.
-        let sent = server.sent_within(self.overload_span, now);
-        let left = if sent == 0.0 { 1.0 } else { (budget(self.overload_span) / many - sent).clamp(0.0, 1.0) };
-        (budget(Shelf::JUST_BEFORE) * USED * left / crowd).min(most).max(self.warmth(server, now).floor())
+        let sent = server.sent_within(self.overload_window, now);
+        let left =
+            if sent == 0.0 { 1.0 } else { (budget(self.overload_window) / many - sent).clamp(0.0, 1.0) };
+        (budget(Shelf::JUST_BEFORE) * USED * left / crowd)
+            .min(most)
+            .max(self.warm_fraction(server, now).floor())
     }
 
     /// Whether a key is among those, the same at every proxy, that are placed as if no server were in sight:
--- a/src/choice/gathering.rs
+++ b/src/choice/gathering.rs
@@ -26,7 +26,7 @@
     pub(super) fn hail(&self, session: &Rc<Session>, host: &mut dyn Host) {
         let mut hailed_by = self.hailed_by.borrow_mut();
         hailed_by.retain(|c| c.upgrade().is_some_and(|c| c.hails.get()));
-        if !hailed_by.is_empty() || host.probe(&self.id) {
+        if !hailed_by.is_empty() || host.check_health(&self.id) {
             hailed_by.push(Rc::downgrade(session));
             session.hails.set(true);
         }
--- a/src/choice/mod.rs
+++ b/src/choice/mod.rs
@@ -1,6 +1,6 @@
 //! All decisions of the balancer.
 //!
-//! Make a [`Chooser`], call [`Chooser::start`] with the list last held, then one method for each thing that
+//! Make a [`LoadBalancer`], call [`LoadBalancer::start`] with the list last held, then one method for each thing that
 //! happens, with the present [`Timestamp`] and the [`Host`] that at once carries out what is decided (`host.rs`).
 //! The design: a new session goes to hash(client key) modulo the id-sorted server list; a draining, gone or
 //! overfull pick passes to the next in order; an aged table answers mid-flow sessions. See `docs/design.md`.
@@ -25,7 +25,7 @@
 mod trust;
 
 use crate::host::{Arrival, AttemptOutcome, Endpoint, Host, RequestClass, SessionId};
-pub use crate::record::WarmUp;
+pub use crate::record::SlowStart;
 use crate::record::{Attempt, Server, Session, Shelf};
 use crate::time::{DurationExt, Timestamp};
 use std::collections::BTreeMap;
@@ -49,7 +49,7 @@
 }
 
 /// The decisions of one proxy.
-pub struct Chooser {
+pub struct LoadBalancer {
     classes: Vec<RequestClass>,
     /// The most delicate request class's, as any may be held by a server; no sign of life in this time is strain.
     message_latency_objective: Duration,
@@ -69,7 +69,7 @@
     pub(crate) sessions: BTreeMap<SessionId, Rc<Session>>,
 }
 
-impl Chooser {
+impl LoadBalancer {
     /// `most_pause`: the longest wait a client keeps to. `must_ask_in`: none where the list comes unasked.
     pub fn new(
         seed: u64,
@@ -77,11 +77,11 @@
         max_attempts: usize,
         most_pause: Duration,
         must_ask_in: Option<Duration>,
-        warm_up: WarmUp,
+        slow_start: SlowStart,
     ) -> Self {
-        let shelf = Rc::new(Shelf::new(max_attempts, seed, warm_up.proxies));
+        let shelf = Rc::new(Shelf::new(max_attempts, seed, slow_start.proxies));
         let message_latency_objective = classes.iter().filter_map(|o| o.message_latency_objective).min();
-        Chooser {
+        LoadBalancer {
             message_latency_objective: message_latency_objective.unwrap_or(Duration::from_millis(100)),
             classes,
             most_pause,
@@ -93,7 +93,7 @@
             stages: [
                 Box::new(recall::Recall { shelf: shelf.clone(), swept: Timestamp::default() }),
                 Box::new(pacing::Pacing::new(shelf.clone())),
-                Box::new(placement::Placement { shelf: shelf.clone(), warm_up }),
+                Box::new(placement::Placement { shelf: shelf.clone(), slow_start }),
                 Box::new(dispatch::Dispatch { shelf: shelf.clone() }),
             ],
             shelf,
@@ -102,19 +102,19 @@
     }
 
     pub fn start(&mut self, last_held: &[Endpoint], now: Timestamp, host: &mut dyn Host) {
-        self.listed(last_held, true, now);
-        self.list_failed(now, now, host);
+        self.on_endpoints(last_held, true, now);
+        self.on_poll_failed(now, now, host);
     }
 
     /// Lines of the server list; a server absent from a `whole` list is gone.
-    pub fn listed(&mut self, lines: &[Endpoint], whole: bool, now: Timestamp) {
+    pub fn on_endpoints(&mut self, lines: &[Endpoint], whole: bool, now: Timestamp) {
         self.list_calls = (None, Timestamp::NEVER);
         self.shelf.follow(lines, whole, now);
         self.shelf.set_half_lives();
     }
 
     /// The watch is silent, or another service has the list: it is asked now, news counts as told at `due`.
-    pub fn list_lost(&mut self, due: Timestamp, host: &mut dyn Host) {
+    pub fn on_watch_lost(&mut self, due: Timestamp, host: &mut dyn Host) {
         self.list_calls = (None, due.min(self.list_calls.1));
         host.subscribe();
     }
@@ -125,7 +125,7 @@
             host.subscribe();
         }
         if let Some((_, probing)) = self.looks_at.take_if(|looks| looks.0 <= now) {
-            self.look_round(probing, now, host);
+            self.start_periodic_checks(probing, now, host);
         }
         let due: Vec<_> = self.hailing.extract_if(.., |h| h.0 <= now).collect();
         for session in due.iter().filter_map(|h| h.1.upgrade()).filter(|c| c.hails.take()) {
@@ -133,14 +133,14 @@
         }
     }
 
-    pub fn arrived(&mut self, arrival: &Arrival, now: Timestamp, host: &mut dyn Host) {
+    pub fn on_request(&mut self, arrival: &Arrival, now: Timestamp, host: &mut dyn Host) {
         let session = self.enter(arrival);
         self.shelf.note_arrival(now);
         self.offer(&session, None, now, host);
     }
 
     /// A connection that was already open when this proxy started; connect 0 counts as made.
-    pub fn open_already(&mut self, arrival: &Arrival, server: &str, now: Timestamp) {
+    pub fn restore_session(&mut self, arrival: &Arrival, server: &str, now: Timestamp) {
         let Some(server) = self.shelf.find(server) else { return };
         let session = self.enter(arrival);
         session.attempts.borrow_mut().push(Attempt { server, sent: now, outcome: None });
@@ -148,12 +148,12 @@
     }
 
     /// The session's connection is established.
-    pub fn stands(&mut self, session: SessionId, now: Timestamp) {
+    pub fn on_established(&mut self, session: SessionId, now: Timestamp) {
         self.sessions.get(&session).cloned().into_iter().for_each(|c| self.bring_back(&c, None, now));
     }
 
     /// An attempt has ended; `done` where the client has its final answer by now.
-    pub fn ended(
+    pub fn on_attempt_ended(
         &mut self,
         session: SessionId,
         outcome: AttemptOutcome,
@@ -172,17 +172,17 @@
     }
 
     /// Whether the session's connect that has just come up may carry its first line; else nothing is sent on it.
-    pub fn may_begin(&self, session: SessionId, now: Timestamp) -> bool {
-        self.sessions.get(&session).is_none_or(|session| session.may_begin(now))
+    pub fn may_send_request(&self, session: SessionId, now: Timestamp) -> bool {
+        self.sessions.get(&session).is_none_or(|session| session.may_send_request(now))
     }
 
     /// The load of a standing connection, in work a second.
-    pub fn load_is(&mut self, session: SessionId, load: f64) {
+    pub fn on_load_report(&mut self, session: SessionId, load: f64) {
         self.sessions.get(&session).inspect(|c| c.load.set(load));
     }
 
     /// The client has left; nothing more may be sent for the session.
-    pub fn left(&mut self, session: SessionId) {
+    pub fn on_client_closed(&mut self, session: SessionId) {
         // Guards against a sign of life sending on what nobody waits for: no attempt's end will remove it.
         if self.sessions.get(&session).inspect(|c| c.answered.set(true)).is_some_and(|c| c.hails.take()) {
             self.sessions.remove(&session);
@@ -191,7 +191,7 @@
 
     /// A call for the list, out since then, failed, or it starts. Guards against proxies asking in step: what cannot
     /// be done in time is given up, but still done, before what is asked then. All ask before any asks twice.
-    pub fn list_failed(&mut self, since: Timestamp, now: Timestamp, host: &mut dyn Host) {
+    pub fn on_poll_failed(&mut self, since: Timestamp, now: Timestamp, host: &mut dyn Host) {
         const LEAST: Duration = Duration::from_millis(200);
         // Of 40 and 80 ms a hundred proxies did as well with either; three ask about as they always did.
         const EACH: Duration = Duration::from_millis(40);
--- a/src/choice/placement.rs
+++ b/src/choice/placement.rs
@@ -2,7 +2,7 @@
 
 use super::{Pick, Stage, Step};
 use crate::host::{AttemptOutcome, EndpointState, Host};
-use crate::record::{Attempt, Server, Session, Shelf, WarmUp};
+use crate::record::{Attempt, Server, Session, Shelf, SlowStart};
 use crate::time::Timestamp;
 use nanorand::{Rng, WyRand};
 use std::rc::Rc;
@@ -11,7 +11,7 @@
 /// Third stage: the design's choice of a server, with the load skip.
 pub(super) struct Placement {
     pub(super) shelf: Rc<Shelf>,
-    pub(super) warm_up: WarmUp,
+    pub(super) slow_start: SlowStart,
 }
 
 impl Placement {
@@ -33,18 +33,18 @@
         let seed = self.shelf.seed ^ session.key ^ now.periods(DRAW_LIFE);
         let draw = f64::from(WyRand::new_seed(seed).generate::<f32>());
         // The session itself will be open, too.
-        let part = (self.warm_up.part(servers.len()) * self.shelf.parts.get()).max(open + 1.0);
+        let part = (self.slow_start.part(servers.len()) * self.shelf.parts.get()).max(open + 1.0);
         // Guards against a group's wave back to one cold server, where new ones spread over three.
         const MORE: usize = 2;
         let crowd = self.shelf.crowd(now);
-        let blind = session.group.is_some() && self.warm_up.out_of_sight(session.key, servers.len());
+        let blind = session.group.is_some() && self.slow_start.out_of_sight(session.key, servers.len());
         let most = if session.returned && blind { 1.0 / (1.0 + MORE as f64) } else { 1.0 };
         let first = session.turn.map_or(1.0 - draw, |turn| turn.before);
         let usable = |s: &&Rc<Server>, part: f64| {
             s.state.get() == EndpointState::Active
                 && session.may_go_to(s, now)
                 && !session.attempts.borrow().iter().any(|c| Rc::ptr_eq(&c.server, s))
-                && first <= self.warm_up.share(s, [part, crowd, most, servers.len() as f64], now)
+                && first <= self.slow_start.share(s, [part, crowd, most, servers.len() as f64], now)
         };
         // While it is unusually silent a server has no trust at all.
         let unusual = self.shelf.unusual_after();
@@ -76,7 +76,9 @@
         let mut ranked: Vec<_> = servers.iter().filter(there).map(|s| (s.rank(by), s)).collect();
         // Guards against a strained fleet scattering its groups: so many past their servers, else pushback.
         // Guards against a group's weight on one server that is cold, or that nobody has seen strain yet.
-        let cold = || ranked.iter().min_by_key(|r| r.0).is_some_and(|r| self.warm_up.warmth(r.1, now) < 1.0);
+        let cold = || {
+            ranked.iter().min_by_key(|r| r.0).is_some_and(|r| self.slow_start.warm_fraction(r.1, now) < 1.0)
+        };
         let more = if blind && (!session.returned || cold()) { MORE } else { 0 };
         let width = by_group.map_or(0, |g| self.shelf.width(g, ranked.len()) + more).min(ranked.len());
         if width + MORE < ranked.len() {
--- a/src/choice/relief.rs
+++ b/src/choice/relief.rs
@@ -1,16 +1,16 @@
 //! Who is looked at, and who is sent away: rounds, strain, relief, and the end.
 
-use super::Chooser;
+use super::LoadBalancer;
 use crate::host::{EndpointState, Host, SessionId};
 use crate::record::Server;
 use crate::time::{DurationExt, Timestamp};
 use std::rc::{Rc, Weak};
 use std::time::Duration;
 
-impl Chooser {
+impl LoadBalancer {
     /// For a host on sockets, called once; it comes round by itself. Has clients leave a draining server and,
     /// where messages tell nothing, probes those that hold something.
-    pub fn look_round(&mut self, probing: bool, now: Timestamp, host: &mut dyn Host) {
+    pub fn start_periodic_checks(&mut self, probing: bool, now: Timestamp, host: &mut dyn Host) {
         // A draining server of twenty is empty in five seconds.
         const ROUND: Duration = Duration::from_millis(250);
         // A probe costs work, and relief takes one guest at a time: of 250 ms to 3 s these did best.
@@ -26,13 +26,13 @@
                 self.relieve(server, true, 1.0, host);
             } else if probing && server.open() > 0.0 && now.since(server.probed.get()) >= every {
                 server.probed.set(now);
-                host.probe(&server.id);
+                host.check_health(&server.id);
             }
         }
     }
 
     /// A probe has been answered, or given up, after this long.
-    pub fn probed(&mut self, server: &str, took: Duration, now: Timestamp, host: &mut dyn Host) {
+    pub fn on_health_check(&mut self, server: &str, took: Duration, now: Timestamp, host: &mut dyn Host) {
         // Measured beside message notes: 1.6 times the quickest at a quarter of the limit, 2 at all of it.
         const FROM: f64 = 1.6;
         const TO: f64 = 2.1;
@@ -48,7 +48,7 @@
     }
 
     /// Messages of a standing connection take this long at its server.
-    pub fn messages_take(
+    pub fn on_message_latency(
         &mut self,
         session: SessionId,
         delay: Duration,
@@ -107,7 +107,7 @@
     }
 
     /// This proxy ends, and this is called so often till then. Guards against a crowd of all its clients.
-    pub fn ends(&mut self, calls_left: usize, host: &mut dyn Host) {
+    pub fn migrate_sessions(&mut self, calls_left: usize, host: &mut dyn Host) {
         let staying = || self.sessions.values().filter(|c| c.stands.get() && !c.answered.get());
         for session in staying().take(staying().count().div_ceil(calls_left.max(1))) {
             session.answered.set(true);
--- a/src/host.rs
+++ b/src/host.rs
@@ -17,8 +17,8 @@
     fn migrate(&mut self, session: SessionId);
     /// Asks to be sent every change of the server list from now on; a host that is sent it unasked does nothing.
     fn subscribe(&mut self);
-    /// Has a server give a sign of life; how long that took comes as `probed`. False where it is not allowed.
-    fn probe(&mut self, server: &ServerId) -> bool;
+    /// Has a server give a sign of life; how long that took comes as `on_health_check`. False where it is not allowed.
+    fn check_health(&mut self, server: &ServerId) -> bool;
     /// Asks for a call of `on_timer` at `at`.
     fn schedule_wakeup(&mut self, at: Timestamp);
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,10 +1,10 @@
 //! Decides where a balancer places long-lived connections.
 //!
 //! [`choice`] holds every decision, [`host`] the interface to whatever carries them out, [`time`] the types
-//! of time. A host implements [`host::Host`] and calls a [`choice::Chooser`]:
+//! of time. A host implements [`host::Host`] and calls a [`choice::LoadBalancer`]:
 //!
 //! ```
-//! use shelfgrade::choice::{Chooser, WarmUp};
+//! use shelfgrade::choice::{LoadBalancer, SlowStart};
 //! use shelfgrade::host::*;
 //! use shelfgrade::time::Timestamp;
 //! use std::time::Duration;
@@ -18,24 +18,24 @@
 //!     fn fail(&mut self, _: SessionId) {}
 //!     fn migrate(&mut self, _: SessionId) {}
 //!     fn subscribe(&mut self) {}
-//!     fn probe(&mut self, _: &ServerId) -> bool { false }
+//!     fn check_health(&mut self, _: &ServerId) -> bool { false }
 //!     fn schedule_wakeup(&mut self, _: Timestamp) {}
 //! }
 //!
 //! let now = Timestamp::from_ms(1000.0);
 //! let mut host = Printer(Vec::new());
-//! let warm_up = WarmUp {
-//!     cold_from: 0.3,
-//!     cold_span: Duration::from_millis(8000),
-//!     fall_multiple: 3.0,
-//!     overload_span: Duration::from_millis(2000),
-//!     all_hold: None,
-//!     each_holds: 30.0,
+//! let slow_start = SlowStart {
+//!     initial_fraction: 0.3,
+//!     duration: Duration::from_millis(8000),
+//!     overload_factor: 3.0,
+//!     overload_window: Duration::from_millis(2000),
+//!     total_capacity: None,
+//!     server_capacity: 30.0,
 //!     proxies: 3.0,
 //! };
 //! let request class = RequestClass { effect: Idempotency::Idempotent, connect_latency_objective: None, message_latency_objective: None };
 //! let pause = Duration::from_millis(2000);
-//! let mut chooser = Chooser::new(7, vec![request class], 4, pause, None, warm_up);
+//! let mut chooser = LoadBalancer::new(7, vec![request class], 4, pause, None, slow_start);
 //! let server = Endpoint {
 //!     server: "192.0.2.1:80".into(),
 //!     zone: "a".into(),
--- a/src/record.rs
+++ b/src/record.rs
@@ -202,34 +202,34 @@
 }
 
 /// What servers can bear, a starting one above all, and how many proxies share it.
-pub struct WarmUp {
-    pub cold_from: f64,
-    pub cold_span: Duration,
-    pub fall_multiple: f64,
+pub struct SlowStart {
+    pub initial_fraction: f64,
+    pub duration: Duration,
+    pub overload_factor: f64,
     /// The span in which a cold server falls when it gets more than that; the budget is kept to in it.
-    pub overload_span: Duration,
+    pub overload_window: Duration,
     /// What all servers together can hold, in connections, where customers' bounds tell; else what each can.
-    pub all_hold: Option<f64>,
-    pub each_holds: f64,
+    pub total_capacity: Option<f64>,
+    pub server_capacity: f64,
     pub proxies: f64,
 }
 
-impl WarmUp {
+impl SlowStart {
     /// How many connections this proxy would hold of what so many servers can.
     pub(crate) fn part(&self, servers: usize) -> f64 {
-        self.all_hold.unwrap_or(self.each_holds * servers as f64) / self.proxies
+        self.total_capacity.unwrap_or(self.server_capacity * servers as f64) / self.proxies
     }
 
     /// How many attempts those can take in such a span that together hold `part` and are as warm as this server.
     pub(crate) fn budget(&self, server: &Server, part: f64, span: Duration, now: Timestamp) -> f64 {
-        let present = self.cold_from + (1.0 - self.cold_from) * self.warmth(server, now);
+        let present = self.initial_fraction + (1.0 - self.initial_fraction) * self.warm_fraction(server, now);
         // A cold server can take what fills it over its warm-up.
-        part * span.ratio_to(self.cold_span) * self.fall_multiple * present
+        part * span.ratio_to(self.duration) * self.overload_factor * present
     }
 
     /// From 0, just started, to 1, warm.
-    pub(crate) fn warmth(&self, server: &Server, now: Timestamp) -> f64 {
-        server.started.get().map_or(1.0, |at| now.since(at).ratio_to(self.cold_span).min(1.0))
+    pub(crate) fn warm_fraction(&self, server: &Server, now: Timestamp) -> f64 {
+        server.started.get().map_or(1.0, |at| now.since(at).ratio_to(self.duration).min(1.0))
     }
 }
 
--- a/tests/stories/answers.rs
+++ b/tests/stories/answers.rs
@@ -8,14 +8,14 @@
     let mut proxy = Proxy::of_four();
     let delicate = Arrival { class: Some(NON_IDEMPOTENT), ..plain("job") };
     let run = proxy.arrives(delicate);
-    proxy.ends(run, AttemptOutcome::ConnectionLost);
+    proxy.attempt_ends(run, AttemptOutcome::ConnectionLost);
     assert_eq!((proxy.sent_to(run).len(), &proxy.notes.failed), (1, &vec![run]));
     let unrun = proxy.arrives(delicate);
-    proxy.ends(unrun, AttemptOutcome::Rejected);
+    proxy.attempt_ends(unrun, AttemptOutcome::Rejected);
     assert_eq!(proxy.sent_to(unrun).len(), 2, "proven not to have run, it may be sent again");
     // A request class never heard of is handled as carefully.
     let unknown = proxy.arrives(Arrival { class: None, ..plain("what") });
-    proxy.ends(unknown, AttemptOutcome::TimedOut);
+    proxy.attempt_ends(unknown, AttemptOutcome::TimedOut);
     assert_eq!(proxy.notes.failed, [run, unknown]);
 }
 
@@ -25,14 +25,14 @@
     let key = key_for("a2");
     let marked = Arrival { class: Some(KEYED), ..plain(&key) };
     let session = proxy.arrives(marked);
-    proxy.ends(session, AttemptOutcome::ConnectionLost);
-    proxy.ends(session, AttemptOutcome::ConnectionLost);
+    proxy.attempt_ends(session, AttemptOutcome::ConnectionLost);
+    proxy.attempt_ends(session, AttemptOutcome::ConnectionLost);
     assert_eq!(proxy.sent_to(session), ["a2", "a1"], "only its own zone drops the repeat");
     assert_eq!(proxy.notes.failed, [session], "no pushback: the client's next try may land anywhere");
     let mut later = Proxy::of_four();
     let session = later.arrives(marked);
     later.passes(1600);
-    later.ends(session, AttemptOutcome::TimedOut);
+    later.attempt_ends(session, AttemptOutcome::TimedOut);
     assert_eq!((later.sent_to(session).len(), &later.notes.failed), (1, &vec![session]));
 }
 
@@ -43,17 +43,17 @@
     while proxy.notes.rejected.is_empty() {
         let time_out = proxy.notes.attempts.last().expect("an attempt").2;
         proxy.now = proxy.now + time_out;
-        proxy.ends(session, AttemptOutcome::TimedOut);
+        proxy.attempt_ends(session, AttemptOutcome::TimedOut);
     }
     assert!(proxy.now <= shelfgrade::time::Timestamp::from_ms(60_000.0) + REQUEST_TIMEOUT);
     assert!(proxy.sent_to(session).len() >= 2, "the time-outs leave room for another attempt");
     let before = proxy.notes.attempts.len();
-    proxy.ends(session, AttemptOutcome::TimedOut);
+    proxy.attempt_ends(session, AttemptOutcome::TimedOut);
     assert_eq!((proxy.notes.attempts.len(), proxy.notes.rejected.len()), (before, 1));
     let mut proxy = Proxy::of_four();
     let left = proxy.arrives(plain("impatient"));
-    proxy.chooser.left(SessionId(left));
-    proxy.ends(left, AttemptOutcome::Rejected);
+    proxy.balancer.on_client_closed(SessionId(left));
+    proxy.attempt_ends(left, AttemptOutcome::Rejected);
     assert_eq!((proxy.notes.attempts.len(), proxy.notes.rejected.len()), (1, 0));
 }
 
@@ -64,11 +64,11 @@
     for _ in 0..6 {
         let session = proxy.arrives(plain(&usual));
         proxy.passes(10);
-        proxy.chooser.stands(SessionId(session), proxy.now);
-        proxy.ends(session, AttemptOutcome::Completed);
+        proxy.balancer.on_established(SessionId(session), proxy.now);
+        proxy.attempt_ends(session, AttemptOutcome::Completed);
     }
     assert_eq!(proxy.settles(plain(&silent)).as_deref(), Some("a2"));
-    proxy.ends(7, AttemptOutcome::Completed);
+    proxy.attempt_ends(7, AttemptOutcome::Completed);
     proxy.arrives(plain(&silent));
     proxy.passes(300);
     assert_ne!(proxy.settles(plain(&silent)).as_deref(), Some("a2"));
@@ -79,11 +79,11 @@
     let mut proxy = Proxy::of_four();
     proxy.arrives(plain("first"));
     assert!(proxy.notes.attempts[0].2 < REQUEST_TIMEOUT);
-    proxy.chooser.stands(SessionId(1), proxy.now);
+    proxy.balancer.on_established(SessionId(1), proxy.now);
     for i in 0..6 {
         let session = proxy.arrives(plain(&format!("jam-{i}")));
         proxy.passes(700);
-        proxy.chooser.stands(SessionId(session), proxy.now);
+        proxy.balancer.on_established(SessionId(session), proxy.now);
     }
     proxy.arrives(plain("later"));
     assert_eq!(proxy.notes.attempts.last().map(|c| c.2), Some(REQUEST_TIMEOUT));
--- a/tests/stories/books.rs
+++ b/tests/stories/books.rs
@@ -3,8 +3,8 @@
 
 use crate::fake::*;
 use nanorand::{Rng, WyRand};
-use shelfgrade::books::Books;
-use shelfgrade::choice::Chooser;
+use shelfgrade::books::Outstanding;
+use shelfgrade::choice::LoadBalancer;
 use shelfgrade::host::*;
 use shelfgrade::time::Timestamp;
 use std::collections::{BTreeMap, VecDeque};
@@ -81,7 +81,7 @@
         self.migrated.push(session.0);
     }
     fn subscribe(&mut self) {}
-    fn probe(&mut self, server: &ServerId) -> bool {
+    fn check_health(&mut self, server: &ServerId) -> bool {
         self.asked.extend(self.may_probe.then(|| server.clone()));
         self.may_probe
     }
@@ -91,7 +91,7 @@
 }
 
 struct Play {
-    chooser: Chooser,
+    balancer: LoadBalancer,
     model: Model,
     now: Timestamp,
     last: u64,
@@ -102,7 +102,7 @@
         // Few proxies, many that see little and ask for signs of life, and many that may not ask.
         let proxies = [3, 300, 300][seed as usize % 3];
         let list = TWELVE.map(server);
-        let Proxy { chooser, now, .. } = Proxy::among(proxies, Some(8.0), seed, &list);
+        let Proxy { balancer, now, .. } = Proxy::among(proxies, Some(8.0), seed, &list);
         let model = Model {
             luck: WyRand::new_seed(seed),
             sessions: BTreeMap::new(),
@@ -114,35 +114,35 @@
             may_probe: seed % 3 < 2,
             attempts: 0,
         };
-        let mut play = Play { chooser, model, now, last: 0 };
-        play.chooser.look_round(seed.is_multiple_of(2), now, &mut play.model);
+        let mut play = Play { balancer, model, now, last: 0 };
+        play.balancer.start_periodic_checks(seed.is_multiple_of(2), now, &mut play.model);
         play
     }
 
-    fn ended(&mut self, session: u64, outcome: AttemptOutcome, done: bool) {
+    fn on_attempt_ended(&mut self, session: u64, outcome: AttemptOutcome, done: bool) {
         self.model.becomes(session, if done { Stage::Over } else { Stage::Waiting });
-        self.chooser.ended(SessionId(session), outcome, done, self.now, &mut self.model);
+        self.balancer.on_attempt_ended(SessionId(session), outcome, done, self.now, &mut self.model);
     }
 
     /// As the host does once the module has finished.
     fn settles(&mut self) {
         while let Some(session) = self.model.at_once.pop_front() {
             let outcome = [AttemptOutcome::NotSent, AttemptOutcome::Unreachable][self.model.draw(2)];
-            self.ended(session, outcome, false);
+            self.on_attempt_ended(session, outcome, false);
         }
         for session in std::mem::take(&mut self.model.migrated) {
             if matches!(self.model.sessions[&session].0, Stage::Established(_)) {
-                self.ended(session, AttemptOutcome::Cancelled, true);
+                self.on_attempt_ended(session, AttemptOutcome::Cancelled, true);
             }
         }
     }
 
     fn leaves(&mut self, session: u64) {
         let was = self.model.becomes(session, Stage::Over);
-        self.chooser.left(SessionId(session));
+        self.balancer.on_client_closed(SessionId(session));
         // Where nothing is out, not every host tells of an end besides.
         if was != Stage::Waiting || self.model.draw(2) == 0 {
-            self.ended(session, AttemptOutcome::Cancelled, true);
+            self.on_attempt_ended(session, AttemptOutcome::Cancelled, true);
         }
     }
 
@@ -160,7 +160,7 @@
             ..plain(&key)
         };
         self.model.sessions.insert(self.last, (Stage::Waiting, 0));
-        self.chooser.arrived(&arrival, self.now, &mut self.model);
+        self.balancer.on_request(&arrival, self.now, &mut self.model);
     }
 
     fn comes_back(&mut self, session: u64) {
@@ -173,11 +173,11 @@
             AttemptOutcome::Cancelled,
         ];
         match self.model.draw(outcomes.len() * 2) {
-            i if i < outcomes.len() => self.ended(session, outcomes[i], false),
+            i if i < outcomes.len() => self.on_attempt_ended(session, outcomes[i], false),
             _ => {
                 let Stage::Out(server) = self.model.sessions[&session].0.clone() else { return };
                 self.model.becomes(session, Stage::Established(server));
-                self.chooser.stands(SessionId(session), self.now);
+                self.balancer.on_established(SessionId(session), self.now);
             }
         }
     }
@@ -189,7 +189,7 @@
         let state = state[self.model.draw(state.len())];
         let started = (self.model.draw(4) == 0).then_some(self.now);
         self.model.list.insert(id.into(), state);
-        self.chooser.listed(&[Endpoint { state, started, ..server(id) }], false, self.now);
+        self.balancer.on_endpoints(&[Endpoint { state, started, ..server(id) }], false, self.now);
     }
 
     fn step(&mut self) {
@@ -212,7 +212,7 @@
                         AttemptOutcome::ConnectionLost,
                         AttemptOutcome::Cancelled,
                     ][self.model.draw(3)];
-                    self.ended(session, outcome, true);
+                    self.on_attempt_ended(session, outcome, true);
                 }
             }
             7 => (0..1 + self.model.draw(3)).for_each(|_| self.list_changes()),
@@ -222,17 +222,17 @@
                     // One in eight in time for a session that waits for it, else half of them.
                     let slowest = [400, 100][self.model.draw(2)];
                     let took = Duration::from_millis(self.model.draw(slowest) as u64);
-                    self.chooser.probed(&server, took, self.now, &mut self.model);
+                    self.balancer.on_health_check(&server, took, self.now, &mut self.model);
                     self.settles();
                 }
             }
             9 => {
                 if let Some(session) = self.model.one_of(|s| matches!(s, Stage::Established(_))) {
                     let took = Duration::from_millis(self.model.draw(4000) as u64);
-                    self.chooser.messages_take(SessionId(session), took, self.now, &mut self.model);
+                    self.balancer.on_message_latency(SessionId(session), took, self.now, &mut self.model);
                 }
             }
-            10 if self.model.draw(60) == 0 => self.chooser.ends(3, &mut self.model),
+            10 if self.model.draw(60) == 0 => self.balancer.migrate_sessions(3, &mut self.model),
             _ => self.time_passes(),
         }
         self.settles();
@@ -243,21 +243,21 @@
         let now = self.now;
         let due = self.model.alarms.extract_if(.., |at| *at <= now).count();
         if due > 0 {
-            self.chooser.on_timer(now, &mut self.model);
+            self.balancer.on_timer(now, &mut self.model);
         }
     }
 
     /// Whatever is left comes to its end.
     fn winds_up(&mut self) {
         self.now = self.now + Duration::from_millis(5000);
-        self.chooser.on_timer(self.now, &mut self.model);
+        self.balancer.on_timer(self.now, &mut self.model);
         self.settles();
         while let Some(session) = self.model.one_of(|s| matches!(s, Stage::Out(_))) {
-            self.ended(session, AttemptOutcome::TimedOut, false);
+            self.on_attempt_ended(session, AttemptOutcome::TimedOut, false);
             self.settles();
         }
         for session in self.model.in_stage(|s| matches!(s, Stage::Established(_))) {
-            self.ended(session, AttemptOutcome::Completed, true);
+            self.on_attempt_ended(session, AttemptOutcome::Completed, true);
         }
     }
 }
@@ -269,10 +269,10 @@
         let mut play = Play::begin(seed);
         for _ in 0..400 {
             play.step();
-            stood = stood.max(play.chooser.books().held);
+            stood = stood.max(play.balancer.outstanding().held);
         }
         play.winds_up();
-        assert_eq!(play.chooser.books(), Books::default(), "seed {seed}");
+        assert_eq!(play.balancer.outstanding(), Outstanding::default(), "seed {seed}");
         let open = play.model.in_stage(|s| *s != Stage::Over);
         assert!(open.is_empty(), "seed {seed}: never answered: {open:?}");
         attempts += play.model.attempts;
--- a/tests/stories/cold.rs
+++ b/tests/stories/cold.rs
@@ -10,7 +10,7 @@
         let mut proxy = Proxy::seeded(seed, &["a1", "a2", "b1", "b2"].map(server));
         (0..40).for_each(|i| drop(proxy.settles(plain(&format!("early-{i}")))));
         let cold = Endpoint { started: Some(proxy.now), ..server("a3") };
-        proxy.chooser.listed(&[cold], false, proxy.now);
+        proxy.balancer.on_endpoints(&[cold], false, proxy.now);
         let storm = |proxy: &mut Proxy, name: &str| {
             let before = proxy.notes.attempts.len();
             (0..100).for_each(|i| drop(proxy.settles(plain(&format!("{name}-{seed}-{i}")))));
@@ -33,14 +33,24 @@
             let mut proxy = Proxy::among(proxies as usize, None, seed, &TWELVE.map(server));
             // A fleet of twelve that holds 240.
             (0..240 / proxies).for_each(|i| drop(proxy.settles(plain(&format!("early-{seed}-{i}")))));
-            proxy.chooser.listed(&[Endpoint { started: Some(proxy.now), ..server("a7") }], false, proxy.now);
+            proxy.balancer.on_endpoints(
+                &[Endpoint { started: Some(proxy.now), ..server("a7") }],
+                false,
+                proxy.now,
+            );
             let before = proxy.notes.attempts.len();
             for i in 0..400 {
                 proxy.arrives(plain(&format!("storm-{seed}-{i}")));
                 let session = SessionId(240 / proxies + 1 + i);
-                proxy.chooser.left(session);
-                proxy.chooser.stands(session, proxy.now);
-                proxy.chooser.ended(session, AttemptOutcome::Completed, true, proxy.now, &mut proxy.notes);
+                proxy.balancer.on_client_closed(session);
+                proxy.balancer.on_established(session, proxy.now);
+                proxy.balancer.on_attempt_ended(
+                    session,
+                    AttemptOutcome::Completed,
+                    true,
+                    proxy.now,
+                    &mut proxy.notes,
+                );
                 proxy.passes(20);
             }
             total += proxy.notes.attempts[before..].iter().filter(|(_, place, _)| place == "a7").count();
@@ -59,7 +69,11 @@
             let mut proxy = Proxy::among(100, part, seed, &TWELVE.map(server));
             proxy.settles(plain(&format!("early-{seed}")));
             proxy.passes(5000);
-            proxy.chooser.listed(&[Endpoint { started: Some(proxy.now), ..server("a7") }], false, proxy.now);
+            proxy.balancer.on_endpoints(
+                &[Endpoint { started: Some(proxy.now), ..server("a7") }],
+                false,
+                proxy.now,
+            );
             for i in 0..clients {
                 proxy.arrives(plain(&format!("back-{seed}-{i}")));
             }
@@ -90,7 +104,7 @@
             proxy.notes.mute = true;
             let cold: Vec<_> =
                 list.iter().map(|l| Endpoint { started: Some(proxy.now), ..l.clone() }).take(10).collect();
-            proxy.chooser.listed(&cold, false, proxy.now);
+            proxy.balancer.on_endpoints(&cold, false, proxy.now);
             let (key, group) = (format!("key{i}"), group(i));
             let came = proxy.arrives(Arrival { group: Some(&group), mid_flow, ..plain(&key) });
             proxy.sent_to(came).first().cloned()
@@ -112,7 +126,11 @@
             let told = if i < old { (3, Some(40.0)) } else { (60, None) };
             let mut proxy = Proxy::among(told.0, told.1, i as u64, &TWELVE.map(server));
             proxy.notes.mute = i >= old;
-            proxy.chooser.listed(&[Endpoint { started: Some(proxy.now), ..server("a1") }], false, proxy.now);
+            proxy.balancer.on_endpoints(
+                &[Endpoint { started: Some(proxy.now), ..server("a1") }],
+                false,
+                proxy.now,
+            );
             // As many come to the three as to the sixty, a third of what all can hold in half a second.
             let clients = if i < old { 20 } else { 1 };
             let place = |c| {
@@ -140,7 +158,7 @@
             proxy.notes.mute = true;
             let cold: Vec<_> =
                 TWELVE.iter().map(|place| Endpoint { started: Some(proxy.now), ..server(place) }).collect();
-            proxy.chooser.listed(&cold, false, proxy.now);
+            proxy.balancer.on_endpoints(&cold, false, proxy.now);
             // By then the share of one client at a time has no bound.
             proxy.passes(6000);
             let key = format!("key{seed}");
@@ -161,7 +179,11 @@
         let of_one = |seed: u64| {
             let mut proxy = Proxy::among(100, None, seed, &TWELVE.map(server));
             proxy.notes.mute = true;
-            proxy.chooser.listed(&[Endpoint { started: Some(proxy.now), ..server("a1") }], false, proxy.now);
+            proxy.balancer.on_endpoints(
+                &[Endpoint { started: Some(proxy.now), ..server("a1") }],
+                false,
+                proxy.now,
+            );
             TWELVE[1..].iter().for_each(|place| proxy.strains(&[place], strained));
             // Four came just before, so that one in four is let in.
             (0..4).for_each(|i| drop(proxy.settles(plain(&format!("just-before-{seed}-{i}")))));
@@ -193,7 +215,7 @@
         proxy.passes(5000);
         let started = Some(proxy.now);
         let back: Vec<_> = ids[..COLD].iter().map(|id| Endpoint { started, ..server(id) }).collect();
-        proxy.chooser.listed(&back, false, proxy.now);
+        proxy.balancer.on_endpoints(&back, false, proxy.now);
         let before = proxy.notes.attempts.len();
         // A burst of what the zone held, and of as many who come anyway.
         for i in 0..8 {
@@ -221,14 +243,14 @@
         let held: Vec<_> = keys.iter().map(|key| proxy.settles(plain(key)).expect("a server")).collect();
         let there: Vec<_> = (0..keys.len()).filter(|i| held[*i] == "a1").collect();
         let end = |proxy: &mut Proxy| {
-            there.iter().for_each(|i| proxy.ends(*i as u64 + 1, AttemptOutcome::ConnectionLost))
+            there.iter().for_each(|i| proxy.attempt_ends(*i as u64 + 1, AttemptOutcome::ConnectionLost))
         };
         proxy.passes(1000);
         if ends_heard == Some(true) {
             end(&mut proxy);
         }
         let restarted = Endpoint { started: Some(proxy.now), ..server("a1") };
-        proxy.chooser.listed(&[restarted], false, proxy.now);
+        proxy.balancer.on_endpoints(&[restarted], false, proxy.now);
         if ends_heard == Some(false) {
             end(&mut proxy);
         }
--- a/tests/stories/fake.rs
+++ b/tests/stories/fake.rs
@@ -1,6 +1,6 @@
 //! One proxy on a fake host that notes what it is asked to do.
 
-use shelfgrade::choice::{Chooser, WarmUp};
+use shelfgrade::choice::{LoadBalancer, SlowStart};
 use shelfgrade::host::*;
 use shelfgrade::time::Timestamp;
 use std::collections::BTreeMap;
@@ -36,7 +36,7 @@
     fn subscribe(&mut self) {
         self.subscribed += 1;
     }
-    fn probe(&mut self, server: &ServerId) -> bool {
+    fn check_health(&mut self, server: &ServerId) -> bool {
         if !self.mute {
             self.probed.push(server.to_string());
         }
@@ -57,7 +57,7 @@
 pub const TWELVE: [&str; 12] = ["a1", "a2", "a3", "a4", "a5", "a6", "b1", "b2", "b3", "b4", "b5", "b6"];
 
 pub struct Proxy {
-    pub chooser: Chooser,
+    pub balancer: LoadBalancer,
     pub notes: Notes,
     pub now: Timestamp,
     next: u64,
@@ -102,20 +102,20 @@
     /// One of so many, whose part of what the servers can hold is this, if the settings tell.
     pub fn among(proxies: usize, part: Option<f64>, seed: u64, list: &[Endpoint]) -> Self {
         let many = proxies as f64;
-        let warm_up = WarmUp {
-            cold_from: 0.3,
-            cold_span: Duration::from_millis(8000),
-            fall_multiple: 3.0,
-            overload_span: Duration::from_millis(2000),
-            all_hold: part.map(|p| p * many),
-            each_holds: 30.0,
+        let slow_start = SlowStart {
+            initial_fraction: 0.3,
+            duration: Duration::from_millis(8000),
+            overload_factor: 3.0,
+            overload_window: Duration::from_millis(2000),
+            total_capacity: part.map(|p| p * many),
+            server_capacity: 30.0,
             proxies: many,
         };
-        Self::by(warm_up, seed, list)
+        Self::by(slow_start, seed, list)
     }
 
     /// One that goes by these terms on cold servers.
-    pub fn by(warm_up: WarmUp, seed: u64, list: &[Endpoint]) -> Self {
+    pub fn by(slow_start: SlowStart, seed: u64, list: &[Endpoint]) -> Self {
         let keyed = Idempotency::Keyed { scope: KeyScope::Zone, window: Duration::from_millis(1500) };
         let message_latency_objective = Some(Duration::from_millis(50));
         let classes = [Idempotency::Idempotent, Idempotency::NonIdempotent, keyed];
@@ -127,10 +127,10 @@
             })
             .to_vec();
         let pause = Duration::from_millis(1000);
-        let chooser = Chooser::new(seed, classes, 4, pause, Some(MUST_ASK_IN), warm_up);
+        let balancer = LoadBalancer::new(seed, classes, 4, pause, Some(MUST_ASK_IN), slow_start);
         let mut proxy =
-            Proxy { chooser, notes: Notes::default(), now: Timestamp::from_ms(60_000.0), next: 0 };
-        proxy.chooser.start(list, proxy.now, &mut proxy.notes);
+            Proxy { balancer, notes: Notes::default(), now: Timestamp::from_ms(60_000.0), next: 0 };
+        proxy.balancer.start(list, proxy.now, &mut proxy.notes);
         proxy
     }
 
@@ -149,8 +149,8 @@
         for place in places {
             self.next += 1;
             let open = Arrival { session: SessionId(self.next), ..plain("any") };
-            self.chooser.open_already(&open, place, self.now);
-            self.messages_take(self.next, ms);
+            self.balancer.restore_session(&open, place, self.now);
+            self.on_message_latency(self.next, ms);
         }
     }
 
@@ -163,13 +163,13 @@
             arrival.deadline
         };
         let arrival = Arrival { session: SessionId(self.next), deadline: ends, ..arrival };
-        self.chooser.arrived(&arrival, self.now, &mut self.notes);
+        self.balancer.on_request(&arrival, self.now, &mut self.notes);
         self.next
     }
 
     /// A server gives a sign of life after this long.
     pub fn answers(&mut self, place: &str, ms: u64) {
-        self.chooser.probed(place, Duration::from_millis(ms), self.now, &mut self.notes);
+        self.balancer.on_health_check(place, Duration::from_millis(ms), self.now, &mut self.notes);
     }
 
     /// Lets it arrive and its connection stand, if it was sent anywhere; says where. Of servers that are asked for
@@ -182,12 +182,12 @@
         }
         let place = self.sent_to(session).last().cloned();
         self.passes(20);
-        self.chooser.stands(SessionId(session), self.now);
+        self.balancer.on_established(SessionId(session), self.now);
         place
     }
 
-    pub fn ends(&mut self, session: u64, outcome: AttemptOutcome) {
-        self.chooser.ended(
+    pub fn attempt_ends(&mut self, session: u64, outcome: AttemptOutcome) {
+        self.balancer.on_attempt_ended(
             SessionId(session),
             outcome,
             outcome == AttemptOutcome::Completed,
@@ -196,8 +196,13 @@
         );
     }
 
-    pub fn messages_take(&mut self, session: u64, ms: u64) {
-        self.chooser.messages_take(SessionId(session), Duration::from_millis(ms), self.now, &mut self.notes);
+    pub fn on_message_latency(&mut self, session: u64, ms: u64) {
+        self.balancer.on_message_latency(
+            SessionId(session),
+            Duration::from_millis(ms),
+            self.now,
+            &mut self.notes,
+        );
     }
 
     pub fn passes(&mut self, ms: u64) {
@@ -209,7 +214,7 @@
         let end = self.now + Duration::from_millis(ms);
         while let Some(i) = self.notes.alarms.iter().position(|at| *at <= end) {
             self.now = self.now.max(self.notes.alarms.remove(i));
-            self.chooser.on_timer(self.now, &mut self.notes);
+            self.balancer.on_timer(self.now, &mut self.notes);
         }
         self.now = end;
     }
--- a/tests/stories/gathering.rs
+++ b/tests/stories/gathering.rs
@@ -28,12 +28,12 @@
         let session = proxy.arrives(Arrival { group: Some(&group), returned: true, ..plain(&key) });
         while proxy.sent_to(session).last().is_some_and(|place| gone.contains(&place.as_str())) {
             let tried = proxy.sent_to(session).len();
-            proxy.ends(session, AttemptOutcome::Unreachable);
+            proxy.attempt_ends(session, AttemptOutcome::Unreachable);
             if proxy.sent_to(session).len() == tried {
                 break;
             }
         }
-        proxy.chooser.stands(SessionId(session), proxy.now);
+        proxy.balancer.on_established(SessionId(session), proxy.now);
         proxy.passes(20);
     }
     assert_eq!(proxy.notes.rejected.len(), 0, "two are sound");
@@ -42,7 +42,11 @@
 #[test]
 fn a_change_of_the_list_moves_only_the_homes_of_the_server_that_went() {
     let (mut before, mut after) = (Proxy::of_twelve(), Proxy::of_twelve());
-    after.chooser.listed(&[Endpoint { state: EndpointState::Removed, ..server("a3") }], false, after.now);
+    after.balancer.on_endpoints(
+        &[Endpoint { state: EndpointState::Removed, ..server("a3") }],
+        false,
+        after.now,
+    );
     let groups: Vec<String> = (0..60).map(|i| format!("bank-{i}")).collect();
     let homes: Vec<_> = groups.iter().map(|g| (home(&mut before, g), home(&mut after, g))).collect();
     let moved = homes.iter().filter(|(was, is)| was != is).collect::<Vec<_>>();
@@ -118,7 +122,7 @@
     assert!(proxy.notes.attempts.is_empty());
     proxy.lives(1);
     assert_eq!((proxy.sent_to(first).len(), proxy.sent_to(second).len()), (1, 1));
-    [first, second].iter().for_each(|session| proxy.chooser.stands(SessionId(*session), proxy.now));
+    [first, second].iter().for_each(|session| proxy.balancer.on_established(SessionId(*session), proxy.now));
     // A sign that comes after its time, or in place of one given up, sends nothing.
     let place = proxy.notes.probed[2].clone();
     proxy.answers(&place, 51);
@@ -138,12 +142,12 @@
     let mut proxy = one_of_many(1);
     let left = proxy.arrives(Arrival { group: Some("g"), ..plain("k") });
     let asked = proxy.notes.probed.clone();
-    proxy.chooser.left(SessionId(left));
+    proxy.balancer.on_client_closed(SessionId(left));
     asked.iter().for_each(|place| proxy.answers(place, 3));
     proxy.lives(1000);
     assert!(proxy.notes.attempts.is_empty() && proxy.notes.rejected.is_empty());
     let stays = proxy.arrives(Arrival { group: Some("g"), ..plain("k") });
-    proxy.chooser.listed(
+    proxy.balancer.on_endpoints(
         &[Endpoint { state: EndpointState::Draining, ..server(&asked[0]) }],
         false,
         proxy.now,
@@ -189,7 +193,11 @@
         let place_of = |seed: u64| {
             let mut proxy = Proxy::among(150, None, seed, &list);
             proxy.notes.mute = true;
-            proxy.chooser.listed(&[Endpoint { started: Some(proxy.now), ..server(cold) }], false, proxy.now);
+            proxy.balancer.on_endpoints(
+                &[Endpoint { started: Some(proxy.now), ..server(cold) }],
+                false,
+                proxy.now,
+            );
             // By then it may have nearly all that it can bear.
             proxy.passes(7900);
             proxy.settles(Arrival { group: Some("g"), returned, ..plain(&format!("key{seed}")) })
--- a/tests/stories/jams.rs
+++ b/tests/stories/jams.rs
@@ -20,7 +20,7 @@
             // As long as it is sent somewhere else.
             for tried in 1..=4 {
                 if proxy.sent_to(session).len() == tried {
-                    proxy.ends(session, AttemptOutcome::Failed);
+                    proxy.attempt_ends(session, AttemptOutcome::Failed);
                 }
             }
             proxy.passes(100);
@@ -37,7 +37,7 @@
     for i in 0..6 {
         let session = proxy.arrives(plain(&format!("jam-{i}")));
         for _ in 0..4 {
-            proxy.ends(session, AttemptOutcome::Failed);
+            proxy.attempt_ends(session, AttemptOutcome::Failed);
         }
     }
     let (sent, pushed) = (proxy.notes.attempts.len(), proxy.notes.rejected.len());
@@ -57,7 +57,7 @@
         for round in 0..15 {
             let came: Vec<_> = (0..30).map(|i| proxy.arrives(plain(&format!("jam-{round}-{i}")))).collect();
             proxy.passes(stood_after);
-            came.iter().for_each(|session| proxy.chooser.stands(SessionId(*session), proxy.now));
+            came.iter().for_each(|session| proxy.balancer.on_established(SessionId(*session), proxy.now));
         }
         proxy.passes(ms);
         let attempts = proxy.notes.attempts.len();
@@ -90,7 +90,7 @@
     wait(&mut proxy);
     wait(&mut proxy);
     proxy.passes(301);
-    (1..3).for_each(|session| proxy.chooser.stands(SessionId(session), proxy.now));
+    (1..3).for_each(|session| proxy.balancer.on_established(SessionId(session), proxy.now));
     proxy.passes(200);
     for _ in 4..40 {
         wait(&mut proxy);
--- a/tests/stories/listing.rs
+++ b/tests/stories/listing.rs
@@ -10,7 +10,7 @@
     proxy.lives(400);
     assert_eq!(proxy.notes.subscribed, 1);
     for failures in 1..12 {
-        proxy.chooser.list_failed(proxy.now, proxy.now, &mut proxy.notes);
+        proxy.balancer.on_poll_failed(proxy.now, proxy.now, &mut proxy.notes);
         let pause = proxy.notes.alarms.last().expect("an alarm").since(proxy.now);
         assert!(
             pause > Duration::from_millis(200) && pause < MUST_ASK_IN.scaled(0.85),
@@ -51,9 +51,9 @@
     for seed in 0..200 {
         let mut proxy = Proxy::among(300, None, seed, &TWELVE.map(server));
         let due = proxy.now + Duration::from_millis(3700);
-        proxy.chooser.list_lost(due, &mut proxy.notes);
+        proxy.balancer.on_watch_lost(due, &mut proxy.notes);
         for _ in 0..3 {
-            proxy.chooser.list_failed(proxy.now, proxy.now, &mut proxy.notes);
+            proxy.balancer.on_poll_failed(proxy.now, proxy.now, &mut proxy.notes);
             let (pause, left) =
                 (proxy.notes.alarms.last().expect("an alarm").since(proxy.now), due.since(proxy.now));
             // And two tenths of a second.
@@ -62,18 +62,18 @@
         }
         assert!(proxy.now < due, "three refusals leave time for another call");
         // A second silence puts it off no further, and past due it is asked for twice a second.
-        proxy.chooser.list_lost(due + Duration::from_millis(9000), &mut proxy.notes);
+        proxy.balancer.on_watch_lost(due + Duration::from_millis(9000), &mut proxy.notes);
         proxy.now = due;
         for _ in 0..9 {
-            proxy.chooser.list_failed(proxy.now, proxy.now, &mut proxy.notes);
+            proxy.balancer.on_poll_failed(proxy.now, proxy.now, &mut proxy.notes);
             let pause = proxy.notes.alarms.last().expect("an alarm").since(proxy.now);
             assert!(pause <= Duration::from_millis(600), "{pause:?}");
             proxy.now = proxy.now + pause;
         }
         // With news in hand calls are spread again.
-        proxy.chooser.listed(&[], false, proxy.now);
+        proxy.balancer.on_endpoints(&[], false, proxy.now);
         let later = |proxy: &mut Proxy| {
-            proxy.chooser.list_failed(proxy.now, proxy.now, &mut proxy.notes);
+            proxy.balancer.on_poll_failed(proxy.now, proxy.now, &mut proxy.notes);
             proxy.notes.alarms.last().expect("an alarm").since(proxy.now)
         };
         assert!((0..20).any(|_| later(&mut proxy) > Duration::from_millis(1500)));
--- a/tests/stories/order.rs
+++ b/tests/stories/order.rs
@@ -18,9 +18,13 @@
 fn a_draining_or_gone_pick_passes_to_the_next_in_order() {
     let mut proxy = Proxy::of_four();
     let key = key_for("a2");
-    proxy.chooser.listed(&[Endpoint { state: EndpointState::Draining, ..server("a2") }], false, proxy.now);
+    proxy.balancer.on_endpoints(
+        &[Endpoint { state: EndpointState::Draining, ..server("a2") }],
+        false,
+        proxy.now,
+    );
     assert_eq!(proxy.settles(plain(&key)).as_deref(), Some("b1"));
-    proxy.chooser.listed(&["b1", "b2"].map(server), true, proxy.now);
+    proxy.balancer.on_endpoints(&["b1", "b2"].map(server), true, proxy.now);
     for i in 0..50 {
         proxy.settles(plain(&format!("after-{i}")));
     }
@@ -51,7 +55,7 @@
     let stray = Arrival { mid_flow: true, ..plain(&key) };
     assert_eq!(proxy.settles(stray).as_deref(), Some(away.as_str()));
     for session in 1..=last + 1 {
-        proxy.ends(session, AttemptOutcome::Completed);
+        proxy.attempt_ends(session, AttemptOutcome::Completed);
     }
     proxy.passes(31_000);
     assert_eq!(proxy.settles(stray).as_deref(), Some("a2"));
@@ -63,7 +67,11 @@
     let key = key_for("a2");
     let stray = Arrival { mid_flow: true, ..plain(&key) };
     assert_eq!(proxy.settles(stray).as_deref(), Some("a2"));
-    proxy.chooser.listed(&[Endpoint { state: EndpointState::Draining, ..server("a2") }], false, proxy.now);
+    proxy.balancer.on_endpoints(
+        &[Endpoint { state: EndpointState::Draining, ..server("a2") }],
+        false,
+        proxy.now,
+    );
     assert_eq!(proxy.settles(stray).as_deref(), Some("b1"));
 }
 
@@ -72,15 +80,19 @@
     let mut proxy = Proxy::with(&[]);
     let keyless = Arrival { key: None, ..plain("") };
     assert_eq!(proxy.settles(keyless), None);
-    proxy.chooser.listed(&[Endpoint { state: EndpointState::Draining, ..server("a1") }], true, proxy.now);
+    proxy.balancer.on_endpoints(
+        &[Endpoint { state: EndpointState::Draining, ..server("a1") }],
+        true,
+        proxy.now,
+    );
     assert_eq!(proxy.settles(plain("any")), None);
     assert_eq!(proxy.notes.rejected.len(), 2);
     assert!(proxy.notes.rejected.iter().all(|(_, pause)| *pause > Duration::ZERO));
-    proxy.ends(77, AttemptOutcome::Completed);
-    proxy.messages_take(77, 500);
-    proxy.chooser.left(SessionId(77));
-    proxy.chooser.open_already(&plain("open"), "unheard-of", proxy.now);
-    proxy.chooser.listed(&[server("a1")], true, proxy.now);
+    proxy.attempt_ends(77, AttemptOutcome::Completed);
+    proxy.on_message_latency(77, 500);
+    proxy.balancer.on_client_closed(SessionId(77));
+    proxy.balancer.restore_session(&plain("open"), "unheard-of", proxy.now);
+    proxy.balancer.on_endpoints(&[server("a1")], true, proxy.now);
     assert_eq!(proxy.settles(keyless).as_deref(), Some("a1"));
 }
 
@@ -126,7 +138,7 @@
     let mut proxy = Proxy::of_four();
     let key = key_for("a2");
     let open = Arrival { session: SessionId(900), ..plain(&key) };
-    proxy.chooser.open_already(&open, "b2", proxy.now);
+    proxy.balancer.restore_session(&open, "b2", proxy.now);
     assert_eq!(proxy.settles(Arrival { mid_flow: true, ..plain(&key) }).as_deref(), Some("b2"));
 }
 
@@ -135,9 +147,9 @@
     let mut proxy = Proxy::of_four();
     for i in 0..20 {
         let session = proxy.arrives(Arrival { mid_flow: true, ..plain(&format!("stray-{i}")) });
-        proxy.ends(session, AttemptOutcome::ConnectionLost);
+        proxy.attempt_ends(session, AttemptOutcome::ConnectionLost);
         assert_eq!(proxy.sent_to(session).len(), 2, "and the next may hold it");
-        proxy.chooser.stands(SessionId(session), proxy.now);
+        proxy.balancer.on_established(SessionId(session), proxy.now);
     }
     for place in ["a1", "a2", "b1", "b2"] {
         let key = key_for(place);
--- a/tests/stories/ramp.rs
+++ b/tests/stories/ramp.rs
@@ -15,7 +15,7 @@
 
 use crate::fake::*;
 use nanorand::{Rng, WyRand};
-use shelfgrade::choice::WarmUp;
+use shelfgrade::choice::SlowStart;
 use shelfgrade::host::*;
 use shelfgrade::time::{DurationExt, Timestamp};
 use std::cmp::Reverse;
@@ -91,19 +91,19 @@
     fn of(day: Day) -> Self {
         let mut luck = WyRand::new_seed(day.seed ^ (day.proxies * 100 + day.cold) as u64);
         let list: Vec<_> = (0..SERVERS).map(|i| server(&name(i, day.cold))).collect();
-        let all_hold = day.holds * SERVERS as f64;
+        let total_capacity = day.holds * SERVERS as f64;
         let proxies: Vec<_> = (0..day.proxies)
             .map(|i| {
-                let warm_up = WarmUp {
-                    cold_from: 0.3,
-                    cold_span: Duration::from_ms(WARM_MS),
-                    fall_multiple: 3.0,
-                    overload_span: Duration::from_ms(day.span_ms),
-                    all_hold: (i % 2 == 0).then_some(all_hold),
-                    each_holds: day.holds,
+                let slow_start = SlowStart {
+                    initial_fraction: 0.3,
+                    duration: Duration::from_ms(WARM_MS),
+                    overload_factor: 3.0,
+                    overload_window: Duration::from_ms(day.span_ms),
+                    total_capacity: (i % 2 == 0).then_some(total_capacity),
+                    server_capacity: day.holds,
                     proxies: day.proxies as f64,
                 };
-                let mut proxy = Proxy::by(warm_up, luck.generate(), &list);
+                let mut proxy = Proxy::by(slow_start, luck.generate(), &list);
                 proxy.notes.mute = i % 5 == 4;
                 proxy
             })
@@ -200,29 +200,29 @@
             }
             Event::Stands { session, place } => {
                 let late = place.ends_with('7');
-                self.proxies[at].chooser.stands(SessionId(session), now);
+                self.proxies[at].balancer.on_established(SessionId(session), now);
                 if late {
-                    self.proxies[at].messages_take(session, 45);
+                    self.proxies[at].on_message_latency(session, 45);
                 }
                 self.clients.entry((at, session)).and_modify(|c| c.2 = place);
             }
             Event::Refused { session, outcome } => {
                 let outcome = if outcome { AttemptOutcome::Rejected } else { AttemptOutcome::Unreachable };
-                self.proxies[at].ends(session, outcome);
+                self.proxies[at].attempt_ends(session, outcome);
             }
             Event::Breaks { session } => {
                 let Some((client, _, _)) = self.clients.remove(&(at, session)) else { return };
-                self.proxies[at].ends(session, AttemptOutcome::ConnectionLost);
+                self.proxies[at].attempt_ends(session, AttemptOutcome::ConnectionLost);
                 self.again(client, 1, at, 300.0);
             }
             Event::Ends { session } => {
                 if self.clients.remove(&(at, session)).is_some() {
-                    self.proxies[at].ends(session, AttemptOutcome::Completed);
+                    self.proxies[at].attempt_ends(session, AttemptOutcome::Completed);
                 }
             }
             Event::Wakes => {
                 let proxy = &mut self.proxies[at];
-                proxy.chooser.on_timer(now, &mut proxy.notes);
+                proxy.balancer.on_timer(now, &mut proxy.notes);
             }
             Event::Answers { place } => self.proxies[at].answers(&place, 3),
             Event::Lost => self.zone(None),
@@ -237,7 +237,7 @@
         let lines: Vec<_> = cold.iter().map(|id| Endpoint { started: back, state, ..server(id) }).collect();
         for proxy in 0..self.proxies.len() {
             self.proxies[proxy].now = Timestamp::from_ms(self.now_ms);
-            self.proxies[proxy].chooser.listed(&lines, false, Timestamp::from_ms(self.now_ms));
+            self.proxies[proxy].balancer.on_endpoints(&lines, false, Timestamp::from_ms(self.now_ms));
         }
         let held: Vec<_> = self.clients.iter().filter(|c| cold.contains(&c.1 .2)).map(|c| *c.0).collect();
         for (proxy, session) in held {
@@ -283,7 +283,7 @@
         for (session, pause) in back.chain(away).collect::<Vec<_>>() {
             let Some((client, tries, place)) = self.clients.remove(&(at, session)) else { continue };
             if !place.is_empty() {
-                self.proxies[at].ends(session, AttemptOutcome::Completed);
+                self.proxies[at].attempt_ends(session, AttemptOutcome::Completed);
             }
             self.again(client, tries + 1, at, pause);
         }
--- a/tests/stories/relief.rs
+++ b/tests/stories/relief.rs
@@ -11,7 +11,7 @@
         // Seeds that follow each other begin with draws that are alike.
         let mut proxy = Proxy::seeded(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15), &TWELVE.map(server));
         proxy.settles(plain("lift-1"));
-        proxy.messages_take(1, 500);
+        proxy.on_message_latency(1, 500);
         proxy.notes.migrated.len()
     };
     let away: usize = (0..100).map(strained).sum();
@@ -28,12 +28,12 @@
     let (light, heavy) = (key_for(away), key_for(away));
     proxy.settles(member(&light));
     proxy.settles(member(&heavy));
-    proxy.chooser.load_is(SessionId(3), 9.0);
+    proxy.balancer.on_load_report(SessionId(3), 9.0);
     while proxy.notes.migrated.is_empty() {
-        proxy.messages_take(2, 200);
+        proxy.on_message_latency(2, 200);
     }
     assert_eq!(proxy.notes.migrated, [3], "the heavier guest");
-    (0..50).for_each(|_| proxy.messages_take(2, 200));
+    (0..50).for_each(|_| proxy.on_message_latency(2, 200));
     assert_eq!(proxy.notes.migrated, [3, 2], "each once, and nobody who is at home");
     assert_eq!(proxy.settles(returned(&heavy)).as_deref(), Some(home.as_str()));
 }
@@ -42,9 +42,9 @@
 fn where_work_has_piled_up_those_at_home_are_sent_away_too() {
     let mut proxy = Proxy::of_four();
     home(&mut proxy, "bank");
-    (0..50).for_each(|_| proxy.messages_take(1, 100));
+    (0..50).for_each(|_| proxy.on_message_latency(1, 100));
     assert!(proxy.notes.migrated.is_empty());
-    (0..50).for_each(|_| proxy.messages_take(1, 500));
+    (0..50).for_each(|_| proxy.on_message_latency(1, 500));
     assert_eq!(proxy.notes.migrated, [1]);
 }
 
@@ -68,7 +68,7 @@
 #[test]
 fn where_messages_tell_nothing_a_slow_probe_starts_relief() {
     let mut proxy = Proxy::of_four();
-    proxy.chooser.look_round(true, proxy.now, &mut proxy.notes);
+    proxy.balancer.start_periodic_checks(true, proxy.now, &mut proxy.notes);
     assert!(proxy.notes.probed.is_empty(), "nothing is held anywhere");
     let guests: Vec<u64> = (0..12)
         .map(|i| {
@@ -81,11 +81,11 @@
     let place = proxy.sent_to(guests[0])[0].clone();
     assert!(proxy.notes.probed.contains(&place));
     for ms in [2, 3] {
-        proxy.chooser.probed(&place, Duration::from_millis(ms), proxy.now, &mut proxy.notes);
+        proxy.balancer.on_health_check(&place, Duration::from_millis(ms), proxy.now, &mut proxy.notes);
     }
     assert!(proxy.notes.migrated.is_empty(), "a probe half as slow again is chance");
     for _ in 0..12 {
-        proxy.chooser.probed(&place, Duration::from_millis(30), proxy.now, &mut proxy.notes);
+        proxy.balancer.on_health_check(&place, Duration::from_millis(30), proxy.now, &mut proxy.notes);
     }
     assert!(!proxy.notes.migrated.is_empty());
     assert!(proxy.notes.migrated.iter().all(|c| proxy.sent_to(*c) == [place.clone()]));
@@ -104,8 +104,8 @@
     let place = proxy.sent_to(1)[0].clone();
     let held: Vec<u64> = (1..=8).filter(|c| proxy.sent_to(*c) == [place.clone()]).collect();
     let draining = Endpoint { state: EndpointState::Draining, ..server(&place) };
-    proxy.chooser.listed(&[draining], false, proxy.now);
-    proxy.chooser.look_round(true, proxy.now, &mut proxy.notes);
+    proxy.balancer.on_endpoints(&[draining], false, proxy.now);
+    proxy.balancer.start_periodic_checks(true, proxy.now, &mut proxy.notes);
     assert!(proxy.notes.migrated.len() <= 1, "one at a time");
     proxy.lives(8000);
     let mut migrated = proxy.notes.migrated.clone();
@@ -117,8 +117,8 @@
 fn a_client_whose_server_has_gone_without_a_word_is_sent_away_once() {
     let mut proxy = Proxy::of_four();
     proxy.settles(plain("lift-1"));
-    proxy.messages_take(1, 4000);
-    proxy.messages_take(1, 5000);
+    proxy.on_message_latency(1, 4000);
+    proxy.on_message_latency(1, 5000);
     assert_eq!(proxy.notes.migrated, [1]);
 }
 
@@ -126,12 +126,12 @@
 fn a_freak_answer_does_not_set_a_servers_quickest_for_good() {
     let mut proxy = Proxy::of_four();
     let key = key_for("a1");
-    proxy.chooser.probed("a1", Duration::from_ms(0.05), proxy.now, &mut proxy.notes);
+    proxy.balancer.on_health_check("a1", Duration::from_ms(0.05), proxy.now, &mut proxy.notes);
     for _ in 0..40 {
-        proxy.chooser.probed("a1", Duration::from_millis(2), proxy.now, &mut proxy.notes);
+        proxy.balancer.on_health_check("a1", Duration::from_millis(2), proxy.now, &mut proxy.notes);
     }
     proxy.passes(60_000);
     assert_eq!(proxy.settles(plain(&key)).as_deref(), Some("a1"));
-    proxy.chooser.probed("a1", Duration::from_millis(2), proxy.now, &mut proxy.notes);
+    proxy.balancer.on_health_check("a1", Duration::from_millis(2), proxy.now, &mut proxy.notes);
     assert!(proxy.notes.migrated.is_empty());
 }
--- a/tests/stories/told.rs
+++ b/tests/stories/told.rs
@@ -3,7 +3,7 @@
 
 use crate::fake::*;
 use nanorand::{Rng, WyRand};
-use shelfgrade::choice::{Chooser, WarmUp};
+use shelfgrade::choice::{LoadBalancer, SlowStart};
 use shelfgrade::time::{DurationExt, Timestamp};
 use std::time::Duration;
 
@@ -15,19 +15,20 @@
 const DIALS_FOR: Duration = Duration::from_millis(1000);
 
 fn one_of(proxies: usize, must_ask_in: Option<Duration>, seed: u64) -> Proxy {
-    let warm_up = WarmUp {
-        cold_from: 0.3,
-        cold_span: Duration::from_millis(8000),
-        fall_multiple: 3.0,
-        overload_span: Duration::from_millis(2000),
-        all_hold: None,
-        each_holds: 30.0,
+    let slow_start = SlowStart {
+        initial_fraction: 0.3,
+        duration: Duration::from_millis(8000),
+        overload_factor: 3.0,
+        overload_window: Duration::from_millis(2000),
+        total_capacity: None,
+        server_capacity: 30.0,
         proxies: proxies as f64,
     };
-    let chooser = Chooser::new(seed, Vec::new(), 4, Duration::from_millis(1000), must_ask_in, warm_up);
+    let balancer =
+        LoadBalancer::new(seed, Vec::new(), 4, Duration::from_millis(1000), must_ask_in, slow_start);
     let mut proxy = Proxy::of_four();
     proxy.notes = Notes::default();
-    proxy.chooser = chooser;
+    proxy.balancer = balancer;
     proxy
 }
 
@@ -53,10 +54,10 @@
         2 => proxy.now = began + DIALS_FOR,
         _ => {
             proxy.now = began + SILENT_FOR;
-            return proxy.chooser.list_lost(began + COUNTS_AFTER, &mut proxy.notes);
+            return proxy.balancer.on_watch_lost(began + COUNTS_AFTER, &mut proxy.notes);
         }
     }
-    proxy.chooser.list_failed(began, proxy.now, &mut proxy.notes);
+    proxy.balancer.on_poll_failed(began, proxy.now, &mut proxy.notes);
 }
 
 /// With three hundred proxies and ten seconds to ask in, the pause after a failure, and the one at the start, were up to
@@ -74,11 +75,11 @@
             let mut from =
                 proxy.now + Duration::from_millis(20_000).scaled(f64::from(chance.generate::<f32>()));
             let restarts = seed % 2 == 0;
-            proxy.chooser.start(&TWELVE.map(server), proxy.now, &mut proxy.notes);
+            proxy.balancer.start(&TWELVE.map(server), proxy.now, &mut proxy.notes);
             if !restarts {
                 // It had the list, and its watch broke after a while.
                 asks(&mut proxy);
-                proxy.chooser.listed(&[], false, proxy.now);
+                proxy.balancer.on_endpoints(&[], false, proxy.now);
                 from = from.max(proxy.now);
                 fails(&mut proxy, &mut chance, from);
             }
@@ -106,17 +107,17 @@
     for proxies in [3, 300] {
         for seed in 0..200 {
             let mut proxy = one_of(proxies, Some(MUST_ASK_IN), seed);
-            proxy.chooser.start(&TWELVE.map(server), proxy.now, &mut proxy.notes);
+            proxy.balancer.start(&TWELVE.map(server), proxy.now, &mut proxy.notes);
             // Down for long, and back just as a call was taken.
             for _ in 0..9 {
                 let began = asks(&mut proxy);
-                proxy.chooser.list_failed(began, began, &mut proxy.notes);
+                proxy.balancer.on_poll_failed(began, began, &mut proxy.notes);
             }
             let from = asks(&mut proxy);
             for _ in 0..2 {
                 let began = proxy.now;
                 proxy.passes(1500);
-                proxy.chooser.list_failed(began, proxy.now, &mut proxy.notes);
+                proxy.balancer.on_poll_failed(began, proxy.now, &mut proxy.notes);
                 asks(&mut proxy);
             }
             let took = (proxy.now + ANSWERED_IN).since(from);
@@ -134,12 +135,12 @@
         for seed in 0..proxies as u64 {
             let mut proxy = one_of(proxies, Some(MUST_ASK_IN), seed.wrapping_mul(0x9e37_79b9_7f4a_7c15));
             let start = proxy.now;
-            proxy.chooser.start(&TWELVE.map(server), proxy.now, &mut proxy.notes);
+            proxy.balancer.start(&TWELVE.map(server), proxy.now, &mut proxy.notes);
             let mut own = Vec::new();
             while proxy.now.since(start) < Duration::from_millis(30_000) {
                 let began = asks(&mut proxy);
                 own.push(began.since(start));
-                proxy.chooser.list_failed(began, began, &mut proxy.notes);
+                proxy.balancer.on_poll_failed(began, began, &mut proxy.notes);
             }
             calls.push(own);
         }
@@ -161,7 +162,7 @@
         for seed in 0..50 {
             let mut proxy = one_of(proxies, Some(Duration::from_millis(ms)), seed);
             let mut last = proxy.now;
-            proxy.chooser.start(&TWELVE.map(server), proxy.now, &mut proxy.notes);
+            proxy.balancer.start(&TWELVE.map(server), proxy.now, &mut proxy.notes);
             for _ in 0..6 {
                 let began = asks(&mut proxy);
                 let pause = began.since(last);
@@ -170,7 +171,7 @@
                     "{ms}, {proxies}: {pause:?}"
                 );
                 last = began;
-                proxy.chooser.list_failed(began, began, &mut proxy.notes);
+                proxy.balancer.on_poll_failed(began, began, &mut proxy.notes);
             }
         }
     }
--- a/tests/stories/trust.rs
+++ b/tests/stories/trust.rs
@@ -8,7 +8,7 @@
     let mut proxy = Proxy::of_four();
     let key = key_for("a2");
     proxy.settles(plain(&key));
-    proxy.messages_take(1, 200);
+    proxy.on_message_latency(1, 200);
     assert_eq!(proxy.settles(plain(&key)).as_deref(), Some("b1"));
     proxy.passes(60_000);
     assert_eq!(proxy.settles(plain(&key)).as_deref(), Some("a2"));
@@ -19,8 +19,8 @@
     let mut proxy = Proxy::of_four();
     let held = ["a1", "a2", "b1", "b2"].map(|place| proxy.arrives(plain(&key_for(place))));
     for session in held {
-        proxy.chooser.stands(SessionId(session), proxy.now);
-        proxy.messages_take(session, 500);
+        proxy.balancer.on_established(SessionId(session), proxy.now);
+        proxy.on_message_latency(session, 500);
     }
     let session = proxy.arrives(plain("one more"));
     assert_eq!(proxy.notes.rejected.iter().map(|(c, _)| *c).collect::<Vec<_>>(), [session]);
@@ -31,8 +31,8 @@
     let mut proxy = Proxy::of_four();
     for place in ["a1", "a2", "b1", "b2"] {
         let session = proxy.arrives(plain(&key_for(place)));
-        proxy.chooser.stands(SessionId(session), proxy.now);
-        proxy.messages_take(session, 35);
+        proxy.balancer.on_established(SessionId(session), proxy.now);
+        proxy.on_message_latency(session, 35);
     }
     // Partly distrusted servers let some clients in and turn others away, but no client by asking often.
     let mut admitted = [0, 0];
@@ -47,7 +47,7 @@
     // Between two notes the score does not fade, so that nobody slips in.
     let mut proxy = Proxy::with(&[server("a1")]);
     proxy.settles(plain("first"));
-    proxy.messages_take(1, 100);
+    proxy.on_message_latency(1, 100);
     proxy.passes(1200);
     for i in 0..100 {
         proxy.arrives(plain(&format!("later-{i}")));
@@ -61,7 +61,7 @@
     for _ in 0..3 {
         let bad = proxy.arrives(plain("bad"));
         for _ in 0..4 {
-            proxy.ends(bad, AttemptOutcome::Failed);
+            proxy.attempt_ends(bad, AttemptOutcome::Failed);
         }
         assert_eq!(proxy.sent_to(bad).len(), 4, "it may still be the servers");
     }
