--- a/Makefile
+++ b/Makefile
@@ -23,4 +23,4 @@
 
 # A small fleet from shipped files against stand-ins: places clients, survives a loss of power, says what happened.
 try:
-	cargo run --release --locked --quiet -p shelfgrade-trials --example try
+	cargo run --release --locked --quiet -p shelfgrade-testkit --example try
--- a/crates/cells/tests/agreement.rs
+++ b/crates/cells/tests/agreement.rs
@@ -4,7 +4,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use shelfgrade_cells::{Action, Change, Stored};
-use shelfgrade_trials::cells::{OneValue, World, CALM, ROUGH};
+use shelfgrade_testkit::cells::{OneValue, World, CALM, ROUGH};
 
 /// The same cases every time.
 fn cases(cases: u32) -> ProptestConfig {
--- a/crates/cells/tests/log.rs
+++ b/crates/cells/tests/log.rs
@@ -4,8 +4,8 @@
     write, Action, Ballot, CellId, Change, ChangeError, Message, Paxos, Peer, Peers, RosterError, Scope,
     State, Stored, Version, Vote,
 };
-use shelfgrade_trials::cells::fleet::{percentile, TEN};
-use shelfgrade_trials::cells::{address, World, CALM, FLEET};
+use shelfgrade_testkit::cells::fleet::{percentile, TEN};
+use shelfgrade_testkit::cells::{address, World, CALM, FLEET};
 
 fn put(id: u64, key: &str, value: u8) -> Change {
     Change { id, action: Action::Put { key: key.to_owned(), value: vec![value] } }
--- a/crates/cells/tests/rights.rs
+++ b/crates/cells/tests/rights.rs
@@ -6,8 +6,8 @@
     fleet, write, Action, CellId, Change, Delta, Key, Member, Message, Record, Scope, State, Value, Version,
     WHOLE,
 };
-use shelfgrade_trials::cells::fleet::put;
-use shelfgrade_trials::cells::{address, World, CALM, FLEET, ROUGH};
+use shelfgrade_testkit::cells::fleet::put;
+use shelfgrade_testkit::cells::{address, World, CALM, FLEET, ROUGH};
 
 /// The same cases every time.
 fn cases(cases: u32) -> ProptestConfig {
--- a/crates/cells/tests/spread.rs
+++ b/crates/cells/tests/spread.rs
@@ -5,8 +5,8 @@
     fleet, write, Action, CellId, Change, Delta, DeltaError, Follower, Key, Message, Record, Scope, State,
     Value, Version,
 };
-use shelfgrade_trials::cells::fleet::{percentile, put};
-use shelfgrade_trials::cells::{address, World, CALM, FLEET};
+use shelfgrade_testkit::cells::fleet::{percentile, put};
+use shelfgrade_testkit::cells::{address, World, CALM, FLEET};
 use std::time::Duration;
 
 fn delete(id: u64, key: &str) -> Change {
--- a/crates/proxy/src/comeback.rs
+++ b/crates/proxy/src/comeback.rs
@@ -10,10 +10,10 @@
 use serde::{de::DeserializeOwned, Serialize};
 use shelfgrade::handover::FlowEntry;
 use shelfgrade::host::{Endpoint, EndpointState, Host, ServerId, Turn};
-use shelfgrade_recovery::around::{Line, Terms};
+use shelfgrade_recovery::around::{Line, RecoverySettings};
 use shelfgrade_recovery::order::{Owed, State};
 use shelfgrade_recovery::trust::{self, Fact};
-use shelfgrade_terms::Terms as Settings;
+use shelfgrade_settings::Settings;
 use std::net::SocketAddr;
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
@@ -22,12 +22,12 @@
 const REMEMBERED: Duration = Duration::from_millis(30_000);
 
 /// What the settings say of a return.
-pub fn terms(settings: &Settings, file: &FleetFile) -> Terms {
+pub fn recovery_settings(settings: &Settings, file: &FleetFile) -> RecoverySettings {
     let owed = settings.owed.iter().map(|(connect_latency_objective, priority_weight)| Owed {
         connect_latency_objective: *connect_latency_objective,
         priority_weight: *priority_weight,
     });
-    Terms {
+    RecoverySettings {
         classes: owed.collect(),
         shares: settings.customers.iter().map(|(_, share)| *share).collect(),
         wait: file.list_wait,
@@ -138,13 +138,13 @@
     pub fn join_fellows(
         &mut self,
         file: FleetFile,
-        terms: Terms,
+        settings: RecoverySettings,
         known: &EndpointList,
         seed: u64,
     ) -> Result<(), FleetError> {
         let dials = known.entries.iter().map(|entry| entry.dial);
         let known = known.lines().into_iter().zip(dials).map(|(listed, dial)| Line { listed, dial });
-        let fellows = Fellows::begin(file, terms, known.collect(), seed, self)?;
+        let fellows = Fellows::begin(file, settings, known.collect(), seed, self)?;
         self.spaces = Spaces::new(fellows.seat());
         self.fellows = Some(fellows.clone());
         // What an earlier life knew comes with no word of its own.
--- a/crates/proxy/src/fellows.rs
+++ b/crates/proxy/src/fellows.rs
@@ -13,7 +13,7 @@
 use shelfgrade::host::Turn;
 use shelfgrade::time::Timestamp;
 use shelfgrade_fleet::{Entry, PutError, Seat, Surroundings, Version};
-use shelfgrade_recovery::around::{Around, Line, Terms};
+use shelfgrade_recovery::around::{Around, Line, RecoverySettings};
 use shelfgrade_recovery::comeback::Comeback;
 use shelfgrade_recovery::order::State;
 use shelfgrade_recovery::snapshot;
@@ -124,7 +124,7 @@
     /// Reads what an earlier life left, and begins to listen; `known` are the servers of the start-up file.
     pub fn begin(
         file: FleetFile,
-        terms: Terms,
+        settings: RecoverySettings,
         known: Vec<Line>,
         seed: u64,
         company: &mut C,
@@ -140,7 +140,7 @@
             log::warn!("snapshot {generation}: {error}");
         }
         let now = company.now();
-        let mut core = Comeback::new(file.roster.clone(), terms, before, seed, (now, wall_ms(now)));
+        let mut core = Comeback::new(file.roster.clone(), settings, before, seed, (now, wall_ms(now)));
         core.knows(known.into_iter(), now);
         log::info!(
             "return: {}; one of {} in {}",
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -110,29 +110,31 @@
     tick.map_err(|error| error.error)?;
 
     // Where the list is pushed, all of it is asked for at the start, so that the answer comes at once.
-    let pushed = start.terms.list_is_pushed;
+    let pushed = start.settings.list_is_pushed;
     let whole = start.known.entries.is_empty() || pushed || fleet.is_some();
     let seq = Some(start.known.seq).filter(|_| !whole);
-    let settings = start.settings;
-    let return_terms = fleet.as_ref().map(|fleet| comeback::terms(&start.terms, fleet));
-    let signs = (start.terms.may_probe, start.terms.tells_delay);
-    let hands = Hands::new(handle, limits, start.terms.dial_time_out, signs);
+    let settings_text = start.settings_text;
+    let recovery_settings = fleet.as_ref().map(|fleet| comeback::recovery_settings(&start.settings, fleet));
+    let signs = (start.settings.may_probe, start.settings.tells_delay);
+    let hands = Hands::new(handle, limits, start.settings.dial_time_out, signs);
     let now = hands.clock.now();
     let tally = hands.tally.clone();
     let mut proxy = Proxy {
         // What the settings made once they make again.
         balancer: TenantBalancers::new(
-            start.terms.balancer,
-            Box::new(move |seed| shelfgrade_terms::parse(seed, &settings).ok().map(|terms| terms.balancer)),
+            start.settings.balancer,
+            Box::new(move |seed| {
+                shelfgrade_settings::parse(seed, &settings_text).ok().map(|settings| settings.balancer)
+            }),
             start.seed,
         ),
         spaces: Spaces::new((0, 1)),
         windows: Windows::default(),
         told: BTreeMap::new(),
-        slow_start: start.terms.slow_start,
+        slow_start: start.settings.slow_start,
         start_times: StartTimes::default(),
         hands,
-        classes: start.terms.classes,
+        classes: start.settings.classes,
         door,
         discovery: Discovery::new(start.discovery, seq, if pushed { PUSHED } else { ASKED }, start.seed),
         early: match &fleet {
@@ -140,7 +142,7 @@
             None if pushed => Early::until_the_list_is_heard(now),
             None => Early::default(),
         },
-        customers: start.terms.customers.iter().map(|(name, _)| name.clone()).collect(),
+        customers: start.settings.customers.iter().map(|(name, _)| name.clone()).collect(),
         fellows: None,
         name: start.name,
         ring,
@@ -148,7 +150,7 @@
         pulses_taken: now,
         told_to_reload: None,
         told_to_end: None,
-        course: Course::by(start.terms.longest_request_timeout),
+        course: Course::by(start.settings.longest_request_timeout),
         last_arrival: now,
     };
     // With fellows, what is known from before is for the return to judge.
@@ -162,8 +164,8 @@
     }
     // Lines come back at once here however strained a server is.
     proxy.balancer.start_periodic_checks(!proxy.hands.tells_delay, now, &mut proxy.hands);
-    if let Some((file, terms)) = fleet.zip(return_terms) {
-        proxy.join_fellows(file, terms, &start.known, start.seed)?;
+    if let Some((file, settings)) = fleet.zip(recovery_settings) {
+        proxy.join_fellows(file, settings, &start.known, start.seed)?;
     }
     proxy.settle();
     let address = proxy.door.address().map_err(|source| ServeError::Listen { at: start.listen, source })?;
--- a/crates/proxy/src/start.rs
+++ b/crates/proxy/src/start.rs
@@ -4,7 +4,7 @@
 use crate::transient::is_transient;
 use serde::Deserialize;
 use serde_json::value::RawValue;
-use shelfgrade_terms::{Terms, TermsError};
+use shelfgrade_settings::{Settings, SettingsError};
 use std::env;
 use std::net::SocketAddr;
 
@@ -40,7 +40,7 @@
     #[error("known: {0}")]
     Known(#[from] ListError),
     #[error("settings: {0}")]
-    Settings(#[from] TermsError),
+    Settings(#[from] SettingsError),
 }
 
 pub struct Start {
@@ -49,9 +49,9 @@
     pub discovery: SocketAddr,
     /// For all that is left to chance.
     pub seed: u64,
-    pub terms: Terms,
-    /// The text that the terms were read from.
-    pub settings: String,
+    pub settings: Settings,
+    /// The text that the settings were read from.
+    pub settings_text: String,
     pub limits: Limits,
     /// The list as this proxy last had it; may be old.
     pub known: EndpointList,
@@ -72,8 +72,8 @@
     limits: Limits,
     #[serde(borrow)]
     known: Option<&'a RawValue>,
-    #[serde(borrow)]
-    settings: &'a RawValue,
+    #[serde(borrow, rename = "settings")]
+    settings_text: &'a RawValue,
 }
 
 impl Start {
@@ -103,8 +103,8 @@
             listen: address(file.listen, "RELAY_LISTEN")?,
             discovery: address(file.discovery, "RELAY_DISCOVERY")?,
             seed,
-            terms: shelfgrade_terms::parse(seed, file.settings.get())?,
-            settings: file.settings.get().to_owned(),
+            settings: shelfgrade_settings::parse(seed, file.settings_text.get())?,
+            settings_text: file.settings_text.get().to_owned(),
             limits: file.limits,
             known: known.unwrap_or_default(),
         })
--- a/crates/proxy/tests/sockets/calls.rs
+++ b/crates/proxy/tests/sockets/calls.rs
@@ -1,7 +1,7 @@
 //! Stories of system calls that fail for a moment, or do part of what was asked for, as Linux documents.
 
 use crate::plan::{Call, Failure, Plan};
-use crate::stand::{within, Place, Terms, Wire, LONG, USUAL};
+use crate::stand::{within, Place, Settings, Wire, LONG, USUAL};
 use std::time::{Duration, Instant};
 
 /// Has a server answer each connection's first line with this, and end it, until the test is over.
@@ -33,7 +33,7 @@
     let plan = Plan::new();
     let server = Place::new("s1");
     let entry = [server.entry("in_service")];
-    let program = plan.start(Terms { effect: "once", ..USUAL }, &[&server]);
+    let program = plan.start(Settings { effect: "once", ..USUAL }, &[&server]);
     plan.fail(Call::Send, 600, Failure::Short);
     answers_all(server, "ERR\r\n");
     let _watch = program.hears(&entry);
@@ -72,7 +72,7 @@
         let plan = Plan::new();
         let server = Place::new("s1");
         // Killing comes 1.9 s after the signal.
-        let program = plan.start(Terms { request_timeout_ms: 1200, sockets: 1024, ..USUAL }, &[&server]);
+        let program = plan.start(Settings { request_timeout_ms: 1200, sockets: 1024, ..USUAL }, &[&server]);
         answers_all(server, "BUSY\r\n");
         plan.fail(Call::Accept, 500, Failure::Error(error));
         program.terminate();
@@ -87,7 +87,7 @@
 fn a_short_write_leaves_no_part_of_a_sign_of_life() {
     let plan = Plan::new();
     let server = Place::new("s1");
-    let program = plan.start(Terms { probes: true, ..USUAL }, &[&server]);
+    let program = plan.start(Settings { probes: true, ..USUAL }, &[&server]);
     plan.fail(Call::Send, 1000, Failure::Short);
     let _sides = program.settles(&server);
     let mut sign = server.accept();
@@ -166,7 +166,7 @@
     let plan = Plan::new();
     let server = Place::new("s1");
     let entry = [server.entry("in_service")];
-    let program = plan.start(Terms { probes: true, ..USUAL }, &[&server]);
+    let program = plan.start(Settings { probes: true, ..USUAL }, &[&server]);
     for failure in [Failure::Short, Failure::Error(libc::EINTR), Failure::Error(libc::ENOMEM)] {
         plan.fail(Call::Receive, 600, failure);
         let sides: Vec<_> = (0..8).map(|_| program.settles(&server)).collect();
--- a/crates/proxy/tests/sockets/clocks.rs
+++ b/crates/proxy/tests/sockets/clocks.rs
@@ -2,7 +2,7 @@
 
 use crate::plan::Plan;
 use crate::settings::start_file;
-use crate::stand::{list, next_call, Place, Program, Terms, USUAL};
+use crate::stand::{list, next_call, Place, Program, Settings, USUAL};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -10,7 +10,7 @@
 const HOUR_MS: i64 = 3_600_000;
 
 /// Cold for four seconds, with a tenth of what a warm server takes.
-const COLD: Terms = Terms {
+const COLD: Settings = Settings {
     cold_ms: 4000,
     cold_from: 0.1,
     quota: "60",
--- a/crates/proxy/tests/sockets/crossing.rs
+++ b/crates/proxy/tests/sockets/crossing.rs
@@ -1,7 +1,7 @@
 //! Stories of two things that happen between two turns of the loop, in either order: both are made to wait while the
 //! program stands still, and are found at once when it goes on.
 
-use crate::stand::{list, next_call, Place, Program, Terms, USUAL};
+use crate::stand::{list, next_call, Place, Program, Settings, USUAL};
 use rustix::process::Signal;
 use std::time::Duration;
 
@@ -38,7 +38,7 @@
 fn nothing_is_sent_again_where_repeats_are_no_longer_dropped_once_its_connect_is_up() {
     let first = Place::new("s1");
     let (clogged, _first) = Place::clogged("s2");
-    let program = Program::start(Terms { effect: "by_key", window_ms: 700, ..USUAL }, &[&first]);
+    let program = Program::start(Settings { effect: "by_key", window_ms: 700, ..USUAL }, &[&first]);
     let (mut watch, _) = program.discovery.called();
     let mut client = program.opens("lift-1", ",d=6000");
     let mut at_first = first.accept();
--- a/crates/proxy/tests/sockets/ending.rs
+++ b/crates/proxy/tests/sockets/ending.rs
@@ -2,13 +2,13 @@
 //!
 //! What a process still owes 0.7 s after the longest request timeout of its clients, three seconds at most, is lost.
 
-use crate::stand::{list, next_call, Place, Program, Terms, PUSHED, USUAL};
+use crate::stand::{list, next_call, Place, Program, Settings, PUSHED, USUAL};
 use rustix::process::Signal;
 use std::io::Write;
 use std::time::{Duration, Instant};
 
 /// Clients of another customer wait for 1.2 s at most, so that killing comes 1.9 s after the signal.
-const HASTY: Terms = Terms { request_timeout_ms: 1200, ..USUAL };
+const HASTY: Settings = Settings { request_timeout_ms: 1200, ..USUAL };
 
 /// All times of the end were fit for request timeout of three seconds: moves began when the process was killed.
 #[test]
--- a/crates/proxy/tests/sockets/gone.rs
+++ b/crates/proxy/tests/sockets/gone.rs
@@ -3,7 +3,7 @@
 //! if it still reads it has its final answer.
 
 use crate::leaving::{asked, gets_no_line, has_gone_round};
-use crate::stand::{list, next_call, within, Place, Program, Terms, Wire, LONG, PUSHED, USUAL};
+use crate::stand::{list, next_call, within, Place, Program, Settings, Wire, LONG, PUSHED, USUAL};
 use std::time::Duration;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -75,7 +75,7 @@
 }
 
 /// Of servers that are asked for a sign of life first.
-const ASKS_FIRST: Terms = Terms { probes: true, tells_delay: true, aim_ms: 5000, quota: "1", ..USUAL };
+const ASKS_FIRST: Settings = Settings { probes: true, tells_delay: true, aim_ms: 5000, quota: "1", ..USUAL };
 
 fn asked_for_a_sign(places: &[Place; 3]) -> [Wire; 3] {
     let mut signs = places.each_ref().map(Place::accept);
@@ -107,7 +107,7 @@
 fn nothing_is_connected_to_for_a_client_that_left_when_no_sign_of_life_has_come_in_time() {
     for by in ALL {
         let places = ["s1", "s2", "s3"].map(Place::new);
-        let program = Program::start(Terms { aim_ms: 300, ..ASKS_FIRST }, &places.each_ref());
+        let program = Program::start(Settings { aim_ms: 300, ..ASKS_FIRST }, &places.each_ref());
         let client = program.opens("lift-1", ",d=20000,g=bank");
         let _signs = asked_for_a_sign(&places);
         program.stands_still();
--- a/crates/proxy/tests/sockets/leaving.rs
+++ b/crates/proxy/tests/sockets/leaving.rs
@@ -1,7 +1,7 @@
 //! Stories of clients that leave while they wait, and of one final answer where several things happen at once. Both
 //! events are made to wait while the program stands still, in either order, and are found at once when it goes on.
 
-use crate::stand::{list, within, Place, Program, Terms, Wire, LONG, PUSHED, USUAL};
+use crate::stand::{list, within, Place, Program, Settings, Wire, LONG, PUSHED, USUAL};
 use std::time::Duration;
 
 /// Whatever the place is sent, it is no first line; true if it was connected to at all.
@@ -91,7 +91,7 @@
 fn an_answer_that_lies_there_when_time_has_run_out_is_the_final_one() {
     for (word, heard) in [("UP 0123\r\n", "UP 0123"), ("BUSY\r\n", "BUSY"), ("ERR\r\n", "ERR")] {
         let server = Place::new("s1");
-        let program = Program::start(Terms { effect: "once", ..USUAL }, &[&server]);
+        let program = Program::start(Settings { effect: "once", ..USUAL }, &[&server]);
         let mut client = program.opens("lift-1", ",d=600");
         let mut at_server = server.accept();
         assert!(at_server.line().starts_with("OPEN"));
@@ -172,8 +172,8 @@
 fn a_client_that_leaves_together_with_a_sign_of_life_is_not_sent_on() {
     for client_first in [true, false] {
         let places = ["s1", "s2", "s3"].map(Place::new);
-        let terms = Terms { probes: true, tells_delay: true, aim_ms: 5000, quota: "1", ..USUAL };
-        let program = Program::start(terms, &places.each_ref());
+        let settings = Settings { probes: true, tells_delay: true, aim_ms: 5000, quota: "1", ..USUAL };
+        let program = Program::start(settings, &places.each_ref());
         let client = program.opens("lift-1", ",d=20000,g=bank");
         let mut signs = places.each_ref().map(Place::accept);
         signs.iter_mut().for_each(|sign| assert_eq!(sign.line(), "PING"));
@@ -201,8 +201,8 @@
 fn a_sign_of_life_of_a_server_that_drains_by_now_gets_it_nothing() {
     for news_first in [true, false] {
         let places = ["s1", "s2", "s3"].map(Place::new);
-        let terms = Terms { probes: true, tells_delay: true, aim_ms: 5000, quota: "1", ..USUAL };
-        let program = Program::start(terms, &places.each_ref());
+        let settings = Settings { probes: true, tells_delay: true, aim_ms: 5000, quota: "1", ..USUAL };
+        let program = Program::start(settings, &places.each_ref());
         let (mut watch, _) = program.discovery.called();
         let mut client = program.opens("lift-1", ",d=20000,g=bank");
         let mut signs = places.each_ref().map(Place::accept);
@@ -253,7 +253,7 @@
 fn a_connection_that_its_server_closed_before_the_first_line_was_written_has_not_run() {
     for by_reset in [true, false] {
         let (clogged, _first) = Place::clogged("s1");
-        let program = Program::start(Terms { effect: "once", attempts: 1, ..USUAL }, &[&clogged]);
+        let program = Program::start(Settings { effect: "once", attempts: 1, ..USUAL }, &[&clogged]);
         let mut client = program.opens("lift-1", ",d=6000");
         assert!(client.is_quiet(), "its attempt is on the way");
         program.stands_still();
--- a/crates/proxy/tests/sockets/listing.rs
+++ b/crates/proxy/tests/sockets/listing.rs
@@ -1,6 +1,6 @@
 //! Stories of discovery.
 
-use crate::stand::{list, next_call, Place, Program, Terms, PUSHED, USUAL};
+use crate::stand::{list, next_call, Place, Program, Settings, PUSHED, USUAL};
 use std::time::{Duration, Instant};
 
 #[test]
@@ -181,10 +181,10 @@
 /// fleet, where what it missed counts as told six seconds after it fell silent.
 #[test]
 fn a_watch_that_falls_silent_is_opened_anew_before_what_it_missed_counts_as_told() {
-    for terms in [Terms { balancers: "300", ..PUSHED }, Terms { balancers: "300", ..USUAL }] {
-        let pushed = terms.discovery == "automatic";
+    for settings in [Settings { balancers: "300", ..PUSHED }, Settings { balancers: "300", ..USUAL }] {
+        let pushed = settings.discovery == "automatic";
         let (old, new) = (Place::new("s1"), Place::new("s2"));
-        let program = Program::start(terms, &[&old]);
+        let program = Program::start(settings, &[&old]);
         let (mut call, _) = program.discovery.called();
         if pushed {
             call.say(&list(7, true, &[old.entry("in_service")]));
--- a/crates/proxy/tests/sockets/migration.rs
+++ b/crates/proxy/tests/sockets/migration.rs
@@ -1,14 +1,14 @@
 //! Instances of the old shape and of the new one before the same servers, as during a move.
 
-use crate::stand::{within, Place, Program, Terms, Wire, LONG, USUAL};
+use crate::stand::{within, Place, Program, Settings, Wire, LONG, USUAL};
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
 use std::thread;
 
 /// Few proxies, customers with bounds, and servers that may be asked.
-const OLD: Terms = Terms { probes: true, balancers: "3", quota: "90", ..USUAL };
+const OLD: Settings = Settings { probes: true, balancers: "3", quota: "90", ..USUAL };
 /// More proxies than servers, no bounds, nothing to ask, and servers that tell.
-const NEW: Terms = Terms { tells_delay: true, balancers: "60", quota: "null", ..USUAL };
+const NEW: Settings = Settings { tells_delay: true, balancers: "60", quota: "null", ..USUAL };
 
 /// What the servers were sent: the first line of each connection, and whether it was taken up.
 type Sent = Arc<Mutex<Vec<(String, String, bool)>>>;
@@ -49,7 +49,7 @@
 fn both_kinds(places: &[Arc<Place>]) -> Vec<(&'static str, Program)> {
     let known: Vec<&Place> = places.iter().map(|place| &**place).collect();
     let kinds = [("old", OLD), ("old", OLD), ("new", NEW), ("new", NEW), ("new", NEW)];
-    kinds.into_iter().map(|(kind, terms)| (kind, Program::start(terms, &known))).collect()
+    kinds.into_iter().map(|(kind, settings)| (kind, Program::start(settings, &known))).collect()
 }
 
 /// Has so many clients of four groups come to one proxy after the other, each again until it is up or has come ten
--- a/crates/proxy/tests/sockets/moving.rs
+++ b/crates/proxy/tests/sockets/moving.rs
@@ -1,6 +1,6 @@
 //! Stories of clients that are told to move, and of what is asked of servers.
 
-use crate::stand::{Place, Program, Terms, USUAL};
+use crate::stand::{Place, Program, Settings, USUAL};
 use std::time::{Duration, Instant};
 
 #[test]
@@ -47,7 +47,7 @@
 #[test]
 fn a_slow_sign_of_life_has_a_guest_told_to_move() {
     let server = Place::new("s1");
-    let program = Program::start(Terms { probes: true, ..USUAL }, &[&server]);
+    let program = Program::start(Settings { probes: true, ..USUAL }, &[&server]);
     let (mut client, _at_server) = program.settles(&server);
     let mut probe = server.accept();
     assert_eq!(probe.line(), "PING");
@@ -61,7 +61,7 @@
 #[test]
 fn a_servers_note_that_messages_take_long_has_a_guest_told_to_move_and_nothing_is_probed() {
     let server = Place::new("s1");
-    let program = Program::start(Terms { probes: true, tells_delay: true, ..USUAL }, &[&server]);
+    let program = Program::start(Settings { probes: true, tells_delay: true, ..USUAL }, &[&server]);
     let (mut client, mut at_server) = program.settles(&server);
     at_server.say("LOAD 61234.5\r\n");
     assert_eq!(client.line(), "LOAD 61234.5");
@@ -77,8 +77,8 @@
 #[test]
 fn of_a_groups_servers_the_first_to_give_a_sign_of_life_is_connected_to_and_the_sign_leaves_nothing_open() {
     let places = ["s1", "s2", "s3"].map(Place::new);
-    let terms = Terms { probes: true, tells_delay: true, aim_ms: 5000, quota: "1", ..USUAL };
-    let program = Program::start(terms, &places.each_ref());
+    let settings = Settings { probes: true, tells_delay: true, aim_ms: 5000, quota: "1", ..USUAL };
+    let program = Program::start(settings, &places.each_ref());
     let mut client = program.opens("lift-1", ",d=20000,g=bank");
     let mut signs = places.each_ref().map(Place::accept);
     signs.iter_mut().for_each(|sign| assert_eq!(sign.line(), "PING"));
--- a/crates/proxy/tests/sockets/passing.rs
+++ b/crates/proxy/tests/sockets/passing.rs
@@ -1,6 +1,6 @@
 //! Stories of lines and ends that pass, and of attempts that fail.
 
-use crate::stand::{within, Place, Program, Terms, Wire, LONG, USUAL};
+use crate::stand::{within, Place, Program, Settings, Wire, LONG, USUAL};
 use std::time::{Duration, Instant};
 
 #[test]
@@ -51,7 +51,7 @@
 #[test]
 fn a_refused_connect_goes_elsewhere_even_for_what_must_never_run_twice() {
     let (dead, server) = (Place::closed("s1"), Place::new("s2"));
-    let once = Terms { effect: "once", ..USUAL };
+    let once = Settings { effect: "once", ..USUAL };
     let program = Program::start(once, &[&dead, &server]);
     // Some of these keys have their place at the server that refuses.
     let settle = |i| {
@@ -67,7 +67,7 @@
 #[test]
 fn a_break_after_the_first_line_is_not_tried_again_where_it_may_have_run() {
     let server = Place::new("s1");
-    let once = Terms { effect: "once", ..USUAL };
+    let once = Settings { effect: "once", ..USUAL };
     let program = Program::start(once, &[&server]);
     let mut client = program.opens("lift-1", ",d=3000");
     let mut at_server = server.accept();
@@ -94,7 +94,7 @@
 #[test]
 fn a_connect_that_does_not_come_up_in_the_dial_time_has_not_run() {
     let (clogged, _first) = Place::clogged("s1");
-    let once = Terms { effect: "once", dial_ms: 100, ..USUAL };
+    let once = Settings { effect: "once", dial_ms: 100, ..USUAL };
     let program = Program::start(once, &[&clogged]);
     let began = Instant::now();
     let mut client = program.opens("lift-1", ",d=3000");
--- a/crates/proxy/tests/sockets/peers.rs
+++ b/crates/proxy/tests/sockets/peers.rs
@@ -1,6 +1,6 @@
 //! Stories of peers that do not keep to the protocol.
 
-use crate::stand::{within, Place, Program, Terms, Wire, LONG, USUAL};
+use crate::stand::{within, Place, Program, Settings, Wire, LONG, USUAL};
 use std::io::Write;
 use std::time::{Duration, Instant};
 
@@ -90,7 +90,7 @@
 #[test]
 fn who_says_nothing_is_put_out_in_time_and_sooner_where_others_need_the_room() {
     let server = Place::new("s1");
-    let program = Program::start(Terms { sockets: 96, ..USUAL }, &[&server]);
+    let program = Program::start(Settings { sockets: 96, ..USUAL }, &[&server]);
     let before = program.descriptors();
     let began = Instant::now();
     let mut silent: Vec<_> = (0..120).map(|_| program.client()).collect();
@@ -144,7 +144,7 @@
 #[test]
 fn out_of_descriptors_it_pushes_back_and_recovers_and_none_leaks() {
     let server = Place::new("s1");
-    let program = Program::start(Terms { sockets: 48, ..USUAL }, &[&server]);
+    let program = Program::start(Settings { sockets: 48, ..USUAL }, &[&server]);
     let before = program.descriptors();
     // Two for each, three kept for callers, one for a probe, and 24.
     let standing: Vec<_> = (0..10).map(|_| program.settles(&server)).collect();
--- a/crates/proxy/tests/sockets/plan.rs
+++ b/crates/proxy/tests/sockets/plan.rs
@@ -3,7 +3,7 @@
 #[path = "../../examples/failing_calls/plan.rs"]
 mod layout;
 
-use crate::stand::{Place, Program, Terms, PROGRAM};
+use crate::stand::{Place, Program, Settings, PROGRAM};
 pub use layout::Call;
 use layout::{NAMED_BY, SIZE};
 use std::fs::{File, OpenOptions};
@@ -82,7 +82,7 @@
     }
 
     /// Starts the program under this plan, before a discovery of its own.
-    pub fn start(&self, terms: Terms, known: &[&Place]) -> Program {
-        Program::start_by(self.command(), Arc::new(Place::new("discovery")), terms, known)
+    pub fn start(&self, settings: Settings, known: &[&Place]) -> Program {
+        Program::start_by(self.command(), Arc::new(Place::new("discovery")), settings, known)
     }
 }
--- a/crates/proxy/tests/sockets/ready.rs
+++ b/crates/proxy/tests/sockets/ready.rs
@@ -1,7 +1,7 @@
 //! Stories of processes that are started again: whatever discovery does and whoever comes, nine in ten are ready in time.
 
 use crate::room::Crowd;
-use crate::stand::{list, next_call, within, Place, Program, Terms, Wire, LONG, PROGRAM, PUSHED, USUAL};
+use crate::stand::{list, next_call, within, Place, Program, Settings, Wire, LONG, PROGRAM, PUSHED, USUAL};
 use std::io::Write;
 use std::net::{Ipv4Addr, SocketAddr, UdpSocket};
 use std::process::Command;
@@ -36,9 +36,9 @@
 }
 
 /// Starts a process, kills it, and starts it again: how long the second start takes until it is ready.
-fn starts_again(discovery: Arc<Place>, terms: Terms, crowded: bool) -> Duration {
+fn starts_again(discovery: Arc<Place>, settings: Settings, crowded: bool) -> Duration {
     let server = Place::new("s1");
-    let mut first = Program::start_before(discovery.clone(), terms, &[&server]);
+    let mut first = Program::start_before(discovery.clone(), settings, &[&server]);
     let at = own_address();
     let text = first.text.replace("\"listen\":\"127.0.0.1:0\"", &format!("\"listen\":\"{at}\""));
     first.child.kill().unwrap();
@@ -55,16 +55,16 @@
 fn nine_in_ten_are_ready(discovery: &Arc<Place>) {
     let _cores = CORES.lock().unwrap_or_else(PoisonError::into_inner);
     for crowded in [false, true] {
-        for terms in [|| Terms { sockets: 64, ..USUAL }, || Terms { sockets: 64, ..PUSHED }] {
+        for settings in [|| Settings { sockets: 64, ..USUAL }, || Settings { sockets: 64, ..PUSHED }] {
             let starts = (0..PROCESSES).map(|_| {
                 let discovery = discovery.clone();
-                thread::spawn(move || starts_again(discovery, terms(), crowded))
+                thread::spawn(move || starts_again(discovery, settings(), crowded))
             });
             let starts: Vec<_> = starts.collect();
             let took: Vec<_> = starts.into_iter().map(|start| start.join().unwrap()).collect();
             let ready = took.iter().filter(|took| **took < READY_WITHIN).count();
-            println!("{}, crowded {crowded}: slowest {:?}", terms().discovery, took.iter().max().unwrap());
-            assert!(ready * 10 >= PROCESSES * 9, "{}, crowded {crowded}: {took:?}", terms().discovery);
+            println!("{}, crowded {crowded}: slowest {:?}", settings().discovery, took.iter().max().unwrap());
+            assert!(ready * 10 >= PROCESSES * 9, "{}, crowded {crowded}: {took:?}", settings().discovery);
         }
     }
 }
--- a/crates/proxy/tests/sockets/room.rs
+++ b/crates/proxy/tests/sockets/room.rs
@@ -2,7 +2,7 @@
 //! a lower one of the system's. Whatever must be dialled even then, still is.
 
 use crate::ready::own_address;
-use crate::stand::{list, next_call, within, Place, Program, Terms, Wire, LONG, PROGRAM, USUAL};
+use crate::stand::{list, next_call, within, Place, Program, Settings, Wire, LONG, PROGRAM, USUAL};
 use std::io::{ErrorKind, Write};
 use std::net::{SocketAddr, TcpStream, UdpSocket};
 use std::process::Command;
@@ -192,7 +192,7 @@
 }
 
 impl Full {
-    fn begin(limit: Limit, held: Held, terms: Terms, fleet: Option<&std::path::Path>) -> Self {
+    fn begin(limit: Limit, held: Held, settings: Settings, fleet: Option<&std::path::Path>) -> Self {
         let servers = Servers::begin(8);
         let known: Vec<_> = servers.places.iter().collect();
         let sockets = if limit == Limit::Settings { ROOM } else { 16 * ROOM };
@@ -204,7 +204,7 @@
             command.args(["-c", &format!("ulimit -n {ROOM} && exec \"$0\""), PROGRAM]);
         }
         command.envs(fleet.map(|path| ("SHELFGRADE_FLEET", path)));
-        let program = Program::start_by(command, discovery, Terms { sockets, ..terms }, &known);
+        let program = Program::start_by(command, discovery, Settings { sockets, ..settings }, &known);
         let mut full = Full { standing: vec![comes_until_up(&program)], program, servers, crowd: None };
         if held != Held::Callers {
             full.standing.extend(come_until_full(&full.program));
@@ -227,13 +227,13 @@
 }
 
 /// Plays a story for each limit and each kind of holder, side by side.
-fn for_all(terms: fn() -> Terms, story: fn(&mut Full)) {
+fn for_all(settings: fn() -> Settings, story: fn(&mut Full)) {
     thread::scope(|scope| {
         for limit in [Limit::Settings, Limit::System] {
             for held in [Held::Callers, Held::Circuits, Held::Both] {
                 scope.spawn(move || {
                     println!("{limit:?}, {held:?}");
-                    let mut full = Full::begin(limit, held, terms(), None);
+                    let mut full = Full::begin(limit, held, settings(), None);
                     story(&mut full);
                     full.ends();
                 });
@@ -280,7 +280,7 @@
 #[test]
 fn a_sign_of_life_is_dialled_for_who_comes_whoever_holds_the_descriptors() {
     for_all(
-        || Terms { probes: true, tells_delay: true, balancers: "300", aim_ms: 5000, ..USUAL },
+        || Settings { probes: true, tells_delay: true, balancers: "300", aim_ms: 5000, ..USUAL },
         |full| {
             let before = full.servers.probes.load(SeqCst);
             // Not each of them asks for one.
@@ -323,8 +323,8 @@
 fn signs_of_life_of_sessions_that_are_gone_take_no_descriptor_that_another_needs() {
     let servers = Servers::begin(60);
     let known: Vec<_> = servers.places.iter().collect();
-    let terms = Terms { probes: true, balancers: "300", aim_ms: 5000, sockets: ROOM, ..USUAL };
-    let program = Program::start(terms, &known);
+    let settings = Settings { probes: true, balancers: "300", aim_ms: 5000, sockets: ROOM, ..USUAL };
+    let program = Program::start(settings, &known);
     let probed = || servers.probes.load(SeqCst);
     let before = program.descriptors();
     let mut gone = 0;
--- a/crates/proxy/tests/sockets/settings.rs
+++ b/crates/proxy/tests/sockets/settings.rs
@@ -5,7 +5,7 @@
 
 /// What the program is started with.
 #[derive(Clone, Copy)]
-pub struct Terms {
+pub struct Settings {
     pub effect: &'static str,
     pub probes: bool,
     pub tells_delay: bool,
@@ -32,7 +32,7 @@
     pub window_ms: u64,
 }
 
-pub const USUAL: Terms = Terms {
+pub const USUAL: Settings = Settings {
     effect: "repeatable",
     probes: false,
     tells_delay: false,
@@ -52,13 +52,13 @@
 };
 
 /// The list is pushed, by an agent that is watched.
-pub const PUSHED: Terms = Terms { discovery: "automatic", ..USUAL };
+pub const PUSHED: Settings = Settings { discovery: "automatic", ..USUAL };
 
 /// The start-up file for these terms, with these servers known.
-pub fn start_file(terms: &Terms, discovery: SocketAddr, known: &[&Place]) -> String {
+pub fn start_file(settings: &Settings, discovery: SocketAddr, known: &[&Place]) -> String {
     let entries: Vec<_> = known.iter().map(|p| p.entry("in_service")).collect();
-    let Terms { effect, probes, tells_delay, sockets, dial_ms, aim_ms, quota, balancers, .. } = terms;
-    let Terms {
+    let Settings { effect, probes, tells_delay, sockets, dial_ms, aim_ms, quota, balancers, .. } = settings;
+    let Settings {
         discovery: how,
         request_timeout_ms,
         attempts,
@@ -68,7 +68,7 @@
         cold_from,
         window_ms,
         ..
-    } = terms;
+    } = settings;
     let settings = format!(
         r#"{{"balancers":{balancers},"discovery":"{how}","offerings":[{{"name":"alarm","idempotency":"{effect}",
         "group":"all","window_ms":{window_ms},"patience_ms":{request_timeout_ms}}}],
--- a/crates/proxy/tests/sockets/soak/mod.rs
+++ b/crates/proxy/tests/sockets/soak/mod.rs
@@ -6,7 +6,7 @@
 mod parts;
 
 use crate::plan::{Call, Failure, Plan};
-use crate::stand::{Place, Program, Terms, USUAL};
+use crate::stand::{Place, Program, Settings, USUAL};
 use nanorand::{Rng, WyRand};
 use parts::{client, discovery, pause, rules, server, Run, WINDOW_MS};
 use rustix::process::Signal;
@@ -52,7 +52,7 @@
     let is_crowded = chance.generate_range(0..3_u32) == 0;
     let sockets = if is_crowded { 160 } else { 512 };
     let places: Vec<_> = (0..SERVERS).map(|i| Place::new(&format!("s{i}"))).collect();
-    let terms = Terms {
+    let settings = Settings {
         effect,
         request_timeout_ms,
         sockets,
@@ -65,7 +65,7 @@
         ..USUAL
     };
     let plan = Plan::new();
-    let program = plan.start(terms, &places.iter().collect::<Vec<_>>());
+    let program = plan.start(settings, &places.iter().collect::<Vec<_>>());
     let run = Arc::new(Run {
         seed,
         effect,
--- a/crates/proxy/tests/sockets/stand.rs
+++ b/crates/proxy/tests/sockets/stand.rs
@@ -1,7 +1,7 @@
 //! Stand-ins on loopback for clients, servers and discovery, and the program itself.
 
 use crate::settings::start_file;
-pub use crate::settings::{Terms, PUSHED, USUAL};
+pub use crate::settings::{Settings, PUSHED, USUAL};
 use rustix::process::{Pid, Signal};
 use rustix::thread::{sched_getcpu, sched_setaffinity, CpuSet};
 use std::io::{BufRead, BufReader, ErrorKind, Read, Write};
@@ -198,18 +198,18 @@
 
 impl Program {
     /// Starts it with these servers known.
-    pub fn start(terms: Terms, known: &[&Place]) -> Self {
-        Self::start_before(Arc::new(Place::new("discovery")), terms, known)
+    pub fn start(settings: Settings, known: &[&Place]) -> Self {
+        Self::start_before(Arc::new(Place::new("discovery")), settings, known)
     }
 
     /// Starts it before a discovery that others may ask too.
-    pub fn start_before(discovery: Arc<Place>, terms: Terms, known: &[&Place]) -> Self {
-        Self::start_by(Command::new(PROGRAM), discovery, terms, known)
+    pub fn start_before(discovery: Arc<Place>, settings: Settings, known: &[&Place]) -> Self {
+        Self::start_by(Command::new(PROGRAM), discovery, settings, known)
     }
 
     /// Starts it by a command of the story's own.
-    pub fn start_by(command: Command, discovery: Arc<Place>, terms: Terms, known: &[&Place]) -> Self {
-        let text = start_file(&terms, discovery.address, known);
+    pub fn start_by(command: Command, discovery: Arc<Place>, settings: Settings, known: &[&Place]) -> Self {
+        let text = start_file(&settings, discovery.address, known);
         Self::begin(command, discovery, text)
     }
 
--- a/crates/proxy/tests/sockets/told.rs
+++ b/crates/proxy/tests/sockets/told.rs
@@ -1,7 +1,7 @@
 //! The clock by which a change counts as told, on sockets: discoveries that refuse, reset, delay, trickle, lose or spoil
 //! calls in drawn orders, and can then be reached.
 
-use crate::stand::{list, next_call, within, Place, Program, Terms, Wire, LONG, USUAL};
+use crate::stand::{list, next_call, within, Place, Program, Settings, Wire, LONG, USUAL};
 use nanorand::{Rng, WyRand};
 use std::io::Write;
 use std::sync::Arc;
@@ -80,14 +80,14 @@
 /// In a large fleet, and where there is long to ask in, the pause after a refusal was up to eight seconds.
 #[test]
 fn whatever_discovery_did_before_its_news_is_had_six_seconds_after_it_can_be_reached() {
-    let terms = [("300", 10_000), ("3800", 60_000), ("3", 10_000), ("300", 2_000)];
+    let settings = [("300", 10_000), ("3800", 60_000), ("3", 10_000), ("300", 2_000)];
     let cases: Vec<_> = (0..24u64)
         .map(|case| {
-            let (balancers, must_ask_ms) = terms[case as usize % terms.len()];
+            let (balancers, must_ask_ms) = settings[case as usize % settings.len()];
             thread::spawn(move || {
                 let (old, new) = (Place::new("s1"), Place::new("s2"));
                 let seed = &*format!("{case:x}").leak();
-                let program = Program::start(Terms { balancers, must_ask_ms, seed, ..USUAL }, &[&old]);
+                let program = Program::start(Settings { balancers, must_ask_ms, seed, ..USUAL }, &[&old]);
                 let mut unwell = Unwell::before(program.discovery.clone(), case);
                 let lasts = Duration::from_millis(unwell.chance.generate_range(500..7000));
                 unwell.lasts_until(Instant::now() + lasts);
@@ -111,7 +111,7 @@
 fn who_asks_late_among_many_is_ready_once_it_has_the_list() {
     let (old, new) = (Place::new("s1"), Place::new("s2"));
     let program =
-        Program::start(Terms { balancers: "300", must_ask_ms: 10_000, seed: "7", ..USUAL }, &[&old]);
+        Program::start(Settings { balancers: "300", must_ask_ms: 10_000, seed: "7", ..USUAL }, &[&old]);
     let mut front = program.client();
     front.say("PING\r\n");
     let mut client = program.opens("lift-1", ",d=9000");
@@ -130,7 +130,7 @@
 fn who_has_no_answer_in_its_turn_is_ready_all_the_same() {
     let old = Place::new("s1");
     let program =
-        Program::start(Terms { balancers: "300", must_ask_ms: 10_000, seed: "7", ..USUAL }, &[&old]);
+        Program::start(Settings { balancers: "300", must_ask_ms: 10_000, seed: "7", ..USUAL }, &[&old]);
     let mut front = program.client();
     front.say("PING\r\n");
     let _hangs = within(LONG, || program.discovery.try_accept());
--- a/crates/proxy/tests/sockets/watches.rs
+++ b/crates/proxy/tests/sockets/watches.rs
@@ -3,7 +3,7 @@
 //! What a silent watch misses counts as told six seconds after it fell silent; what a new discovery has, four seconds
 //! after SIGHUP; and what the agent of a pushed list has, at once.
 
-use crate::stand::{list, next_call, within, Place, Program, Terms, Wire, LONG, PUSHED, USUAL};
+use crate::stand::{list, next_call, within, Place, Program, Settings, Wire, LONG, PUSHED, USUAL};
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 use std::thread;
@@ -13,7 +13,7 @@
 const COUNTS_AFTER: Duration = Duration::from_secs(6);
 
 /// Three hundred ask the same discovery, and chance would have this one pause for long after a refusal.
-const MANY: Terms = Terms { balancers: "300", must_ask_ms: 10_000, seed: "77", ..USUAL };
+const MANY: Settings = Settings { balancers: "300", must_ask_ms: 10_000, seed: "77", ..USUAL };
 
 /// The pause after a refusal was spread over up to eight seconds, where 1.7 were left.
 #[test]
@@ -218,9 +218,9 @@
             }
         }
     });
-    let terms = || Terms { balancers: "24", must_ask_ms: 10_000, ..USUAL };
+    let settings = || Settings { balancers: "24", must_ask_ms: 10_000, ..USUAL };
     let programs: Vec<_> =
-        (0..PROXIES).map(|_| Program::start_before(discovery.clone(), terms(), &[&server])).collect();
+        (0..PROXIES).map(|_| Program::start_before(discovery.clone(), settings(), &[&server])).collect();
     within(LONG, || (slow.held.load(Ordering::SeqCst) >= PROXIES).then_some(()));
     slow.silent.store(true, Ordering::SeqCst);
     let fell_silent = Instant::now();
--- a/crates/recovery/src/around.rs
+++ b/crates/recovery/src/around.rs
@@ -27,7 +27,7 @@
 }
 
 /// What the settings say of a return.
-pub struct Terms {
+pub struct RecoverySettings {
     pub classes: Vec<Owed>,
     /// Shares of the customers, by their places in the settings.
     pub shares: Vec<f64>,
--- a/crates/recovery/src/comeback.rs
+++ b/crates/recovery/src/comeback.rs
@@ -1,7 +1,7 @@
 //! A process among its fellows, from its start on: what it takes from before, the list that it agrees on with them, and
 //! when it serves.
 
-use crate::around::{Around, Heard, Line, Terms};
+use crate::around::{Around, Heard, Line, RecoverySettings};
 use crate::asking::{Asking, Beat};
 use crate::counting::{Counting, Told};
 use crate::order::{Return, State};
@@ -46,7 +46,7 @@
     /// `wall_ms`: this machine's Unix time. `before`: what an earlier life left on the disk.
     pub fn new(
         roster: Roster,
-        terms: Terms,
+        settings: RecoverySettings,
         before: Option<Saved>,
         seed: u64,
         (now, wall_ms): (Timestamp, u64),
@@ -55,12 +55,12 @@
         let restored = before.map(|saved| Restored::from(saved, now));
         let born = restored.as_ref().map_or(0, |restored| restored.born).max(wall_ms * 1000);
         let asking = Asking::new(roster.me(), roster.seats(), roster.tag(), now);
-        let spans = (terms.wait, terms.slow_start, terms.most_pause);
+        let spans = (settings.wait, settings.slow_start, settings.most_pause);
         let mut comeback = Comeback {
             fleet: Fleet::new(roster, born, seed, now),
             asking,
             counting: Counting::default(),
-            back: Return::new(terms.classes, terms.shares, spans, now),
+            back: Return::new(settings.classes, settings.shares, spans, now),
             facts: BTreeMap::new(),
             before: Default::default(),
             candidates: Vec::new(),
--- a/crates/terms/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -21,7 +21,7 @@
 
 /// Why settings cannot be used.
 #[derive(Debug, thiserror::Error)]
-pub enum TermsError {
+pub enum SettingsError {
     #[error("not what is wanted ({0}): correct the value there")]
     Form(#[from] serde_json::Error),
     #[error(
@@ -156,8 +156,8 @@
     Some(bounds.iter().sum()).filter(|all| *all > 0.0)
 }
 
-/// A proxy's terms, read.
-pub struct Terms {
+/// A proxy's settings, read.
+pub struct Settings {
     pub balancer: LoadBalancer,
     /// The request classes' names in their order.
     pub classes: Vec<String>,
@@ -171,7 +171,7 @@
     pub most_pause: Duration,
     /// The longest that any client waits for its connection; none where a request class does not tell.
     pub longest_request_timeout: Option<Duration>,
-    /// A connection that is not established within this has failed; none where the terms leave it open.
+    /// A connection that is not established within this has failed; none where the settings leave it open.
     pub dial_time_out: Option<Duration>,
     /// The list is pushed: what its service has counts as told, whether or not it was heard.
     pub list_is_pushed: bool,
@@ -181,14 +181,14 @@
     pub may_probe: bool,
 }
 
-/// Reads the terms from the text of their JSON object.
-pub fn parse(seed: u64, text: &str) -> Result<Terms, TermsError> {
+/// Reads the settings from the text of their JSON object.
+pub fn parse(seed: u64, text: &str) -> Result<Settings, SettingsError> {
     let env: Env = serde_json::from_str(text)?;
     let proxies = env.balancers.map_or(MANY, NonZeroUsize::get);
     let Env { classes, invariants, bounds, extra, customers, .. } = env;
     let total_capacity = total_capacity(&extra.tenant_quota_connections);
     if total_capacity.is_some() && extra.server_connections.is_some() {
-        return Err(TermsError::ToldTwice);
+        return Err(SettingsError::ToldTwice);
     }
     let slow_start = SlowStart {
         initial_fraction: invariants.cold_from.0,
@@ -235,7 +235,7 @@
     });
     let balancer =
         LoadBalancer::new(seed, known.collect(), bounds.max_attempts, most_pause, must_ask_in, slow_start);
-    Ok(Terms {
+    Ok(Settings {
         balancer,
         classes: classes.into_iter().map(|o| o.name).collect(),
         owed,
--- a/crates/terms/tests/unit/lib.rs
+++ b/crates/settings/tests/unit/lib.rs
@@ -4,7 +4,7 @@
 use shelfgrade::host::{Host, ServerId, SessionId};
 use shelfgrade::time::Timestamp;
 
-fn settings(balancers: &str, cold_ms: &str) -> Result<Terms, TermsError> {
+fn settings(balancers: &str, cold_ms: &str) -> Result<Settings, SettingsError> {
     let text = format!(
         r#"{{{balancers}"discovery":"subscribe","offerings":[],"bounds":{{"most_connects":3}},
         "invariants":{{"overload_factor":4,"cold_ms":{cold_ms},"must_ask_in_ms":10000}}}}"#
@@ -52,8 +52,8 @@
 
 #[test]
 fn settings_that_do_not_tell_of_proxies_probes_or_notes_are_taken_cautiously() {
-    let terms = settings("", "8600").expect("enough to begin with");
-    assert!(!terms.may_probe && !terms.tells_delay);
+    let settings = settings("", "8600").expect("enough to begin with");
+    assert!(!settings.may_probe && !settings.tells_delay);
     // A first call for the list is as late as in a large fleet: some of thirty wait over two seconds.
     let late = |seed: u64| {
         let mut host = Alarms::default();
--- a/crates/adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -6,7 +6,7 @@
 use shelfgrade::choice::LoadBalancer;
 use shelfgrade::host::{Arrival, AttemptOutcome, Endpoint, EndpointState, Host, ServerId, SessionId};
 use shelfgrade::time::{DurationExt, Timestamp};
-use shelfgrade_terms::Terms;
+use shelfgrade_settings::Settings;
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 use std::io::{self, BufRead, Write};
@@ -109,8 +109,9 @@
 
     fn event(&mut self, who: u64, line: &Line) -> Result<()> {
         if line.name == "BORN" {
-            let terms = shelfgrade_terms::parse(line.whole("salt")?, line.required("env")?).context("env")?;
-            let Terms { balancer, classes, may_probe, list_is_pushed, .. } = terms;
+            let settings =
+                shelfgrade_settings::parse(line.whole("salt")?, line.required("env")?).context("env")?;
+            let Settings { balancer, classes, may_probe, list_is_pushed, .. } = settings;
             self.instances.insert(who, Instance { balancer, classes, may_probe, list_is_pushed });
             return Ok(());
         }
--- a/crates/trials/examples/cells.rs
+++ b/crates/testkit/examples/cells.rs
@@ -2,8 +2,8 @@
 
 use shelfgrade::time::DurationExt;
 use shelfgrade_cells::WHOLE;
-use shelfgrade_trials::cells::fleet::{percentile, put};
-use shelfgrade_trials::cells::{World, CALM};
+use shelfgrade_testkit::cells::fleet::{percentile, put};
+use shelfgrade_testkit::cells::{World, CALM};
 use std::time::Duration;
 use std::time::Instant;
 
@@ -26,7 +26,7 @@
         let (mean, busiest, second) = self.world.bytes(span);
         let (replicas, replica) = self.world.replica_bytes(span);
         let seconds = ms as f64 / 1000.0;
-        let busy = |node: &shelfgrade_trials::cells::Node| node.busy.as_secs_f64() / seconds * 100.0;
+        let busy = |node: &shelfgrade_testkit::cells::Node| node.busy.as_secs_f64() / seconds * 100.0;
         let own = &self.world.nodes[self.world.replicas..];
         let core = own.iter().map(busy).sum::<f64>() / own.len() as f64;
         let most = own.iter().map(busy).fold(0.0, f64::max);
--- a/crates/trials/examples/decisions.rs
+++ b/crates/testkit/examples/decisions.rs
@@ -4,7 +4,7 @@
 //! `cargo run --release --locked -p shelfgrade-trials --example decisions`
 
 use peak_alloc::PeakAlloc;
-use shelfgrade_trials::decisions::{Decisions, Size, CIRCUITS, GROUPS};
+use shelfgrade_testkit::decisions::{Decisions, Size, CIRCUITS, GROUPS};
 
 #[global_allocator]
 static BYTES: PeakAlloc = PeakAlloc;
--- a/crates/trials/examples/faults.rs
+++ b/crates/testkit/examples/faults.rs
@@ -2,9 +2,9 @@
 //!
 //! `cargo run --release -p shelfgrade-trials --example faults -- PROCESSES SECONDS [SEED]`
 
-use shelfgrade_trials::checks;
-use shelfgrade_trials::relay::ROUGH;
-use shelfgrade_trials::trial::{Shape, Trial, SMALL};
+use shelfgrade_testkit::checks;
+use shelfgrade_testkit::relay::ROUGH;
+use shelfgrade_testkit::trial::{Shape, Trial, SMALL};
 use std::time::Duration;
 use tokio::time::sleep;
 
@@ -71,7 +71,7 @@
 async fn main() {
     let numbers: Vec<u64> = std::env::args().skip(1).map(|text| text.parse().expect("a number")).collect();
     let (processes, seconds) = (numbers[0] as usize, numbers[1]);
-    let seed = numbers.get(2).copied().unwrap_or_else(|| shelfgrade_trials::server::unix_ms() as u64);
+    let seed = numbers.get(2).copied().unwrap_or_else(|| shelfgrade_testkit::server::unix_ms() as u64);
     println!("seed {seed}");
     let servers = processes.div_ceil(3).max(8);
     let mut trial = Trial::running(Shape { processes, servers, clients: servers * 30, seed, ..SMALL }).await;
--- a/crates/trials/examples/hollow.rs
+++ b/crates/testkit/examples/hollow.rs
@@ -5,9 +5,9 @@
 //! `100,300,1000,3800`, on four threads unless another number is named.
 
 use shelfgrade::time::DurationExt;
-use shelfgrade_trials::hollow::{name, roster, Hollow};
-use shelfgrade_trials::simulation::{Simulation, Usage};
-use shelfgrade_trials::topology::{Topology, Weather, SIX_REGIONS};
+use shelfgrade_testkit::hollow::{name, roster, Hollow};
+use shelfgrade_testkit::simulation::{Simulation, Usage};
+use shelfgrade_testkit::topology::{Topology, Weather, SIX_REGIONS};
 use std::time::Duration;
 use std::time::Instant;
 
--- a/crates/trials/examples/power_loss.rs
+++ b/crates/testkit/examples/power_loss.rs
@@ -2,9 +2,9 @@
 //!
 //! `cargo run --release -p shelfgrade-trials --example power_loss -- PROCESSES SERVERS CLIENTS SEED`
 
-use shelfgrade_trials::checks;
-use shelfgrade_trials::server::MAKE;
-use shelfgrade_trials::trial::{Shape, Trial};
+use shelfgrade_testkit::checks;
+use shelfgrade_testkit::server::MAKE;
+use shelfgrade_testkit::trial::{Shape, Trial};
 use std::time::Duration;
 use tokio::time::sleep;
 
--- a/crates/trials/examples/sockets.rs
+++ b/crates/testkit/examples/sockets.rs
@@ -5,13 +5,13 @@
 //! named.
 
 use rustix::time::{clock_gettime, ClockId};
-use shelfgrade_trials::discovery::Discovery;
-use shelfgrade_trials::hollow::name;
-use shelfgrade_trials::own_address;
-use shelfgrade_trials::process::{known, Given, Process, LIMITS};
-use shelfgrade_trials::record::Record;
-use shelfgrade_trials::server::{Server, MAKE};
-use shelfgrade_trials::sockets::{Counts, Sockets};
+use shelfgrade_testkit::discovery::Discovery;
+use shelfgrade_testkit::hollow::name;
+use shelfgrade_testkit::own_address;
+use shelfgrade_testkit::process::{known, Given, Process, LIMITS};
+use shelfgrade_testkit::record::Record;
+use shelfgrade_testkit::server::{Server, MAKE};
+use shelfgrade_testkit::sockets::{Counts, Sockets};
 use std::net::{SocketAddr, UdpSocket};
 use std::time::{Duration, Instant};
 
--- a/crates/trials/examples/standing.rs
+++ b/crates/testkit/examples/standing.rs
@@ -6,8 +6,8 @@
 //! may take, from which the size of its buffers follows; CIRCUITS, 1000, 5000 and as many as descriptors allow if not
 //! given. Each size is measured at rest, and with a line from every client each 2 s and 1 s.
 
-use shelfgrade_trials::process::Limits;
-use shelfgrade_trials::standing::{descriptors, most_sessions, Size, Standing};
+use shelfgrade_testkit::process::Limits;
+use shelfgrade_testkit::standing::{descriptors, most_sessions, Size, Standing};
 use std::time::Duration;
 
 const SERVERS: usize = 16;
--- a/crates/trials/examples/try.rs
+++ b/crates/testkit/examples/try.rs
@@ -1,8 +1,8 @@
 //! A small fleet from the shipped files, against stand-ins: it places clients, loses its power, and comes back. Says in
 //! plain lines what happened. `make try` runs it.
 
-use shelfgrade_trials::checks;
-use shelfgrade_trials::trial::{Trial, SMALL};
+use shelfgrade_testkit::checks;
+use shelfgrade_testkit::trial::{Trial, SMALL};
 use std::time::Duration;
 use tokio::time::sleep;
 
--- a/crates/trials/src/drawn.rs
+++ b/crates/testkit/src/drawn.rs
@@ -3,7 +3,7 @@
 use nanorand::{Rng, WyRand};
 use shelfgrade::time::Timestamp;
 use shelfgrade_fleet::{Entry, Fleet, Roster, Seat, Surroundings};
-use shelfgrade_recovery::around::{Around, Line, Terms};
+use shelfgrade_recovery::around::{Around, Line, RecoverySettings};
 use shelfgrade_recovery::comeback::Comeback;
 use shelfgrade_recovery::order::{Owed, State};
 use std::collections::{BTreeMap, BTreeSet};
@@ -55,14 +55,14 @@
             connect_latency_objective: Some(Duration::from_millis(ms)),
             priority_weight,
         };
-        let terms = Terms {
+        let settings = RecoverySettings {
             classes: vec![owed(300, 3.0), owed(500, 5.0), owed(800, 1.0)],
             shares: vec![0.5, 0.3, 0.2],
             wait: Duration::from_millis(2000),
             slow_start: Duration::from_millis(8600),
             most_pause: Duration::from_millis(2000),
         };
-        Comeback::new(roster, terms, None, seed, (now, wall_ms))
+        Comeback::new(roster, settings, None, seed, (now, wall_ms))
     }
     fn fleet(&self) -> &Fleet {
         Comeback::fleet(self)
--- a/crates/trials/tests/customers.rs
+++ b/crates/testkit/tests/customers.rs
@@ -1,8 +1,8 @@
 //! Customers' namespaces in a fleet of real processes.
 
 use rustix::process::Signal;
-use shelfgrade_trials::clients::{ALARM, CUSTOMERS};
-use shelfgrade_trials::trial::{Shape, Trial, SMALL};
+use shelfgrade_testkit::clients::{ALARM, CUSTOMERS};
+use shelfgrade_testkit::trial::{Shape, Trial, SMALL};
 use std::collections::BTreeSet;
 use std::time::Duration;
 use tokio::time::sleep;
--- a/crates/trials/tests/decisions.rs
+++ b/crates/testkit/tests/decisions.rs
@@ -2,7 +2,7 @@
 //! measures. One story alone is in this program, as others would be counted with it.
 
 use peak_alloc::PeakAlloc;
-use shelfgrade_trials::decisions::{Decisions, Size};
+use shelfgrade_testkit::decisions::{Decisions, Size};
 
 #[global_allocator]
 static BYTES: PeakAlloc = PeakAlloc;
--- a/crates/trials/tests/processes.rs
+++ b/crates/testkit/tests/processes.rs
@@ -1,8 +1,8 @@
 //! Real processes on loopback, and what goes wrong round them.
 
-use shelfgrade_trials::checks::{self, Breach};
-use shelfgrade_trials::rogue::{self, Wrong};
-use shelfgrade_trials::trial::{Shape, Trial, SMALL};
+use shelfgrade_testkit::checks::{self, Breach};
+use shelfgrade_testkit::rogue::{self, Wrong};
+use shelfgrade_testkit::trial::{Shape, Trial, SMALL};
 use std::fs;
 use std::time::Duration;
 use tokio::time::sleep;
@@ -126,7 +126,7 @@
     (0..SMALL.processes).for_each(|index| trial.kill(index));
     sleep(Duration::from_millis(300)).await;
     (0..SMALL.processes).for_each(|index| trial.start(index));
-    let waited = |process: &shelfgrade_trials::process::Process| process.log().contains("no list in time");
+    let waited = |process: &shelfgrade_testkit::process::Process| process.log().contains("no list in time");
     trial.until(Duration::from_secs(8), "the wait is over", |trial| trial.processes.iter().all(waited)).await;
     let forgetful: Vec<_> = trial.servers.iter().map(|server| &**server).collect();
     trial.discovery.counts_anew(1, &forgetful, "in_service");
@@ -149,7 +149,7 @@
     trial.until_ready(SMALL.processes).await;
     trial.clients_come(Duration::from_millis(1500));
     comes_back(&mut trial, 20).await;
-    trial.relay.becomes(shelfgrade_trials::relay::ROUGH);
+    trial.relay.becomes(shelfgrade_testkit::relay::ROUGH);
     trial.relay.halves(|index| index < 3);
     sleep(Duration::from_millis(5000)).await;
     trial.drains(7);
--- a/crates/trials/tests/returns.rs
+++ b/crates/testkit/tests/returns.rs
@@ -4,7 +4,7 @@
 use shelfgrade_recovery::comeback::Comeback;
 use shelfgrade_recovery::order::State;
 use shelfgrade_recovery::trust::{Fact, Health};
-use shelfgrade_trials::drawn::{Drawn, Network};
+use shelfgrade_testkit::drawn::{Drawn, Network};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
--- a/crates/trials/tests/shared.rs
+++ b/crates/testkit/tests/shared.rs
@@ -4,7 +4,7 @@
 use proptest::test_runner::RngSeed;
 use shelfgrade::time::DurationExt;
 use shelfgrade_fleet::{Entry, Fleet, Map, Merged, Seat, Version, LEASE};
-use shelfgrade_trials::drawn::{Drawn, CALM, ROUGH};
+use shelfgrade_testkit::drawn::{Drawn, CALM, ROUGH};
 
 fn entry() -> impl Strategy<Value = Entry> {
     let value = prop_oneof![Just(None), prop::collection::vec(0..3u8, 0..3).prop_map(Some)];
--- a/crates/trials/tests/simulation.rs
+++ b/crates/testkit/tests/simulation.rs
@@ -1,8 +1,8 @@
 //! The simulated network itself: what arrives when, what is cut, and that it is one run whatever the threads.
 
 use shelfgrade::time::Timestamp;
-use shelfgrade_trials::simulation::{Core, Outbox, Simulation};
-use shelfgrade_trials::topology::{Topology, Weather, SIX_REGIONS};
+use shelfgrade_testkit::simulation::{Core, Outbox, Simulation};
+use shelfgrade_testkit::topology::{Topology, Weather, SIX_REGIONS};
 use std::time::Duration;
 
 const FAIR: Weather = Weather { lost: 0, doubled: 0 };
--- a/crates/trials/tests/size.rs
+++ b/crates/testkit/tests/size.rs
@@ -2,7 +2,7 @@
 
 use shelfgrade::time::DurationExt;
 use shelfgrade_fleet::{Fleet, Seat};
-use shelfgrade_trials::drawn::{Drawn, Network, CALM};
+use shelfgrade_testkit::drawn::{Drawn, Network, CALM};
 
 /// A network as between machines of one site: some loss, and now and then one comes late.
 const USUAL: Network = Network { delay_ms: (1, 20), lost: 2, doubled: 1 };
--- a/crates/trials/tests/slopes.rs
+++ b/crates/testkit/tests/slopes.rs
@@ -2,11 +2,11 @@
 //! enough for every change. The shape is looked at, and no time of the machine's. `examples/hollow.rs` has the sizes.
 
 use shelfgrade::time::DurationExt;
-use shelfgrade_trials::hollow::{name, roster, Hollow};
-use shelfgrade_trials::own_address;
-use shelfgrade_trials::simulation::Simulation;
-use shelfgrade_trials::sockets::Sockets;
-use shelfgrade_trials::topology::{Topology, Weather, SIX_REGIONS};
+use shelfgrade_testkit::hollow::{name, roster, Hollow};
+use shelfgrade_testkit::own_address;
+use shelfgrade_testkit::simulation::Simulation;
+use shelfgrade_testkit::sockets::Sockets;
+use shelfgrade_testkit::topology::{Topology, Weather, SIX_REGIONS};
 use std::collections::BTreeSet;
 use std::net::UdpSocket;
 use std::time::{Duration, Instant};
@@ -33,7 +33,8 @@
 /// Bytes and datagrams that one process sends on the mean, since the beginning.
 fn sent(all: &Simulation<Hollow>) -> (f64, f64) {
     let usage = all.usage();
-    let sum = |of: fn(&shelfgrade_trials::simulation::Usage) -> u64| usage.iter().map(of).sum::<u64>() as f64;
+    let sum =
+        |of: fn(&shelfgrade_testkit::simulation::Usage) -> u64| usage.iter().map(of).sum::<u64>() as f64;
     (sum(|usage| usage.bytes) / usage.len() as f64, sum(|usage| usage.datagrams) / usage.len() as f64)
 }
 
--- a/crates/trials/tests/standing.rs
+++ b/crates/testkit/tests/standing.rs
@@ -1,8 +1,8 @@
 //! What standing sessions cost one real process, in the small: its shape, and not its size. The example of the same name
 //! measures.
 
-use shelfgrade_trials::process::Limits;
-use shelfgrade_trials::standing::{Size, Standing};
+use shelfgrade_testkit::process::Limits;
+use shelfgrade_testkit::standing::{Size, Standing};
 use std::time::Duration;
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
--- a/crates/trials/tests/windows.rs
+++ b/crates/testkit/tests/windows.rs
@@ -1,8 +1,8 @@
 //! Maintenance windows in a fleet of real processes.
 
 use rustix::process::Signal;
-use shelfgrade_trials::server::unix_ms;
-use shelfgrade_trials::trial::{Shape, Trial, SMALL};
+use shelfgrade_testkit::server::unix_ms;
+use shelfgrade_testkit::trial::{Shape, Trial, SMALL};
 use std::time::Duration;
 use tokio::time::sleep;
 
