--- a/crates/cells/src/lib.rs
+++ b/crates/cells/src/lib.rs
@@ -1,6 +1,6 @@
 //! A fleet that changes while it runs, in cells: a log that a majority of some replicas agrees on, how what it says gets
 //! to every process, and rights that add up to the whole in any partition. No I/O: time comes as an argument, datagrams
-//! and what is to be stored go out through [`Surroundings`], chance is drawn from the given seed.
+//! and what is to be stored go out through [`Environment`], chance is drawn from the given seed.
 //!
 //! `docs/cells.md` says why it holds and what was measured.
 
@@ -36,16 +36,16 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// What a core asks of whoever carries it out, and tells.
-pub trait Surroundings {
+pub trait Environment {
     fn send(&mut self, to: SocketAddr, datagram: Vec<u8>);
     /// To be on disk before anything that is sent after it. All stored before a [`Stored::Checkpoint`] may go.
     fn store(&mut self, stored: Stored);
     /// A record is new, or has changed, or is gone.
-    fn news(&mut self, record: &Record);
+    fn record_changed(&mut self, record: &Record);
     /// What a change that was submitted here came to.
-    fn outcome(&mut self, id: u64, outcome: Result<(), ChangeError>);
+    fn change_decided(&mut self, id: u64, outcome: Result<(), ChangeError>);
     /// A datagram, or a part of one, or of what was stored, was refused.
-    fn refused(&mut self, why: &'static str);
+    fn datagram_rejected(&mut self, why: &'static str);
 }
 
 /// A member's rank in its cell, by rendezvous hash: the greatest of those alive speak for it.
--- a/crates/cells/src/mates.rs
+++ b/crates/cells/src/mates.rs
@@ -2,7 +2,7 @@
 
 use crate::process::{Process, SPEAKERS};
 use crate::swim::{Id, Sends, Swim, SELDOM};
-use crate::{rank, Surroundings};
+use crate::{rank, Environment};
 use nanorand::Rng;
 use shelfgrade::time::{DurationExt, Timestamp};
 use std::collections::BTreeMap;
@@ -30,32 +30,32 @@
         self.replicas.contains(&from) || self.mates.iter().any(|mate| mate.address == from)
     }
 
-    pub(crate) fn heard_swim(
+    pub(crate) fn on_swim_datagram(
         &mut self,
         from: SocketAddr,
         bytes: &[u8],
         now: Timestamp,
-        around: &mut dyn Surroundings,
+        environment: &mut dyn Environment,
     ) {
         if self.swim.is_none() {
             return;
         }
         if !self.mates.iter().any(|mate| mate.address == from) {
-            return around.refused("cells membership from strangers");
+            return environment.datagram_rejected("cells membership from strangers");
         }
         let Some(swim) = &mut self.swim else { return };
         let mut sends = Vec::new();
-        if !swim.heard(bytes, now, &mut sends) {
-            around.refused("cells membership not to be read");
+        if !swim.on_datagram(bytes, now, &mut sends) {
+            environment.datagram_rejected("cells membership not to be read");
         }
-        self.carry(sends, now, around);
+        self.carry(sends, now, environment);
     }
 
-    pub(crate) fn carry(&mut self, sends: Sends, now: Timestamp, around: &mut dyn Surroundings) {
+    pub(crate) fn carry(&mut self, sends: Sends, now: Timestamp, environment: &mut dyn Environment) {
         for (place, bytes) in sends {
             let mate = self.mates.iter().find(|mate| mate.place == place).map(|mate| mate.address);
             if let Some(to) = mate {
-                self.send_swim(to, bytes, now, around);
+                self.send_swim(to, bytes, now, environment);
             }
         }
         if self.swim.as_mut().is_some_and(Swim::changed) {
@@ -121,7 +121,7 @@
     }
 
     /// Guards against a cell that never finds together: those not met are asked, often in the first seconds.
-    pub(crate) fn invite(&mut self, now: Timestamp, around: &mut dyn Surroundings) {
+    pub(crate) fn invite(&mut self, now: Timestamp, environment: &mut dyn Environment) {
         const EARLY: Duration = Duration::from_millis(3000);
         if now < self.invites || self.swim.is_none() {
             return;
@@ -140,6 +140,6 @@
         if let Some(swim) = &mut self.swim {
             swim.invite(place, now, &mut sends);
         }
-        self.carry(sends, now, around);
+        self.carry(sends, now, environment);
     }
 }
--- a/crates/cells/src/process.rs
+++ b/crates/cells/src/process.rs
@@ -9,7 +9,7 @@
 use crate::roster::Peers;
 use crate::state::{Delta, DeltaError, Merged, State};
 use crate::swim::Swim;
-use crate::{rank, Surroundings};
+use crate::{rank, Environment};
 use nanorand::{Rng, WyRand};
 use shelfgrade::time::{DurationExt, Timestamp};
 use std::collections::BTreeMap;
@@ -167,11 +167,11 @@
         to: SocketAddr,
         message: &Message,
         now: Timestamp,
-        around: &mut dyn Surroundings,
+        environment: &mut dyn Environment,
     ) {
         let datagram = packet::write(self.fleet, message);
         self.rate.spend(datagram.len(), now);
-        around.send(to, datagram);
+        environment.send(to, datagram);
     }
 
     /// A message of the membership, which bears that some are lost.
@@ -180,11 +180,11 @@
         to: SocketAddr,
         bytes: Vec<u8>,
         now: Timestamp,
-        around: &mut dyn Surroundings,
+        environment: &mut dyn Environment,
     ) {
         let datagram = packet::write(self.fleet, &Message::Swim(bytes));
         if self.rate.take(datagram.len(), 0, now) {
-            around.send(to, datagram);
+            environment.send(to, datagram);
         }
     }
 
@@ -194,44 +194,44 @@
         to: SocketAddr,
         message: &Message,
         now: Timestamp,
-        around: &mut dyn Surroundings,
+        environment: &mut dyn Environment,
     ) -> bool {
         let datagram = packet::write(self.fleet, message);
         let room = self.rate.take(datagram.len(), MEMBERSHIP, now);
         if room {
-            around.send(to, datagram);
+            environment.send(to, datagram);
         }
         room
     }
 
-    pub fn heard(
+    pub fn on_datagram(
         &mut self,
         from: SocketAddr,
         datagram: &[u8],
         now: Timestamp,
-        around: &mut dyn Surroundings,
+        environment: &mut dyn Environment,
     ) {
         let message = match packet::read(self.fleet, datagram) {
             Ok(message) => message,
-            Err(error) => return around.refused(error.name()),
+            Err(error) => return environment.datagram_rejected(error.name()),
         };
         match message {
-            Message::Swim(bytes) => self.heard_swim(from, &bytes, now, around),
+            Message::Swim(bytes) => self.on_swim_datagram(from, &bytes, now, environment),
             Message::Pull { scope, after, anew } => {
                 if !self.state().scope().covers(scope) {
-                    return around.refused("cells pulls of another cell");
+                    return environment.datagram_rejected("cells pulls of another cell");
                 }
                 if after > self.state().to() && self.knows(from) {
                     self.follower.state_mut().heard_of(after);
                     if self.waits.is_none() {
-                        self.pull_from(from, now, around);
+                        self.pull_from(from, now, environment);
                     }
                 }
                 let delta = self.state().answer(scope, after, anew);
-                self.send_within(from, &Message::Delta(delta), now, around);
+                self.send_within(from, &Message::Delta(delta), now, environment);
             }
             Message::Delta(_) | Message::Push(_) | Message::Ack { .. } if !self.knows(from) => {
-                around.refused("cells datagrams from strangers");
+                environment.datagram_rejected("cells datagrams from strangers");
             }
             Message::Delta(delta) => {
                 let answers = self.waits.is_some_and(|(asked, _)| asked == from);
@@ -239,31 +239,33 @@
                     self.waits = None;
                     self.silences = 0;
                 }
-                self.take(from, &delta, answers, now, around);
+                self.take(from, &delta, answers, now, environment);
             }
             Message::Push(delta) => {
                 let whole = delta.after > Version(0);
                 if whole {
-                    self.take(from, &delta, false, now, around);
+                    self.take(from, &delta, false, now, environment);
                 }
                 if !self.state().whole() && self.waits.is_none() && self.active {
-                    self.pull_from(from, now, around);
+                    self.pull_from(from, now, environment);
                 }
             }
             Message::Ack { cell, name, incarnation, version } => {
                 if cell == self.cell {
-                    self.acks.heard(name, incarnation, version);
-                    self.release(now, around);
+                    self.acks.observe(name, incarnation, version);
+                    self.release(now, environment);
                 } else {
-                    around.refused("cells acks of another cell");
+                    environment.datagram_rejected("cells acks of another cell");
                 }
             }
             Message::Outcome { id, outcome } => {
                 if self.replicas.contains(&from) && self.pending.remove(&id).is_some() {
-                    around.outcome(id, outcome);
+                    environment.change_decided(id, outcome);
                 }
             }
-            Message::Submit(_) | Message::Paxos(_) => around.refused("cells datagrams for replicas"),
+            Message::Submit(_) | Message::Paxos(_) => {
+                environment.datagram_rejected("cells datagrams for replicas")
+            }
         }
     }
 
@@ -273,15 +275,15 @@
         delta: &Delta,
         asked: bool,
         now: Timestamp,
-        around: &mut dyn Surroundings,
+        environment: &mut dyn Environment,
     ) {
         let merged = match self.follower.take(delta) {
             Ok(merged) => merged,
             Err(DeltaError::Gap) => Merged::default(),
-            Err(DeltaError::Disorder) => return around.refused("cells answers out of order"),
-            Err(DeltaError::Fork) => return around.refused("cells answers with a fork"),
+            Err(DeltaError::Disorder) => return environment.datagram_rejected("cells answers out of order"),
+            Err(DeltaError::Fork) => return environment.datagram_rejected("cells answers with a fork"),
         };
-        merged.news.iter().for_each(|record| around.news(record));
+        merged.news.iter().for_each(|record| environment.record_changed(record));
         let own = |record: &Record| matches!(&record.key, Key::Member(cell, _) if *cell == self.cell);
         if merged.news.iter().any(own) {
             self.know_mates();
@@ -290,26 +292,26 @@
             self.begin(now);
         }
         if merged.further && asked && delta.to < delta.head {
-            self.pull_from(from, now, around);
+            self.pull_from(from, now, environment);
         }
         // Once, and only what is all that is missing: the rest is found by comparing.
         let fresh = !merged.news.is_empty() && delta.after > Version(0) && self.state().whole();
         if fresh && self.active && self.rate.left(now) > 0.5 {
             let mates: Vec<_> = self.others(FANOUT);
             for mate in mates {
-                self.send_within(mate, &Message::Push(delta.clone()), now, around);
+                self.send_within(mate, &Message::Push(delta.clone()), now, environment);
             }
         }
         if merged.further {
-            self.release(now, around);
+            self.release(now, environment);
         }
     }
 
-    fn pull_from(&mut self, to: SocketAddr, now: Timestamp, around: &mut dyn Surroundings) {
+    fn pull_from(&mut self, to: SocketAddr, now: Timestamp, environment: &mut dyn Environment) {
         let silence = if self.replicas.contains(&to) { SILENCE } else { MATE_SILENCE };
         self.waits = Some((to, now + silence));
         let pull = self.follower.pull();
-        self.send(to, &pull, now, around);
+        self.send(to, &pull, now, environment);
     }
 
     fn starts(&self) -> bool {
@@ -334,11 +336,11 @@
     }
 
     /// To be called when [`Process::next`] says so, or more often.
-    pub fn on_timer(&mut self, now: Timestamp, around: &mut dyn Surroundings) {
+    pub fn on_timer(&mut self, now: Timestamp, environment: &mut dyn Environment) {
         if let Some(swim) = &mut self.swim {
             let mut sends = Vec::new();
             swim.on_timer(now, &mut sends);
-            self.carry(sends, now, around);
+            self.carry(sends, now, environment);
         }
         if let Some((asked, until)) = self.waits {
             if now >= until {
@@ -368,17 +370,17 @@
             self.pulls = now + pause.scaled(drawn);
             if self.waits.is_none() {
                 if let Some(to) = self.source() {
-                    self.pull_from(to, now, around);
+                    self.pull_from(to, now, environment);
                 }
             }
-            self.acknowledge(now, around);
+            self.acknowledge(now, environment);
         }
-        self.invite(now, around);
-        self.send_pending(now, around);
+        self.invite(now, environment);
+        self.send_pending(now, environment);
     }
 
-    pub fn next(&self) -> Timestamp {
-        let swim = self.swim.as_ref().map_or(Timestamp::NEVER, Swim::next);
+    pub fn next_wakeup(&self) -> Timestamp {
+        let swim = self.swim.as_ref().map_or(Timestamp::NEVER, Swim::next_wakeup);
         let waits = self.waits.map_or(Timestamp::NEVER, |(_, until)| until);
         let pending = self.pending.values().map(|(_, at, _)| *at).min().unwrap_or(Timestamp::NEVER);
         let invites = if self.swim.is_some() { self.invites } else { Timestamp::NEVER };
@@ -386,11 +388,11 @@
     }
 
     /// Tells the cell that it goes.
-    pub fn leave(&mut self, now: Timestamp, around: &mut dyn Surroundings) {
+    pub fn leave(&mut self, now: Timestamp, environment: &mut dyn Environment) {
         let mut sends = Vec::new();
         if let Some(swim) = &mut self.swim {
             swim.leave(now, &mut sends);
         }
-        self.carry(sends, now, around);
+        self.carry(sends, now, environment);
     }
 }
--- a/crates/cells/src/replica.rs
+++ b/crates/cells/src/replica.rs
@@ -8,7 +8,7 @@
 use crate::record::{Batch, Change, ChangeError, Key, Record, Scope, Version};
 use crate::roster::Peers;
 use crate::state::{DeltaError, State};
-use crate::Surroundings;
+use crate::Environment;
 use nanorand::{Rng, WyRand};
 use serde::{Deserialize, Serialize};
 use shelfgrade::time::Timestamp;
@@ -86,9 +86,9 @@
         id: u8,
         seed: u64,
         now: Timestamp,
-        around: &mut dyn Surroundings,
+        environment: &mut dyn Environment,
     ) -> Self {
-        around.store(Stored::Founded);
+        environment.store(Stored::Founded);
         Replica { votes_from: Some(0), ..Self::empty(name, peers, id, seed, now) }
     }
 
@@ -100,7 +100,7 @@
         seed: u64,
         now: Timestamp,
         stored: Vec<Stored>,
-        around: &mut dyn Surroundings,
+        environment: &mut dyn Environment,
     ) -> Self {
         let mut replica = Self::empty(name, peers.clone(), id, seed, now);
         if !stored.is_empty() && stored.into_iter().all(|stored| replica.remember(stored)) {
@@ -108,10 +108,10 @@
                 return replica;
             }
         } else {
-            around.refused("cells storage lost, empty or with a gap");
+            environment.datagram_rejected("cells storage lost, empty or with a gap");
             replica = Self::empty(name, peers, id, seed, now);
         }
-        around.store(Stored::Recovering);
+        environment.store(Stored::Recovering);
         replica
     }
 
@@ -200,22 +200,28 @@
         self.votes_from.is_some_and(|from| self.slot() + 1 >= from)
     }
 
-    pub(crate) fn send(&self, to: u8, message: Paxos, around: &mut dyn Surroundings) {
+    pub(crate) fn send(&self, to: u8, message: Paxos, environment: &mut dyn Environment) {
         if let Some(peer) = self.peers.get(to) {
-            around.send(peer.address, packet::write(self.fleet, &Message::Paxos(message)));
+            environment.send(peer.address, packet::write(self.fleet, &Message::Paxos(message)));
         }
     }
 
-    fn reply(&mut self, to: SocketAddr, message: &Message, now: Timestamp, around: &mut dyn Surroundings) {
+    fn reply(
+        &mut self,
+        to: SocketAddr,
+        message: &Message,
+        now: Timestamp,
+        environment: &mut dyn Environment,
+    ) {
         let datagram = packet::write(self.fleet, message);
         if self.rate.take(datagram.len(), 0, now) {
-            around.send(to, datagram);
+            environment.send(to, datagram);
         }
     }
 
     /// Takes a change of this machine's own.
-    pub fn submit(&mut self, change: Change, now: Timestamp, around: &mut dyn Surroundings) {
-        self.take(change, None, now, around);
+    pub fn submit(&mut self, change: Change, now: Timestamp, environment: &mut dyn Environment) {
+        self.take(change, None, now, environment);
     }
 
     fn take(
@@ -223,17 +229,17 @@
         change: Change,
         from: Option<SocketAddr>,
         now: Timestamp,
-        around: &mut dyn Surroundings,
+        environment: &mut dyn Environment,
     ) {
         if self.state().get(&Key::Done(change.id)).is_some() {
-            self.tell(change.id, Err(ChangeError::Again), from, now, around);
+            self.tell(change.id, Err(ChangeError::Again), from, now, environment);
         } else if !change.within_bounds() {
-            around.refused("cells changes over a bound");
-            self.tell(change.id, Err(ChangeError::OverBound), from, now, around);
+            environment.datagram_rejected("cells changes over a bound");
+            self.tell(change.id, Err(ChangeError::OverBound), from, now, environment);
         } else if !self.queue.push(change, from, from.is_some_and(|from| self.peers.id(from).is_some())) {
-            around.refused("cells changes over the queue");
+            environment.datagram_rejected("cells changes over the queue");
         } else {
-            self.propose(now, around);
+            self.propose(now, environment);
         }
     }
 
@@ -243,82 +249,82 @@
         outcome: Result<(), ChangeError>,
         to: Option<SocketAddr>,
         now: Timestamp,
-        around: &mut dyn Surroundings,
+        environment: &mut dyn Environment,
     ) {
         match to {
-            Some(to) => self.reply(to, &Message::Outcome { id, outcome }, now, around),
-            None => around.outcome(id, outcome),
+            Some(to) => self.reply(to, &Message::Outcome { id, outcome }, now, environment),
+            None => environment.change_decided(id, outcome),
         }
     }
 
-    pub fn heard(
+    pub fn on_datagram(
         &mut self,
         from: SocketAddr,
         datagram: &[u8],
         now: Timestamp,
-        around: &mut dyn Surroundings,
+        environment: &mut dyn Environment,
     ) {
         match packet::read(self.fleet, datagram) {
-            Err(error) => around.refused(error.name()),
+            Err(error) => environment.datagram_rejected(error.name()),
             Ok(Message::Paxos(message)) => match self.peers.id(from) {
-                Some(from) => self.heard_paxos(from, message, now, around),
-                None => around.refused("cells votes from no replica"),
+                Some(from) => self.heard_paxos(from, message, now, environment),
+                None => environment.datagram_rejected("cells votes from no replica"),
             },
             Ok(Message::Pull { scope, after, anew }) => {
                 let delta = self.state().answer(scope, after, anew);
-                self.reply(from, &Message::Delta(delta), now, around);
+                self.reply(from, &Message::Delta(delta), now, environment);
             }
             Ok(Message::Delta(delta)) => {
                 if self.peers.id(from).is_none() {
-                    return around.refused("cells answers from no replica");
+                    return environment.datagram_rejected("cells answers from no replica");
                 }
                 match self.follower.take(&delta) {
                     Ok(merged) => {
                         if delta.to < delta.head && merged.further {
-                            self.pull(from, around);
+                            self.pull(from, environment);
                         }
                         if merged.further && self.settled() {
-                            self.caught_up(around);
+                            self.caught_up(environment);
                         }
                     }
                     Err(DeltaError::Gap) => {}
-                    Err(DeltaError::Disorder) => around.refused("cells answers out of order"),
-                    Err(DeltaError::Fork) => around.refused("cells answers with a fork"),
+                    Err(DeltaError::Disorder) => environment.datagram_rejected("cells answers out of order"),
+                    Err(DeltaError::Fork) => environment.datagram_rejected("cells answers with a fork"),
                 }
-                self.propose(now, around);
+                self.propose(now, environment);
             }
-            Ok(Message::Submit(change)) => self.take(change, Some(from), now, around),
+            Ok(Message::Submit(change)) => self.take(change, Some(from), now, environment),
             Ok(Message::Outcome { id, outcome }) if self.peers.id(from).is_some() => {
                 if let Some(from) = self.queue.chosen(id) {
-                    self.tell(id, outcome, from, now, around);
+                    self.tell(id, outcome, from, now, environment);
                 }
             }
-            Ok(_) => around.refused("cells datagrams for members"),
+            Ok(_) => environment.datagram_rejected("cells datagrams for members"),
         }
     }
 
-    fn pull(&self, to: SocketAddr, around: &mut dyn Surroundings) {
-        around.send(to, packet::write(self.fleet, &self.follower.pull()));
+    fn pull(&self, to: SocketAddr, environment: &mut dyn Environment) {
+        environment.send(to, packet::write(self.fleet, &self.follower.pull()));
     }
 
-    pub(crate) fn pull_from(&self, id: u8, around: &mut dyn Surroundings) {
+    pub(crate) fn pull_from(&self, id: u8, environment: &mut dyn Environment) {
         if let Some(peer) = self.peers.get(id) {
-            self.pull(peer.address, around);
+            self.pull(peer.address, environment);
         }
     }
 
     /// It holds more than by its own steps: all of it is stored before it votes on.
-    fn caught_up(&mut self, around: &mut dyn Surroundings) {
+    fn caught_up(&mut self, environment: &mut dyn Environment) {
         self.recent.clear();
-        self.checkpoint(around);
+        self.checkpoint(environment);
         if self.proposal.as_ref().is_some_and(|proposal| proposal.slot <= self.slot()) {
             self.proposal = None;
         }
     }
 
-    fn checkpoint(&self, around: &mut dyn Surroundings) {
+    fn checkpoint(&self, environment: &mut dyn Environment) {
         let state = self.state();
-        around.store(Stored::Checkpoint {
+        environment.store(Stored::Checkpoint {
             records: state.records().cloned().collect(),
             to: state.to(),
             horizon: state.horizon(),
@@ -328,41 +334,47 @@
     }
 
     /// What was chosen for the next slot is stored, applied and told.
-    pub(crate) fn learn(&mut self, slot: u64, batch: Batch, now: Timestamp, around: &mut dyn Surroundings) {
-        around.store(Stored::Chosen { slot, batch: batch.clone() });
+    pub(crate) fn learn(
+        &mut self,
+        slot: u64,
+        batch: Batch,
+        now: Timestamp,
+        environment: &mut dyn Environment,
+    ) {
+        environment.store(Stored::Chosen { slot, batch: batch.clone() });
         let before = self.state().to();
         let horizon = self.horizon;
         let outcomes = self.follower.state_mut().apply(slot, &batch, horizon);
         let news = self.state().newer(Scope::All, before, Version(u64::MAX), usize::MAX);
-        news.records.iter().for_each(|record| around.news(record));
+        news.records.iter().for_each(|record| environment.record_changed(record));
         for (id, outcome) in outcomes {
             if let Some(from) = self.queue.chosen(id) {
-                self.tell(id, outcome, from, now, around);
+                self.tell(id, outcome, from, now, environment);
             }
         }
         self.recent.insert(slot, batch);
         self.recent = self.recent.split_off(&slot.saturating_sub(RECENT));
         if slot.is_multiple_of((horizon / 4).max(1)) {
-            self.checkpoint(around);
+            self.checkpoint(environment);
         }
         self.proposal = None;
     }
 
     /// To be called when [`Replica::next`] says so, or more often.
-    pub fn on_timer(&mut self, now: Timestamp, around: &mut dyn Surroundings) {
+    pub fn on_timer(&mut self, now: Timestamp, environment: &mut dyn Environment) {
         if now >= self.pulls {
             self.pulls = now + PULL;
             let others: Vec<u8> = self.peers.iter().map(|(id, _)| id).filter(|id| *id != self.id).collect();
             if !others.is_empty() {
                 let to = others[self.chance.generate_range(0..others.len())];
-                self.pull_from(to, around);
+                self.pull_from(to, environment);
             }
-            self.ask_parts(around);
+            self.ask_parts(environment);
         }
-        self.propose(now, around);
+        self.propose(now, environment);
     }
 
-    pub fn next(&self) -> Timestamp {
+    pub fn next_wakeup(&self) -> Timestamp {
         let proposal = self.proposal.as_ref().map_or(Timestamp::NEVER, |proposal| proposal.until);
         let waits = if self.queue.is_empty() { Timestamp::NEVER } else { self.retry };
         let own = if self.proposal.is_some() { proposal } else { waits };
--- a/crates/cells/src/rights.rs
+++ b/crates/cells/src/rights.rs
@@ -3,7 +3,7 @@
 use crate::packet::Message;
 use crate::process::Process;
 use crate::record::{Action, CellId, Change, Key, Version};
-use crate::Surroundings;
+use crate::Environment;
 use shelfgrade::time::Timestamp;
 use std::collections::BTreeMap;
 use xxhash_rust::xxh3::xxh3_64;
@@ -13,7 +13,7 @@
 pub struct Acks(BTreeMap<String, (u32, Version)>);
 
 impl Acks {
-    pub fn heard(&mut self, name: String, incarnation: u32, version: Version) {
+    pub fn observe(&mut self, name: String, incarnation: u32, version: Version) {
         let held = self.0.entry(name).or_insert((incarnation, version));
         if incarnation > held.0 {
             *held = (incarnation, version);
@@ -49,18 +49,18 @@
     }
 
     /// Tells those who speak for the cell which record it uses, while that is waited for.
-    pub(crate) fn acknowledge(&mut self, now: Timestamp, around: &mut dyn Surroundings) {
+    pub(crate) fn acknowledge(&mut self, now: Timestamp, environment: &mut dyn Environment) {
         let Some((version, _)) = self.pending().filter(|_| self.active) else { return };
         let (cell, name, incarnation) = (self.cell, self.name.clone(), self.incarnation);
-        self.acks.heard(name.clone(), incarnation, version);
+        self.acks.observe(name.clone(), incarnation, version);
         let message = Message::Ack { cell, name, incarnation, version };
         for speaker in self.speakers.clone() {
-            self.send(speaker, &message, now, around);
+            self.send(speaker, &message, now, environment);
         }
     }
 
     /// Puts in the release when the holder of every place has said that it uses what was given up no more.
-    pub(crate) fn release(&mut self, now: Timestamp, around: &mut dyn Surroundings) {
+    pub(crate) fn release(&mut self, now: Timestamp, environment: &mut dyn Environment) {
         let Some((_, shrunk)) = self.pending().filter(|_| self.active && self.state().whole()) else {
             return;
         };
@@ -68,7 +68,7 @@
         let heard = self.state().holders(self.cell).all(heard);
         if heard && self.speaks() {
             let action = Action::Release { cell: self.cell, at: shrunk };
-            self.submit(Change { id: release_id(self.cell, shrunk), action }, now, around);
+            self.submit(Change { id: release_id(self.cell, shrunk), action }, now, environment);
         }
     }
 }
--- a/crates/cells/src/submit.rs
+++ b/crates/cells/src/submit.rs
@@ -3,7 +3,7 @@
 use crate::packet::{self, Message};
 use crate::process::Process;
 use crate::record::Change;
-use crate::Surroundings;
+use crate::Environment;
 use shelfgrade::time::Timestamp;
 use std::time::Duration;
 
@@ -12,18 +12,18 @@
 
 impl Process {
     /// Has a change put into the log, by whichever replica answers.
-    pub fn submit(&mut self, change: Change, now: Timestamp, around: &mut dyn Surroundings) {
+    pub fn submit(&mut self, change: Change, now: Timestamp, environment: &mut dyn Environment) {
         if self.pending.contains_key(&change.id) {
             return;
         }
         let to = self.replicas.get(self.source % self.replicas.len().max(1)).copied();
         if let Some(to) = to {
-            self.send(to, &Message::Submit(change.clone()), now, around);
+            self.send(to, &Message::Submit(change.clone()), now, environment);
         }
         self.pending.insert(change.id, (change, now + SUBMIT, self.source + 1));
     }
 
-    pub(crate) fn send_pending(&mut self, now: Timestamp, around: &mut dyn Surroundings) {
+    pub(crate) fn send_pending(&mut self, now: Timestamp, environment: &mut dyn Environment) {
         let due: Vec<u64> =
             self.pending.iter().filter(|(_, (_, at, _))| now >= *at).map(|(id, _)| *id).collect();
         for id in due {
@@ -32,7 +32,7 @@
             *tries += 1;
             let (message, to) = (Message::Submit(change.clone()), *tries % self.replicas.len().max(1));
             if let Some(to) = self.replicas.get(to) {
-                around.send(*to, packet::write(self.fleet, &message));
+                environment.send(*to, packet::write(self.fleet, &message));
             }
         }
     }
--- a/crates/cells/src/swim.rs
+++ b/crates/cells/src/swim.rs
@@ -123,7 +123,7 @@
     }
 
     /// True where the message could be read.
-    pub fn heard(&mut self, bytes: &[u8], now: Timestamp, sends: &mut Sends) -> bool {
+    pub fn on_datagram(&mut self, bytes: &[u8], now: Timestamp, sends: &mut Sends) -> bool {
         let read = self.foca.handle_data(bytes, &mut self.runtime).is_ok();
         self.settle(now, sends);
         read
@@ -138,7 +138,7 @@
         }
     }
 
-    pub fn next(&self) -> Timestamp {
+    pub fn next_wakeup(&self) -> Timestamp {
         self.timers.first_key_value().map_or(Timestamp::NEVER, |first| first.0 .0)
     }
 
--- a/crates/fleet/src/compare.rs
+++ b/crates/fleet/src/anti_entropy.rs
@@ -1,7 +1,7 @@
 //! What rumours miss: two processes compare their maps part by part, and give each other what differs.
 
-use crate::map::{state, Entry, BUCKETS};
 use crate::packet::Message;
+use crate::replicated_map::{state, Entry, BUCKETS};
 use crate::swim::Known;
 use nanorand::{Rng, WyRand};
 use std::collections::BTreeMap;
--- a/crates/fleet/src/skew.rs
+++ b/crates/fleet/src/clock_skew.rs
@@ -1,6 +1,6 @@
 //! How far this machine's clock is from what most of the fleet goes by.
 
-use crate::roster::Seat;
+use crate::roster::MemberId;
 use std::collections::BTreeMap;
 
 /// Less than this is the network's doing or does no harm.
@@ -10,11 +10,11 @@
 
 #[derive(Default)]
 pub struct Skew {
-    ahead_ms: BTreeMap<Seat, i64>,
+    ahead_ms: BTreeMap<MemberId, i64>,
 }
 
 impl Skew {
-    pub fn heard(&mut self, from: Seat, theirs_ms: u64, mine_ms: u64) {
+    pub fn observe(&mut self, from: MemberId, theirs_ms: u64, mine_ms: u64) {
         let ahead = theirs_ms as i64 - mine_ms as i64;
         if self.ahead_ms.len() < REMEMBERED || self.ahead_ms.contains_key(&from) {
             self.ahead_ms.insert(from, ahead);
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,45 +1,45 @@
 //! What the processes of one fleet share: who is there, a map of entries that all come to know, and which part of what
 //! the fleet may do each of them may. No I/O: time comes as an argument, datagrams go out and come in through
-//! [`Surroundings`] and [`Fleet::heard`], chance is drawn from the given seed.
+//! [`Environment`] and [`Fleet::heard`], chance is drawn from the given seed.
 //!
 //! What a process sends does not grow with the fleet: one probe and two gossips, one comparison of maps and one asking
 //! for its unit of the pool a second, each with a bounded answer. `docs/fleet.md` has the figures.
 
-mod compare;
-mod map;
+mod anti_entropy;
+mod clock_skew;
+mod membership_filter;
 mod packet;
-mod rights;
+mod quota_leases;
+mod replicated_map;
 mod roster;
-mod sift;
-mod skew;
 mod swim;
 
-pub use map::{Entry, Map, Merged, Version, LONGEST_KEY, LONGEST_VALUE};
 pub use packet::{PacketError, LONGEST};
-pub use rights::{Rights, LEASE, RENEW};
-pub use roster::{rank, Life, Roster, RosterError, Seat};
+pub use quota_leases::{QuotaLeases, LEASE, RENEW};
+pub use replicated_map::{Entry, Map, Merged, Version, LONGEST_KEY, LONGEST_VALUE};
+pub use roster::{rank, Incarnation, MemberId, Roster, RosterError};
 
+use clock_skew::Skew;
 use packet::{Message, Packet};
 use serde::{de::DeserializeOwned, Serialize};
 use shelfgrade::time::{DurationExt, Timestamp};
-use skew::Skew;
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::Duration;
-use swim::{Around, Known, Swim};
+use swim::{Known, Swim, SwimEvents};
 
 /// How many entries the map holds: some thousands of servers, with room for what customers and sites have.
 pub const MOST_ENTRIES: usize = 8192;
 
 /// What the fleet's core asks of whoever carries it out, and tells.
-pub trait Surroundings {
-    fn send(&mut self, to: Seat, datagram: Vec<u8>);
+pub trait Environment {
+    fn send(&mut self, to: MemberId, datagram: Vec<u8>);
     /// An entry is new, or has changed.
-    fn entry(&mut self, entry: &Entry);
-    fn came(&mut self, seat: Seat);
-    fn went(&mut self, seat: Seat);
+    fn entry_changed(&mut self, entry: &Entry);
+    fn member_joined(&mut self, member: MemberId);
+    fn member_left(&mut self, member: MemberId);
     /// A datagram, or a part of one, was refused.
-    fn refused(&mut self, why: &'static str);
+    fn datagram_rejected(&mut self, why: &'static str);
 }
 
 /// Why a value was not put into the map.
@@ -55,10 +55,10 @@
 
 pub struct Fleet {
     roster: Roster,
-    me: Life,
+    me: Incarnation,
     known: Rc<RefCell<Known>>,
     swim: Swim,
-    rights: Rights,
+    quota_leases: QuotaLeases,
     skew: Skew,
     next_compare: Timestamp,
     next_ask: Timestamp,
@@ -71,44 +71,44 @@
 /// What one call sends, before it goes out.
 struct Outbox<'a> {
     roster: &'a Roster,
-    me: Life,
+    me: Incarnation,
     wall_ms: u64,
-    around: &'a mut dyn Surroundings,
-    renewed: Option<Life>,
+    environment: &'a mut dyn Environment,
+    renewed: Option<Incarnation>,
 }
 
 impl Outbox<'_> {
-    fn send(&mut self, to: Seat, message: Message) {
+    fn send(&mut self, to: MemberId, message: Message) {
         let packet = Packet { from: self.me, wall_ms: self.wall_ms, message };
-        self.around.send(to, packet::write(self.roster, &packet));
+        self.environment.send(to, packet::write(self.roster, &packet));
     }
 }
 
-impl Around for Outbox<'_> {
-    fn swim(&mut self, to: Seat, bytes: Vec<u8>) {
+impl SwimEvents for Outbox<'_> {
+    fn send_swim(&mut self, to: MemberId, bytes: Vec<u8>) {
         self.send(to, Message::Swim(bytes));
     }
-    fn came(&mut self, seat: Seat) {
-        self.around.came(seat);
+    fn member_joined(&mut self, member: MemberId) {
+        self.environment.member_joined(member);
     }
-    fn went(&mut self, seat: Seat) {
-        self.around.went(seat);
+    fn member_left(&mut self, member: MemberId) {
+        self.environment.member_left(member);
     }
-    fn renewed(&mut self, life: Life) {
-        self.me = life;
-        self.renewed = Some(life);
+    fn incarnation_renewed(&mut self, incarnation: Incarnation) {
+        self.me = incarnation;
+        self.renewed = Some(incarnation);
     }
 }
 
 impl Fleet {
     /// `born`: microseconds of Unix time, or more where an earlier life of this process is known to have had more.
-    pub fn new(roster: Roster, born: u64, seed: u64, now: Timestamp) -> Self {
-        let me = Life { seat: roster.me(), born };
+    pub fn new(roster: Roster, started_at: u64, seed: u64, now: Timestamp) -> Self {
+        let me = Incarnation { member: roster.me(), started_at };
         let map = Map::new(MOST_ENTRIES);
         let known = Rc::new(RefCell::new(Known { map, fresh: Vec::new(), over_bound: 0 }));
         Fleet {
             swim: Swim::new(me, &roster, known.clone(), seed, now),
-            rights: Rights::new(me, roster.size(), now),
+            quota_leases: QuotaLeases::new(me, roster.size(), now),
             me,
             known,
             skew: Skew::default(),
@@ -125,23 +125,23 @@
         &self.roster
     }
 
-    pub fn me(&self) -> Life {
+    pub fn me(&self) -> Incarnation {
         self.me
     }
 
     /// Who is there, as far as this process sees, itself included, in the order of the roster.
-    pub fn alive(&self) -> &[Seat] {
+    pub fn alive(&self) -> &[MemberId] {
         self.swim.alive()
     }
 
     /// The life of a fellow that is there, as far as this process sees.
-    pub fn life(&self, seat: Seat) -> Option<Life> {
-        self.swim.life(seat)
+    pub fn incarnation(&self, member: MemberId) -> Option<Incarnation> {
+        self.swim.incarnation(member)
     }
 
     /// The part of what the fleet may do that this process may now, from 0 to 1.
-    pub fn part(&self, now: Timestamp) -> f64 {
-        self.rights.part(now)
+    pub fn quota_fraction(&self, now: Timestamp) -> f64 {
+        self.quota_leases.quota_fraction(now)
     }
 
     /// Milliseconds to add to this machine's clock to have the time of most of the fleet.
@@ -170,7 +170,7 @@
     }
 
     /// One number for all that is known: equal where two know the same.
-    pub fn state(&self) -> u64 {
+    pub fn state_digest(&self) -> u64 {
         self.known.borrow().map.digest().iter().fold(0, |all, part| all.rotate_left(5) ^ part)
     }
 
@@ -179,41 +179,44 @@
         &mut self,
         key: &str,
         value: &T,
-        around: &mut dyn Surroundings,
+        environment: &mut dyn Environment,
     ) -> Result<Version, PutError> {
         let count = self.version(key).map_or(1, |held| held.count + 1);
-        let version = Version { count, by: self.me.born };
-        self.put_at(key, value, version, around).map(|()| version)
+        let version = Version { count, by: self.me.started_at };
+        self.put_version(key, value, version, environment).map(|()| version)
     }
 
     /// Writes a value under a version of the caller's; one that is not newer than what is held changes nothing.
-    pub fn put_at<T: Serialize>(
+    pub fn put_version<T: Serialize>(
         &mut self,
         key: &str,
         value: &T,
         version: Version,
-        around: &mut dyn Surroundings,
+        environment: &mut dyn Environment,
     ) -> Result<(), PutError> {
         let value = postcard::to_stdvec(value).unwrap_or_default();
         if value.len() > LONGEST_VALUE || key.len() > LONGEST_KEY {
             return Err(PutError::TooLong { key: key.to_owned(), length: value.len() });
         }
-        self.write(Entry { key: key.to_owned(), version, owner: self.me.seat, value: Some(value) }, around)
+        self.write(
+            Entry { key: key.to_owned(), version, owner: self.me.member, value: Some(value) },
+            environment,
+        )
     }
 
     /// Deletes what is under a key, everywhere.
-    pub fn delete(&mut self, key: &str, around: &mut dyn Surroundings) -> Result<(), PutError> {
+    pub fn delete(&mut self, key: &str, environment: &mut dyn Environment) -> Result<(), PutError> {
         let Some(held) = self.version(key) else { return Ok(()) };
-        let version = Version { count: held.count + 1, by: self.me.born };
-        self.write(Entry { key: key.to_owned(), version, owner: self.me.seat, value: None }, around)
+        let version = Version { count: held.count + 1, by: self.me.started_at };
+        self.write(Entry { key: key.to_owned(), version, owner: self.me.member, value: None }, environment)
     }
 
-    fn write(&mut self, entry: Entry, around: &mut dyn Surroundings) -> Result<(), PutError> {
+    fn write(&mut self, entry: Entry, environment: &mut dyn Environment) -> Result<(), PutError> {
         let merged = self.known.borrow_mut().map.merge(entry.clone());
         match merged {
             Merged::News => {
                 self.swim.spread(&entry);
-                around.entry(&entry);
+                environment.entry_changed(&entry);
                 Ok(())
             }
             Merged::Known => Ok(()),
@@ -222,7 +225,7 @@
     }
 
     /// Takes in what was known before this life, without a word to anybody: comparing will find who knows less.
-    pub fn remember(&mut self, entries: Vec<Entry>) {
+    pub fn restore(&mut self, entries: Vec<Entry>) {
         let mut known = self.known.borrow_mut();
         for entry in entries {
             known.map.merge(entry);
@@ -230,28 +233,34 @@
     }
 
     /// A datagram has come. `wall_ms` is this machine's Unix time, uncorrected.
-    pub fn heard(&mut self, datagram: &[u8], now: Timestamp, wall_ms: u64, around: &mut dyn Surroundings) {
+    pub fn on_datagram(
+        &mut self,
+        datagram: &[u8],
+        now: Timestamp,
+        wall_ms: u64,
+        environment: &mut dyn Environment,
+    ) {
         let packet = match packet::read(&self.roster, datagram) {
-            Ok(packet) if packet.message.seats_within(self.roster.size()) => packet,
-            Ok(_) => return around.refused("fleet datagrams that name nobody"),
-            Err(PacketError::Foreign) => return around.refused("fleet datagrams of others"),
-            Err(PacketError::Damaged) => return around.refused("fleet datagrams damaged"),
-            Err(_) => return around.refused("fleet datagrams not to be read"),
+            Ok(packet) if packet.message.members_within(self.roster.size()) => packet,
+            Ok(_) => return environment.datagram_rejected("fleet datagrams that name nobody"),
+            Err(PacketError::Foreign) => return environment.datagram_rejected("fleet datagrams of others"),
+            Err(PacketError::Damaged) => return environment.datagram_rejected("fleet datagrams damaged"),
+            Err(_) => return environment.datagram_rejected("fleet datagrams not to be read"),
         };
         let from = packet.from;
-        if from.seat == self.me.seat {
+        if from.member == self.me.member {
             // Its own from before, come late, or another process under its name.
-            if from.born != self.me.born {
-                around.refused("fleet datagrams from another process of this name");
+            if from.started_at != self.me.started_at {
+                environment.datagram_rejected("fleet datagrams from another process of this name");
             }
             return;
         }
-        self.skew.heard(from.seat, packet.wall_ms, wall_ms);
-        let mut out = outbox(&self.roster, self.me, wall_ms, around);
+        self.skew.observe(from.member, packet.wall_ms, wall_ms);
+        let mut out = outbox(&self.roster, self.me, wall_ms, environment);
         match packet.message {
             Message::Swim(bytes) => {
-                if !self.swim.heard(&bytes, now, &mut out) {
-                    out.around.refused("fleet datagrams not to be read");
+                if !self.swim.on_datagram(&bytes, now, &mut out) {
+                    out.environment.datagram_rejected("fleet datagrams not to be read");
                 }
             }
             Message::Digest { parts, answer } => {
@@ -263,23 +272,23 @@
                 }
                 for message in answers {
                     if take(&mut self.answers, now) {
-                        out.send(from.seat, message);
+                        out.send(from.member, message);
                     }
                 }
             }
             Message::Summary { part, states } => {
                 let (entries, wanted) = self.known.borrow().compare(usize::from(part), &states);
                 if !wanted.is_empty() && take(&mut self.answers, now) {
-                    out.send(from.seat, Message::Want(wanted));
+                    out.send(from.member, Message::Want(wanted));
                 }
                 if !entries.is_empty() && take(&mut self.answers, now) {
-                    out.send(from.seat, Message::Entries(entries));
+                    out.send(from.member, Message::Entries(entries));
                 }
             }
             Message::Want(wanted) => {
                 let entries = self.known.borrow().wanted(&wanted);
                 if !entries.is_empty() && take(&mut self.answers, now) {
-                    out.send(from.seat, Message::Entries(entries));
+                    out.send(from.member, Message::Entries(entries));
                 }
             }
             Message::Entries(entries) => {
@@ -288,21 +297,21 @@
                 }
             }
             Message::Ask { number, units, releases } => {
-                let units = self.rights.asked_by(from, number, (&units, &releases), now);
-                out.send(from.seat, Message::Grant { number, units });
+                let units = self.quota_leases.asked_by(from, number, (&units, &releases), now);
+                out.send(from.member, Message::Grant { number, units });
             }
-            Message::Grant { number, units } => self.rights.granted(from.seat, number, &units),
+            Message::Grant { number, units } => self.quota_leases.granted(from.member, number, &units),
         }
         let renewed = out.renewed;
-        self.after(renewed, around);
+        self.after(renewed, environment);
     }
 
     /// The time has come that `next` names.
-    pub fn on_timer(&mut self, now: Timestamp, wall_ms: u64, around: &mut dyn Surroundings) {
+    pub fn on_timer(&mut self, now: Timestamp, wall_ms: u64, environment: &mut dyn Environment) {
         // Often while it is new and may know nothing, then as often as the membership probes.
         const NEW: Duration = Duration::from_millis(5000);
         const COMPARE: [Duration; 2] = [Duration::from_millis(200), Duration::from_millis(1000)];
-        let mut out = outbox(&self.roster, self.me, wall_ms, around);
+        let mut out = outbox(&self.roster, self.me, wall_ms, environment);
         self.swim.on_timer(now, &self.roster, &mut out);
         if now >= self.next_compare {
             self.next_compare = now + COMPARE[usize::from(now.since(self.began) >= NEW)];
@@ -311,50 +320,50 @@
                 let parts = self.known.borrow().map.digest().to_vec();
                 let at = nanorand::Rng::generate_range(&mut self.chance, 0..alive.len() - 1);
                 // Any but this process itself.
-                let other = alive[at + usize::from(alive[at] >= self.me.seat)];
+                let other = alive[at + usize::from(alive[at] >= self.me.member)];
                 out.send(other, Message::Digest { parts, answer: false });
             }
         }
         if now >= self.next_ask {
             self.next_ask = now + RENEW;
-            for (witness, message) in self.rights.ask(self.swim.alive(), now) {
+            for (witness, message) in self.quota_leases.ask(self.swim.alive(), now) {
                 match message {
-                    Message::Ask { number, units, releases } if witness == self.me.seat => {
-                        let units = self.rights.asked_by(self.me, number, (&units, &releases), now);
-                        self.rights.granted(witness, number, &units);
+                    Message::Ask { number, units, releases } if witness == self.me.member => {
+                        let units = self.quota_leases.asked_by(self.me, number, (&units, &releases), now);
+                        self.quota_leases.granted(witness, number, &units);
                     }
                     message => out.send(witness, message),
                 }
             }
         }
         let renewed = out.renewed;
-        self.after(renewed, around);
+        self.after(renewed, environment);
     }
 
     /// When `on_timer` is to be called next.
-    pub fn next(&self) -> Timestamp {
-        self.swim.next().min(self.next_compare).min(self.next_ask)
+    pub fn next_wakeup(&self) -> Timestamp {
+        self.swim.next_wakeup().min(self.next_compare).min(self.next_ask)
     }
 
     /// This process ends, and its fellows need not find out by themselves.
-    pub fn leave(&mut self, now: Timestamp, wall_ms: u64, around: &mut dyn Surroundings) {
-        let mut out = outbox(&self.roster, self.me, wall_ms, around);
+    pub fn leave(&mut self, now: Timestamp, wall_ms: u64, environment: &mut dyn Environment) {
+        let mut out = outbox(&self.roster, self.me, wall_ms, environment);
         self.swim.leave(now, &mut out);
     }
 
-    fn after(&mut self, renewed: Option<Life>, around: &mut dyn Surroundings) {
-        if let Some(life) = renewed {
-            self.me = life;
-            self.rights.renewed(life);
+    fn after(&mut self, renewed: Option<Incarnation>, environment: &mut dyn Environment) {
+        if let Some(incarnation) = renewed {
+            self.me = incarnation;
+            self.quota_leases.incarnation_renewed(incarnation);
         }
         let (fresh, over) = {
             let mut known = self.known.borrow_mut();
             (std::mem::take(&mut known.fresh), std::mem::take(&mut known.over_bound))
         };
-        (0..over).for_each(|_| around.refused("fleet entries over the bound"));
+        (0..over).for_each(|_| environment.datagram_rejected("fleet entries over the bound"));
         for entry in &fresh {
             self.swim.spread(entry);
-            around.entry(entry);
+            environment.entry_changed(entry);
         }
     }
 }
@@ -374,6 +383,11 @@
     entry.value.as_deref().and_then(|value| postcard::from_bytes(value).ok())
 }
 
-fn outbox<'a>(roster: &'a Roster, me: Life, wall_ms: u64, around: &'a mut dyn Surroundings) -> Outbox<'a> {
-    Outbox { roster, me, wall_ms, around, renewed: None }
+fn outbox<'a>(
+    roster: &'a Roster,
+    me: Incarnation,
+    wall_ms: u64,
+    environment: &'a mut dyn Environment,
+) -> Outbox<'a> {
+    Outbox { roster, me, wall_ms, environment, renewed: None }
 }
--- a/crates/fleet/src/sift.rs
+++ b/crates/fleet/src/membership_filter.rs
@@ -4,47 +4,47 @@
 //! starts each message names seventy, mostly known: that cost a process more than all else, and the more the larger
 //! the fleet. What is left out here is what the library would find to be no news.
 
-use crate::roster::{Life, Seat};
+use crate::roster::{Incarnation, MemberId};
 use foca::{Header, Member, Message, State};
 
-/// The lives of those that are there, by their seats; 0 for all others.
-pub struct Lives(Vec<u64>);
+/// The incarnations of those that are there, by their members; 0 for all others.
+pub struct Incarnations(Vec<u64>);
 
-impl Lives {
+impl Incarnations {
     pub fn new(size: usize) -> Self {
-        Lives(vec![0; size])
+        Incarnations(vec![0; size])
     }
 
-    pub fn came(&mut self, life: Life) {
-        if let Some(born) = self.0.get_mut(usize::from(life.seat.0)) {
-            *born = life.born;
+    pub fn member_joined(&mut self, incarnation: Incarnation) {
+        if let Some(started_at) = self.0.get_mut(usize::from(incarnation.member.0)) {
+            *started_at = incarnation.started_at;
         }
     }
 
     /// Another life has taken the place of one that was there.
-    pub fn follows(&mut self, before: Life, life: Life) {
-        if self.of(before.seat) == Some(before) {
-            self.came(life);
+    pub fn follows(&mut self, before: Incarnation, incarnation: Incarnation) {
+        if self.of(before.member) == Some(before) {
+            self.member_joined(incarnation);
         }
     }
 
-    pub fn went(&mut self, seat: Seat) {
-        self.came(Life { seat, born: 0 });
+    pub fn member_left(&mut self, member: MemberId) {
+        self.member_joined(Incarnation { member, started_at: 0 });
     }
 
-    pub fn of(&self, seat: Seat) -> Option<Life> {
-        let born = self.0.get(usize::from(seat.0)).copied().filter(|born| *born > 0)?;
-        Some(Life { seat, born })
+    pub fn of(&self, member: MemberId) -> Option<Incarnation> {
+        let started_at = self.0.get(usize::from(member.0)).copied().filter(|started_at| *started_at > 0)?;
+        Some(Incarnation { member, started_at })
     }
 }
 
-/// The message without the members that are known to be there, by just these lives, and of which it says no more. None
+/// The message without the members that are known to be there, by just these incarnations, and of which it says no more. None
 /// where there are none, and where it cannot be read: that is for the library to say.
 ///
 /// Guards against leaving out news: one that has defended itself against a suspicion, one that is suspected or gone,
 /// and whatever is said of this process itself stays.
-pub fn news(bytes: &[u8], lives: &Lives, me: Seat) -> Option<Vec<u8>> {
-    let (header, rest): (Header<Life>, _) = postcard::take_from_bytes(bytes).ok()?;
+pub fn news(bytes: &[u8], incarnations: &Incarnations, me: MemberId) -> Option<Vec<u8>> {
+    let (header, rest): (Header<Incarnation>, _) = postcard::take_from_bytes(bytes).ok()?;
     if header.message == Message::Broadcast || rest.len() < 2 {
         return None;
     }
@@ -54,10 +54,10 @@
     let mut sifted = bytes[..begin + 2].to_vec();
     let mut left = 0u16;
     for _ in 0..number {
-        let (member, after): (Member<Life>, _) = postcard::take_from_bytes(rest).ok()?;
-        let life = *member.id();
+        let (member, after): (Member<Incarnation>, _) = postcard::take_from_bytes(rest).ok()?;
+        let incarnation = *member.id();
         let plain = member.incarnation() == 0 && member.state() == State::Alive;
-        if !plain || life.seat == me || lives.of(life.seat) != Some(life) {
+        if !plain || incarnation.member == me || incarnations.of(incarnation.member) != Some(incarnation) {
             sifted.extend_from_slice(&rest[..rest.len() - after.len()]);
             left += 1;
         }
--- a/crates/fleet/src/packet.rs
+++ b/crates/fleet/src/packet.rs
@@ -1,7 +1,7 @@
 //! What goes between two processes in one datagram, and what is refused unread.
 
-use crate::map::Entry;
-use crate::roster::{Life, Roster, Seat};
+use crate::replicated_map::Entry;
+use crate::roster::{Incarnation, MemberId, Roster};
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
@@ -42,7 +42,7 @@
 
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
 pub struct Packet {
-    pub from: Life,
+    pub from: Incarnation,
     /// The sender's clock: Unix time in milliseconds.
     pub wall_ms: u64,
     pub message: Message,
@@ -87,7 +87,7 @@
     if !rest.is_empty() {
         return Err(PacketError::Unreadable);
     }
-    match roster.name(packet.from.seat) {
+    match roster.name(packet.from.member) {
         Some(_) => Ok(packet),
         None => Err(PacketError::Stranger),
     }
@@ -95,8 +95,8 @@
 
 impl Message {
     /// Whom it may name at all.
-    pub fn seats_within(&self, size: usize) -> bool {
-        let within = |seat: &Seat| usize::from(seat.0) < size;
+    pub fn members_within(&self, size: usize) -> bool {
+        let within = |member: &MemberId| usize::from(member.0) < size;
         match self {
             Message::Entries(entries) => entries.iter().all(|entry| within(&entry.owner)),
             Message::Ask { units, releases, .. } => {
--- a/crates/fleet/src/rights.rs
+++ b/crates/fleet/src/quota_leases.rs
@@ -1,17 +1,17 @@
 //! Which part of what the fleet may do this process may: so much for each that all together never have more than the
 //! whole, however they are cut off from each other.
 //!
-//! Half of the whole is dealt out for good: each seat has its floor, one part of twice the roster, alone or not. The
-//! other half is a pool of as many units, one for each seat. A unit is held by one process at a time, on leases from a
-//! majority of its witnesses, which are five seats at most, the same at every process. The process of its own seat
-//! holds it while it lives; where it does not, who comes first in an order that all know asks for it. Two majorities of
+//! Half of the whole is dealt out for good: each member has its floor, one part of twice the roster, alone or not. The
+//! other half is a pool of as many units, one for each member. A unit is held by one process at a time, on leases from a
+//! majority of its witnesses, which are five members at most, the same at every process. The process of its own member
+//! holds it while it incarnations; where it does not, who comes first in an order that all know asks for it. Two majorities of
 //! the same witnesses have one in common, and that one grants a unit to nobody else before the lease that it granted
 //! has run out, by its own clock and some more. A lease counts from when it was asked for, so it is over for who holds
 //! it before it is over for who granted it. A witness that has just begun does not know what it granted before, and
 //! grants nothing for as long as a lease lasts.
 
 use crate::packet::Message;
-use crate::roster::{missing, rank, Life, Seat};
+use crate::roster::{missing, rank, Incarnation, MemberId};
 use shelfgrade::time::{DurationExt, Timestamp};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
@@ -36,19 +36,19 @@
 struct Claim {
     /// The first asking of this claim. Guards against a grant from before a release, which the witness has forgotten.
     first: u32,
-    granted: BTreeMap<Seat, Timestamp>,
+    granted: BTreeMap<MemberId, Timestamp>,
 }
 
 /// What a witness knows of a unit that it granted.
 struct Held {
-    by: Life,
+    by: Incarnation,
     since: Timestamp,
     /// The asking that it was last granted to. Guards against an older release that comes late, or twice.
     number: u32,
 }
 
-pub struct Rights {
-    me: Life,
+pub struct QuotaLeases {
+    me: Incarnation,
     size: usize,
     began: Timestamp,
     /// As a witness: who holds a unit, and since when.
@@ -57,13 +57,13 @@
     /// The last askings, with their numbers.
     asked: VecDeque<(u32, Timestamp)>,
     last_number: u32,
-    /// Guards against ranking all seats for each datagram: finding a unit's witnesses takes a hash of every seat.
-    witnesses: RefCell<BTreeMap<u16, Rc<[Seat]>>>,
+    /// Guards against ranking all members for each datagram: finding a unit's witnesses takes a hash of every member.
+    witnesses: RefCell<BTreeMap<u16, Rc<[MemberId]>>>,
 }
 
-impl Rights {
-    pub fn new(me: Life, size: usize, now: Timestamp) -> Self {
-        Rights {
+impl QuotaLeases {
+    pub fn new(me: Incarnation, size: usize, now: Timestamp) -> Self {
+        QuotaLeases {
             me,
             size,
             began: now,
@@ -76,40 +76,40 @@
     }
 
     /// This process goes on under another life: what it held under the last one it holds no longer.
-    pub fn renewed(&mut self, me: Life) {
+    pub fn incarnation_renewed(&mut self, me: Incarnation) {
         self.me = me;
         self.claims.clear();
     }
 
-    /// The seats that grant a unit.
-    fn witnesses(&self, unit: u16) -> Rc<[Seat]> {
+    /// The members that grant a unit.
+    fn witnesses(&self, unit: u16) -> Rc<[MemberId]> {
         let mut remembered = self.witnesses.borrow_mut();
-        if let Some(seats) = remembered.get(&unit) {
-            return seats.clone();
+        if let Some(members) = remembered.get(&unit) {
+            return members.clone();
         }
         if remembered.len() >= REMEMBERED {
             remembered.clear();
         }
-        let seats: Rc<[Seat]> = self.draws_witnesses(unit).into();
-        remembered.insert(unit, seats.clone());
-        seats
+        let members: Rc<[MemberId]> = self.draws_witnesses(unit).into();
+        remembered.insert(unit, members.clone());
+        members
     }
 
-    fn draws_witnesses(&self, unit: u16) -> Vec<Seat> {
-        let mut seats: Vec<_> = (0..self.size as u16).map(Seat).collect();
+    fn draws_witnesses(&self, unit: u16) -> Vec<MemberId> {
+        let mut members: Vec<_> = (0..self.size as u16).map(MemberId).collect();
         // An odd number: of an even one more than half would be as many.
         let number = WITNESSES.min(self.size - 1 + self.size % 2);
         let of = 0x5ea7 + u64::from(unit);
-        if number < seats.len() {
-            seats.select_nth_unstable_by_key(number, |seat| rank(of, *seat));
-            seats.truncate(number);
+        if number < members.len() {
+            members.select_nth_unstable_by_key(number, |member| rank(of, *member));
+            members.truncate(number);
         }
-        seats
+        members
     }
 
     /// The part of the whole that this process may do now, from 0 to 1. Guards against leases that ran out while it
     /// was stopped: it asks the clock each time.
-    pub fn part(&self, now: Timestamp) -> f64 {
+    pub fn quota_fraction(&self, now: Timestamp) -> f64 {
         let units = self.claims.iter().filter(|(unit, claim)| self.holds(**unit, claim, now)).count();
         (1 + units) as f64 / (2 * self.size) as f64
     }
@@ -121,16 +121,16 @@
 
     /// Asks for the units that this process should hold, as far as it sees who is `alive`, itself included; the
     /// messages for each witness.
-    pub fn ask(&mut self, alive: &[Seat], now: Timestamp) -> Vec<(Seat, Message)> {
+    pub fn ask(&mut self, alive: &[MemberId], now: Timestamp) -> Vec<(MemberId, Message)> {
         // Enough that an answer four leases late still finds its asking.
         const ASKINGS: usize = 16;
-        let mine = self.me.seat;
-        let before_me = |unit: u16, seat: &Seat| {
-            (rank(u64::from(unit), *seat), *seat) < (rank(u64::from(unit), mine), mine)
+        let mine = self.me.member;
+        let before_me = |unit: u16, member: &MemberId| {
+            (rank(u64::from(unit), *member), *member) < (rank(u64::from(unit), mine), mine)
         };
         // Ends at the first one that comes before, mostly after a few: a region that is gone is hundreds of units.
-        let heir = |unit: &u16| !alive.iter().any(|seat| before_me(*unit, seat));
-        let missing = missing(alive, self.size).map(|seat| seat.0);
+        let heir = |unit: &u16| !alive.iter().any(|member| before_me(*unit, member));
+        let missing = missing(alive, self.size).map(|member| member.0);
         let wanted = std::iter::once(mine.0).chain(missing.filter(heir).take(MOST_UNITS - 1));
         let wanted: Vec<u16> = wanted.collect();
         let released: Vec<u16> = self.claims.keys().filter(|unit| !wanted.contains(unit)).copied().collect();
@@ -143,23 +143,23 @@
         self.asked.push_back((self.last_number, now));
         self.asked.drain(..self.asked.len().saturating_sub(ASKINGS));
 
-        let mut to: BTreeMap<Seat, (Vec<u16>, Vec<u16>)> = BTreeMap::new();
+        let mut to: BTreeMap<MemberId, (Vec<u16>, Vec<u16>)> = BTreeMap::new();
         for unit in &wanted {
-            self.witnesses(*unit).iter().for_each(|seat| to.entry(*seat).or_default().0.push(*unit));
+            self.witnesses(*unit).iter().for_each(|member| to.entry(*member).or_default().0.push(*unit));
         }
         for unit in &released {
-            self.witnesses(*unit).iter().for_each(|seat| to.entry(*seat).or_default().1.push(*unit));
+            self.witnesses(*unit).iter().for_each(|member| to.entry(*member).or_default().1.push(*unit));
         }
         let number = self.last_number;
         to.into_iter()
-            .map(|(seat, (units, releases))| (seat, Message::Ask { number, units, releases }))
+            .map(|(member, (units, releases))| (member, Message::Ask { number, units, releases }))
             .collect()
     }
 
     /// As a witness: which of the units asked for are granted.
     pub fn asked_by(
         &mut self,
-        holder: Life,
+        holder: Incarnation,
         number: u32,
         (units, releases): (&[u16], &[u16]),
         now: Timestamp,
@@ -174,7 +174,7 @@
             return Vec::new();
         }
         let free = |unit: &u16| {
-            self.witnesses(*unit).contains(&self.me.seat)
+            self.witnesses(*unit).contains(&self.me.member)
                 && self.held_by.get(unit).is_none_or(|held| held.by == holder || now >= held.since + long)
         };
         let granted: Vec<u16> = units.iter().filter(|unit| free(unit)).copied().collect();
@@ -186,7 +186,7 @@
     }
 
     /// A witness has granted these; it counts from when they were asked for.
-    pub fn granted(&mut self, witness: Seat, number: u32, units: &[u16]) {
+    pub fn granted(&mut self, witness: MemberId, number: u32, units: &[u16]) {
         let Some((_, asked)) = self.asked.iter().find(|(asked, _)| *asked == number).copied() else { return };
         for unit in units {
             if !self.witnesses(*unit).contains(&witness) {
@@ -201,5 +201,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/rights.rs"]
+#[path = "../tests/unit/quota_leases.rs"]
 mod tests;
--- a/crates/fleet/src/map.rs
+++ b/crates/fleet/src/replicated_map.rs
@@ -4,7 +4,7 @@
 //! value, so that merging is a maximum: who has heard the same has the same. Where there are more keys than the bound
 //! the ones whose hashes are least stay, whatever order they came in.
 
-use crate::roster::Seat;
+use crate::roster::MemberId;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
@@ -32,7 +32,7 @@
     pub key: String,
     pub version: Version,
     /// Who wrote it.
-    pub owner: Seat,
+    pub owner: MemberId,
     /// None where it was deleted.
     pub value: Option<Vec<u8>>,
 }
--- a/crates/fleet/src/roster.rs
+++ b/crates/fleet/src/roster.rs
@@ -6,14 +6,14 @@
 
 /// A process's place in the roster.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Seat(pub u16);
+pub struct MemberId(pub u16);
 
-/// One life of the process in a seat; a later one has a greater number.
+/// One life of the process in a member; a later one has a greater number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Life {
-    pub seat: Seat,
+pub struct Incarnation {
+    pub member: MemberId,
     /// Microseconds of Unix time at its start, or more.
-    pub born: u64,
+    pub started_at: u64,
 }
 
 /// Why names make no roster.
@@ -29,14 +29,14 @@
     NotMe(String),
 }
 
-/// As many as seats of two bytes and the trials at size go up to. Each costs a process about 150 bytes of memory, measured
+/// As many as members of two bytes and the trials at size go up to. Each costs a process about 150 bytes of memory, measured
 /// from 100 to 3,800 with nothing shared but who is there; what it sends at rest is bounded (`docs/fleet.md`, Figures).
 pub const MOST: usize = 4096;
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Roster {
     shared: Arc<Shared>,
-    me: Seat,
+    me: MemberId,
 }
 
 /// What is the same at every process.
@@ -64,17 +64,17 @@
         let tag =
             names.iter().fold(xxh3_64(fleet.as_bytes()), |tag, name| xxh3_64_with_seed(name.as_bytes(), tag));
         let shared = Shared { fleet: fleet.to_owned(), names, tag };
-        Roster { shared: Arc::new(shared), me: Seat(0) }.seen_by(me)
+        Roster { shared: Arc::new(shared), me: MemberId(0) }.seen_by(me)
     }
 
     /// The same roster at another of its processes, in one copy where both are in one program.
     pub fn seen_by(&self, me: &str) -> Result<Self, RosterError> {
-        let seat = self.shared.names.binary_search_by(|name| name.as_str().cmp(me));
-        let seat = seat.map_err(|_| RosterError::NotMe(me.to_owned()))?;
-        Ok(Roster { shared: self.shared.clone(), me: Seat(seat as u16) })
+        let member = self.shared.names.binary_search_by(|name| name.as_str().cmp(me));
+        let member = member.map_err(|_| RosterError::NotMe(me.to_owned()))?;
+        Ok(Roster { shared: self.shared.clone(), me: MemberId(member as u16) })
     }
 
-    pub fn me(&self) -> Seat {
+    pub fn me(&self) -> MemberId {
         self.me
     }
 
@@ -86,12 +86,12 @@
         &self.shared.fleet
     }
 
-    pub fn name(&self, seat: Seat) -> Option<&str> {
-        self.shared.names.get(usize::from(seat.0)).map(String::as_str)
+    pub fn name(&self, member: MemberId) -> Option<&str> {
+        self.shared.names.get(usize::from(member.0)).map(String::as_str)
     }
 
-    pub fn seats(&self) -> impl Iterator<Item = Seat> {
-        (0..self.shared.names.len() as u16).map(Seat)
+    pub fn members(&self) -> impl Iterator<Item = MemberId> {
+        (0..self.shared.names.len() as u16).map(MemberId)
     }
 
     /// What tells this fleet from others, and from itself with another roster.
@@ -100,16 +100,16 @@
     }
 }
 
-/// The seats of a roster of so many that are not among those `alive`, which are in order; both in one walk.
-pub fn missing(alive: &[Seat], size: usize) -> impl Iterator<Item = Seat> + '_ {
+/// The members of a roster of so many that are not among those `alive`, which are in order; both in one walk.
+pub fn missing(alive: &[MemberId], size: usize) -> impl Iterator<Item = MemberId> + '_ {
     let mut there = alive.iter().peekable();
     let all = if alive.len() < size { 0..size as u16 } else { 0..0 };
-    all.map(Seat).filter(move |seat| there.next_if_eq(&seat).is_none())
+    all.map(MemberId).filter(move |member| there.next_if_eq(&member).is_none())
 }
 
-/// Where a seat stands in the order of something: the same at every process.
-pub fn rank(of: u64, seat: Seat) -> u64 {
-    xxh3_64_with_seed(&seat.0.to_le_bytes(), of)
+/// Where a member stands in the order of something: the same at every process.
+pub fn rank(of: u64, member: MemberId) -> u64 {
+    xxh3_64_with_seed(&member.0.to_le_bytes(), of)
 }
 
 #[cfg(test)]
--- a/crates/fleet/src/swim.rs
+++ b/crates/fleet/src/swim.rs
@@ -1,8 +1,8 @@
 //! Who is there: SWIM with suspicion, by the library `foca`, which does no I/O; rumours of entries ride on its messages.
 
-use crate::map::{Entry, Map, Merged, Version};
-use crate::roster::{missing, Life, Roster, Seat};
-use crate::sift::{self, Lives};
+use crate::membership_filter::{self, Incarnations};
+use crate::replicated_map::{Entry, Map, Merged, Version};
+use crate::roster::{missing, Incarnation, MemberId, Roster};
 use foca::{
     AccumulatingRuntime, BroadcastHandler, Config, Foca, Identity, Invalidates, OwnedNotification,
     PeriodicParams, PostcardCodec, Timer,
@@ -16,22 +16,22 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-impl Identity for Life {
-    type Addr = Seat;
+impl Identity for Incarnation {
+    type Addr = MemberId;
 
     /// Guards against a process that was taken for dead, or whose clock went back, never being believed again: its next
     /// life is later than any clock is wrong by.
     fn renew(&self) -> Option<Self> {
         const LATER: u64 = 6 * 3_600_000_000;
-        Some(Life { seat: self.seat, born: self.born.saturating_add(LATER) })
+        Some(Incarnation { member: self.member, started_at: self.started_at.saturating_add(LATER) })
     }
 
-    fn addr(&self) -> Seat {
-        self.seat
+    fn addr(&self) -> MemberId {
+        self.member
     }
 
     fn win_addr_conflict(&self, other: &Self) -> bool {
-        self.born > other.born
+        self.started_at > other.started_at
     }
 }
 
@@ -88,16 +88,16 @@
 
 struct Rumours {
     known: Rc<RefCell<Known>>,
-    seats: usize,
+    members: usize,
 }
 
-impl BroadcastHandler<Life> for Rumours {
+impl BroadcastHandler<Incarnation> for Rumours {
     type Key = Rumour;
     type Error = NoEntry;
 
-    fn receive_item(&mut self, data: &[u8], sender: Option<&Life>) -> Result<Option<Rumour>, NoEntry> {
+    fn receive_item(&mut self, data: &[u8], sender: Option<&Incarnation>) -> Result<Option<Rumour>, NoEntry> {
         let entry: Entry = postcard::from_bytes(data).map_err(|_| NoEntry)?;
-        if usize::from(entry.owner.0) >= self.seats {
+        if usize::from(entry.owner.0) >= self.members {
             return Err(NoEntry);
         }
         let rumour = Rumour { key: entry.key.clone(), version: entry.version };
@@ -108,16 +108,16 @@
 }
 
 pub struct Swim {
-    foca: Foca<Life, PostcardCodec, Dice, Rumours>,
-    runtime: AccumulatingRuntime<Life>,
+    foca: Foca<Incarnation, PostcardCodec, Dice, Rumours>,
+    runtime: AccumulatingRuntime<Incarnation>,
     /// What is due when; a number tells apart what is due at once.
-    timers: BTreeMap<(Timestamp, u64), Timer<Life>>,
+    timers: BTreeMap<(Timestamp, u64), Timer<Incarnation>>,
     last_timer: u64,
-    me: Life,
+    me: Incarnation,
     /// Who is there, this process included, in the order of the roster. Guards against a list of all that is built anew
     /// at each call: it follows what the library tells.
-    there: Vec<Seat>,
-    lives: Lives,
+    there: Vec<MemberId>,
+    incarnations: Incarnations,
     /// Whom it has not met, in turns.
     invites: WyRand,
     next_invite: Timestamp,
@@ -125,12 +125,12 @@
 }
 
 /// What the membership asks for or tells.
-pub trait Around {
-    fn swim(&mut self, to: Seat, bytes: Vec<u8>);
-    fn came(&mut self, seat: Seat);
-    fn went(&mut self, seat: Seat);
+pub trait SwimEvents {
+    fn send_swim(&mut self, to: MemberId, bytes: Vec<u8>);
+    fn member_joined(&mut self, member: MemberId);
+    fn member_left(&mut self, member: MemberId);
     /// This process goes on under another life.
-    fn renewed(&mut self, life: Life);
+    fn incarnation_renewed(&mut self, incarnation: Incarnation);
 }
 
 /// The longest message, in bytes: with what is round it, it fits in one datagram.
@@ -162,8 +162,14 @@
 }
 
 impl Swim {
-    pub fn new(me: Life, roster: &Roster, known: Rc<RefCell<Known>>, seed: u64, now: Timestamp) -> Self {
-        let rumours = Rumours { known, seats: roster.size() };
+    pub fn new(
+        me: Incarnation,
+        roster: &Roster,
+        known: Rc<RefCell<Known>>,
+        seed: u64,
+        now: Timestamp,
+    ) -> Self {
+        let rumours = Rumours { known, members: roster.size() };
         let dice = Dice(WyRand::new_seed(seed));
         Swim {
             foca: Foca::with_custom_broadcast(me, config(roster.size()), dice, PostcardCodec, rumours),
@@ -171,8 +177,8 @@
             timers: BTreeMap::new(),
             last_timer: 0,
             me,
-            there: vec![me.seat],
-            lives: Lives::new(roster.size()),
+            there: vec![me.member],
+            incarnations: Incarnations::new(roster.size()),
             invites: WyRand::new_seed(seed ^ 0x1f),
             next_invite: now,
             began: now,
@@ -180,13 +186,13 @@
     }
 
     /// Who is there, this process included, in the order of the roster.
-    pub fn alive(&self) -> &[Seat] {
+    pub fn alive(&self) -> &[MemberId] {
         &self.there
     }
 
-    /// The life of who is there in a seat, as far as it is known.
-    pub fn life(&self, seat: Seat) -> Option<Life> {
-        self.lives.of(seat)
+    /// The life of who is there in a member, as far as it is known.
+    pub fn incarnation(&self, member: MemberId) -> Option<Incarnation> {
+        self.incarnations.of(member)
     }
 
     /// Hands on a rumour of an entry that was written here, or found elsewhere by comparing.
@@ -198,30 +204,30 @@
     }
 
     /// True where the message could be read.
-    pub fn heard(&mut self, bytes: &[u8], now: Timestamp, around: &mut impl Around) -> bool {
+    pub fn on_datagram(&mut self, bytes: &[u8], now: Timestamp, environment: &mut impl SwimEvents) -> bool {
         // One that is too long is for the library to refuse.
         let news = Some(bytes).filter(|bytes| bytes.len() <= LONGEST);
-        let news = news.and_then(|bytes| sift::news(bytes, &self.lives, self.me.seat));
+        let news = news.and_then(|bytes| membership_filter::news(bytes, &self.incarnations, self.me.member));
         let read = self.foca.handle_data(news.as_deref().unwrap_or(bytes), &mut self.runtime).is_ok();
-        self.settle(now, around);
+        self.settle(now, environment);
         read
     }
 
-    pub fn on_timer(&mut self, now: Timestamp, roster: &Roster, around: &mut impl Around) {
+    pub fn on_timer(&mut self, now: Timestamp, roster: &Roster, environment: &mut impl SwimEvents) {
         while let Some(due) = self.timers.first_entry().filter(|due| due.key().0 <= now) {
             let timer = due.remove();
             // A timer that the library no longer knows is none of its concern.
             let _ = self.foca.handle_timer(timer, &mut self.runtime);
-            self.settle(now, around);
+            self.settle(now, environment);
         }
         if now >= self.next_invite {
-            self.invite(now, roster, around);
+            self.invite(now, roster, environment);
         }
     }
 
-    /// Guards against a fleet that never finds together: those that were not met are asked, by their seats alone, often
+    /// Guards against a fleet that never finds together: those that were not met are asked, by their members alone, often
     /// in the first seconds.
-    fn invite(&mut self, now: Timestamp, roster: &Roster, around: &mut impl Around) {
+    fn invite(&mut self, now: Timestamp, roster: &Roster, environment: &mut impl SwimEvents) {
         const EARLY: Duration = Duration::from_millis(5000);
         let (pause, most) = if now.since(self.began) < EARLY {
             (Duration::from_millis(300), 3)
@@ -229,53 +235,55 @@
             (Duration::from_millis(3000), 1)
         };
         self.next_invite = now + pause;
-        let unmet: Vec<Seat> = missing(&self.there, roster.size()).collect();
+        let unmet: Vec<MemberId> = missing(&self.there, roster.size()).collect();
         for _ in 0..most.min(unmet.len()) {
-            let seat = unmet[self.invites.generate_range(0..unmet.len())];
-            let _ = self.foca.announce(Life { seat, born: 0 }, &mut self.runtime);
+            let member = unmet[self.invites.generate_range(0..unmet.len())];
+            let _ = self.foca.announce(Incarnation { member, started_at: 0 }, &mut self.runtime);
         }
-        self.settle(now, around);
+        self.settle(now, environment);
     }
 
-    pub fn next(&self) -> Timestamp {
+    pub fn next_wakeup(&self) -> Timestamp {
         self.timers.first_key_value().map_or(self.next_invite, |first| first.0 .0.min(self.next_invite))
     }
 
-    pub fn leave(&mut self, now: Timestamp, around: &mut impl Around) {
+    pub fn leave(&mut self, now: Timestamp, environment: &mut impl SwimEvents) {
         let _ = self.foca.leave_cluster(&mut self.runtime);
-        self.settle(now, around);
+        self.settle(now, environment);
     }
 
-    fn settle(&mut self, now: Timestamp, around: &mut impl Around) {
+    fn settle(&mut self, now: Timestamp, environment: &mut impl SwimEvents) {
         while let Some((after, timer)) = self.runtime.to_schedule() {
             self.last_timer += 1;
             let at = now + Duration::from_ms(after.as_secs_f64() * 1000.0);
             self.timers.insert((at, self.last_timer), timer);
         }
         while let Some((to, bytes)) = self.runtime.to_send() {
-            around.swim(to.seat, bytes.to_vec());
+            environment.send_swim(to.member, bytes.to_vec());
         }
         while let Some(news) = self.runtime.to_notify() {
             match news {
                 OwnedNotification::MemberUp(member) => {
-                    if let Err(at) = self.there.binary_search(&member.seat) {
-                        self.there.insert(at, member.seat);
+                    if let Err(at) = self.there.binary_search(&member.member) {
+                        self.there.insert(at, member.member);
                     }
-                    self.lives.came(member);
-                    around.came(member.seat);
+                    self.incarnations.member_joined(member);
+                    environment.member_joined(member.member);
                 }
                 OwnedNotification::MemberDown(member) => {
-                    let at = self.there.binary_search(&member.seat);
-                    if let Some(at) = at.ok().filter(|_| member.seat != self.me.seat) {
+                    let at = self.there.binary_search(&member.member);
+                    if let Some(at) = at.ok().filter(|_| member.member != self.me.member) {
                         self.there.remove(at);
                     }
-                    self.lives.went(member.seat);
-                    around.went(member.seat);
+                    self.incarnations.member_left(member.member);
+                    environment.member_left(member.member);
                 }
-                OwnedNotification::Rename(before, life) => self.lives.follows(before, life),
-                OwnedNotification::Rejoin(life) => {
-                    self.me = life;
-                    around.renewed(life);
+                OwnedNotification::Rename(before, incarnation) => {
+                    self.incarnations.follows(before, incarnation)
+                }
+                OwnedNotification::Rejoin(incarnation) => {
+                    self.me = incarnation;
+                    environment.incarnation_renewed(incarnation);
                 }
                 _ => {}
             }
--- a/crates/fleet/tests/unit/packet.rs
+++ b/crates/fleet/tests/unit/packet.rs
@@ -1,8 +1,8 @@
 //! Datagrams keep their bytes: each kind is compared with what an earlier release sent.
 
 use super::*;
-use crate::map::Version;
-use crate::{Fleet, Surroundings};
+use crate::replicated_map::Version;
+use crate::{Environment, Fleet};
 use recorded::{hex, Recorded};
 use shelfgrade::time::Timestamp;
 
@@ -16,13 +16,13 @@
 }
 
 fn packet(message: Message) -> Packet {
-    let from = Life { seat: Seat(1), born: 1_790_000_000_000_123 };
+    let from = Incarnation { member: MemberId(1), started_at: 1_790_000_000_000_123 };
     Packet { from, wall_ms: 1_790_000_000_456, message }
 }
 
 fn entry(value: Option<Vec<u8>>) -> Entry {
     let version = Version { count: 300, by: 1_790_000_000_000_123 };
-    Entry { key: "server/s-1".into(), version, owner: Seat(2), value }
+    Entry { key: "server/s-1".into(), version, owner: MemberId(2), value }
 }
 
 #[test]
@@ -45,16 +45,16 @@
 }
 
 #[derive(Default)]
-struct Sent(Vec<(Seat, Vec<u8>)>);
+struct Sent(Vec<(MemberId, Vec<u8>)>);
 
-impl Surroundings for Sent {
-    fn send(&mut self, to: Seat, datagram: Vec<u8>) {
+impl Environment for Sent {
+    fn send(&mut self, to: MemberId, datagram: Vec<u8>) {
         self.0.push((to, datagram));
     }
-    fn entry(&mut self, _: &Entry) {}
-    fn came(&mut self, _: Seat) {}
-    fn went(&mut self, _: Seat) {}
-    fn refused(&mut self, _: &'static str) {}
+    fn entry_changed(&mut self, _: &Entry) {}
+    fn member_joined(&mut self, _: MemberId) {}
+    fn member_left(&mut self, _: MemberId) {}
+    fn datagram_rejected(&mut self, _: &'static str) {}
 }
 
 /// What the membership puts into its own messages, and the order of what is sent at the start.
--- a/crates/fleet/tests/unit/roster.rs
+++ b/crates/fleet/tests/unit/roster.rs
@@ -6,7 +6,7 @@
 fn a_roster_is_the_same_in_any_order_and_says_what_is_wrong_with_it() {
     let of = |names: &[&str], me| Roster::new("f", names.iter().map(|n| (*n).to_owned()), me);
     let (one, other) = (of(&["b", "a", "c"], "c").unwrap(), of(&["c", "b", "a"], "a").unwrap());
-    assert_eq!((one.tag(), one.me(), other.me()), (other.tag(), Seat(2), Seat(0)));
+    assert_eq!((one.tag(), one.me(), other.me()), (other.tag(), MemberId(2), MemberId(0)));
     assert_ne!(one.tag(), of(&["a", "b"], "a").unwrap().tag());
     assert_eq!(of(&[], "a"), Err(RosterError::Empty));
     assert_eq!(of(&["a", "b", "a"], "a"), Err(RosterError::Twice("a".into())));
--- a/crates/proxy/src/client.rs
+++ b/crates/proxy/src/client.rs
@@ -28,7 +28,7 @@
 
     /// Reads once from the client; true if anything came.
     pub fn hear_client(&self, proxy: &mut Proxy) -> bool {
-        if self.stage.get() == Stage::Asking {
+        if self.stage.get() == Stage::PollerElection {
             let asks = self.still_asks(&mut proxy.hands);
             if !asks {
                 proxy.on_client_closed(self.id);
@@ -71,7 +71,7 @@
                 }
                 self.over_for_module(AttemptOutcome::Cancelled, proxy);
             }
-            Stage::Asking | Stage::Leaving | Stage::Closed => {}
+            Stage::PollerElection | Stage::Leaving | Stage::Closed => {}
         }
     }
 
--- a/crates/proxy/src/comeback.rs
+++ b/crates/proxy/src/comeback.rs
@@ -1,8 +1,8 @@
 //! The proxy among its fellows, where the fleet file is named: what the return asks of it, and what it tells the return.
 
 use crate::endpoint_list::{EndpointList, Entry, Health};
-use crate::fellows::{Company, Fellows};
 use crate::fleet_file::{FleetError, FleetFile};
+use crate::peers::{PeerEvents, Peers};
 use crate::proxy::Proxy;
 use crate::session::{Session, Stage};
 use crate::spaces::{Changed, Decided, Shared, Spaces};
@@ -10,9 +10,9 @@
 use serde::{de::DeserializeOwned, Serialize};
 use shelfgrade::handover::FlowEntry;
 use shelfgrade::host::{Endpoint, EndpointState, Host, ServerId, Turn};
-use shelfgrade_recovery::around::{Line, RecoverySettings};
-use shelfgrade_recovery::order::{Owed, State};
-use shelfgrade_recovery::trust::{self, Fact};
+use shelfgrade_recovery::admission::{ClassPriority, State};
+use shelfgrade_recovery::environment::{EndpointAddress, RecoverySettings};
+use shelfgrade_recovery::restore::{self, ServerRecord};
 use shelfgrade_settings::Settings;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -23,7 +23,7 @@
 
 /// What the settings say of a return.
 pub fn recovery_settings(settings: &Settings, file: &FleetFile) -> RecoverySettings {
-    let owed = settings.owed.iter().map(|(connect_latency_objective, priority_weight)| Owed {
+    let owed = settings.owed.iter().map(|(connect_latency_objective, priority_weight)| ClassPriority {
         connect_latency_objective: *connect_latency_objective,
         priority_weight: *priority_weight,
     });
@@ -36,16 +36,16 @@
     }
 }
 
-impl Company for Proxy {
-    fn follow(&mut self, lines: Vec<Line>, whole: bool) {
+impl PeerEvents for Proxy {
+    fn apply_endpoints(&mut self, lines: Vec<EndpointAddress>, whole: bool) {
         if whole {
             self.told.clear();
         }
         for line in &lines {
-            self.told.insert(line.listed.server.clone(), (line.listed.clone(), line.dial));
+            self.told.insert(line.endpoint.server.clone(), (line.endpoint.clone(), line.dial));
         }
         self.look_at_windows();
-        self.go_by_lines(lines.iter().map(|line| (line.listed.clone(), line.dial)).collect(), whole);
+        self.go_by_lines(lines.iter().map(|line| (line.endpoint.clone(), line.dial)).collect(), whole);
         self.told.retain(|_, (line, _)| line.state != EndpointState::Removed);
         self.spaces.follow(self.balancer.list());
         let live = self.balancer.customers();
@@ -55,7 +55,7 @@
         self.settle();
     }
 
-    fn watch(&mut self, watches: bool) {
+    fn set_polling(&mut self, watches: bool) {
         if watches {
             self.hands.wants_list.set(true);
             self.settle();
@@ -64,19 +64,19 @@
         }
     }
 
-    fn enters(&mut self, _: State) {
+    fn state_changed(&mut self, _: State) {
         self.hands.list_heard.set(true);
         self.list_is_here();
     }
 
-    fn held_before(&mut self, remembered: &FlowEntry) {
+    fn restore_flow(&mut self, remembered: &FlowEntry) {
         let now = self.hands.clock.now();
         if self.balancer.restore_flow(remembered, REMEMBERED, now) {
             self.hands.tally.count("keys known from before");
         }
     }
 
-    fn list_not_taken(&mut self) {
+    fn list_rejected(&mut self) {
         self.hands.tally.complain("lists not taken");
         self.discovery.forget(self);
         let now = self.hands.clock.now();
@@ -96,13 +96,13 @@
         self.balancer.flow_entries()
     }
 
-    fn shared(&mut self, key: &str) {
-        let Some(fellows) = self.fellows.clone() else { return };
+    fn shared_entry_changed(&mut self, key: &str) {
+        let Some(peers) = self.peers.clone() else { return };
         if key.starts_with(WINDOWS) {
-            let now = fellows.fleet_ms(self.hands.clock.now());
-            return self.windows.heard(now, &*fellows);
+            let now = peers.fleet_ms(self.hands.clock.now());
+            return self.windows.heard(now, &*peers);
         }
-        let changed = self.spaces.heard(key, &*fellows);
+        let changed = self.spaces.heard(key, &*peers);
         self.go_by(changed);
     }
 
@@ -114,28 +114,28 @@
 impl Proxy {
     /// Where there are fellows, discovery's list goes to the return, which says what of it is gone by; whether it was taken
     /// and discovery is to be watched on from there.
-    pub fn list_for_fellows(&mut self, list: &EndpointList) -> Option<bool> {
-        let fellows = self.fellows.clone()?;
-        let facts = list.entries.iter().map(|entry| (entry.host.clone(), fact(entry))).collect();
-        let taken = fellows.told(facts, list.whole, list.seq, self);
-        Some(taken && fellows.watches())
+    pub fn list_for_peers(&mut self, list: &EndpointList) -> Option<bool> {
+        let peers = self.peers.clone()?;
+        let records = list.entries.iter().map(|entry| (entry.host.clone(), record(entry))).collect();
+        let taken = peers.on_endpoint_list(records, list.whole, list.seq, self);
+        Some(taken && peers.watches())
     }
 
     /// Whether this process asks discovery itself.
     pub fn asks_discovery(&self) -> bool {
-        self.fellows.as_ref().is_none_or(|fellows| fellows.watches())
+        self.peers.as_ref().is_none_or(|peers| peers.watches())
     }
 
     /// A session's turn, where there is a crowd that comes back.
-    pub fn turn(&mut self, session: &Session) -> Option<Turn> {
-        let fellows = self.fellows.clone()?;
+    pub fn admission_turn(&mut self, session: &Session) -> Option<Turn> {
+        let peers = self.peers.clone()?;
         let opening = &session.opening;
         let customer = opening.customer.as_ref().and_then(|t| self.customers.iter().position(|c| c == t));
-        fellows.turn((Some(opening.class), customer), xxh3_64(opening.key.as_bytes()), self)
+        peers.admission_turn((Some(opening.class), customer), xxh3_64(opening.key.as_bytes()), self)
     }
 
     /// Begins to be one of several, where the environment names a file for that.
-    pub fn join_fellows(
+    pub fn join_peers(
         &mut self,
         file: FleetFile,
         settings: RecoverySettings,
@@ -143,13 +143,14 @@
         seed: u64,
     ) -> Result<(), FleetError> {
         let dials = known.entries.iter().map(|entry| entry.dial);
-        let known = known.lines().into_iter().zip(dials).map(|(listed, dial)| Line { listed, dial });
-        let fellows = Fellows::begin(file, settings, known.collect(), seed, self)?;
-        self.spaces = Spaces::new(fellows.seat());
-        self.fellows = Some(fellows.clone());
+        let known =
+            known.lines().into_iter().zip(dials).map(|(endpoint, dial)| EndpointAddress { endpoint, dial });
+        let peers = Peers::begin(file, settings, known.collect(), seed, self)?;
+        self.spaces = Spaces::new(peers.member());
+        self.peers = Some(peers.clone());
         // What an earlier life knew comes with no word of its own.
-        for key in fellows.keys("") {
-            Company::shared(self, &key);
+        for key in peers.keys("") {
+            PeerEvents::shared_entry_changed(self, &key);
         }
         self.read_namespaces();
         Ok(())
@@ -157,14 +158,14 @@
 
     /// Reads customers' namespaces and the windows again, where the fleet file says that they are.
     pub fn read_namespaces(&mut self) {
-        let Some(fellows) = self.fellows.clone() else { return };
-        if let Some(folder) = fellows.namespaces_dir() {
-            self.spaces.read(&folder, &*fellows);
+        let Some(peers) = self.peers.clone() else { return };
+        if let Some(folder) = peers.namespaces_dir() {
+            self.spaces.read(&folder, &*peers);
         }
-        if let Some(path) = fellows.maintenance() {
-            self.windows.read(&path, fellows.fleet_ms(self.hands.clock.now()), &*fellows);
+        if let Some(path) = peers.maintenance() {
+            self.windows.read(&path, peers.fleet_ms(self.hands.clock.now()), &*peers);
         }
-        fellows.tell_news(self);
+        peers.tell_news(self);
     }
 
     /// Goes by these lines, as far as windows leave them what they are.
@@ -173,14 +174,14 @@
         let as_put = |line: &Endpoint| self.windows.line(line, self.slow_start, now);
         let lines: Vec<_> = lines.iter().map(|(line, dial)| (as_put(line), *dial)).collect();
         self.hands.follow(lines.iter().map(|(line, dial)| (line, *dial)), whole);
-        let listed: Vec<_> = lines.into_iter().map(|(line, _)| line).collect();
-        self.balancer.on_endpoints(&listed, whole, now);
+        let endpoint: Vec<_> = lines.into_iter().map(|(line, _)| line).collect();
+        self.balancer.on_endpoints(&endpoint, whole, now);
     }
 
     /// Called once a second, and with each word of the list before anybody goes by it: sites empty, close and come back by
     /// the schedule. Guards against a process that starts in the midst of a window sending clients there until it looks.
     pub fn look_at_windows(&mut self) {
-        let Some(fellows) = self.fellows.clone().filter(|_| !self.windows.are_none()) else { return };
+        let Some(peers) = self.peers.clone().filter(|_| !self.windows.are_none()) else { return };
         let now = self.hands.clock.now();
         let list: Vec<_> = self.told.values().map(|(line, _)| line.clone()).collect();
         let site_of = |server: &ServerId| self.told.get(server).map(|(line, _)| line.zone.clone());
@@ -191,7 +192,7 @@
             .filter_map(|c| Some((c.id, site_of(&c.attempt.borrow().as_ref()?.server.id)?)))
             .collect();
         let held = |site: &str| at.iter().filter(|(_, zone)| zone == site).count();
-        let look = self.windows.look(fellows.fleet_ms(now), &list, held);
+        let look = self.windows.look(peers.fleet_ms(now), &list, held);
         if look.changed {
             self.go_by_lines(self.told.values().cloned().collect(), true);
         }
@@ -220,26 +221,26 @@
     }
 }
 
-impl Shared for Fellows<Proxy> {
+impl Shared for Peers<Proxy> {
     fn get<T: DeserializeOwned>(&self, key: &str) -> Option<T> {
-        Fellows::get(self, key)
+        Peers::get(self, key)
     }
 
     fn put<T: Serialize>(&self, key: &str, value: &T, version: u64) -> Result<(), String> {
-        Fellows::put(self, key, value, version).map_err(|error| error.to_string())
+        Peers::put(self, key, value, version).map_err(|error| error.to_string())
     }
 }
 
-fn fact(entry: &Entry) -> Fact {
-    Fact {
+fn record(entry: &Entry) -> ServerRecord {
+    ServerRecord {
         dial: entry.dial,
         site: entry.site.clone(),
         kind: entry.kind.clone(),
         block: entry.block,
         health: match entry.health {
-            Health::InService => trust::Health::InService,
-            Health::Terminating => trust::Health::Terminating,
-            Health::Terminated => trust::Health::Terminated,
+            Health::InService => restore::Health::InService,
+            Health::Terminating => restore::Health::Terminating,
+            Health::Terminated => restore::Health::Terminated,
         },
         born_ms: entry.born_ms,
     }
--- a/crates/proxy/src/early.rs
+++ b/crates/proxy/src/early.rs
@@ -96,9 +96,9 @@
 
     /// Hands a session to the decisions; its request timeout counts from when it came.
     pub fn place(&mut self, session: &Rc<Session>) {
-        if session.stage.get() == Stage::Asking {
+        if session.stage.get() == Stage::PollerElection {
             let now = self.now();
-            let mut turn = self.turn(session);
+            let mut turn = self.admission_turn(session);
             let ruled = self.rule_for(session);
             if let Some(ruled) = ruled.as_ref().filter(|ruled| ruled.full) {
                 log::debug!("session {}: no room for {}", session.id.0, ruled.customer);
@@ -117,8 +117,8 @@
             *session.place.borrow_mut() = ruled.as_ref().map(|ruled| ruled.place.clone());
             self.balancer.on_request(whose, &Arrival { turn, among, ..arrival }, now, &mut self.hands);
             // Not turned away: it was let in, or is about to be.
-            let let_in = turn.is_some() && session.stage.get() == Stage::Asking;
-            self.fellows.iter().filter(|_| let_in).for_each(|fellows| fellows.let_in());
+            let let_in = turn.is_some() && session.stage.get() == Stage::PollerElection;
+            self.peers.iter().filter(|_| let_in).for_each(|peers| peers.record_admission());
             self.settle();
         }
     }
--- a/crates/proxy/src/ending.rs
+++ b/crates/proxy/src/ending.rs
@@ -68,12 +68,12 @@
         let sessions: Vec<Rc<Session>> = self.hands.sessions.values().cloned().collect();
         let in_stage = |stage| sessions.iter().filter(move |c| c.stage.get() == stage);
         if past >= open_for {
-            for session in in_stage(Stage::Asking) {
+            for session in in_stage(Stage::PollerElection) {
                 self.hands.tally.count("forfeited at the end");
                 session.answer("ERR", &mut self.hands);
             }
         }
-        let open = in_stage(Stage::Asking).chain(in_stage(Stage::Established)).next().is_some();
+        let open = in_stage(Stage::PollerElection).chain(in_stage(Stage::Established)).next().is_some();
         let leaving = in_stage(Stage::Leaving).any(|c| !c.client.is_over());
         let quiet = past >= QUIET_FOR && now.since(self.last_arrival) >= QUIET_FOR;
         // Guards against leaving who has connected, and has sent nothing yet or half of its line.
@@ -85,8 +85,8 @@
             if past < gone_within && (leaving || self.hands.lingering.count() > 0) {
                 return;
             }
-            let fellows = self.fellows.take();
-            fellows.inspect(|fellows| fellows.leave(self));
+            let peers = self.peers.take();
+            peers.inspect(|peers| peers.leave(self));
             self.stop.stop();
         }
     }
@@ -110,7 +110,7 @@
             }
         }
         for session in self.hands.sessions.values().cloned().collect::<Vec<_>>() {
-            if session.stage.get() == Stage::Asking {
+            if session.stage.get() == Stage::PollerElection {
                 session.answer("ERR", &mut self.hands);
             }
         }
--- a/crates/proxy/src/hands.rs
+++ b/crates/proxy/src/hands.rs
@@ -215,7 +215,7 @@
 
     pub fn take_over_waiting(&mut self) {
         for session in std::mem::take(&mut self.unplaced).iter().filter_map(Weak::upgrade) {
-            if session.stage.get() == Stage::Asking {
+            if session.stage.get() == Stage::PollerElection {
                 self.take_over(&session);
             }
         }
--- a/crates/proxy/src/fellows.rs
+++ b/crates/proxy/src/peers.rs
@@ -1,6 +1,6 @@
 //! A process among its fellows: the socket between them, the alarms, and the disk, round the core of the return.
 //!
-//! Whom it serves is told what happens through [`Company`], and through nothing else.
+//! Whom it serves is told what happens through [`PeerEvents`], and through nothing else.
 
 use crate::disk::{self, Disk};
 use crate::driver::OnLoop;
@@ -12,36 +12,36 @@
 use shelfgrade::handover::FlowEntry;
 use shelfgrade::host::Turn;
 use shelfgrade::time::Timestamp;
-use shelfgrade_fleet::{Entry, PutError, Seat, Surroundings, Version};
-use shelfgrade_recovery::around::{Around, Line, RecoverySettings};
-use shelfgrade_recovery::comeback::Comeback;
-use shelfgrade_recovery::order::State;
+use shelfgrade_fleet::{Entry, Environment, MemberId, PutError, Version};
+use shelfgrade_recovery::admission::State;
+use shelfgrade_recovery::environment::{EndpointAddress, RecoveryEnvironment, RecoverySettings};
+use shelfgrade_recovery::node::Node;
+use shelfgrade_recovery::restore::{ServerRecord, HEARTBEAT_PREFIX, LIST_KEY, SERVER_PREFIX};
 use shelfgrade_recovery::snapshot;
-use shelfgrade_recovery::trust::{Fact, BEATS, LIST, SERVERS};
 use std::cell::{Cell, RefCell};
 use std::net::{SocketAddr, UdpSocket};
 use std::path::PathBuf;
 use std::rc::Rc;
 
 /// Who is among fellows.
-pub trait Company: OnLoop {
-    fn follow(&mut self, lines: Vec<Line>, whole: bool);
-    fn watch(&mut self, watches: bool);
-    fn enters(&mut self, state: State);
-    fn held_before(&mut self, remembered: &FlowEntry);
+pub trait PeerEvents: OnLoop {
+    fn apply_endpoints(&mut self, lines: Vec<EndpointAddress>, whole: bool);
+    fn set_polling(&mut self, watches: bool);
+    fn state_changed(&mut self, state: State);
+    fn restore_flow(&mut self, remembered: &FlowEntry);
     /// Discovery's list was not gone by: all of it is to be asked for again, after a while.
-    fn list_not_taken(&mut self);
+    fn list_rejected(&mut self);
     /// What this process may do of what the fleet may, from 0 to 1.
     fn set_quota_fraction(&mut self, part: f64);
     /// What the decisions remember, for the disk.
     fn flow_entries(&self) -> Vec<FlowEntry>;
     /// Something that others put into what all share is new, or has changed.
-    fn shared(&mut self, key: &str);
+    fn shared_entry_changed(&mut self, key: &str);
     fn complain(&self, what: &'static str);
 }
 
-pub struct Fellows<C: Company> {
-    core: RefCell<Comeback>,
+pub struct Peers<C: PeerEvents> {
+    core: RefCell<Node>,
     file: RefCell<FleetFile>,
     socket: UdpSocket,
     timer: Cell<Option<RegistrationToken>>,
@@ -56,78 +56,78 @@
 type Told<C> = Box<dyn FnOnce(&mut C)>;
 
 /// The core's way out.
-struct Out<'a, C: Company> {
-    fellows: &'a Fellows<C>,
+struct Out<'a, C: PeerEvents> {
+    peers: &'a Peers<C>,
 }
 
-impl<C: Company> Out<'_, C> {
+impl<C: PeerEvents> Out<'_, C> {
     fn tell(&self, what: impl FnOnce(&mut C) + 'static) {
-        self.fellows.told.borrow_mut().push(Box::new(what));
+        self.peers.told.borrow_mut().push(Box::new(what));
     }
 
-    fn name(&self, seat: Seat) -> String {
-        self.fellows.file.borrow().roster.name(seat).unwrap_or("?").to_owned()
+    fn name(&self, member: MemberId) -> String {
+        self.peers.file.borrow().roster.name(member).unwrap_or("?").to_owned()
     }
 }
 
-impl<C: Company> Surroundings for Out<'_, C> {
-    fn send(&mut self, to: Seat, datagram: Vec<u8>) {
-        let address = self.fellows.file.borrow().addresses.get(usize::from(to.0)).copied();
+impl<C: PeerEvents> Environment for Out<'_, C> {
+    fn send(&mut self, to: MemberId, datagram: Vec<u8>) {
+        let address = self.peers.file.borrow().addresses.get(usize::from(to.0)).copied();
         // One that is lost is made up for by those that follow.
-        let _ = address.map(|address| self.fellows.socket.send_to(&datagram, address));
+        let _ = address.map(|address| self.peers.socket.send_to(&datagram, address));
     }
-    fn entry(&mut self, entry: &Entry) {
+    fn entry_changed(&mut self, entry: &Entry) {
         log::trace!("{} is known at version {:?}", entry.key, entry.version);
-        if ![SERVERS, BEATS, LIST].iter().any(|own| entry.key.starts_with(own)) {
+        if ![SERVER_PREFIX, HEARTBEAT_PREFIX, LIST_KEY].iter().any(|own| entry.key.starts_with(own)) {
             let key = entry.key.clone();
-            self.tell(move |company| company.shared(&key));
+            self.tell(move |events| events.shared_entry_changed(&key));
         }
     }
-    fn came(&mut self, seat: Seat) {
-        log::info!("fellow {} is there", self.name(seat));
+    fn member_joined(&mut self, member: MemberId) {
+        log::info!("fellow {} is there", self.name(member));
     }
-    fn went(&mut self, seat: Seat) {
-        log::info!("fellow {} is gone", self.name(seat));
+    fn member_left(&mut self, member: MemberId) {
+        log::info!("fellow {} is gone", self.name(member));
     }
-    fn refused(&mut self, why: &'static str) {
-        self.tell(move |company| company.complain(why));
+    fn datagram_rejected(&mut self, why: &'static str) {
+        self.tell(move |events| events.complain(why));
     }
 }
 
-impl<C: Company> Around for Out<'_, C> {
-    fn follow(&mut self, lines: Vec<Line>, whole: bool) {
-        self.tell(move |company| company.follow(lines, whole));
+impl<C: PeerEvents> RecoveryEnvironment for Out<'_, C> {
+    fn apply_endpoints(&mut self, lines: Vec<EndpointAddress>, whole: bool) {
+        self.tell(move |events| events.apply_endpoints(lines, whole));
     }
-    fn watch(&mut self, watches: bool) {
+    fn set_polling(&mut self, watches: bool) {
         log::info!(
             "{}",
             if watches { "asks discovery, for all" } else { "leaves asking discovery to fellows" }
         );
-        self.tell(move |company| company.watch(watches));
+        self.tell(move |events| events.set_polling(watches));
     }
-    fn enters(&mut self, state: State, why: &str) {
+    fn state_changed(&mut self, state: State, why: &str) {
         log::info!("return: {}; {why}", state.name());
-        self.tell(move |company| company.enters(state));
+        self.tell(move |events| events.state_changed(state));
     }
-    fn held_before(&mut self, key: u64, server: &str, started_ms: f64) {
+    fn restore_flow(&mut self, key: u64, server: &str, started_ms: f64) {
         let started = (started_ms > 0.0).then(|| Timestamp::from_ms(started_ms));
         let remembered = FlowEntry { key, server: server.to_owned(), started };
-        self.tell(move |company| company.held_before(&remembered));
+        self.tell(move |events| events.restore_flow(&remembered));
     }
-    fn refused_list(&mut self, why: &str) {
+    fn list_rejected(&mut self, why: &str) {
         log::warn!("list not taken: {why}");
-        self.tell(|company| company.list_not_taken());
+        self.tell(|events| events.list_rejected());
     }
 }
 
-impl<C: Company> Fellows<C> {
+impl<C: PeerEvents> Peers<C> {
     /// Reads what an earlier life left, and begins to listen; `known` are the servers of the start-up file.
     pub fn begin(
         file: FleetFile,
         settings: RecoverySettings,
-        known: Vec<Line>,
+        known: Vec<EndpointAddress>,
         seed: u64,
-        company: &mut C,
+        events: &mut C,
     ) -> Result<Rc<Self>, FleetError> {
         let at = file.addresses[usize::from(file.roster.me().0)];
         let bind = |source| FleetError::Bind { at, source };
@@ -139,9 +139,9 @@
         for (generation, error) in errors {
             log::warn!("snapshot {generation}: {error}");
         }
-        let now = company.now();
-        let mut core = Comeback::new(file.roster.clone(), settings, before, seed, (now, wall_ms(now)));
-        core.knows(known.into_iter(), now);
+        let now = events.now();
+        let mut core = Node::new(file.roster.clone(), settings, before, seed, (now, wall_ms(now)));
+        core.add_known_endpoints(known.into_iter(), now);
         log::info!(
             "return: {}; one of {} in {}",
             core.state().name(),
@@ -149,7 +149,7 @@
             file.roster.fleet()
         );
         let disk = file.state_dir.as_deref().map(Disk::begin);
-        let fellows = Rc::new(Fellows {
+        let peers = Rc::new(Peers {
             core: RefCell::new(core),
             file: RefCell::new(file),
             timer: Cell::default(),
@@ -158,102 +158,114 @@
             told: RefCell::default(),
             socket: socket.try_clone().map_err(bind)?,
         });
-        let me = fellows.clone();
+        let me = peers.clone();
         let source = Generic::new(socket, Interest::READ, Mode::Level);
-        let watched = company.handle().insert_source(source, move |_, _, company| {
-            me.ready(company);
+        let watched = events.handle().insert_source(source, move |_, _, events| {
+            me.ready(events);
             Ok(PostAction::Continue)
         });
         watched.map_err(|error| bind(std::io::Error::other(error.error)))?;
-        fellows.on_timer(company);
-        Ok(fellows)
+        peers.on_timer(events);
+        Ok(peers)
     }
 
-    fn ready(self: &Rc<Self>, company: &mut C) {
+    fn ready(self: &Rc<Self>, events: &mut C) {
         // Guards against a storm of datagrams starving the clients.
         const AT_ONCE: usize = 64;
         let mut datagram = [0; shelfgrade_fleet::LONGEST];
         for _ in 0..AT_ONCE {
             let Ok((length, from)) = self.socket.recv_from(&mut datagram) else { break };
             if self.knows(from) {
-                let now = company.now();
+                let now = events.now();
                 let mut core = self.core.borrow_mut();
-                core.heard(&datagram[..length], (now, wall_ms(now)), &mut Out { fellows: self });
+                core.on_datagram(&datagram[..length], (now, wall_ms(now)), &mut Out { peers: self });
             } else {
-                company.complain("fleet datagrams from strangers");
+                events.complain("fleet datagrams from strangers");
             }
         }
-        self.settle(company);
+        self.settle(events);
     }
 
     fn knows(&self, from: SocketAddr) -> bool {
         self.file.borrow().addresses.contains(&from)
     }
 
-    fn on_timer(self: &Rc<Self>, company: &mut C) {
-        let now = company.now();
-        self.core.borrow_mut().on_timer((now, wall_ms(now)), &mut Out { fellows: self });
-        self.save(now, company);
-        self.settle(company);
+    fn on_timer(self: &Rc<Self>, events: &mut C) {
+        let now = events.now();
+        self.core.borrow_mut().on_timer((now, wall_ms(now)), &mut Out { peers: self });
+        self.save(now, events);
+        self.settle(events);
     }
 
     /// Tells what the core has said, and sets the next alarm.
-    fn settle(self: &Rc<Self>, company: &mut C) {
+    fn settle(self: &Rc<Self>, events: &mut C) {
         loop {
             let told = std::mem::take(&mut *self.told.borrow_mut());
             if told.is_empty() {
                 break;
             }
-            told.into_iter().for_each(|tell| tell(company));
+            told.into_iter().for_each(|tell| tell(events));
         }
-        let now = company.now();
-        company.set_quota_fraction(self.core.borrow().part(now));
+        let now = events.now();
+        events.set_quota_fraction(self.core.borrow().quota_fraction(now));
         if let Some(token) = self.timer.take() {
-            company.handle().remove(token);
+            events.handle().remove(token);
         }
-        let timer = Timer::from_duration(self.core.borrow().next().since(now));
+        let timer = Timer::from_duration(self.core.borrow().next_wakeup().since(now));
         let me = self.clone();
-        let token = company.handle().insert_source(timer, move |_, _, company| {
+        let token = events.handle().insert_source(timer, move |_, _, events| {
             me.timer.take();
-            me.on_timer(company);
+            me.on_timer(events);
             TimeoutAction::Drop
         });
         self.timer.set(token.ok());
     }
 
     /// Writes what is new, as often as the file says.
-    fn save(&self, now: Timestamp, company: &C) {
+    fn save(&self, now: Timestamp, events: &C) {
         let (state, at) = self.saved.get();
         let due = now.since(at) >= self.file.borrow().save_every;
-        let new = self.core.borrow().fleet().state();
+        let new = self.core.borrow().fleet().state_digest();
         if let Some(disk) = self.disk.borrow().as_ref().filter(|_| due && new != state) {
-            let (number, bytes) = self.bytes(now, company);
+            let (number, bytes) = self.bytes(now, events);
             if disk.write(number, bytes) {
                 self.saved.set((new, now));
             }
         }
     }
 
-    fn bytes(&self, now: Timestamp, company: &C) -> (u64, Vec<u8>) {
-        let held = company.flow_entries().into_iter().map(|held| (held.key, held.server));
-        let saved = self.core.borrow_mut().save(held, wall_ms(now));
+    fn bytes(&self, now: Timestamp, events: &C) -> (u64, Vec<u8>) {
+        let held = events.flow_entries().into_iter().map(|held| (held.key, held.server));
+        let saved = self.core.borrow_mut().snapshot(held, wall_ms(now));
         (saved.number, snapshot::write(&saved))
     }
 
     /// Discovery has told a list; whether it was taken.
-    pub fn told(self: &Rc<Self>, facts: Vec<(String, Fact)>, whole: bool, seq: u64, company: &mut C) -> bool {
-        let now = company.now();
-        let taken = self.core.borrow_mut().told(facts, whole, seq, now, &mut Out { fellows: self });
-        self.settle(company);
+    pub fn on_endpoint_list(
+        self: &Rc<Self>,
+        records: Vec<(String, ServerRecord)>,
+        whole: bool,
+        seq: u64,
+        events: &mut C,
+    ) -> bool {
+        let now = events.now();
+        let taken =
+            self.core.borrow_mut().on_endpoint_list(records, whole, seq, now, &mut Out { peers: self });
+        self.settle(events);
         taken
     }
 
     /// A session has come: what it is owed. Guards against parts of the fleet's rights that ran out while this process
     /// was stopped: they are asked for again with each.
-    pub fn turn(&self, of: (Option<usize>, Option<usize>), key: u64, company: &mut C) -> Option<Turn> {
-        let now = company.now();
-        company.set_quota_fraction(self.core.borrow().part(now));
-        self.core.borrow_mut().turn(of, key, now)
+    pub fn admission_turn(
+        &self,
+        of: (Option<usize>, Option<usize>),
+        key: u64,
+        events: &mut C,
+    ) -> Option<Turn> {
+        let now = events.now();
+        events.set_quota_fraction(self.core.borrow().quota_fraction(now));
+        self.core.borrow_mut().admission_turn(of, key, now)
     }
 
     /// The value under a key of what all share.
@@ -264,7 +276,7 @@
     /// Puts a value into what all share, under a version that whoever writes it counts; an older one changes nothing.
     pub fn put<T: Serialize>(&self, key: &str, value: &T, count: u64) -> Result<(), PutError> {
         let version = Version { count, by: 0 };
-        self.core.borrow_mut().fleet_mut().put_at(key, value, version, &mut Out { fellows: self })
+        self.core.borrow_mut().fleet_mut().put_version(key, value, version, &mut Out { peers: self })
     }
 
     /// All keys of what all share that begin so.
@@ -274,7 +286,7 @@
     }
 
     /// This process's place among so many.
-    pub fn seat(&self) -> (usize, usize) {
+    pub fn member(&self) -> (usize, usize) {
         let file = self.file.borrow();
         (usize::from(file.roster.me().0), file.roster.size())
     }
@@ -292,8 +304,8 @@
         wall_ms(now) as i64 + self.core.borrow().fleet().clock_correction_ms()
     }
 
-    pub fn let_in(&self) {
-        self.core.borrow_mut().let_in();
+    pub fn record_admission(&self) {
+        self.core.borrow_mut().record_admission();
     }
 
     pub fn state(&self) -> State {
@@ -301,7 +313,7 @@
     }
 
     pub fn watches(&self) -> bool {
-        self.core.borrow().is_asker()
+        self.core.borrow().is_poller()
     }
 
     /// Goes by another file, as far as that can be while processes run.
@@ -313,16 +325,16 @@
     }
 
     /// Tells what was put into what all share from outside a call of the core's.
-    pub fn tell_news(self: &Rc<Self>, company: &mut C) {
-        self.settle(company);
+    pub fn tell_news(self: &Rc<Self>, events: &mut C) {
+        self.settle(events);
     }
 
     /// This process ends: its fellows hear of it, and the disk has all.
-    pub fn leave(&self, company: &C) {
-        let now = company.now();
-        self.core.borrow_mut().leave((now, wall_ms(now)), &mut Out { fellows: self });
+    pub fn leave(&self, events: &C) {
+        let now = events.now();
+        self.core.borrow_mut().leave((now, wall_ms(now)), &mut Out { peers: self });
         if let Some(disk) = self.disk.borrow_mut().take() {
-            let (number, bytes) = self.bytes(now, company);
+            let (number, bytes) = self.bytes(now, events);
             disk.end(number, bytes);
         }
     }
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -8,10 +8,10 @@
 use crate::early::Early;
 use crate::ending::Course;
 use crate::endpoint_list::EndpointList;
-use crate::fellows::Fellows;
 use crate::fleet_file::{FleetError, FleetFile};
 use crate::hands::Hands;
 use crate::line::{Open, LONGEST};
+use crate::peers::Peers;
 use crate::probe::Probe;
 use crate::server::Server;
 use crate::session::{Session, Stage};
@@ -51,7 +51,7 @@
     /// The customers' names in their order.
     pub customers: Vec<String>,
     /// The others that it shares with, where a file names them.
-    pub fellows: Option<Rc<Fellows<Proxy>>>,
+    pub peers: Option<Rc<Peers<Proxy>>>,
     pub name: String,
     /// The size of one ring.
     ring: usize,
@@ -143,7 +143,7 @@
             None => Early::default(),
         },
         customers: start.settings.customers.iter().map(|(name, _)| name.clone()).collect(),
-        fellows: None,
+        peers: None,
         name: start.name,
         ring,
         stop: events.get_signal(),
@@ -165,7 +165,7 @@
     // Lines come back at once here however strained a server is.
     proxy.balancer.start_periodic_checks(!proxy.hands.tells_delay, now, &mut proxy.hands);
     if let Some((file, settings)) = fleet.zip(recovery_settings) {
-        proxy.join_fellows(file, settings, &start.known, start.seed)?;
+        proxy.join_peers(file, settings, &start.known, start.seed)?;
     }
     proxy.settle();
     let address = proxy.door.address().map_err(|source| ServeError::Listen { at: start.listen, source })?;
@@ -210,7 +210,7 @@
         } else {
             self.hands.tally.count("sessions");
             self.last_arrival = now;
-            if self.early.waits() && self.fellows.is_none() {
+            if self.early.waits() && self.peers.is_none() {
                 self.early.holds(&session, &self.hands);
             } else {
                 self.place(&session);
@@ -344,7 +344,7 @@
         let now = self.now();
         log::debug!("list {}: {} lines, whole {}", list.seq, list.entries.len(), list.whole);
         self.hands.list_heard.set(true);
-        if let Some(taken) = self.list_for_fellows(list) {
+        if let Some(taken) = self.list_for_peers(list) {
             return taken;
         }
         if list.told_at.is_some_and(|time| self.start_times.discovery_says(time, now)) {
--- a/crates/proxy/src/reload.rs
+++ b/crates/proxy/src/reload.rs
@@ -26,8 +26,8 @@
                 return log::error!("not read again, nothing changes: {error}");
             }
         };
-        let fellows = self.fellows.clone();
-        match fellows.map_or(Ok(()), |fellows| fellows.read_again(&self.name)) {
+        let peers = self.peers.clone();
+        match peers.map_or(Ok(()), |peers| peers.read_again(&self.name)) {
             Ok(()) => {}
             Err(error) if error.is_transient() => return log::debug!("read again later: {error}"),
             Err(error) => log::error!("fleet file not read again, nothing changes: {error}"),
--- a/crates/proxy/src/spaces.rs
+++ b/crates/proxy/src/spaces.rs
@@ -27,7 +27,7 @@
 pub struct Decided {
     pub customer: Rc<str>,
     pub among: Rc<[ServerId]>,
-    /// Held for as long as the session is: how many there are is how full the room is.
+    /// HeldSession for as long as the session is: how many there are is how full the room is.
     pub place: Rc<()>,
     /// The room is full.
     pub full: bool,
@@ -41,13 +41,13 @@
     /// By customer and rule: what stands there holds one each.
     rooms: BTreeMap<(String, String), Rc<()>>,
     /// This process's place among so many.
-    seat: (usize, usize),
+    member: (usize, usize),
     versions: BTreeMap<String, u64>,
 }
 
 impl Spaces {
-    pub fn new(seat: (usize, usize)) -> Self {
-        Spaces { table: Table::default(), rooms: BTreeMap::new(), seat, versions: BTreeMap::new() }
+    pub fn new(member: (usize, usize)) -> Self {
+        Spaces { table: Table::default(), rooms: BTreeMap::new(), member, versions: BTreeMap::new() }
     }
 
     /// Reads the folder and spreads what is in it; each file by itself, so that a bad one holds up no other.
@@ -153,7 +153,7 @@
     /// What decides a session; none where its customer has no namespace.
     pub fn decide(&mut self, customer: Option<&str>, class: &str, group: Option<&str>) -> Option<Decided> {
         let customer = customer?;
-        let (seat, seats) = self.seat;
+        let (member, members) = self.member;
         match self.table.look_up(Some(customer), class, group) {
             Found::NoSpace => None,
             // Nothing of the fleet is left for it.
@@ -162,7 +162,7 @@
                 Some(Decided { customer: customer.into(), among, place: Rc::new(()), full: true })
             }
             Found::Rule(ruled) => {
-                let room = part_of_room(ruled.room(), seat, seats) as usize;
+                let room = part_of_room(ruled.room(), member, members) as usize;
                 let place = self.rooms.entry((customer.to_owned(), ruled.rule().name.clone())).or_default();
                 let full = Rc::strong_count(place) > room;
                 Some(Decided { customer: customer.into(), among: ruled.among(), place: place.clone(), full })
--- a/crates/recovery/src/order.rs
+++ b/crates/recovery/src/admission.rs
@@ -33,7 +33,7 @@
 
 /// What a request class is owed.
 #[derive(Debug, Clone, Copy)]
-pub struct Owed {
+pub struct ClassPriority {
     pub connect_latency_objective: Option<Duration>,
     /// priority weight of a connection's second; any unit, the same for all.
     pub priority_weight: f64,
@@ -54,10 +54,10 @@
     let_in: bool,
 }
 
-pub struct Return {
+pub struct RecoveryRamp {
     state: State,
     until: Timestamp,
-    classes: Vec<Owed>,
+    classes: Vec<ClassPriority>,
     /// Shares of the customers, by their places in the settings.
     shares: Vec<f64>,
     slow_start: Duration,
@@ -68,16 +68,16 @@
     came: VecDeque<Came>,
 }
 
-impl Return {
+impl RecoveryRamp {
     /// `wait`: how long the list is waited for. `slow_start`: how long a server takes to be warm. `most_pause`: the longest
     /// that a client stays away when told to.
     pub fn new(
-        classes: Vec<Owed>,
+        classes: Vec<ClassPriority>,
         shares: Vec<f64>,
         (wait, slow_start, most_pause): (Duration, Duration, Duration),
         now: Timestamp,
     ) -> Self {
-        Return {
+        RecoveryRamp {
             state: State::Waiting,
             until: now + wait,
             classes,
@@ -118,7 +118,7 @@
 
     /// A session has come: its turn, or none where all is as ever. `key` is any number of the client's, by which those
     /// that are owed alike take turns; `luck` is from 0 to 1.
-    pub fn turn(
+    pub fn admission_turn(
         &mut self,
         (class, customer): (Option<usize>, Option<usize>),
         key: u64,
@@ -148,7 +148,7 @@
     }
 
     /// The session that came last was let in.
-    pub fn let_in(&mut self) {
+    pub fn record_admission(&mut self) {
         self.came.back_mut().into_iter().for_each(|came| came.let_in = true);
     }
 
@@ -198,5 +198,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/order.rs"]
+#[path = "../tests/unit/admission.rs"]
 mod tests;
--- a/crates/recovery/src/counting.rs
+++ b/crates/recovery/src/agreement.rs
@@ -17,7 +17,7 @@
 
 /// What all know of the list: the count, the version reached, and what it was at the last ones.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Counting {
+pub struct ListHistory {
     /// Counts up with each new count of discovery's.
     pub epoch: u64,
     pub seq: u64,
@@ -27,7 +27,7 @@
 
 /// What a list is to the one held.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Told {
+pub enum ListVerdict {
     /// Of the same count, and not older.
     Goes,
     /// One that was told before: it is not taken.
@@ -36,24 +36,24 @@
     Anew,
 }
 
-impl Counting {
+impl ListHistory {
     /// Judges a whole list by its version and its digest.
-    pub fn judge(&self, seq: u64, digest: u32) -> Told {
+    pub fn judge(&self, seq: u64, digest: u32) -> ListVerdict {
         if self.epoch == 0 {
-            return Told::Anew;
+            return ListVerdict::Anew;
         }
         let then = self.past.iter().find(|past| past.0 == seq).map(|past| past.1);
         match then {
-            _ if seq > self.seq => Told::Goes,
-            Some(then) if then == digest && seq == self.seq => Told::Goes,
-            Some(then) if then == digest => Told::Older,
-            _ => Told::Anew,
+            _ if seq > self.seq => ListVerdict::Goes,
+            Some(then) if then == digest && seq == self.seq => ListVerdict::Goes,
+            Some(then) if then == digest => ListVerdict::Older,
+            _ => ListVerdict::Anew,
         }
     }
 
     /// A list was taken.
-    pub fn took(&mut self, told: Told, seq: u64, digest: u32) {
-        if told == Told::Anew {
+    pub fn took(&mut self, told: ListVerdict, seq: u64, digest: u32) {
+        if told == ListVerdict::Anew {
             self.epoch += 1;
             self.past.clear();
         }
@@ -75,5 +75,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/counting.rs"]
+#[path = "../tests/unit/agreement.rs"]
 mod tests;
--- a/crates/recovery/src/trust.rs
+++ b/crates/recovery/src/restore.rs
@@ -1,6 +1,6 @@
 //! What all share of servers, and what of it is believed by a process that has just begun.
 
-use crate::snapshot::Saved;
+use crate::snapshot::Snapshot;
 use serde::{Deserialize, Serialize};
 use shelfgrade::host::{Endpoint, EndpointState};
 use shelfgrade::time::Timestamp;
@@ -9,13 +9,13 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 /// The keys of what all share here.
-pub const SERVERS: &str = "server/";
-pub const BEATS: &str = "beat/";
-pub const LIST: &str = "list";
+pub const SERVER_PREFIX: &str = "server/";
+pub const HEARTBEAT_PREFIX: &str = "beat/";
+pub const LIST_KEY: &str = "list";
 
 /// A line of the server list as all share it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Fact {
+pub struct ServerRecord {
     pub dial: Option<SocketAddr>,
     pub site: String,
     pub kind: String,
@@ -43,10 +43,10 @@
     }
 }
 
-impl Fact {
+impl ServerRecord {
     /// Where a new count of discovery's begins: what was known of this life of the server is not taken back by it.
     /// Guards against a draining server that looks new because discovery has forgotten.
-    pub fn after(mut self, known: Option<&Fact>) -> Self {
+    pub fn after(mut self, known: Option<&ServerRecord>) -> Self {
         if let Some(known) = known.filter(|known| known.born_ms == self.born_ms) {
             self.health = self.health.max(known.health);
         }
@@ -66,16 +66,18 @@
 }
 
 /// A server's line in what all share.
-pub(crate) fn server(entry: &Entry) -> Option<(String, Fact)> {
-    let host = entry.key.strip_prefix(SERVERS)?;
+pub(crate) fn server(entry: &Entry) -> Option<(String, ServerRecord)> {
+    let host = entry.key.strip_prefix(SERVER_PREFIX)?;
     Some((host.to_owned(), postcard::from_bytes(entry.value.as_deref()?).ok()?))
 }
 
 /// One number for a whole list: the same where all lines are, in whatever order. What is gone counts as not there.
-pub fn digest<'a>(facts: impl Iterator<Item = (&'a str, &'a Fact)>) -> u32 {
-    let there = facts.filter(|(_, fact)| fact.health != Health::Terminated);
-    let line = |(host, fact): (&str, &Fact)| xxh3_64(&postcard::to_stdvec(&(host, fact)).unwrap_or_default());
-    there.fold(0, |all, fact| all ^ line(fact) as u32)
+pub fn digest<'a>(records: impl Iterator<Item = (&'a str, &'a ServerRecord)>) -> u32 {
+    let there = records.filter(|(_, record)| record.health != Health::Terminated);
+    let line = |(host, record): (&str, &ServerRecord)| {
+        xxh3_64(&postcard::to_stdvec(&(host, record)).unwrap_or_default())
+    };
+    there.fold(0, |all, record| all ^ line(record) as u32)
 }
 
 /// What a process that begins takes from before, each item with what it is worth.
@@ -88,24 +90,24 @@
     /// Where clients' connections stood, by their keys' hashes, for servers whose start turns out unchanged.
     pub held: Vec<(u64, String, f64)>,
     /// The least that this life may be born at, so that it is later than the last one whatever the clock says.
-    pub born: u64,
+    pub started_at: u64,
 }
 
 impl Restored {
-    pub fn from(saved: Saved, now: Timestamp) -> Self {
-        let fact = |entry: &Entry| -> Option<Endpoint> {
-            let (host, fact) = server(entry)?;
-            Some(fact.line(&host, Some(now))).filter(|_| fact.health != Health::Terminated)
+    pub fn from(saved: Snapshot, now: Timestamp) -> Self {
+        let record = |entry: &Entry| -> Option<Endpoint> {
+            let (host, record) = server(entry)?;
+            Some(record.line(&host, Some(now))).filter(|_| record.health != Health::Terminated)
         };
         Restored {
-            candidates: saved.entries.iter().filter_map(fact).collect(),
+            candidates: saved.entries.iter().filter_map(record).collect(),
             held: saved.held.into_iter().map(|held| (held.key, held.server, held.started_ms)).collect(),
             entries: saved.entries,
-            born: saved.born + 1,
+            started_at: saved.started_at + 1,
         }
     }
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/trust.rs"]
+#[path = "../tests/unit/restore.rs"]
 mod tests;
--- a/crates/recovery/src/snapshot.rs
+++ b/crates/recovery/src/snapshot.rs
@@ -15,7 +15,7 @@
 
 /// What is kept.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Saved {
+pub struct Snapshot {
     /// Whose it is.
     pub fleet: String,
     pub name: String,
@@ -24,16 +24,16 @@
     /// Unix time by the clock of the machine that wrote it, in milliseconds; for the log, nothing is decided by it.
     pub at_ms: u64,
     /// The greatest number that a life of this process has had.
-    pub born: u64,
+    pub started_at: u64,
     /// All that the fleet shares, deleted entries included.
     pub entries: Vec<Entry>,
     /// Where connections stood.
-    pub held: Vec<Held>,
+    pub held: Vec<HeldSession>,
 }
 
 /// A client key's hash, the server that holds its connection, and that server's start, in Unix milliseconds.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Held {
+pub struct HeldSession {
     pub key: u64,
     pub server: String,
     pub started_ms: f64,
@@ -62,7 +62,7 @@
     Fellows(String),
 }
 
-pub fn write(saved: &Saved) -> Vec<u8> {
+pub fn write(saved: &Snapshot) -> Vec<u8> {
     // What is kept is made of numbers, texts and lists: it has no way to fail.
     let body = postcard::to_stdvec(saved).unwrap_or_default();
     let mut bytes = Vec::with_capacity(HEAD + body.len());
@@ -74,7 +74,7 @@
     bytes
 }
 
-pub fn read(bytes: &[u8], fleet: &str, name: &str) -> Result<Saved, SnapshotError> {
+pub fn read(bytes: &[u8], fleet: &str, name: &str) -> Result<Snapshot, SnapshotError> {
     if bytes.is_empty() {
         return Err(SnapshotError::Empty);
     }
@@ -101,7 +101,7 @@
     if xxh3_128(body) != sum {
         return Err(SnapshotError::Damaged);
     }
-    let saved: Saved = postcard::from_bytes(body).map_err(|_| SnapshotError::Damaged)?;
+    let saved: Snapshot = postcard::from_bytes(body).map_err(|_| SnapshotError::Damaged)?;
     if saved.fleet != fleet {
         return Err(SnapshotError::Foreign(saved.fleet));
     }
@@ -117,8 +117,8 @@
     files: &[Option<Vec<u8>>],
     fleet: &str,
     name: &str,
-) -> (Option<Saved>, Vec<(usize, SnapshotError)>) {
-    let mut best: Option<Saved> = None;
+) -> (Option<Snapshot>, Vec<(usize, SnapshotError)>) {
+    let mut best: Option<Snapshot> = None;
     let mut errors = Vec::new();
     for (generation, bytes) in files.iter().enumerate().filter_map(|(i, bytes)| Some((i, bytes.as_ref()?))) {
         match read(bytes, fleet, name) {
--- a/crates/recovery/tests/unit/snapshot.rs
+++ b/crates/recovery/tests/unit/snapshot.rs
@@ -3,23 +3,23 @@
 use super::*;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
-use shelfgrade_fleet::{Seat, Version};
+use shelfgrade_fleet::{MemberId, Version};
 
-fn saved(number: u64) -> Saved {
+fn saved(number: u64) -> Snapshot {
     let entry = |i: u64| Entry {
         key: format!("server/s-{i}"),
         version: Version { count: i, by: 7 },
-        owner: Seat(1),
+        owner: MemberId(1),
         value: (!i.is_multiple_of(3)).then(|| vec![i as u8; 40]),
     };
-    Saved {
+    Snapshot {
         fleet: "dar".into(),
         name: "n3".into(),
         number,
         at_ms: 1_790_000_000_000,
-        born: 17,
+        started_at: 17,
         entries: (0..number + 3).map(entry).collect(),
-        held: vec![Held { key: 5, server: "s-1".into(), started_ms: 12.5 }],
+        held: vec![HeldSession { key: 5, server: "s-1".into(), started_ms: 12.5 }],
     }
 }
 
--- a/crates/testkit/examples/hollow.rs
+++ b/crates/testkit/examples/hollow.rs
@@ -109,7 +109,9 @@
             for i in 0..number {
                 let key = format!("{kind}/{i}");
                 hollow
-                    .act(out, |fleet, around| fleet.put(&key, &(i as u64, "10.1.0.18:8000", 1.5), around))
+                    .act(out, |fleet, environment| {
+                        fleet.put(&key, &(i as u64, "10.1.0.18:8000", 1.5), environment)
+                    })
                     .expect("put");
             }
         });
@@ -155,7 +157,7 @@
 
     /// How many different things are known.
     fn states(&self) -> usize {
-        let states = self.all.each(|_, hollow| hollow.fleet.state());
+        let states = self.all.each(|_, hollow| hollow.fleet.state_digest());
         states.into_iter().map(|(_, state)| state).collect::<std::collections::BTreeSet<_>>().len()
     }
 
--- a/crates/testkit/src/cells.rs
+++ b/crates/testkit/src/cells.rs
@@ -181,8 +181,8 @@
     pub fn inject(&mut self, from: SocketAddr, to: usize, bytes: &[u8]) {
         let now = self.now;
         self.call(to, |core, out| match core {
-            Core::Replica(core) => core.heard(from, bytes, now, out),
-            Core::Process(core) => core.heard(from, bytes, now, out),
+            Core::Replica(core) => core.on_datagram(from, bytes, now, out),
+            Core::Process(core) => core.on_datagram(from, bytes, now, out),
         });
     }
 
@@ -218,8 +218,8 @@
             self.send(node, to, bytes);
         }
         let next = match &self.nodes[node].core {
-            Some(Core::Replica(core)) => core.next(),
-            Some(Core::Process(core)) => core.next(),
+            Some(Core::Replica(core)) => core.next_wakeup(),
+            Some(Core::Process(core)) => core.next_wakeup(),
             None => return,
         };
         // A core that is due at once is called again a moment later.
--- a/crates/testkit/src/cells/parts.rs
+++ b/crates/testkit/src/cells/parts.rs
@@ -2,7 +2,7 @@
 
 use shelfgrade::time::Timestamp;
 use shelfgrade_cells::{
-    Batch, CellId, ChangeError, Kept, Key, Process, Record, Replica, Stored, Surroundings,
+    Batch, CellId, ChangeError, Environment, Kept, Key, Process, Record, Replica, Stored,
 };
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -108,20 +108,20 @@
     pub(super) refused: Vec<&'static str>,
 }
 
-impl Surroundings for Out {
+impl Environment for Out {
     fn send(&mut self, to: SocketAddr, datagram: Vec<u8>) {
         self.sends.push((to, datagram));
     }
     fn store(&mut self, stored: Stored) {
         self.stored.push(stored);
     }
-    fn news(&mut self, record: &Record) {
+    fn record_changed(&mut self, record: &Record) {
         self.news.push(record.key.clone());
     }
-    fn outcome(&mut self, id: u64, outcome: Result<(), ChangeError>) {
+    fn change_decided(&mut self, id: u64, outcome: Result<(), ChangeError>) {
         self.outcomes.push((id, outcome));
     }
-    fn refused(&mut self, why: &'static str) {
+    fn datagram_rejected(&mut self, why: &'static str) {
         self.refused.push(why);
     }
 }
--- a/crates/testkit/src/drawn.rs
+++ b/crates/testkit/src/drawn.rs
@@ -2,10 +2,10 @@
 
 use nanorand::{Rng, WyRand};
 use shelfgrade::time::Timestamp;
-use shelfgrade_fleet::{Entry, Fleet, Roster, Seat, Surroundings};
-use shelfgrade_recovery::around::{Around, Line, RecoverySettings};
-use shelfgrade_recovery::comeback::Comeback;
-use shelfgrade_recovery::order::{Owed, State};
+use shelfgrade_fleet::{Entry, Environment, Fleet, MemberId, Roster};
+use shelfgrade_recovery::admission::{ClassPriority, State};
+use shelfgrade_recovery::environment::{EndpointAddress, RecoveryEnvironment, RecoverySettings};
+use shelfgrade_recovery::node::Node;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -24,34 +24,34 @@
 
 /// What runs in a process: the fleet's core alone, or the return over it.
 pub trait Core {
-    fn begin(roster: Roster, born: u64, seed: u64, now: Timestamp, wall_ms: u64) -> Self;
+    fn begin(roster: Roster, started_at: u64, seed: u64, now: Timestamp, wall_ms: u64) -> Self;
     fn fleet(&self) -> &Fleet;
-    fn next(&self) -> Timestamp;
+    fn next_wakeup(&self) -> Timestamp;
     fn on_timer(&mut self, now: Timestamp, wall_ms: u64, asked: &mut Asked);
-    fn heard(&mut self, datagram: &[u8], now: Timestamp, wall_ms: u64, asked: &mut Asked);
+    fn on_datagram(&mut self, datagram: &[u8], now: Timestamp, wall_ms: u64, asked: &mut Asked);
 }
 
 impl Core for Fleet {
-    fn begin(roster: Roster, born: u64, seed: u64, now: Timestamp, _: u64) -> Self {
-        Fleet::new(roster, born, seed, now)
+    fn begin(roster: Roster, started_at: u64, seed: u64, now: Timestamp, _: u64) -> Self {
+        Fleet::new(roster, started_at, seed, now)
     }
     fn fleet(&self) -> &Fleet {
         self
     }
-    fn next(&self) -> Timestamp {
-        Fleet::next(self)
+    fn next_wakeup(&self) -> Timestamp {
+        Fleet::next_wakeup(self)
     }
     fn on_timer(&mut self, now: Timestamp, wall_ms: u64, asked: &mut Asked) {
         Fleet::on_timer(self, now, wall_ms, asked);
     }
-    fn heard(&mut self, datagram: &[u8], now: Timestamp, wall_ms: u64, asked: &mut Asked) {
-        Fleet::heard(self, datagram, now, wall_ms, asked);
+    fn on_datagram(&mut self, datagram: &[u8], now: Timestamp, wall_ms: u64, asked: &mut Asked) {
+        Fleet::on_datagram(self, datagram, now, wall_ms, asked);
     }
 }
 
-impl Core for Comeback {
+impl Core for Node {
     fn begin(roster: Roster, _: u64, seed: u64, now: Timestamp, wall_ms: u64) -> Self {
-        let owed = |ms, priority_weight| Owed {
+        let owed = |ms, priority_weight| ClassPriority {
             connect_latency_objective: Some(Duration::from_millis(ms)),
             priority_weight,
         };
@@ -62,19 +62,19 @@
             slow_start: Duration::from_millis(8600),
             most_pause: Duration::from_millis(2000),
         };
-        Comeback::new(roster, settings, None, seed, (now, wall_ms))
+        Node::new(roster, settings, None, seed, (now, wall_ms))
     }
     fn fleet(&self) -> &Fleet {
-        Comeback::fleet(self)
+        Node::fleet(self)
     }
-    fn next(&self) -> Timestamp {
-        Comeback::next(self)
+    fn next_wakeup(&self) -> Timestamp {
+        Node::next_wakeup(self)
     }
     fn on_timer(&mut self, now: Timestamp, wall_ms: u64, asked: &mut Asked) {
-        Comeback::on_timer(self, (now, wall_ms), asked);
+        Node::on_timer(self, (now, wall_ms), asked);
     }
-    fn heard(&mut self, datagram: &[u8], now: Timestamp, wall_ms: u64, asked: &mut Asked) {
-        Comeback::heard(self, datagram, (now, wall_ms), asked);
+    fn on_datagram(&mut self, datagram: &[u8], now: Timestamp, wall_ms: u64, asked: &mut Asked) {
+        Node::on_datagram(self, datagram, (now, wall_ms), asked);
     }
 }
 
@@ -97,36 +97,36 @@
 /// What a core asked for in one call.
 #[derive(Default)]
 pub struct Asked {
-    sent: Vec<(Seat, Vec<u8>)>,
+    sent: Vec<(MemberId, Vec<u8>)>,
     entries: Vec<Entry>,
     refused: Vec<&'static str>,
     watches: Option<bool>,
     state: Option<State>,
 }
 
-impl Around for Asked {
-    fn follow(&mut self, _: Vec<Line>, _: bool) {}
-    fn watch(&mut self, watches: bool) {
+impl RecoveryEnvironment for Asked {
+    fn apply_endpoints(&mut self, _: Vec<EndpointAddress>, _: bool) {}
+    fn set_polling(&mut self, watches: bool) {
         self.watches = Some(watches);
     }
-    fn enters(&mut self, state: State, _: &str) {
+    fn state_changed(&mut self, state: State, _: &str) {
         self.state = Some(state);
     }
-    fn held_before(&mut self, _: u64, _: &str, _: f64) {}
-    fn refused_list(&mut self, _: &str) {}
+    fn restore_flow(&mut self, _: u64, _: &str, _: f64) {}
+    fn list_rejected(&mut self, _: &str) {}
 }
 
-impl Surroundings for Asked {
-    fn send(&mut self, to: Seat, datagram: Vec<u8>) {
+impl Environment for Asked {
+    fn send(&mut self, to: MemberId, datagram: Vec<u8>) {
         assert!(datagram.len() <= shelfgrade_fleet::LONGEST, "{} bytes in one datagram", datagram.len());
         self.sent.push((to, datagram));
     }
-    fn entry(&mut self, entry: &Entry) {
+    fn entry_changed(&mut self, entry: &Entry) {
         self.entries.push(entry.clone());
     }
-    fn came(&mut self, _: Seat) {}
-    fn went(&mut self, _: Seat) {}
-    fn refused(&mut self, why: &'static str) {
+    fn member_joined(&mut self, _: MemberId) {}
+    fn member_left(&mut self, _: MemberId) {}
+    fn datagram_rejected(&mut self, why: &'static str) {
         self.refused.push(why);
     }
 }
@@ -137,13 +137,13 @@
     pub processes: Vec<Process<C>>,
     pub network: Network,
     /// Pairs whose first one cannot reach the second.
-    pub cut: BTreeSet<(Seat, Seat)>,
+    pub cut: BTreeSet<(MemberId, MemberId)>,
     names: Vec<String>,
     /// When who wakes next.
     alarms: BTreeSet<(Timestamp, usize)>,
     wakes: Vec<Timestamp>,
     /// What is under way, in the order of arrival; a number tells apart what comes at once.
-    under_way: BTreeMap<(Timestamp, u64), (Seat, Vec<u8>)>,
+    under_way: BTreeMap<(Timestamp, u64), (MemberId, Vec<u8>)>,
     number: u64,
     chance: WyRand,
     seed: u64,
@@ -184,7 +184,7 @@
     /// One with all its processes running.
     pub fn running(size: usize, network: Network, seed: u64) -> Self {
         let mut fleet = Self::new(size, network, seed);
-        (0..size).for_each(|seat| fleet.start(seat));
+        (0..size).for_each(|member| fleet.start(member));
         fleet
     }
 
@@ -193,49 +193,50 @@
     }
 
     /// Starts a process with nothing known.
-    pub fn start(&mut self, seat: usize) {
+    pub fn start(&mut self, member: usize) {
         self.lives += 1;
-        let roster = Roster::new("trial", self.names.iter().cloned(), &self.names[seat]).expect("a roster");
-        let born = (self.wall_ms(seat) * 1000) + self.lives;
+        let roster = Roster::new("trial", self.names.iter().cloned(), &self.names[member]).expect("a roster");
+        let started_at = (self.wall_ms(member) * 1000) + self.lives;
         let seed = self.seed.wrapping_add(self.lives * 0x9e37);
-        let core = C::begin(roster, born, seed, self.now, self.wall_ms(seat));
-        (self.processes[seat].watches, self.processes[seat].states) = (false, Vec::new());
-        self.processes[seat].core = Some(core);
-        self.processes[seat].stopped = false;
-        self.set_alarm(seat);
+        let core = C::begin(roster, started_at, seed, self.now, self.wall_ms(member));
+        (self.processes[member].watches, self.processes[member].states) = (false, Vec::new());
+        self.processes[member].core = Some(core);
+        self.processes[member].stopped = false;
+        self.set_alarm(member);
     }
 
-    pub fn kill(&mut self, seat: usize) {
-        self.processes[seat].core = None;
-        self.set_alarm(seat);
+    pub fn kill(&mut self, member: usize) {
+        self.processes[member].core = None;
+        self.set_alarm(member);
     }
 
     /// Stops a process, or has it go on.
-    pub fn stop(&mut self, seat: usize, stopped: bool) {
-        self.processes[seat].stopped = stopped;
-        self.set_alarm(seat);
+    pub fn stop(&mut self, member: usize, stopped: bool) {
+        self.processes[member].stopped = stopped;
+        self.set_alarm(member);
     }
 
-    fn set_alarm(&mut self, seat: usize) {
-        let process = &self.processes[seat];
-        let next = process.core.as_ref().filter(|_| !process.stopped).map_or(Timestamp::NEVER, C::next);
-        let before = std::mem::replace(&mut self.wakes[seat], next);
-        self.alarms.remove(&(before, seat));
+    fn set_alarm(&mut self, member: usize) {
+        let process = &self.processes[member];
+        let next =
+            process.core.as_ref().filter(|_| !process.stopped).map_or(Timestamp::NEVER, C::next_wakeup);
+        let before = std::mem::replace(&mut self.wakes[member], next);
+        self.alarms.remove(&(before, member));
         if next < Timestamp::NEVER {
-            self.alarms.insert((next, seat));
+            self.alarms.insert((next, member));
         }
     }
 
-    pub fn core(&self, seat: usize) -> &Fleet {
-        self.processes[seat].core.as_ref().expect("a process that runs").fleet()
+    pub fn core(&self, member: usize) -> &Fleet {
+        self.processes[member].core.as_ref().expect("a process that runs").fleet()
     }
 
-    pub fn running_seats(&self) -> Vec<usize> {
-        (0..self.size()).filter(|seat| self.processes[*seat].core.is_some()).collect()
+    pub fn running_members(&self) -> Vec<usize> {
+        (0..self.size()).filter(|member| self.processes[*member].core.is_some()).collect()
     }
 
-    fn wall_ms(&self, seat: usize) -> u64 {
-        (self.now.as_ms() as i64 + self.processes[seat].ahead_ms) as u64
+    fn wall_ms(&self, member: usize) -> u64 {
+        (self.now.as_ms() as i64 + self.processes[member].ahead_ms) as u64
     }
 
     /// Cuts the fleet in two that cannot reach each other.
@@ -243,24 +244,24 @@
         for from in 0..self.size() {
             for to in 0..self.size() {
                 if first(from) != first(to) {
-                    self.cut.insert((Seat(from as u16), Seat(to as u16)));
+                    self.cut.insert((MemberId(from as u16), MemberId(to as u16)));
                 }
             }
         }
     }
 
     /// Has a process's core do something.
-    pub fn with<T>(&mut self, seat: usize, act: impl FnOnce(&mut C, &mut Asked) -> T) -> T {
+    pub fn with<T>(&mut self, member: usize, act: impl FnOnce(&mut C, &mut Asked) -> T) -> T {
         let mut asked = Asked::default();
-        let core = self.processes[seat].core.as_mut().expect("a process that runs");
+        let core = self.processes[member].core.as_mut().expect("a process that runs");
         let done = act(core, &mut asked);
-        self.carry_out(seat, asked);
-        self.set_alarm(seat);
+        self.carry_out(member, asked);
+        self.set_alarm(member);
         done
     }
 
-    fn carry_out(&mut self, seat: usize, asked: Asked) {
-        let process = &mut self.processes[seat];
+    fn carry_out(&mut self, member: usize, asked: Asked) {
+        let process = &mut self.processes[member];
         process.watches = asked.watches.unwrap_or(process.watches);
         process.states.extend(asked.state.map(|state| (self.now, state)));
         process.heard.extend(asked.entries);
@@ -273,7 +274,7 @@
                 draw if draw < self.network.lost + self.network.doubled => 2,
                 _ => 1,
             };
-            if self.cut.contains(&(Seat(seat as u16), to)) {
+            if self.cut.contains(&(MemberId(member as u16), to)) {
                 continue;
             }
             for _ in 0..times {
@@ -288,7 +289,7 @@
     /// Puts a datagram of somebody else's in its way.
     pub fn inject(&mut self, to: usize, datagram: Vec<u8>) {
         self.number += 1;
-        self.under_way.insert((self.now, self.number), (Seat(to as u16), datagram));
+        self.under_way.insert((self.now, self.number), (MemberId(to as u16), datagram));
     }
 
     /// Lets time pass.
@@ -303,9 +304,9 @@
             if arrival == Some(at) {
                 let (_, (to, datagram)) = self.under_way.pop_first().expect("what arrives");
                 self.hand_over(usize::from(to.0), &datagram);
-            } else if let Some((_, seat)) = alarm {
-                let (now, wall) = (self.now, self.wall_ms(seat));
-                self.with(seat, |core, around| core.on_timer(now, wall, around));
+            } else if let Some((_, member)) = alarm {
+                let (now, wall) = (self.now, self.wall_ms(member));
+                self.with(member, |core, environment| core.on_timer(now, wall, environment));
             }
         }
         self.now = end;
@@ -314,19 +315,19 @@
     fn hand_over(&mut self, to: usize, datagram: &[u8]) {
         if self.processes[to].core.is_some() && !self.processes[to].stopped {
             let (now, wall) = (self.now, self.wall_ms(to));
-            self.with(to, |core, around| core.heard(datagram, now, wall, around));
+            self.with(to, |core, environment| core.on_datagram(datagram, now, wall, environment));
         }
     }
 
     /// What all that run may do together now.
     pub fn sum_of_parts(&self) -> f64 {
-        self.running_seats().iter().map(|seat| self.core(*seat).part(self.now)).sum()
+        self.running_members().iter().map(|member| self.core(*member).quota_fraction(self.now)).sum()
     }
 
     /// Whether all that run know the same.
     pub fn agree(&self) -> bool {
         let states: BTreeSet<u64> =
-            self.running_seats().iter().map(|seat| self.core(*seat).state()).collect();
+            self.running_members().iter().map(|member| self.core(*member).state_digest()).collect();
         states.len() <= 1
     }
 }
--- a/crates/testkit/src/hollow.rs
+++ b/crates/testkit/src/hollow.rs
@@ -2,7 +2,7 @@
 
 use crate::simulation::{Core, Outbox};
 use shelfgrade::time::Timestamp;
-use shelfgrade_fleet::{Entry, Fleet, Roster, Seat, Surroundings};
+use shelfgrade_fleet::{Entry, Environment, Fleet, MemberId, Roster};
 
 /// A roster of so many, whose names are in the order of their numbers.
 pub fn roster(size: usize) -> Roster {
@@ -30,56 +30,52 @@
 
 impl Hollow {
     /// `life` tells apart what is started in one seat.
-    pub fn new(roster: &Roster, name: &str, life: u64, now: Timestamp) -> Self {
+    pub fn new(roster: &Roster, name: &str, incarnation: u64, now: Timestamp) -> Self {
         let roster = roster.seen_by(name).expect("one of the roster");
         let process = roster.me().0;
-        let born = now.as_ms() as u64 * 1000 + life;
-        let seed = u64::from(process).wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ life;
-        Hollow { fleet: Fleet::new(roster, born, seed, now), told: Told::default() }
+        let started_at = now.as_ms() as u64 * 1000 + incarnation;
+        let seed = u64::from(process).wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ incarnation;
+        Hollow { fleet: Fleet::new(roster, started_at, seed, now), told: Told::default() }
     }
 
     /// Has the core do something that it may send for.
-    pub fn act<T>(
-        &mut self,
-        out: &mut Outbox,
-        act: impl FnOnce(&mut Fleet, &mut dyn Surroundings) -> T,
-    ) -> T {
-        act(&mut self.fleet, &mut Around { out, told: &mut self.told })
+    pub fn act<T>(&mut self, out: &mut Outbox, act: impl FnOnce(&mut Fleet, &mut dyn Environment) -> T) -> T {
+        act(&mut self.fleet, &mut HollowEnvironment { out, told: &mut self.told })
     }
 }
 
-struct Around<'a> {
+struct HollowEnvironment<'a> {
     out: &'a mut Outbox,
     told: &'a mut Told,
 }
 
-impl Surroundings for Around<'_> {
-    fn send(&mut self, to: Seat, datagram: Vec<u8>) {
+impl Environment for HollowEnvironment<'_> {
+    fn send(&mut self, to: MemberId, datagram: Vec<u8>) {
         assert!(datagram.len() <= shelfgrade_fleet::LONGEST, "{} bytes in one datagram", datagram.len());
         self.out.push((usize::from(to.0), datagram));
     }
-    fn entry(&mut self, _: &Entry) {
+    fn entry_changed(&mut self, _: &Entry) {
         self.told.entries += 1;
     }
-    fn came(&mut self, _: Seat) {
+    fn member_joined(&mut self, _: MemberId) {
         self.told.came += 1;
     }
-    fn went(&mut self, _: Seat) {
+    fn member_left(&mut self, _: MemberId) {
         self.told.went += 1;
     }
-    fn refused(&mut self, _: &'static str) {
+    fn datagram_rejected(&mut self, _: &'static str) {
         self.told.refused += 1;
     }
 }
 
 impl Core for Hollow {
-    fn heard(&mut self, _: usize, datagram: &[u8], now: Timestamp, out: &mut Outbox) {
-        self.act(out, |fleet, around| fleet.heard(datagram, now, now.as_ms() as u64, around));
+    fn on_datagram(&mut self, _: usize, datagram: &[u8], now: Timestamp, out: &mut Outbox) {
+        self.act(out, |fleet, environment| fleet.on_datagram(datagram, now, now.as_ms() as u64, environment));
     }
     fn on_timer(&mut self, now: Timestamp, out: &mut Outbox) {
-        self.act(out, |fleet, around| fleet.on_timer(now, now.as_ms() as u64, around));
+        self.act(out, |fleet, environment| fleet.on_timer(now, now.as_ms() as u64, environment));
     }
-    fn next(&self) -> Timestamp {
-        self.fleet.next()
+    fn next_wakeup(&self) -> Timestamp {
+        self.fleet.next_wakeup()
     }
 }
--- a/crates/testkit/src/region.rs
+++ b/crates/testkit/src/region.rs
@@ -69,7 +69,7 @@
     }
 
     fn set_alarm(&mut self, at: usize) {
-        let next = self.cores[at].as_ref().map_or(Timestamp::NEVER, C::next);
+        let next = self.cores[at].as_ref().map_or(Timestamp::NEVER, C::next_wakeup);
         let before = std::mem::replace(&mut self.wakes[at], next);
         if before != next {
             self.alarms.remove(&(before, at));
@@ -134,7 +134,7 @@
                 let Some(Reverse(Arrival { datagram, .. })) = self.under_way.pop() else { break };
                 let to = datagram.to - self.first;
                 let heard = self.call(to, |core, now, out| {
-                    core.heard(datagram.from, &datagram.bytes, now, out);
+                    core.on_datagram(datagram.from, &datagram.bytes, now, out);
                 });
                 if heard.is_some() {
                     self.usage[to].heard += 1;
--- a/crates/testkit/src/simulation.rs
+++ b/crates/testkit/src/simulation.rs
@@ -29,10 +29,10 @@
 
 /// What runs in one process. Processes are known by their number.
 pub trait Core: 'static {
-    fn heard(&mut self, from: usize, datagram: &[u8], now: Timestamp, out: &mut Outbox);
+    fn on_datagram(&mut self, from: usize, datagram: &[u8], now: Timestamp, out: &mut Outbox);
     /// The time has come that `next` named.
     fn on_timer(&mut self, now: Timestamp, out: &mut Outbox);
-    fn next(&self) -> Timestamp;
+    fn next_wakeup(&self) -> Timestamp;
 }
 
 /// What a core sends in one call: to which process, and what.
--- a/crates/testkit/src/sockets.rs
+++ b/crates/testkit/src/sockets.rs
@@ -21,7 +21,7 @@
     sockets: Vec<UdpSocket>,
     /// By the order of the roster.
     pub addresses: Vec<SocketAddr>,
-    seats: BTreeMap<SocketAddr, usize>,
+    members: BTreeMap<SocketAddr, usize>,
     ready: rustix::fd::OwnedFd,
     alarms: BTreeSet<(Timestamp, usize)>,
     wakes: Vec<Timestamp>,
@@ -29,7 +29,7 @@
     pub sent: Counts,
     /// From the real processes, each by its seat.
     from_real: BTreeMap<usize, Counts>,
-    hollow_seats: BTreeSet<usize>,
+    hollow_members: BTreeSet<usize>,
 }
 
 impl Sockets {
@@ -51,9 +51,9 @@
         let names = &all[all.len() - sockets.len()..];
         let cores: Vec<_> = names.iter().map(|(name, _)| Hollow::new(&roster, name, 1, now)).collect();
         let addresses: Vec<_> = by_name.values().copied().collect();
-        let seats = addresses.iter().enumerate().map(|(seat, address)| (*address, seat)).collect();
+        let members = addresses.iter().enumerate().map(|(member, address)| (*address, member)).collect();
         let mut trial = Sockets {
-            hollow_seats: cores.iter().map(|core| usize::from(core.fleet.me().seat.0)).collect(),
+            hollow_members: cores.iter().map(|core| usize::from(core.fleet.me().member.0)).collect(),
             alarms: BTreeSet::new(),
             wakes: vec![Timestamp::NEVER; cores.len()],
             sent: Counts::default(),
@@ -61,7 +61,7 @@
             cores,
             sockets,
             addresses,
-            seats,
+            members,
             ready,
             began,
         };
@@ -74,7 +74,7 @@
     }
 
     fn set_alarm(&mut self, at: usize) {
-        let next = self.cores[at].next();
+        let next = self.cores[at].next_wakeup();
         self.alarms.remove(&(std::mem::replace(&mut self.wakes[at], next), at));
         self.alarms.insert((next, at));
     }
@@ -108,13 +108,13 @@
             let _ = epoll::wait(&self.ready, rustix::buffer::spare_capacity(&mut events), Some(&wait));
             for at in events.iter().map(|event: &epoll::Event| event.data.u64() as usize) {
                 let Ok((length, from)) = self.sockets[at].recv_from(&mut datagram) else { continue };
-                let Some(seat) = self.seats.get(&from).copied() else { continue };
-                if !self.hollow_seats.contains(&seat) {
-                    let counts = self.from_real.entry(seat).or_default();
+                let Some(member) = self.members.get(&from).copied() else { continue };
+                if !self.hollow_members.contains(&member) {
+                    let counts = self.from_real.entry(member).or_default();
                     counts.datagrams += 1;
                     counts.bytes += length as u64;
                 }
-                self.act(at, |core, now, out| core.heard(seat, &datagram[..length], now, out));
+                self.act(at, |core, now, out| core.on_datagram(member, &datagram[..length], now, out));
             }
         }
     }
@@ -136,7 +136,7 @@
             for i in 0..number {
                 let key = format!("{kind}/{i}");
                 let value = (i as u64, "10.1.0.18:8000", 1.5);
-                core.act(out, |fleet, around| fleet.put(&key, &value, around)).expect("put");
+                core.act(out, |fleet, environment| fleet.put(&key, &value, environment)).expect("put");
             }
         });
     }
@@ -150,7 +150,7 @@
     }
 
     pub fn states(&self) -> usize {
-        self.cores.iter().map(|core| core.fleet.state()).collect::<BTreeSet<_>>().len()
+        self.cores.iter().map(|core| core.fleet.state_digest()).collect::<BTreeSet<_>>().len()
     }
 
     /// What all real processes sent to the hollow ones.
--- a/crates/testkit/tests/returns.rs
+++ b/crates/testkit/tests/returns.rs
@@ -1,9 +1,9 @@
 //! The return of three hundred in virtual time: who asks, when all know the list, and in which order states follow.
 
 use shelfgrade::time::{DurationExt, Timestamp};
-use shelfgrade_recovery::comeback::Comeback;
-use shelfgrade_recovery::order::State;
-use shelfgrade_recovery::trust::{Fact, Health};
+use shelfgrade_recovery::admission::State;
+use shelfgrade_recovery::node::Node;
+use shelfgrade_recovery::restore::{Health, ServerRecord};
 use shelfgrade_testkit::drawn::{Drawn, Network};
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -12,8 +12,8 @@
 const SIZE: usize = 300;
 
 /// Discovery's list: servers that started a moment ago.
-fn list(now: Timestamp) -> Vec<(String, Fact)> {
-    let fact = || Fact {
+fn list(now: Timestamp) -> Vec<(String, ServerRecord)> {
+    let fact = || ServerRecord {
         dial: "10.1.0.18:8000".parse().ok(),
         site: "a".into(),
         kind: "m2".into(),
@@ -26,33 +26,35 @@
 
 /// A whole fleet that has just started, with discovery there from `there_ms` on; whoever watches it asks once a second until
 /// it is answered. Gives the fleet after eight seconds and who has asked.
-fn comes_back(seed: u64, there_ms: u64, dead: &[usize]) -> (Drawn<Comeback>, Vec<(Timestamp, usize)>) {
-    let mut fleet: Drawn<Comeback> = Drawn::running(SIZE, USUAL, seed);
-    dead.iter().for_each(|seat| fleet.kill(*seat));
+fn comes_back(seed: u64, there_ms: u64, dead: &[usize]) -> (Drawn<Node>, Vec<(Timestamp, usize)>) {
+    let mut fleet: Drawn<Node> = Drawn::running(SIZE, USUAL, seed);
+    dead.iter().for_each(|member| fleet.kill(*member));
     let began = fleet.now;
     let facts = list(began);
     let (mut calls, mut answered) = (Vec::new(), BTreeSet::new());
     let mut due = vec![began; SIZE];
     while fleet.now.since(began) < Duration::from_millis(8000) {
         fleet.passes(50);
-        for seat in fleet.running_seats() {
-            if !fleet.processes[seat].watches || answered.contains(&seat) || fleet.now < due[seat] {
+        for member in fleet.running_members() {
+            if !fleet.processes[member].watches || answered.contains(&member) || fleet.now < due[member] {
                 continue;
             }
-            calls.push((fleet.now, seat));
-            due[seat] = fleet.now + Duration::from_millis(1000);
+            calls.push((fleet.now, member));
+            due[member] = fleet.now + Duration::from_millis(1000);
             if fleet.now.since(began) >= Duration::from_millis(there_ms) {
-                answered.insert(seat);
+                answered.insert(member);
                 let (facts, now) = (facts.clone(), fleet.now);
-                fleet.with(seat, |core, around| core.told(facts, true, 1, now, around));
+                fleet.with(member, |core, environment| {
+                    core.on_endpoint_list(facts, true, 1, now, environment)
+                });
             }
         }
     }
     (fleet, calls)
 }
 
-fn states(fleet: &Drawn<Comeback>, seat: usize) -> Vec<State> {
-    fleet.processes[seat].states.iter().map(|(_, state)| *state).collect()
+fn states(fleet: &Drawn<Node>, member: usize) -> Vec<State> {
+    fleet.processes[member].states.iter().map(|(_, state)| *state).collect()
 }
 
 /// Each of three hundred asked discovery for itself.
@@ -61,10 +63,11 @@
     let (fleet, calls) = comes_back(1, 0, &[]);
     assert_eq!(calls.len(), 3, "{calls:?}");
     let began = fleet.now - Duration::from_millis(8000);
-    let late: Vec<_> = (0..SIZE).map(|seat| fleet.processes[seat].states[0].0.since(began).as_ms()).collect();
+    let late: Vec<_> =
+        (0..SIZE).map(|member| fleet.processes[member].states[0].0.since(began).as_ms()).collect();
     let slowest = late.iter().copied().fold(0.0, f64::max);
     println!("three hundred have the list after {slowest} ms at the latest, with {} calls", calls.len());
-    assert!(slowest <= 2300.0 && (0..SIZE).all(|seat| states(&fleet, seat)[0] == State::Warming));
+    assert!(slowest <= 2300.0 && (0..SIZE).all(|member| states(&fleet, member)[0] == State::Warming));
     assert!(fleet.sum_of_parts() > 0.95 && fleet.sum_of_parts() <= 1.0 + 1e-9);
 }
 
@@ -75,12 +78,12 @@
     let (fleet, calls) = comes_back(1, 0, &first);
     let asked: BTreeSet<_> = calls.iter().map(|call| call.1).collect();
     assert!(calls.len() <= 6 && asked.is_disjoint(&first.iter().copied().collect()), "{calls:?}");
-    assert!(fleet.running_seats().iter().all(|seat| !states(&fleet, *seat).is_empty()));
+    assert!(fleet.running_members().iter().all(|member| !states(&fleet, *member).is_empty()));
     let (fleet, calls) = comes_back(1, 60_000, &[]);
     let asked: BTreeSet<_> = calls.iter().map(|call| call.1).collect();
     assert!(asked.len() <= 9, "{asked:?}");
     // Nobody knew any server: what is known from before has to do, and there is nothing.
-    assert!((0..SIZE).all(|seat| states(&fleet, seat) == [State::Serving]));
+    assert!((0..SIZE).all(|member| states(&fleet, member) == [State::Serving]));
 }
 
 #[test]
--- a/crates/testkit/tests/shared.rs
+++ b/crates/testkit/tests/shared.rs
@@ -3,7 +3,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use shelfgrade::time::DurationExt;
-use shelfgrade_fleet::{Entry, Fleet, Map, Merged, Seat, Version, LEASE};
+use shelfgrade_fleet::{Entry, Fleet, Map, MemberId, Merged, Version, LEASE};
 use shelfgrade_testkit::drawn::{Drawn, CALM, ROUGH};
 
 fn entry() -> impl Strategy<Value = Entry> {
@@ -11,7 +11,7 @@
     ("[a-d]{1,2}", 0..4u64, 0..3u64, 0..3u16, value).prop_map(|(key, count, by, owner, value)| Entry {
         key,
         version: Version { count, by },
-        owner: Seat(owner),
+        owner: MemberId(owner),
         value,
     })
 }
@@ -59,7 +59,7 @@
     let of = |key: String, length: usize, count: u64| Entry {
         key,
         version: Version { count, by: 1 },
-        owner: Seat(0),
+        owner: MemberId(0),
         value: Some(vec![7; length]),
     };
     assert_eq!(map.merge(of("a".into(), 901, 1)), Merged::OverBound);
@@ -75,22 +75,22 @@
 fn never_more_than_the_whole(size: usize, seed: u64, steps: &[(u8, usize, u64)]) {
     let mut fleet = Drawn::<Fleet>::running(size, if seed.is_multiple_of(2) { ROUGH } else { CALM }, seed);
     fleet.passes(12_000);
-    for (what, seat, ms) in steps {
-        let seat = seat % size;
+    for (what, member, ms) in steps {
+        let member = member % size;
         match what % 8 {
-            0 => fleet.kill(seat),
-            1 if fleet.processes[seat].core.is_none() => fleet.start(seat),
-            2 => fleet.stop(seat, true),
-            3 => fleet.stop(seat, false),
-            4 => fleet.halve(|other| other <= seat),
-            5 => fleet.halve(|other| other % 2 == seat % 2),
+            0 => fleet.kill(member),
+            1 if fleet.processes[member].core.is_none() => fleet.start(member),
+            2 => fleet.stop(member, true),
+            3 => fleet.stop(member, false),
+            4 => fleet.halve(|other| other <= member),
+            5 => fleet.halve(|other| other % 2 == member % 2),
             6 => fleet.cut.clear(),
-            _ => drop(fleet.cut.insert((Seat(seat as u16), Seat(((seat + 1) % size) as u16)))),
+            _ => drop(fleet.cut.insert((MemberId(member as u16), MemberId(((member + 1) % size) as u16)))),
         }
         for _ in 0..(ms / 97 + 1) {
             fleet.passes(97);
             let sum = fleet.sum_of_parts();
-            assert!(sum <= 1.0 + 1e-9, "{sum} at {:?}, after {what} {seat}", fleet.now);
+            assert!(sum <= 1.0 + 1e-9, "{sum} at {:?}, after {what} {member}", fleet.now);
         }
     }
 }
@@ -119,25 +119,25 @@
     fleet.passes(15_000);
     assert_eq!(whole(&fleet), 1.0);
     // A quarter dies: the others have its units, all but those whose witnesses died.
-    (0..5).for_each(|seat| fleet.kill(seat));
+    (0..5).for_each(|member| fleet.kill(member));
     fleet.passes(20_000);
     assert!((0.8..=0.9).contains(&whole(&fleet)), "{}", whole(&fleet));
-    (0..5).for_each(|seat| fleet.start(seat));
+    (0..5).for_each(|member| fleet.start(member));
     fleet.passes(30_000);
     assert_eq!(whole(&fleet), 1.0, "and gives them back");
-    fleet.halve(|seat| seat < 10);
+    fleet.halve(|member| member < 10);
     fleet.passes(30_000);
-    let half: f64 = (0..10).map(|seat| fleet.core(seat).part(fleet.now)).sum();
+    let half: f64 = (0..10).map(|member| fleet.core(member).quota_fraction(fleet.now)).sum();
     assert!((0.3..=0.7).contains(&half) && fleet.sum_of_parts() > 0.8, "{half} {}", fleet.sum_of_parts());
     let mut alone = Drawn::<Fleet>::new(20, CALM, 7);
     alone.start(3);
     alone.passes(20_000);
     assert_eq!(
-        alone.core(3).part(alone.now),
+        alone.core(3).quota_fraction(alone.now),
         1.0 / 40.0,
         "able to serve, and no more than is surely its own"
     );
     let mut single = Drawn::<Fleet>::running(1, CALM, 7);
     single.passes(2 * LEASE.as_ms() as u64);
-    assert_eq!(single.core(0).part(single.now), 1.0);
+    assert_eq!(single.core(0).quota_fraction(single.now), 1.0);
 }
--- a/crates/testkit/tests/simulation.rs
+++ b/crates/testkit/tests/simulation.rs
@@ -16,7 +16,7 @@
 }
 
 impl Core for Speaker {
-    fn heard(&mut self, from: usize, datagram: &[u8], now: Timestamp, _: &mut Outbox) {
+    fn on_datagram(&mut self, from: usize, datagram: &[u8], now: Timestamp, _: &mut Outbox) {
         let said = u64::from_le_bytes(datagram.try_into().expect("eight bytes")) as f64 / 1000.0;
         self.heard.push((from, now.as_ms() - said));
     }
@@ -25,7 +25,7 @@
         let word = ((now.as_ms() * 1000.0) as u64).to_le_bytes().to_vec();
         out.extend([1, 5, 20, 40].map(|further| ((self.process + further) % self.size, word.clone())));
     }
-    fn next(&self) -> Timestamp {
+    fn next_wakeup(&self) -> Timestamp {
         self.next
     }
 }
--- a/crates/testkit/tests/size.rs
+++ b/crates/testkit/tests/size.rs
@@ -1,7 +1,7 @@
 //! What the processes share at size: three hundred cores in virtual time. `cargo test -- --nocapture` prints the figures.
 
 use shelfgrade::time::DurationExt;
-use shelfgrade_fleet::{Fleet, Seat};
+use shelfgrade_fleet::{Fleet, MemberId};
 use shelfgrade_testkit::drawn::{Drawn, Network, CALM};
 
 /// A network as between machines of one site: some loss, and now and then one comes late.
@@ -16,7 +16,9 @@
     let before: Vec<_> = fleet.processes.iter().map(|p| p.sent).collect();
     for second in 0..SECONDS {
         let key = format!("server/s-{}", second % 7);
-        fleet.with(0, |core, around| core.put(&key, &(second, "10.1.0.18:8000"), around)).expect("put");
+        fleet
+            .with(0, |core, environment| core.put(&key, &(second, "10.1.0.18:8000"), environment))
+            .expect("put");
         fleet.passes(1000);
     }
     let each = (size as u64 * SECONDS) as f64;
@@ -52,20 +54,25 @@
 fn three_hundred_come_to_know_a_release_of_servers_within_seconds_also_after_two_halves_were_apart() {
     let mut fleet = Drawn::<Fleet>::running(300, USUAL, 5);
     fleet.passes(15_000);
-    let meets = fleet.running_seats().iter().filter(|seat| fleet.core(**seat).alive().len() == 300).count();
+    let meets =
+        fleet.running_members().iter().filter(|member| fleet.core(**member).alive().len() == 300).count();
     assert!(meets >= 297, "{meets} know of all");
     for server in 0..81 {
         let key = format!("server/s-{server:03}");
-        fleet.with(7, |core, around| core.put(&key, &(server, "10.1.0.18:8000"), around)).expect("put");
+        fleet
+            .with(7, |core, environment| core.put(&key, &(server, "10.1.0.18:8000"), environment))
+            .expect("put");
     }
     let whole = agrees_within(&mut fleet, 20_000);
-    fleet.halve(|seat| seat < 150);
+    fleet.halve(|member| member < 150);
     fleet.passes(20_000);
-    for (seat, server) in [(3, 4), (200, 9), (3, 70), (200, 70)] {
+    for (member, server) in [(3, 4), (200, 9), (3, 70), (200, 70)] {
         let key = format!("server/s-{server:03}");
-        fleet.with(seat, |core, around| core.put(&key, &(seat, "drains"), around)).expect("put");
+        fleet
+            .with(member, |core, environment| core.put(&key, &(member, "drains"), environment))
+            .expect("put");
     }
-    fleet.with(200, |core, around| core.delete("server/s-000", around)).expect("deleted");
+    fleet.with(200, |core, environment| core.delete("server/s-000", environment)).expect("deleted");
     fleet.passes(10_000);
     assert!(!fleet.agree(), "they cannot hear each other");
     fleet.cut.clear();
@@ -84,11 +91,18 @@
         let mut fleet = Drawn::<Fleet>::running(40, USUAL, seed);
         fleet.passes(3000);
         fleet.kill(4);
-        fleet.with(2, |core, around| core.put("server/s-1", &1, around)).expect("put");
-        fleet.cut.insert((Seat(1), Seat(2)));
+        fleet.with(2, |core, environment| core.put("server/s-1", &1, environment)).expect("put");
+        fleet.cut.insert((MemberId(1), MemberId(2)));
         fleet.passes(5000);
         let sent: Vec<_> = fleet.processes.iter().map(|process| process.sent).collect();
-        (sent, fleet.running_seats().iter().map(|seat| fleet.core(*seat).state()).collect::<Vec<_>>())
+        (
+            sent,
+            fleet
+                .running_members()
+                .iter()
+                .map(|member| fleet.core(*member).state_digest())
+                .collect::<Vec<_>>(),
+        )
     };
     assert_eq!(run(3), run(3));
     assert_ne!(run(3), run(4));
@@ -98,20 +112,20 @@
 fn nothing_that_cannot_be_read_or_is_not_this_fleets_changes_anything_and_it_is_counted() {
     let mut fleet = Drawn::<Fleet>::running(3, CALM, 5);
     fleet.passes(5000);
-    let state = fleet.core(0).state();
+    let state = fleet.core(0).state_digest();
     let mut others = Drawn::<Fleet>::running(4, CALM, 5);
     others.passes(300);
     // What the other fleet's first process would send to its second.
     let mut caught = Vec::new();
     struct Catch<'a>(&'a mut Vec<Vec<u8>>);
-    impl shelfgrade_fleet::Surroundings for Catch<'_> {
-        fn send(&mut self, _: Seat, datagram: Vec<u8>) {
+    impl shelfgrade_fleet::Environment for Catch<'_> {
+        fn send(&mut self, _: MemberId, datagram: Vec<u8>) {
             self.0.push(datagram);
         }
-        fn entry(&mut self, _: &shelfgrade_fleet::Entry) {}
-        fn came(&mut self, _: Seat) {}
-        fn went(&mut self, _: Seat) {}
-        fn refused(&mut self, _: &'static str) {}
+        fn entry_changed(&mut self, _: &shelfgrade_fleet::Entry) {}
+        fn member_joined(&mut self, _: MemberId) {}
+        fn member_left(&mut self, _: MemberId) {}
+        fn datagram_rejected(&mut self, _: &'static str) {}
     }
     let later = others.now + std::time::Duration::from_millis(2000);
     others.processes[0].core.as_mut().expect("runs").on_timer(later, 0, &mut Catch(&mut caught));
@@ -135,5 +149,5 @@
     assert_eq!(refused.get("fleet datagrams of others"), Some(&1), "{refused:?}");
     assert_eq!(refused.get("fleet datagrams damaged"), Some(&3), "{refused:?}");
     assert_eq!(refused.get("fleet datagrams not to be read"), Some(&2), "{refused:?}");
-    assert_eq!((fleet.core(0).state(), fleet.core(0).alive().len()), (state, 3));
+    assert_eq!((fleet.core(0).state_digest(), fleet.core(0).alive().len()), (state, 3));
 }
--- a/crates/testkit/tests/slopes.rs
+++ b/crates/testkit/tests/slopes.rs
@@ -41,13 +41,15 @@
 fn put(all: &mut Simulation<Hollow>, process: usize, number: usize, kind: &'static str) {
     all.with(process, move |hollow, _, out| {
         for i in 0..number {
-            hollow.act(out, |fleet, around| fleet.put(&format!("{kind}/{i}"), &i, around)).expect("put");
+            hollow
+                .act(out, |fleet, environment| fleet.put(&format!("{kind}/{i}"), &i, environment))
+                .expect("put");
         }
     });
 }
 
 fn agree(all: &Simulation<Hollow>) -> bool {
-    all.each(|_, hollow| hollow.fleet.state())
+    all.each(|_, hollow| hollow.fleet.state_digest())
         .into_iter()
         .map(|(_, state)| state)
         .collect::<BTreeSet<_>>()
@@ -107,7 +109,10 @@
     all.cut_region(2);
     let whole = |all: &Simulation<Hollow>| {
         let now = all.now();
-        all.each(move |_, hollow| hollow.fleet.part(now)).into_iter().map(|(_, part)| part).sum::<f64>()
+        all.each(move |_, hollow| hollow.fleet.quota_fraction(now))
+            .into_iter()
+            .map(|(_, part)| part)
+            .sum::<f64>()
     };
     for step in 0..100 {
         match step {
