--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -242,16 +242,18 @@
     ) {
         let packet = match packet::read(&self.roster, datagram) {
             Ok(packet) if packet.message.members_within(self.roster.size()) => packet,
-            Ok(_) => return environment.datagram_rejected("fleet datagrams that name nobody"),
-            Err(PacketError::Foreign) => return environment.datagram_rejected("fleet datagrams of others"),
+            Ok(_) => return environment.datagram_rejected("fleet datagrams naming unknown members"),
+            Err(PacketError::Foreign) => {
+                return environment.datagram_rejected("fleet datagrams from other fleets")
+            }
             Err(PacketError::Damaged) => return environment.datagram_rejected("fleet datagrams damaged"),
-            Err(_) => return environment.datagram_rejected("fleet datagrams not to be read"),
+            Err(_) => return environment.datagram_rejected("fleet datagrams malformed"),
         };
         let from = packet.from;
         if from.member == self.me.member {
             // Its own from before, come late, or another process under its name.
             if from.started_at != self.me.started_at {
-                environment.datagram_rejected("fleet datagrams from another process of this name");
+                environment.datagram_rejected("fleet datagrams from a duplicate member");
             }
             return;
         }
@@ -260,7 +262,7 @@
         match packet.message {
             Message::Swim(bytes) => {
                 if !self.swim.on_datagram(&bytes, now, &mut out) {
-                    out.environment.datagram_rejected("fleet datagrams not to be read");
+                    out.environment.datagram_rejected("fleet datagrams malformed");
                 }
             }
             Message::Digest { parts, answer } => {
@@ -360,7 +362,7 @@
             let mut known = self.known.borrow_mut();
             (std::mem::take(&mut known.fresh), std::mem::take(&mut known.over_bound))
         };
-        (0..over).for_each(|_| environment.datagram_rejected("fleet entries over the bound"));
+        (0..over).for_each(|_| environment.datagram_rejected("fleet entries over the limit"));
         for entry in &fresh {
             self.swim.spread(entry);
             environment.entry_changed(entry);
--- a/crates/proxy/examples/failing_calls/plan.rs
+++ b/crates/proxy/examples/failing_calls/plan.rs
@@ -16,7 +16,7 @@
     Receive,
     Send,
     SetOption,
-    Open,
+    OpenRequest,
     Write,
     Sync,
     Rename,
--- a/crates/proxy/src/discovery.rs
+++ b/crates/proxy/src/discovery/client.rs
@@ -1,10 +1,10 @@
 //! Discovery over HTTP/1.1: one connection, one call at a time, and after each answer the next watch at once.
 
-use crate::driver::OnLoop;
-use crate::endpoint_list::{EndpointList, ListError};
-use crate::http::{Exchange, HttpError};
-use crate::ring::Ring;
-use crate::socket::Socket;
+use crate::discovery::endpoint_list::{EndpointList, ListError};
+use crate::net::event_loop::EventLoopOwner;
+use crate::net::http::{Exchange, HttpError};
+use crate::net::ring::Ring;
+use crate::net::socket::Socket;
 use calloop::timer::{TimeoutAction, Timer};
 use calloop::RegistrationToken;
 use nanorand::{Rng, WyRand};
@@ -74,7 +74,7 @@
 }
 
 /// Who follows the list, and whose loop carries the calls.
-pub trait Follower: OnLoop {
+pub trait Follower: EventLoopOwner {
     /// Discovery has told a list; true where it is to be watched on from there.
     fn on_endpoints(&mut self, list: &EndpointList) -> bool;
     /// A call that was out since then was refused or has failed.
--- a/crates/proxy/src/endpoint_list.rs
+++ b/crates/proxy/src/discovery/endpoint_list.rs
@@ -87,5 +87,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/endpoint_list.rs"]
+#[path = "../../tests/unit/endpoint_list.rs"]
 mod tests;
--- a/crates/proxy/src/start_times.rs
+++ b/crates/proxy/src/discovery/start_times.rs
@@ -107,5 +107,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/start_times.rs"]
+#[path = "../../tests/unit/start_times.rs"]
 mod tests;
--- a/crates/proxy/src/client.rs
+++ b/crates/proxy/src/downstream/client.rs
@@ -1,9 +1,9 @@
 //! The client's side of a session: from its first line to the final answer.
 
-use crate::hands::Hands;
+use crate::executor::Executor;
+use crate::net::socket::End;
 use crate::proxy::Proxy;
 use crate::session::{Session, Stage};
-use crate::socket::End;
 use shelfgrade::host::AttemptOutcome;
 use shelfgrade::time::DurationExt;
 use std::time::Duration;
@@ -12,16 +12,16 @@
     /// Whether the client still waits for its answer, and does nothing else. Guards against an attempt for one that
     /// has gone, by a close, a reset or an end of its sending alone, with no event of that heard yet, and against
     /// serving whoever does not wait. An end of its sending cannot be told from a close: it has its answer all the same.
-    pub fn still_asks(&self, hands: &mut Hands) -> bool {
+    pub fn client_is_waiting(&self, executor: &mut Executor) -> bool {
         if self.client.rests() {
             return true;
         }
         if self.client.ended.get().is_some() {
-            hands.tally.count("clients gone unanswered");
-            self.answer("ERR", hands);
+            executor.metrics.count("clients closed before answer");
+            self.answer("ERR", executor);
         } else {
-            hands.tally.complain("lines before an answer");
-            self.answer("ERR", hands);
+            executor.metrics.warn("data before answer");
+            self.answer("ERR", executor);
         }
         false
     }
@@ -29,7 +29,7 @@
     /// Reads once from the client; true if anything came.
     pub fn hear_client(&self, proxy: &mut Proxy) -> bool {
         if self.stage.get() == Stage::PollerElection {
-            let asks = self.still_asks(&mut proxy.hands);
+            let asks = self.client_is_waiting(&mut proxy.executor);
             if !asks {
                 proxy.on_client_closed(self.id);
             }
@@ -45,7 +45,7 @@
                 Ok(lines) if lines.is_empty() => {}
                 Ok(_) if self.asked.get().is_none() => {
                     self.asked.set(Some(proxy.now()));
-                    proxy.hands.unanswered.add(self);
+                    proxy.executor.unanswered.add(self);
                 }
                 Ok(_) => {}
                 Err(error) => self.foul(error, AttemptOutcome::Cancelled, proxy),
@@ -71,15 +71,15 @@
                 }
                 self.over_for_module(AttemptOutcome::Cancelled, proxy);
             }
-            Stage::PollerElection | Stage::Leaving | Stage::Closed => {}
+            Stage::PollerElection | Stage::Closing | Stage::Closed => {}
         }
     }
 
     /// The final answer, when the client gets no server: told at once, and the connection ended behind it.
-    pub fn answer(&self, line: &str, hands: &mut Hands) {
+    pub fn answer(&self, line: &str, executor: &mut Executor) {
         self.client.tell(line);
-        self.close(hands);
-        hands.close_after_last_line(self.client.clone());
+        self.close(executor);
+        executor.close_after_last_line(self.client.clone());
     }
 }
 
--- a/crates/proxy/src/lingering.rs
+++ b/crates/proxy/src/downstream/lingering.rs
@@ -2,8 +2,8 @@
 //! and what still comes on it is read and dropped. A close over unread bytes, or over bytes that are still on their
 //! way, resets the connection, and the reset may overtake that line.
 
+use crate::net::socket::{End, Socket};
 use crate::proxy::Proxy;
-use crate::socket::{End, Socket};
 use shelfgrade::time::Timestamp;
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -48,7 +48,7 @@
         }
         self.last_number += 1;
         let number = self.last_number;
-        closing.socket.on_ready(move |proxy| proxy.hands.lingering.ready(number));
+        closing.socket.on_ready(move |proxy| proxy.executor.lingering.ready(number));
         self.closing.insert(number, closing);
     }
 
--- a/crates/proxy/src/door.rs
+++ b/crates/proxy/src/downstream/listener.rs
@@ -1,9 +1,9 @@
 //! The door: accepts connections, and keeps those that have yet to send their first line.
 
-use crate::caller::Caller;
+use crate::downstream::pending_connection::PendingConnection;
+use crate::net::socket::Socket;
 use crate::proxy::Proxy;
 use crate::proxy::ServeError;
-use crate::socket::Socket;
 use calloop::generic::Generic;
 use calloop::timer::{TimeoutAction, Timer};
 use calloop::{Interest, LoopHandle, Mode, PostAction, RegistrationToken};
@@ -14,7 +14,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-pub struct Door {
+pub struct Listener {
     listener: TcpListener,
     listening: RegistrationToken,
     /// Accepting waits for a moment after failures in a row.
@@ -22,13 +22,13 @@
     /// The last call found nobody in the system's queue.
     queue_is_empty: bool,
     /// The one not heard of for longest comes first.
-    callers: BTreeMap<u64, Rc<Caller>>,
+    pending_connections: BTreeMap<u64, Rc<PendingConnection>>,
     last_number: u64,
     /// The last ids that sessions came with, in their order and by their value.
     ids: (VecDeque<u64>, BTreeSet<u64>),
 }
 
-impl Door {
+impl Listener {
     pub fn open(at: SocketAddr, handle: &LoopHandle<'static, Proxy>) -> Result<Self, ServeError> {
         let cannot = |source| ServeError::Listen { at, source };
         let listener = listen(at).map_err(cannot)?;
@@ -38,12 +38,12 @@
             Ok(PostAction::Continue)
         });
         let listening = listening.map_err(|error| cannot(std::io::Error::other(error.error)))?;
-        Ok(Door {
+        Ok(Listener {
             listener,
             listening,
             paused: false,
             queue_is_empty: true,
-            callers: BTreeMap::new(),
+            pending_connections: BTreeMap::new(),
             last_number: 0,
             ids: Default::default(),
         })
@@ -58,12 +58,12 @@
         self.queue_is_empty
     }
 
-    pub fn holds(&self, caller: &Caller) -> bool {
-        self.callers.contains_key(&caller.number.get())
+    pub fn holds(&self, pending_connection: &PendingConnection) -> bool {
+        self.pending_connections.contains_key(&pending_connection.number.get())
     }
 
-    pub fn forget(&mut self, caller: &Caller) {
-        self.callers.remove(&caller.number.get());
+    pub fn forget(&mut self, pending_connection: &PendingConnection) {
+        self.pending_connections.remove(&pending_connection.number.get());
     }
 
     /// Whether this id, which is to be new with every connection, is not open and has not come of late. Guards
@@ -87,12 +87,12 @@
         self.last_number
     }
 
-    pub fn callers(&self) -> impl Iterator<Item = &Rc<Caller>> {
-        self.callers.values()
+    pub fn pending_connections(&self) -> impl Iterator<Item = &Rc<PendingConnection>> {
+        self.pending_connections.values()
     }
 
-    fn oldest(&self) -> Option<Rc<Caller>> {
-        self.callers.values().next().cloned()
+    fn oldest(&self) -> Option<Rc<PendingConnection>> {
+        self.pending_connections.values().next().cloned()
     }
 }
 
@@ -115,10 +115,10 @@
         // A failure may be that of one connection, or be over with the next call; one run in 65,000 is as long where
         // half of the calls fail.
         const FAILURES_IN_A_ROW: usize = 16;
-        self.door.queue_is_empty = false;
+        self.listener.queue_is_empty = false;
         let mut failures = 0;
         for _ in 0..AT_ONCE {
-            match self.door.listener.accept() {
+            match self.listener.listener.accept() {
                 Ok((stream, _)) => {
                     failures = 0;
                     match Socket::new(stream) {
@@ -127,7 +127,7 @@
                     }
                 }
                 Err(error) if error.kind() == ErrorKind::WouldBlock => {
-                    self.door.queue_is_empty = true;
+                    self.listener.queue_is_empty = true;
                     return;
                 }
                 Err(error) => {
@@ -144,16 +144,16 @@
     fn accept_later(&mut self, error: &std::io::Error) {
         // Short against any request timeout, long against the calls before it.
         const PAUSE: Duration = Duration::from_millis(10);
-        if std::mem::replace(&mut self.door.paused, true) {
+        if std::mem::replace(&mut self.listener.paused, true) {
             return;
         }
-        self.hands.tally.complain("accepting put off");
+        self.executor.metrics.warn("accept paused");
         log::debug!("accept: {error}");
-        let _ = self.hands.handle.disable(&self.door.listening);
-        let again = self.hands.handle.insert_source(Timer::from_duration(PAUSE), |_, _, proxy| {
+        let _ = self.executor.handle.disable(&self.listener.listening);
+        let again = self.executor.handle.insert_source(Timer::from_duration(PAUSE), |_, _, proxy| {
             // Guards against a listener that is never watched again: it is asked by hand until it can be.
-            let watched = proxy.hands.handle.enable(&proxy.door.listening).is_ok();
-            proxy.door.paused = !watched;
+            let watched = proxy.executor.handle.enable(&proxy.listener.listening).is_ok();
+            proxy.listener.paused = !watched;
             proxy.accept();
             if watched {
                 TimeoutAction::Drop
@@ -161,65 +161,74 @@
                 TimeoutAction::ToDuration(PAUSE)
             }
         });
-        self.hands.tally.must(again.is_ok(), "a timer can be set");
+        self.executor.metrics.invariant(again.is_ok(), "a timer can be set");
     }
 
     fn take_in(&mut self, client: Socket<Proxy>) {
-        self.hands.tally.count("connections taken");
-        let caller = Caller::new(self.door.next_number(), client, self.now());
-        let weak = Rc::downgrade(&caller);
-        let watched = caller.socket.watch(&self.hands.handle, move |proxy| {
-            weak.upgrade().inspect(|caller| caller.ready(proxy));
+        self.executor.metrics.count("connections accepted");
+        let pending_connection = PendingConnection::new(self.listener.next_number(), client, self.now());
+        let weak = Rc::downgrade(&pending_connection);
+        let watched = pending_connection.socket.watch(&self.executor.handle, move |proxy| {
+            weak.upgrade().inspect(|pending_connection| pending_connection.ready(proxy));
         });
         if let Err(error) = watched {
             log::warn!("a client's connection cannot be watched: {error}");
-            caller.socket.tell("BUSY");
-            return self.hands.close_after_last_line(caller.socket.clone());
+            pending_connection.socket.tell("BUSY");
+            return self.executor.close_after_last_line(pending_connection.socket.clone());
         }
-        self.door.callers.insert(caller.number.get(), caller.clone());
+        self.listener.pending_connections.insert(pending_connection.number.get(), pending_connection.clone());
         // Most have sent their line by now, and need no place among the callers.
-        caller.ready(self);
+        pending_connection.ready(self);
         self.make_room();
     }
 
     /// Guards against connections that say nothing taking the descriptors of those that do: past what is left
     /// for them, the one not heard of for longest goes.
     pub fn make_room(&mut self) {
-        while self.door.callers.len() + self.hands.lingering.count() > self.hands.room_for_callers() {
-            if self.hands.lingering.close_oldest() {
+        while self.listener.pending_connections.len() + self.executor.lingering.count()
+            > self.executor.pending_connection_limit()
+        {
+            if self.executor.lingering.close_oldest() {
                 continue;
             }
-            let Some(oldest) = self.door.oldest() else { return };
+            let Some(oldest) = self.listener.oldest() else { return };
             oldest.ready(self);
-            if self.door.holds(&oldest) {
-                oldest.refuse("BUSY", "callers put out for room", self);
+            if self.listener.holds(&oldest) {
+                oldest.refuse("BUSY", "pending connections evicted", self);
             }
         }
     }
 
     /// The caller asked for a sign of life: it counts as one that has just come.
-    pub fn heard_of(&mut self, caller: &Caller) {
-        let (number, now) = (self.door.next_number(), self.now());
-        if let Some(me) = self.door.callers.remove(&caller.number.replace(number)) {
-            caller.since.set(now);
-            self.door.callers.insert(number, me);
+    pub fn heard_of(&mut self, pending_connection: &PendingConnection) {
+        let (number, now) = (self.listener.next_number(), self.now());
+        if let Some(me) = self.listener.pending_connections.remove(&pending_connection.number.replace(number))
+        {
+            pending_connection.since.set(now);
+            self.listener.pending_connections.insert(number, me);
         }
     }
 
     /// Puts out who has sent no first line in time.
-    pub fn sweep_callers(&mut self) {
+    pub fn sweep_pending_connections(&mut self) {
         // A client sends it at once; three seconds after connecting it is owed an answer or a close.
         const FIRST_LINE_WITHIN: Duration = Duration::from_millis(2000);
         let now = self.now();
-        let is_late = |caller: &&Rc<Caller>| now.since(caller.since.get()) > FIRST_LINE_WITHIN;
+        let is_late = |pending_connection: &&Rc<PendingConnection>| {
+            now.since(pending_connection.since.get()) > FIRST_LINE_WITHIN
+        };
         // Guards against putting out a front that has asked for a sign of life and waits for it.
-        let late = self.door.callers().take_while(is_late).filter(|caller| !caller.waits_for_sign());
-        for caller in late.cloned().collect::<Vec<_>>() {
+        let late = self
+            .listener
+            .pending_connections()
+            .take_while(is_late)
+            .filter(|pending_connection| !pending_connection.waits_for_sign());
+        for pending_connection in late.cloned().collect::<Vec<_>>() {
             // Its line may lie there.
-            caller.ready(self);
-            let is_late = self.now().since(caller.since.get()) > FIRST_LINE_WITHIN;
-            if is_late && self.door.holds(&caller) {
-                caller.refuse("ERR", "silent callers", self);
+            pending_connection.ready(self);
+            let is_late = self.now().since(pending_connection.since.get()) > FIRST_LINE_WITHIN;
+            if is_late && self.listener.holds(&pending_connection) {
+                pending_connection.refuse("ERR", "first line timeouts", self);
             }
         }
     }
--- a/crates/proxy/src/caller.rs
+++ b/crates/proxy/src/downstream/pending_connection.rs
@@ -1,14 +1,14 @@
 //! A connection whose client has yet to send its first line. It costs one descriptor and the bytes of that
 //! line: it has no session and no rings until the line is there and can be used.
 
-use crate::line::{whole, Open, LONGEST};
+use crate::net::line::{whole, OpenRequest, LONGEST};
+use crate::net::socket::{End, Socket};
 use crate::proxy::Proxy;
-use crate::socket::{End, Socket};
 use shelfgrade::time::Timestamp;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
-pub struct Caller {
+pub struct PendingConnection {
     /// Its place in the order in which callers were last heard of.
     pub number: Cell<u64>,
     /// When it connected, or last asked for a sign of life.
@@ -21,9 +21,9 @@
     asked: Cell<bool>,
 }
 
-impl Caller {
+impl PendingConnection {
     pub fn new(number: u64, socket: Socket<Proxy>, now: Timestamp) -> Rc<Self> {
-        Rc::new(Caller {
+        Rc::new(PendingConnection {
             number: Cell::new(number),
             since: Cell::new(now),
             socket: Rc::new(socket),
@@ -35,7 +35,7 @@
 
     /// Reads what has come, to one byte past the longest line at most: more is never looked at.
     pub fn ready(&self, proxy: &mut Proxy) {
-        if !proxy.door.holds(self) {
+        if !proxy.listener.holds(self) {
             return;
         }
         let mut begun = self.begun.borrow_mut();
@@ -43,29 +43,31 @@
         while self.socket.take(&mut begun, LONGEST + 3) > 0 {}
         let ended = self.socket.ended.get();
         match begun.iter().position(|b| *b == b'\n') {
-            _ if ended == Some(End::Reset) || ended.is_some() && begun.is_empty() => proxy.door.forget(self),
+            _ if ended == Some(End::Reset) || ended.is_some() && begun.is_empty() => {
+                proxy.listener.forget(self)
+            }
             _ if ended.is_some() => {
                 let line = std::mem::take(&mut *begun);
                 drop(begun);
                 self.ends_behind(&line, proxy);
             }
             // Guards against serving whoever does not wait for an answer: all that came is refused.
-            Some(end) if end + 1 < begun.len() => self.refuse("ERR", "more than a first line", proxy),
+            Some(end) if end + 1 < begun.len() => self.refuse("ERR", "data after first line", proxy),
             Some(_) => {
                 let line = std::mem::take(&mut *begun);
                 drop(begun);
                 self.says(&line, proxy);
             }
-            None if begun.len() > LONGEST + 2 => self.refuse("ERR", "long lines", proxy),
+            None if begun.len() > LONGEST + 2 => self.refuse("ERR", "overlong lines", proxy),
             None => {}
         }
     }
 
     /// It has ended its sending behind this, and may still read. Nothing begins for it, as it may have gone.
     fn ends_behind(&self, sent: &[u8], proxy: &mut Proxy) {
-        let asks = whole(sent) == Some("PING") && !proxy.early.waits();
+        let asks = whole(sent) == Some("PING") && !proxy.startup_gate.waits();
         let answer = if asks && proxy.is_ready() { "PONG" } else { "ERR" };
-        self.refuse(answer, "clients gone unanswered", proxy);
+        self.refuse(answer, "clients closed before answer", proxy);
     }
 
     fn says(&self, line: &[u8], proxy: &mut Proxy) {
@@ -73,24 +75,24 @@
         if line == Some("PING") {
             self.asks.set(true);
             self.asked.set(true);
-            if !proxy.early.waits() {
+            if !proxy.startup_gate.waits() {
                 self.answer_sign(proxy.is_ready());
             }
             return proxy.heard_of(self);
         }
-        match line.and_then(|line| Open::parse(line, &proxy.classes)) {
-            Some(_) if proxy.hands.is_full() => {
-                self.refuse("BUSY", "pushed back for want of descriptors", proxy);
+        match line.and_then(|line| OpenRequest::parse(line, &proxy.classes)) {
+            Some(_) if proxy.executor.is_full() => {
+                self.refuse("BUSY", "rejected for lack of descriptors", proxy);
             }
-            Some(_) if proxy.has_closed() => self.refuse("BUSY", "pushed back at the end", proxy),
-            Some(open) if !proxy.door.is_new(open.id, &proxy.hands.open_ids) => {
-                self.refuse("ERR", "ids in use", proxy)
+            Some(_) if proxy.has_closed() => self.refuse("BUSY", "rejected at shutdown", proxy),
+            Some(open) if !proxy.listener.is_new(open.id, &proxy.executor.open_ids) => {
+                self.refuse("ERR", "duplicate request ids", proxy)
             }
             Some(open) => {
-                proxy.door.forget(self);
+                proxy.listener.forget(self);
                 proxy.open(open, self.socket.clone());
             }
-            None => self.refuse("ERR", "bad first lines", proxy),
+            None => self.refuse("ERR", "malformed first lines", proxy),
         }
     }
 
@@ -113,9 +115,9 @@
 
     /// Answers at once, and ends the connection behind that.
     pub fn refuse(&self, answer: &str, why: &'static str, proxy: &mut Proxy) {
-        proxy.hands.tally.complain(why);
+        proxy.executor.metrics.warn(why);
         self.socket.tell(answer);
-        proxy.door.forget(self);
-        proxy.hands.close_after_last_line(self.socket.clone());
+        proxy.listener.forget(self);
+        proxy.executor.close_after_last_line(self.socket.clone());
     }
 }
--- a/crates/proxy/src/hands.rs
+++ b/crates/proxy/src/executor.rs
@@ -1,15 +1,15 @@
 //! What carries out the decisions: the servers and sessions that there are, and the calls of the module.
 
-use crate::client::busy;
-use crate::clock::Clock;
-use crate::due::Due;
-use crate::lingering::LingeringCloses;
+use crate::downstream::client::busy;
+use crate::downstream::lingering::LingeringCloses;
+use crate::lifecycle::startup::Limits;
+use crate::metrics::Metrics;
+use crate::net::clock::Clock;
+use crate::net::socket::Socket;
+use crate::pending_sessions::PendingSessions;
 use crate::proxy::Proxy;
-use crate::server::{Attempt, Server};
 use crate::session::{Session, Stage, TAKE_OVER_WITHIN};
-use crate::socket::Socket;
-use crate::start::Limits;
-use crate::tally::Tally;
+use crate::upstream::server::{Attempt, Server};
 use calloop::timer::{TimeoutAction, Timer};
 use calloop::LoopHandle;
 use shelfgrade::host::{AttemptOutcome, Endpoint, EndpointState, Host, ServerId, SessionId};
@@ -22,11 +22,11 @@
 use std::time::Duration;
 
 /// What carries out the decisions.
-pub struct Hands {
+pub struct Executor {
     pub handle: LoopHandle<'static, Proxy>,
-    pub tally: Rc<Tally>,
+    pub metrics: Rc<Metrics>,
     pub dial_time_out: Option<Duration>,
-    pub may_probe: bool,
+    pub health_checks_allowed: bool,
     pub tells_delay: bool,
     pub clock: Clock,
     pub servers: BTreeMap<ServerId, Rc<Server>>,
@@ -35,8 +35,8 @@
     /// The ids that these came with.
     pub open_ids: BTreeSet<u64>,
     /// Those that are looked after with each tick, and those whose client waits for something to come back.
-    pub due: Due,
-    pub unanswered: Due,
+    pub pending: PendingSessions,
+    pub unanswered: PendingSessions,
     /// Clients that have had their last line.
     pub lingering: LingeringCloses,
     pub last_id: u64,
@@ -50,28 +50,28 @@
     pub wants_list: Cell<bool>,
     /// What the module asked to be woken at, last.
     pub wakes_at: Timestamp,
-    pub to_probe: VecDeque<Rc<Server>>,
+    pub health_checks_due: VecDeque<Rc<Server>>,
 }
 
-impl Hands {
+impl Executor {
     pub fn new(
         handle: LoopHandle<'static, Proxy>,
         limits: Limits,
         dials: Option<Duration>,
-        (probes, tells_delay): (bool, bool),
+        (health_checks, tells_delay): (bool, bool),
     ) -> Self {
-        Hands {
+        Executor {
             handle,
-            tally: Rc::default(),
+            metrics: Rc::default(),
             dial_time_out: dials,
-            may_probe: probes,
+            health_checks_allowed: health_checks,
             tells_delay,
             clock: Clock::start(),
             servers: BTreeMap::new(),
             sessions: BTreeMap::new(),
             open_ids: BTreeSet::new(),
-            due: Due::default(),
-            unanswered: Due::default(),
+            pending: PendingSessions::default(),
+            unanswered: PendingSessions::default(),
             lingering: LingeringCloses::default(),
             last_id: 0,
             unplaced: Vec::new(),
@@ -80,7 +80,7 @@
             untold: VecDeque::new(),
             wants_list: Cell::new(false),
             wakes_at: Timestamp::default(),
-            to_probe: VecDeque::new(),
+            health_checks_due: VecDeque::new(),
         }
     }
 
@@ -90,59 +90,64 @@
     }
 
     /// What is kept for callers, whatever else is held: a few of them find room even then.
-    fn kept_for_callers(&self) -> usize {
+    fn reserved_for_pending_connections(&self) -> usize {
         self.sockets / 16
     }
 
     /// Descriptors that are spoken for: each session's two, one a server for its probe, and our own.
-    fn spoken_for(&self, probes: usize) -> usize {
+    fn spoken_for(&self, health_checks: usize) -> usize {
         // For the listener, discovery, the loop and the log.
         const SPARE: usize = 24;
-        2 * self.sessions.len() + probes + SPARE
+        2 * self.sessions.len() + health_checks + SPARE
     }
 
     /// How many probes there may be at the least.
-    fn probes_wanted(&self) -> usize {
+    fn health_checks_wanted(&self) -> usize {
         // Only servers that hold a session are probed, or three for a new one, however long the list.
         self.servers.len().min(3 * (self.sessions.len() + 1))
     }
 
     /// Their connections stay when the sessions that they were for have gone.
-    fn probes(&self) -> usize {
-        let held = self.servers.values().filter(|server| server.probe.borrow().is_some()).count();
-        held.max(self.probes_wanted())
+    fn health_checks(&self) -> usize {
+        let held = self.servers.values().filter(|server| server.health_check.borrow().is_some()).count();
+        held.max(self.health_checks_wanted())
     }
 
     /// How many connections may be held that have sent no first line: what is left, a quarter at most, which
     /// is far more than come at once where all clients speak.
-    pub fn room_for_callers(&self) -> usize {
-        let left = self.sockets.saturating_sub(self.spoken_for(self.probes()));
-        left.clamp(self.kept_for_callers(), self.sockets / 4)
+    pub fn pending_connection_limit(&self) -> usize {
+        let left = self.sockets.saturating_sub(self.spoken_for(self.health_checks()));
+        left.clamp(self.reserved_for_pending_connections(), self.sockets / 4)
     }
 
     /// Whether one more session might find no descriptor.
     pub fn is_full(&self) -> bool {
-        let is_full = |probes| self.spoken_for(probes) + 2 + self.kept_for_callers() > self.sockets;
-        let full = is_full(self.probes_wanted());
-        if !full && is_full(self.probes()) {
-            self.hang_up(self.probes_wanted());
+        let is_full = |health_checks| {
+            self.spoken_for(health_checks) + 2 + self.reserved_for_pending_connections() > self.sockets
+        };
+        let full = is_full(self.health_checks_wanted());
+        if !full && is_full(self.health_checks()) {
+            self.close_health_checks(self.health_checks_wanted());
         }
         full
     }
 
     /// Makes room for one more probe. Guards against those of sessions that have gone holding all descriptors.
-    pub fn make_room_for_probe(&self) {
-        let others = self.spoken_for(0) + self.kept_for_callers();
-        self.hang_up(self.sockets.saturating_sub(others).max(self.probes_wanted()).saturating_sub(1));
+    pub fn make_room_for_health_check(&self) {
+        let others = self.spoken_for(0) + self.reserved_for_pending_connections();
+        self.close_health_checks(
+            self.sockets.saturating_sub(others).max(self.health_checks_wanted()).saturating_sub(1),
+        );
     }
 
     /// Ends all probes but so many, those asked least lately first.
-    fn hang_up(&self, but: usize) {
-        let asked = |server: &Rc<Server>| Some((server.probe.borrow().as_ref()?.last.get(), server.clone()));
+    fn close_health_checks(&self, but: usize) {
+        let asked =
+            |server: &Rc<Server>| Some((server.health_check.borrow().as_ref()?.last.get(), server.clone()));
         let mut held: Vec<_> = self.servers.values().filter_map(asked).collect();
         let over = held.len().saturating_sub(but);
         held.sort_by_key(|(last, _)| *last);
-        held.iter().take(over).for_each(|(_, server)| drop(server.probe.take()));
+        held.iter().take(over).for_each(|(_, server)| drop(server.health_check.take()));
     }
 
     /// Ends a client's connection after the last line that it was told.
@@ -163,7 +168,7 @@
             weak.upgrade().inspect(|session| session.ready(proxy));
             TimeoutAction::Drop
         });
-        self.tally.must(again.is_ok(), "a timer can be set");
+        self.metrics.invariant(again.is_ok(), "a timer can be set");
     }
 
     /// Goes by these lines of the list, each with its address, if it has one.
@@ -183,9 +188,9 @@
                     id: line.server.clone(),
                     state: Cell::new(line.state),
                     dial: Cell::new(dial?),
-                    pulse: Default::default(),
-                    notes: Default::default(),
-                    probe: Default::default(),
+                    message_latency: Default::default(),
+                    load_reports: Default::default(),
+                    health_check: Default::default(),
                 };
                 Some(Rc::new(server))
             });
@@ -199,7 +204,7 @@
 
     /// Connects a session to the server that its line names, or leaves it for when the list names that one.
     pub fn take_over(&mut self, session: &Rc<Session>) {
-        if !session.still_asks(self) {
+        if !session.client_is_waiting(self) {
             return;
         }
         let server = session.opening.at.as_ref().and_then(|at| self.servers.get(at.as_str()).cloned());
@@ -222,18 +227,20 @@
     }
 }
 
-impl Host for Hands {
+impl Host for Executor {
     fn connect(&mut self, session: SessionId, server: &ServerId, time_out: Duration) {
         log::debug!("session {} connects to {server}, for {} ms", session.0, time_out.as_ms());
         let (found, server) = (self.sessions.get(&session).cloned(), self.servers.get(server).cloned());
-        self.tally
-            .must(found.is_some() && server.is_some(), "an attempt is for a session and a server that are");
+        self.metrics.invariant(
+            found.is_some() && server.is_some(),
+            "an attempt is for a session and a server that are",
+        );
         let begun = match (&found, server) {
-            (Some(found), _) if !found.still_asks(self) => {
+            (Some(found), _) if !found.client_is_waiting(self) => {
                 return self.untold.push_back((session, AttemptOutcome::Cancelled, true));
             }
             (Some(found), Some(server)) => {
-                self.tally.must(found.attempt.borrow().is_none(), "one attempt at a time");
+                self.metrics.invariant(found.attempt.borrow().is_none(), "one attempt at a time");
                 Attempt::begin(found, server, time_out, self.clock.now(), self)
             }
             _ => return self.untold.push_back((session, AttemptOutcome::NotSent, false)),
@@ -252,7 +259,7 @@
     }
 
     fn reject(&mut self, session: SessionId, retry_after: Duration) {
-        self.tally.count("pushed back");
+        self.metrics.count("rejected");
         log::debug!("session {} pushed back for {} ms", session.0, retry_after.as_ms());
         if let Some(session) = self.sessions.get(&session).cloned() {
             session.answer(&busy(retry_after), self);
@@ -260,7 +267,7 @@
     }
 
     fn fail(&mut self, session: SessionId) {
-        self.tally.count("forfeited");
+        self.metrics.count("failed");
         log::debug!("session {} forfeited", session.0);
         if let Some(session) = self.sessions.get(&session).cloned() {
             session.answer("ERR", self);
@@ -268,7 +275,7 @@
     }
 
     fn migrate(&mut self, session: SessionId) {
-        self.tally.count("sent away");
+        self.metrics.count("migrated");
         log::debug!("session {} sent away", session.0);
         let now = self.clock.now();
         let Some(session) = self.sessions.get(&session).filter(|c| c.stage.get() == Stage::Established)
@@ -276,15 +283,15 @@
             return;
         };
         session.leaving_line.set(Some(now));
-        self.due.add(session);
+        self.pending.add(session);
         if session.try_moving(now) {
             self.untold.push_back((session.id, AttemptOutcome::Cancelled, true));
         }
     }
 
     fn check_health(&mut self, server: &ServerId) -> bool {
-        let server = self.servers.get(server).filter(|_| self.may_probe).cloned();
-        self.to_probe.extend(server.clone());
+        let server = self.servers.get(server).filter(|_| self.health_checks_allowed).cloned();
+        self.health_checks_due.extend(server.clone());
         server.is_some()
     }
 
@@ -297,10 +304,10 @@
         let timer = Timer::from_duration(at.since(self.clock.now()));
         let set = self.handle.insert_source(timer, |_, _, proxy| {
             let now = proxy.now();
-            proxy.balancer.on_timer(now, &mut proxy.hands);
+            proxy.balancer.on_timer(now, &mut proxy.executor);
             proxy.settle();
             TimeoutAction::Drop
         });
-        self.tally.must(set.is_ok(), "a timer can be set");
+        self.metrics.invariant(set.is_ok(), "a timer can be set");
     }
 }
--- a/crates/proxy/src/disk.rs
+++ b/crates/proxy/src/fleet/disk.rs
@@ -1,6 +1,6 @@
 //! The disk that outlives the process, on a thread of its own: no session waits for it.
 
-use crate::transient::is_transient;
+use crate::net::transient::is_transient;
 use shelfgrade_recovery::snapshot::{generation, GENERATIONS};
 use std::fs::{self, File};
 use std::io::{self, Write};
@@ -151,5 +151,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/disk.rs"]
+#[path = "../../tests/unit/disk.rs"]
 mod tests;
--- a/crates/proxy/src/fleet_file.rs
+++ b/crates/proxy/src/fleet/fleet_file.rs
@@ -1,7 +1,7 @@
 //! The file that switches on what processes share: `SHELFGRADE_FLEET` names it, `deploy/fleet.toml` is one with every
 //! key explained. It is checked whole, and read again at `SIGHUP`.
 
-use crate::transient::is_transient;
+use crate::net::transient::is_transient;
 use serde::Deserialize;
 use shelfgrade_fleet::{Roster, RosterError};
 use std::collections::BTreeMap;
@@ -141,5 +141,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/fleet_file.rs"]
+#[path = "../../tests/unit/fleet_file.rs"]
 mod tests;
--- a/crates/proxy/src/peers.rs
+++ b/crates/proxy/src/fleet/peers.rs
@@ -2,9 +2,9 @@
 //!
 //! Whom it serves is told what happens through [`PeerEvents`], and through nothing else.
 
-use crate::disk::{self, Disk};
-use crate::driver::OnLoop;
-use crate::fleet_file::{FleetError, FleetFile};
+use crate::fleet::disk::{self, Disk};
+use crate::fleet::fleet_file::{FleetError, FleetFile};
+use crate::net::event_loop::EventLoopOwner;
 use calloop::generic::Generic;
 use calloop::timer::{TimeoutAction, Timer};
 use calloop::{Interest, Mode, PostAction, RegistrationToken};
@@ -24,7 +24,7 @@
 use std::rc::Rc;
 
 /// Who is among fellows.
-pub trait PeerEvents: OnLoop {
+pub trait PeerEvents: EventLoopOwner {
     fn apply_endpoints(&mut self, lines: Vec<EndpointAddress>, whole: bool);
     fn set_polling(&mut self, watches: bool);
     fn state_changed(&mut self, state: State);
@@ -37,7 +37,7 @@
     fn flow_entries(&self) -> Vec<FlowEntry>;
     /// Something that others put into what all share is new, or has changed.
     fn shared_entry_changed(&mut self, key: &str);
-    fn complain(&self, what: &'static str);
+    fn warn(&self, what: &'static str);
 }
 
 pub struct Peers<C: PeerEvents> {
@@ -90,7 +90,7 @@
         log::info!("fellow {} is gone", self.name(member));
     }
     fn datagram_rejected(&mut self, why: &'static str) {
-        self.tell(move |events| events.complain(why));
+        self.tell(move |events| events.warn(why));
     }
 }
 
@@ -180,7 +180,7 @@
                 let mut core = self.core.borrow_mut();
                 core.on_datagram(&datagram[..length], (now, wall_ms(now)), &mut Out { peers: self });
             } else {
-                events.complain("fleet datagrams from strangers");
+                events.warn("fleet datagrams from unknown addresses");
             }
         }
         self.settle(events);
--- a/crates/proxy/src/comeback.rs
+++ b/crates/proxy/src/fleet/recovery.rs
@@ -1,12 +1,12 @@
 //! The proxy among its fellows, where the fleet file is named: what the return asks of it, and what it tells the return.
 
-use crate::endpoint_list::{EndpointList, Entry, Health};
-use crate::fleet_file::{FleetError, FleetFile};
-use crate::peers::{PeerEvents, Peers};
+use crate::discovery::endpoint_list::{EndpointList, Entry, Health};
+use crate::fleet::fleet_file::{FleetError, FleetFile};
+use crate::fleet::peers::{PeerEvents, Peers};
 use crate::proxy::Proxy;
 use crate::session::{Session, Stage};
-use crate::spaces::{Changed, Decided, Shared, Spaces};
-use crate::windows::WINDOWS;
+use crate::tenants::maintenance_windows::WINDOWS;
+use crate::tenants::tenant_namespaces::{Changed, Decided, Shared, TenantNamespaces};
 use serde::{de::DeserializeOwned, Serialize};
 use shelfgrade::handover::FlowEntry;
 use shelfgrade::host::{Endpoint, EndpointState, Host, ServerId, Turn};
@@ -39,25 +39,25 @@
 impl PeerEvents for Proxy {
     fn apply_endpoints(&mut self, lines: Vec<EndpointAddress>, whole: bool) {
         if whole {
-            self.told.clear();
+            self.fleet_endpoints.clear();
         }
         for line in &lines {
-            self.told.insert(line.endpoint.server.clone(), (line.endpoint.clone(), line.dial));
+            self.fleet_endpoints.insert(line.endpoint.server.clone(), (line.endpoint.clone(), line.dial));
         }
         self.look_at_windows();
         self.go_by_lines(lines.iter().map(|line| (line.endpoint.clone(), line.dial)).collect(), whole);
-        self.told.retain(|_, (line, _)| line.state != EndpointState::Removed);
-        self.spaces.follow(self.balancer.list());
+        self.fleet_endpoints.retain(|_, (line, _)| line.state != EndpointState::Removed);
+        self.namespaces.follow(self.balancer.list());
         let live = self.balancer.customers();
-        let changed = live.iter().filter_map(|customer| self.spaces.changed(customer)).collect();
+        let changed = live.iter().filter_map(|customer| self.namespaces.changed(customer)).collect();
         self.go_by(changed);
-        self.hands.take_over_waiting();
+        self.executor.take_over_waiting();
         self.settle();
     }
 
     fn set_polling(&mut self, watches: bool) {
         if watches {
-            self.hands.wants_list.set(true);
+            self.executor.wants_list.set(true);
             self.settle();
         } else {
             self.discovery.drop_call(self);
@@ -65,22 +65,22 @@
     }
 
     fn state_changed(&mut self, _: State) {
-        self.hands.list_heard.set(true);
+        self.executor.list_heard.set(true);
         self.list_is_here();
     }
 
     fn restore_flow(&mut self, remembered: &FlowEntry) {
-        let now = self.hands.clock.now();
+        let now = self.executor.clock.now();
         if self.balancer.restore_flow(remembered, REMEMBERED, now) {
-            self.hands.tally.count("keys known from before");
+            self.executor.metrics.count("flows restored");
         }
     }
 
     fn list_rejected(&mut self) {
-        self.hands.tally.complain("lists not taken");
+        self.executor.metrics.warn("endpoint lists rejected");
         self.discovery.forget(self);
-        let now = self.hands.clock.now();
-        self.balancer.on_poll_failed(now, now, &mut self.hands);
+        let now = self.executor.clock.now();
+        self.balancer.on_poll_failed(now, now, &mut self.executor);
         self.settle();
     }
 
@@ -99,15 +99,15 @@
     fn shared_entry_changed(&mut self, key: &str) {
         let Some(peers) = self.peers.clone() else { return };
         if key.starts_with(WINDOWS) {
-            let now = peers.fleet_ms(self.hands.clock.now());
-            return self.windows.heard(now, &*peers);
+            let now = peers.fleet_ms(self.executor.clock.now());
+            return self.maintenance_windows.heard(now, &*peers);
         }
-        let changed = self.spaces.heard(key, &*peers);
+        let changed = self.namespaces.heard(key, &*peers);
         self.go_by(changed);
     }
 
-    fn complain(&self, what: &'static str) {
-        self.hands.tally.complain(what);
+    fn warn(&self, what: &'static str) {
+        self.executor.metrics.warn(what);
     }
 }
 
@@ -146,7 +146,7 @@
         let known =
             known.lines().into_iter().zip(dials).map(|(endpoint, dial)| EndpointAddress { endpoint, dial });
         let peers = Peers::begin(file, settings, known.collect(), seed, self)?;
-        self.spaces = Spaces::new(peers.member());
+        self.namespaces = TenantNamespaces::new(peers.member());
         self.peers = Some(peers.clone());
         // What an earlier life knew comes with no word of its own.
         for key in peers.keys("") {
@@ -160,20 +160,20 @@
     pub fn read_namespaces(&mut self) {
         let Some(peers) = self.peers.clone() else { return };
         if let Some(folder) = peers.namespaces_dir() {
-            self.spaces.read(&folder, &*peers);
+            self.namespaces.read(&folder, &*peers);
         }
         if let Some(path) = peers.maintenance() {
-            self.windows.read(&path, peers.fleet_ms(self.hands.clock.now()), &*peers);
+            self.maintenance_windows.read(&path, peers.fleet_ms(self.executor.clock.now()), &*peers);
         }
         peers.tell_news(self);
     }
 
     /// Goes by these lines, as far as windows leave them what they are.
     fn go_by_lines(&mut self, lines: Vec<(Endpoint, Option<SocketAddr>)>, whole: bool) {
-        let now = self.hands.clock.now();
-        let as_put = |line: &Endpoint| self.windows.line(line, self.slow_start, now);
+        let now = self.executor.clock.now();
+        let as_put = |line: &Endpoint| self.maintenance_windows.line(line, self.slow_start, now);
         let lines: Vec<_> = lines.iter().map(|(line, dial)| (as_put(line), *dial)).collect();
-        self.hands.follow(lines.iter().map(|(line, dial)| (line, *dial)), whole);
+        self.executor.follow(lines.iter().map(|(line, dial)| (line, *dial)), whole);
         let endpoint: Vec<_> = lines.into_iter().map(|(line, _)| line).collect();
         self.balancer.on_endpoints(&endpoint, whole, now);
     }
@@ -181,43 +181,43 @@
     /// Called once a second, and with each word of the list before anybody goes by it: sites empty, close and come back by
     /// the schedule. Guards against a process that starts in the midst of a window sending clients there until it looks.
     pub fn look_at_windows(&mut self) {
-        let Some(peers) = self.peers.clone().filter(|_| !self.windows.are_none()) else { return };
-        let now = self.hands.clock.now();
-        let list: Vec<_> = self.told.values().map(|(line, _)| line.clone()).collect();
-        let site_of = |server: &ServerId| self.told.get(server).map(|(line, _)| line.zone.clone());
+        let Some(peers) = self.peers.clone().filter(|_| !self.maintenance_windows.are_none()) else { return };
+        let now = self.executor.clock.now();
+        let list: Vec<_> = self.fleet_endpoints.values().map(|(line, _)| line.clone()).collect();
+        let site_of = |server: &ServerId| self.fleet_endpoints.get(server).map(|(line, _)| line.zone.clone());
         let established: Vec<_> =
-            self.hands.sessions.values().filter(|c| c.stage.get() == Stage::Established).collect();
+            self.executor.sessions.values().filter(|c| c.stage.get() == Stage::Established).collect();
         let at: Vec<_> = established
             .iter()
             .filter_map(|c| Some((c.id, site_of(&c.attempt.borrow().as_ref()?.server.id)?)))
             .collect();
         let held = |site: &str| at.iter().filter(|(_, zone)| zone == site).count();
-        let look = self.windows.look(peers.fleet_ms(now), &list, held);
+        let look = self.maintenance_windows.look(peers.fleet_ms(now), &list, held);
         if look.changed {
-            self.go_by_lines(self.told.values().cloned().collect(), true);
+            self.go_by_lines(self.fleet_endpoints.values().cloned().collect(), true);
         }
         for (session, site) in at {
             if look.begun.contains(&site) {
-                self.hands.tally.count("moved as their site's window began");
-                self.hands.migrate(session);
+                self.executor.metrics.count("migrated for maintenance");
+                self.executor.migrate(session);
             }
         }
         self.settle();
     }
 
     fn go_by(&mut self, changed: Vec<Changed>) {
-        let now = self.hands.clock.now();
+        let now = self.executor.clock.now();
         for (customer, servers, share) in changed {
             self.balancer.has_space(&customer, &servers, share, now);
         }
-        self.balancer.common_has(self.spaces.common_share());
+        self.balancer.common_has(self.namespaces.common_share());
     }
 
     /// What the namespace of its customer decides of a session, where there is one.
     pub fn rule_for(&mut self, session: &Session) -> Option<Decided> {
         let opening = &session.opening;
         let class = self.classes.get(opening.class).map_or("", String::as_str);
-        self.spaces.decide(opening.customer.as_deref(), class, opening.group.as_deref())
+        self.namespaces.decide(opening.customer.as_deref(), class, opening.group.as_deref())
     }
 }
 
--- a/crates/proxy/src/ending.rs
+++ b/crates/proxy/src/lifecycle/graceful_shutdown.rs
@@ -15,7 +15,7 @@
 /// When what happens after the signal: all of it follows from the settings. Guards against a process that is killed
 /// with answers and moves still owed, where clients wait for less than three seconds.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Course {
+pub struct ShutdownSchedule {
     /// What stands goes on until then, and is told to move from then on. Guards against clients coming back where
     /// nobody listens: where proxies are restarted in turn, the last one may take two seconds to be back.
     stay_for: Duration,
@@ -26,7 +26,7 @@
     gone_within: Duration,
 }
 
-impl Course {
+impl ShutdownSchedule {
     pub fn by(longest_request_timeout: Option<Duration>) -> Self {
         // Enough for last lines to be read and for one more look, ticks being a tenth of a second apart.
         const LAST_WORDS: Duration = Duration::from_millis(500);
@@ -36,7 +36,7 @@
         let killed =
             longest_request_timeout.unwrap_or(MOST_REQUEST_TIMEOUT).min(MOST_REQUEST_TIMEOUT) + KILLED_AFTER;
         let before = |span: Duration| (Timestamp::default() + killed - span).since(Timestamp::default());
-        Course {
+        ShutdownSchedule {
             // What is left then is enough to go one after the other.
             stay_for: before(LAST_WORDS).scaled(0.6),
             open_for: before(LAST_WORDS),
@@ -47,42 +47,43 @@
 }
 
 impl Proxy {
-    pub fn told_to_end(&mut self) {
+    pub fn shutdown_requested(&mut self) {
         let now = self.now();
-        self.told_to_end.get_or_insert(now);
-        log::info!("told to end, with {} connections", self.hands.sessions.len());
+        self.shutdown_requested.get_or_insert(now);
+        log::info!("told to end, with {} connections", self.executor.sessions.len());
     }
 
     /// Called with each tick: ends when no more sessions come, all that came are answered, and none stands.
     pub fn end_when_done(&mut self) {
         // Clients go on coming for a little while after the signal.
         const QUIET_FOR: Duration = Duration::from_millis(500);
-        let Course { stay_for, open_for, last_call, gone_within } = self.course;
+        let ShutdownSchedule { stay_for, open_for, last_call, gone_within } = self.shutdown_schedule;
         let now = self.now();
-        let Some(past) = self.told_to_end.map(|told| now.since(told)) else { return };
+        let Some(past) = self.shutdown_requested.map(|told| now.since(told)) else { return };
         if past >= stay_for {
             let ticks_left = open_for.as_ms() - past.as_ms();
-            self.balancer.migrate_sessions((ticks_left / TICK.as_millis() as f64) as usize, &mut self.hands);
+            self.balancer
+                .migrate_sessions((ticks_left / TICK.as_millis() as f64) as usize, &mut self.executor);
             self.settle();
         }
-        let sessions: Vec<Rc<Session>> = self.hands.sessions.values().cloned().collect();
+        let sessions: Vec<Rc<Session>> = self.executor.sessions.values().cloned().collect();
         let in_stage = |stage| sessions.iter().filter(move |c| c.stage.get() == stage);
         if past >= open_for {
             for session in in_stage(Stage::PollerElection) {
-                self.hands.tally.count("forfeited at the end");
-                session.answer("ERR", &mut self.hands);
+                self.executor.metrics.count("failed at shutdown");
+                session.answer("ERR", &mut self.executor);
             }
         }
         let open = in_stage(Stage::PollerElection).chain(in_stage(Stage::Established)).next().is_some();
-        let leaving = in_stage(Stage::Leaving).any(|c| !c.client.is_over());
+        let leaving = in_stage(Stage::Closing).any(|c| !c.client.is_over());
         let quiet = past >= QUIET_FOR && now.since(self.last_arrival) >= QUIET_FOR;
         // Guards against leaving who has connected, and has sent nothing yet or half of its line.
-        let owed = self.door.callers().any(|caller| caller.is_owed());
-        let settled = quiet && !open && !leaving && !owed && self.door.queue_is_empty();
+        let owed = self.listener.pending_connections().any(|pending_connection| pending_connection.is_owed());
+        let settled = quiet && !open && !leaving && !owed && self.listener.queue_is_empty();
         if settled || past >= last_call {
             self.last_answers();
             // Guards against a process that ends while last lines are being written, or are on their way.
-            if past < gone_within && (leaving || self.hands.lingering.count() > 0) {
+            if past < gone_within && (leaving || self.executor.lingering.count() > 0) {
                 return;
             }
             let peers = self.peers.take();
@@ -96,32 +97,32 @@
     fn last_answers(&mut self) {
         // More turns than come in the time that all this takes.
         const TURNS: usize = 64;
-        self.course.open_for = Duration::ZERO;
+        self.shutdown_schedule.open_for = Duration::ZERO;
         for _ in 0..TURNS {
             self.accept();
-            if self.door.queue_is_empty() {
+            if self.listener.queue_is_empty() {
                 break;
             }
         }
-        for caller in self.door.callers().cloned().collect::<Vec<_>>() {
-            caller.ready(self);
-            if self.door.holds(&caller) {
-                caller.refuse("BUSY", "callers at the end", self);
+        for pending_connection in self.listener.pending_connections().cloned().collect::<Vec<_>>() {
+            pending_connection.ready(self);
+            if self.listener.holds(&pending_connection) {
+                pending_connection.refuse("BUSY", "pending connections closed at shutdown", self);
             }
         }
-        for session in self.hands.sessions.values().cloned().collect::<Vec<_>>() {
+        for session in self.executor.sessions.values().cloned().collect::<Vec<_>>() {
             if session.stage.get() == Stage::PollerElection {
-                session.answer("ERR", &mut self.hands);
+                session.answer("ERR", &mut self.executor);
             }
         }
     }
 
     /// Nobody new is taken any more.
     pub fn has_closed(&self) -> bool {
-        self.told_to_end.is_some_and(|told| self.now().since(told) >= self.course.open_for)
+        self.shutdown_requested.is_some_and(|told| self.now().since(told) >= self.shutdown_schedule.open_for)
     }
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/ending.rs"]
+#[path = "../../tests/unit/graceful_shutdown.rs"]
 mod tests;
--- /dev/null
+++ b/crates/proxy/src/lifecycle/mod.rs
@@ -0,0 +1,6 @@
+//! From the start-up file to the exit: startup, readiness, reload and graceful shutdown.
+
+pub mod graceful_shutdown;
+pub mod reload;
+pub mod startup;
+pub mod startup_gate;
--- a/crates/proxy/src/start.rs
+++ b/crates/proxy/src/lifecycle/startup.rs
@@ -1,7 +1,7 @@
 //! What a proxy is told at its start: the environment, and the file that it names.
 
-use crate::endpoint_list::{EndpointList, ListError};
-use crate::transient::is_transient;
+use crate::discovery::endpoint_list::{EndpointList, ListError};
+use crate::net::transient::is_transient;
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use shelfgrade_settings::{Settings, SettingsError};
--- a/crates/proxy/src/early.rs
+++ b/crates/proxy/src/lifecycle/startup_gate.rs
@@ -1,7 +1,7 @@
 //! What comes before the list has been heard, where the list is pushed: what its service has counts as told from
 //! the first moment of a process, so nobody is placed by the old list while the new one is on its way.
 
-use crate::hands::Hands;
+use crate::executor::Executor;
 use crate::proxy::Proxy;
 use crate::session::{Session, Stage};
 use calloop::timer::{TimeoutAction, Timer};
@@ -19,14 +19,14 @@
 
 /// Who waits for the first word of the list.
 #[derive(Default)]
-pub struct Early {
+pub struct StartupGate {
     until: Option<Timestamp>,
     sessions: Vec<Weak<Session>>,
 }
 
-impl Early {
+impl StartupGate {
     pub fn until_the_list_is_heard(now: Timestamp) -> Self {
-        Early { until: Some(now + WAITS), sessions: Vec::new() }
+        StartupGate { until: Some(now + WAITS), sessions: Vec::new() }
     }
 
     /// Where the list is asked for, and this proxy's turn to ask comes late among many. Guards against serving by a list
@@ -36,12 +36,12 @@
         // An answer takes milliseconds, or is one among many that come at once; refused, it serves by the list it has.
         const ANSWERED_IN: Duration = Duration::from_millis(500);
         let late = asks_at.since(now) > WAITS;
-        Early { until: late.then_some(asks_at + ANSWERED_IN), sessions: Vec::new() }
+        StartupGate { until: late.then_some(asks_at + ANSWERED_IN), sessions: Vec::new() }
     }
 
     /// Where the return says when: it has a bound of its own, and this one is for the case that it fails.
     pub fn until_the_return_serves(now: Timestamp, wait: Duration) -> Self {
-        Early { until: Some(now + wait + WAITS), sessions: Vec::new() }
+        StartupGate { until: Some(now + wait + WAITS), sessions: Vec::new() }
     }
 
     pub fn waits(&self) -> bool {
@@ -49,14 +49,14 @@
     }
 
     /// Keeps a session until then, and no longer than half of its request timeout.
-    pub fn holds(&mut self, session: &Rc<Session>, hands: &Hands) {
+    pub fn holds(&mut self, session: &Rc<Session>, executor: &Executor) {
         self.sessions.push(Rc::downgrade(session));
         let timer = Timer::from_duration(longest_wait(session));
-        let set = hands.handle.insert_source(timer, |_, _, proxy| {
+        let set = executor.handle.insert_source(timer, |_, _, proxy| {
             proxy.end_of_waiting();
             TimeoutAction::Drop
         });
-        hands.tally.must(set.is_ok(), "a timer can be set");
+        executor.metrics.invariant(set.is_ok(), "a timer can be set");
     }
 }
 
@@ -68,33 +68,35 @@
 impl Proxy {
     /// The list has been heard, or is waited for no longer: who came early has its turn, in the order of coming.
     pub fn list_is_here(&mut self) {
-        if self.early.until.take().is_none() {
+        if self.startup_gate.until.take().is_none() {
             return;
         }
-        for session in std::mem::take(&mut self.early.sessions) {
+        for session in std::mem::take(&mut self.startup_gate.sessions) {
             session.upgrade().inspect(|session| self.place(session));
         }
         let ready = self.is_ready();
-        self.door.callers().for_each(|caller| caller.answer_sign(ready));
+        self.listener
+            .pending_connections()
+            .for_each(|pending_connection| pending_connection.answer_sign(ready));
     }
 
     /// Called with each tick, and for each session when its time is up: nobody waits past the bound, and no session past
     /// half of its request timeout.
     pub fn end_of_waiting(&mut self) {
         let now = self.now();
-        let Some(until) = self.early.until else { return };
+        let Some(until) = self.startup_gate.until else { return };
         if now >= until {
             log::warn!("no list has come yet: serving with the one known at the start");
             return self.list_is_here();
         }
         let impatient = |c: &Rc<Session>| now.since(c.since.get()) >= longest_wait(c);
-        let due = self.early.sessions.extract_if(.., |c| c.upgrade().as_ref().is_none_or(impatient));
+        let due = self.startup_gate.sessions.extract_if(.., |c| c.upgrade().as_ref().is_none_or(impatient));
         for session in due.collect::<Vec<_>>().iter().filter_map(Weak::upgrade) {
             self.place(&session);
         }
     }
 
-    /// Hands a session to the decisions; its request timeout counts from when it came.
+    /// Executor a session to the decisions; its request timeout counts from when it came.
     pub fn place(&mut self, session: &Rc<Session>) {
         if session.stage.get() == Stage::PollerElection {
             let now = self.now();
@@ -102,20 +104,20 @@
             let ruled = self.rule_for(session);
             if let Some(ruled) = ruled.as_ref().filter(|ruled| ruled.full) {
                 log::debug!("session {}: no room for {}", session.id.0, ruled.customer);
-                self.hands.tally.count("sessions without room in their namespace");
+                self.executor.metrics.count("sessions over namespace quota");
                 turn = Some(turn.unwrap_or(Turn { before: 2.0, again: NO_ROOM }))
                     .map(|t| Turn { before: 2.0, ..t });
             }
             if let Some(ruled) = ruled.as_ref().filter(|ruled| !self.balancer.knows(&ruled.customer)) {
-                let space = self.spaces.changed(&ruled.customer);
-                space.into_iter().for_each(|space| self.balancer.begin(space, now, &mut self.hands));
+                let space = self.namespaces.changed(&ruled.customer);
+                space.into_iter().for_each(|space| self.balancer.begin(space, now, &mut self.executor));
             }
             let among = ruled.as_ref().map(|ruled| &ruled.among);
             let whose = ruled.as_ref().map(|ruled| &ruled.customer);
             let arrival =
                 crate::proxy::arrival(session, session.since.get() + session.opening.request_timeout);
             *session.place.borrow_mut() = ruled.as_ref().map(|ruled| ruled.place.clone());
-            self.balancer.on_request(whose, &Arrival { turn, among, ..arrival }, now, &mut self.hands);
+            self.balancer.on_request(whose, &Arrival { turn, among, ..arrival }, now, &mut self.executor);
             // Not turned away: it was let in, or is about to be.
             let let_in = turn.is_some() && session.stage.get() == Stage::PollerElection;
             self.peers.iter().filter(|_| let_in).for_each(|peers| peers.record_admission());
--- a/crates/proxy/src/tally.rs
+++ b/crates/proxy/src/metrics.rs
@@ -7,7 +7,7 @@
 use std::sync::{Arc, OnceLock};
 
 /// What must hold and did not.
-const BROKEN: &str = "broken assertions";
+const BROKEN: &str = "invariant violations";
 
 /// Keeps counters until they are logged. A program that embeds this one may have set a recorder of its own, which
 /// then has them all, and the log none.
@@ -47,9 +47,9 @@
     }
 }
 
-pub struct Tally(Exporter);
+pub struct Metrics(Exporter);
 
-impl Default for Tally {
+impl Default for Metrics {
     /// The process has one recorder, however often a start is tried.
     fn default() -> Self {
         static EXPORTER: OnceLock<Exporter> = OnceLock::new();
@@ -60,17 +60,17 @@
             }
             exporter
         });
-        Tally(exporter.clone())
+        Metrics(exporter.clone())
     }
 }
 
-impl Tally {
+impl Metrics {
     pub fn count(&self, what: &'static str) {
         metrics::counter!(what).increment(1);
     }
 
     /// Counts what a peer did wrong. Guards against bad peers filling the log: only each doubling is told.
-    pub fn complain(&self, what: &'static str) {
+    pub fn warn(&self, what: &'static str) {
         self.count(what);
         let so_far = self.0.count(what);
         if so_far.is_power_of_two() {
@@ -79,7 +79,7 @@
     }
 
     /// What must hold: asserted in debug builds, counted in release builds.
-    pub fn must(&self, holds: bool, what: &'static str) {
+    pub fn invariant(&self, holds: bool, what: &'static str) {
         debug_assert!(holds, "{what}");
         if !holds {
             log::error!("does not hold: {what}");
--- a/crates/proxy/src/clock.rs
+++ b/crates/proxy/src/net/clock.rs
@@ -27,5 +27,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/clock.rs"]
+#[path = "../../tests/unit/clock.rs"]
 mod tests;
--- a/crates/proxy/src/driver.rs
+++ b/crates/proxy/src/net/event_loop.rs
@@ -3,7 +3,7 @@
 use calloop::LoopHandle;
 use shelfgrade::time::Timestamp;
 
-pub trait OnLoop: Sized + 'static {
+pub trait EventLoopOwner: Sized + 'static {
     fn handle(&self) -> LoopHandle<'static, Self>;
     fn now(&self) -> Timestamp;
 }
--- a/crates/proxy/src/line.rs
+++ b/crates/proxy/src/net/line.rs
@@ -13,11 +13,11 @@
 
 /// Cuts what one peer sends into lines; reads along, so that the bytes themselves can pass on at once.
 #[derive(Default)]
-pub struct Cutter {
+pub struct LineDecoder {
     begun: Vec<u8>,
 }
 
-impl Cutter {
+impl LineDecoder {
     /// The lines that these bytes complete, with their ends.
     pub fn feed(&mut self, bytes: &[u8]) -> Result<Vec<Vec<u8>>, TooLong> {
         let mut lines = Vec::new();
@@ -55,7 +55,7 @@
 
 /// A client's first line: `OPEN ID KEY NAME=VALUE,…`
 #[derive(Debug)]
-pub struct Open {
+pub struct OpenRequest {
     line: String,
     /// New with every connection.
     pub id: u64,
@@ -72,7 +72,7 @@
     pub returned: bool,
 }
 
-impl Open {
+impl OpenRequest {
     /// Reads a line whole or not at all. Guards against sending on what a server cannot use: the errors that
     /// it answers would count against its health. Fields never heard of pass, if they are well formed.
     pub fn parse(line: &str, classes: &[String]) -> Option<Self> {
@@ -99,7 +99,7 @@
         let wait = wait.parse().ok().filter(|ms| (0.0..=LONGEST_MS).contains(ms))?;
         let named = |name| values.get(name).map(|value| value.to_string());
         marked("r")?;
-        let open = Open {
+        let open = OpenRequest {
             line: line.to_owned(),
             id: u64::from_str_radix(id, 16).ok()?,
             key: Some(key).filter(|key| !key.is_empty())?.to_owned(),
@@ -125,5 +125,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/line.rs"]
+#[path = "../../tests/unit/line.rs"]
 mod tests;
--- a/crates/proxy/src/ring.rs
+++ b/crates/proxy/src/net/ring.rs
@@ -98,5 +98,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/ring.rs"]
+#[path = "../../tests/unit/ring.rs"]
 mod tests;
--- a/crates/proxy/src/socket.rs
+++ b/crates/proxy/src/net/socket.rs
@@ -1,7 +1,7 @@
 //! A non-blocking TCP connection that the loop watches until it is dropped.
 
-use crate::ring::Ring;
-use crate::transient::is_shortage;
+use crate::net::ring::Ring;
+use crate::net::transient::is_shortage;
 use calloop::generic::Generic;
 use calloop::timer::{TimeoutAction, Timer};
 use calloop::{Interest, LoopHandle, Mode, PostAction, RegistrationToken};
--- a/crates/proxy/src/due.rs
+++ b/crates/proxy/src/pending_sessions.rs
@@ -8,9 +8,9 @@
 
 /// In the order in which sessions came; who no longer waits is dropped with the next look.
 #[derive(Default)]
-pub struct Due(BTreeMap<SessionId, Weak<Session>>);
+pub struct PendingSessions(BTreeMap<SessionId, Weak<Session>>);
 
-impl Due {
+impl PendingSessions {
     pub fn add(&mut self, session: &Session) {
         self.0.insert(session.id, session.me.clone());
     }
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -1,26 +1,26 @@
 //! The proxy: owns the decisions, hears from the sockets, and carries out what is decided.
 
-use crate::choosers::TenantBalancers;
-use crate::comeback;
-use crate::discovery::{CallError, Discovery, Follower, ASKED, PUSHED};
-use crate::door::Door;
-use crate::driver::OnLoop;
-use crate::early::Early;
-use crate::ending::Course;
-use crate::endpoint_list::EndpointList;
-use crate::fleet_file::{FleetError, FleetFile};
-use crate::hands::Hands;
-use crate::line::{Open, LONGEST};
-use crate::peers::Peers;
-use crate::probe::Probe;
-use crate::server::Server;
+use crate::discovery::client::{CallError, Discovery, Follower, ASKED, PUSHED};
+use crate::discovery::endpoint_list::EndpointList;
+use crate::discovery::start_times::StartTimes;
+use crate::downstream::listener::Listener;
+use crate::executor::Executor;
+use crate::fleet::fleet_file::{FleetError, FleetFile};
+use crate::fleet::peers::Peers;
+use crate::fleet::recovery;
+use crate::lifecycle::graceful_shutdown::ShutdownSchedule;
+use crate::lifecycle::startup::{limit_descriptors, Limits, Start};
+use crate::lifecycle::startup_gate::StartupGate;
+use crate::net::event_loop::EventLoopOwner;
+use crate::net::line::{OpenRequest, LONGEST};
+use crate::net::socket::Socket;
+use crate::net::transient::is_transient;
 use crate::session::{Session, Stage};
-use crate::socket::Socket;
-use crate::spaces::Spaces;
-use crate::start::{limit_descriptors, Limits, Start};
-use crate::start_times::StartTimes;
-use crate::transient::is_transient;
-use crate::windows::Windows;
+use crate::tenants::maintenance_windows::MaintenanceWindows;
+use crate::tenants::tenant_balancers::TenantBalancers;
+use crate::tenants::tenant_namespaces::TenantNamespaces;
+use crate::upstream::health_check::HealthCheck;
+use crate::upstream::server::Server;
 use calloop::signals::{Signal, Signals};
 use calloop::timer::{TimeoutAction, Timer};
 use calloop::{EventLoop, LoopHandle, LoopSignal};
@@ -36,18 +36,18 @@
 
 pub struct Proxy {
     pub balancer: TenantBalancers,
-    pub spaces: Spaces,
-    pub windows: Windows,
+    pub namespaces: TenantNamespaces,
+    pub maintenance_windows: MaintenanceWindows,
     /// The list as the fleet has it, before windows are put on it.
-    pub told: BTreeMap<ServerId, (Endpoint, Option<SocketAddr>)>,
+    pub fleet_endpoints: BTreeMap<ServerId, (Endpoint, Option<SocketAddr>)>,
     pub slow_start: Duration,
     start_times: StartTimes,
-    pub hands: Hands,
+    pub executor: Executor,
     /// The request classes' names in their order.
     pub classes: Vec<String>,
-    pub door: Door,
+    pub listener: Listener,
     pub discovery: Rc<Discovery<Proxy>>,
-    pub early: Early,
+    pub startup_gate: StartupGate,
     /// The customers' names in their order.
     pub customers: Vec<String>,
     /// The others that it shares with, where a file names them.
@@ -58,10 +58,10 @@
     pub stop: LoopSignal,
     pulses_taken: Timestamp,
     /// When it was told to read its files again, where that is still to be done.
-    pub told_to_reload: Option<Timestamp>,
+    pub reload_requested: Option<Timestamp>,
     /// Since when it has been told to end, and when the last session came.
-    pub told_to_end: Option<Timestamp>,
-    pub course: Course,
+    pub shutdown_requested: Option<Timestamp>,
+    pub shutdown_schedule: ShutdownSchedule,
     pub last_arrival: Timestamp,
 }
 
@@ -96,11 +96,11 @@
 
     let mut events: EventLoop<'static, Proxy> = EventLoop::try_new()?;
     let handle = events.handle();
-    let door = Door::open(start.listen, &handle)?;
+    let listener = Listener::open(start.listen, &handle)?;
     let signals = Signals::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP])?;
     let signals = handle.insert_source(signals, |event, _, proxy| match event.signal() {
-        Signal::SIGHUP => proxy.told_to_reload(),
-        _ => proxy.told_to_end(),
+        Signal::SIGHUP => proxy.reload_requested(),
+        _ => proxy.shutdown_requested(),
     });
     signals.map_err(|error| error.error)?;
     let tick = handle.insert_source(Timer::from_duration(TICK), |_, _, proxy| {
@@ -114,11 +114,11 @@
     let whole = start.known.entries.is_empty() || pushed || fleet.is_some();
     let seq = Some(start.known.seq).filter(|_| !whole);
     let settings_text = start.settings_text;
-    let recovery_settings = fleet.as_ref().map(|fleet| comeback::recovery_settings(&start.settings, fleet));
-    let signs = (start.settings.may_probe, start.settings.tells_delay);
-    let hands = Hands::new(handle, limits, start.settings.dial_time_out, signs);
-    let now = hands.clock.now();
-    let tally = hands.tally.clone();
+    let recovery_settings = fleet.as_ref().map(|fleet| recovery::recovery_settings(&start.settings, fleet));
+    let signs = (start.settings.health_checks_allowed, start.settings.tells_delay);
+    let executor = Executor::new(handle, limits, start.settings.dial_time_out, signs);
+    let now = executor.clock.now();
+    let metrics = executor.metrics.clone();
     let mut proxy = Proxy {
         // What the settings made once they make again.
         balancer: TenantBalancers::new(
@@ -128,19 +128,19 @@
             }),
             start.seed,
         ),
-        spaces: Spaces::new((0, 1)),
-        windows: Windows::default(),
-        told: BTreeMap::new(),
+        namespaces: TenantNamespaces::new((0, 1)),
+        maintenance_windows: MaintenanceWindows::default(),
+        fleet_endpoints: BTreeMap::new(),
         slow_start: start.settings.slow_start,
         start_times: StartTimes::default(),
-        hands,
+        executor,
         classes: start.settings.classes,
-        door,
+        listener,
         discovery: Discovery::new(start.discovery, seq, if pushed { PUSHED } else { ASKED }, start.seed),
-        early: match &fleet {
-            Some(fleet) => Early::until_the_return_serves(now, fleet.list_wait),
-            None if pushed => Early::until_the_list_is_heard(now),
-            None => Early::default(),
+        startup_gate: match &fleet {
+            Some(fleet) => StartupGate::until_the_return_serves(now, fleet.list_wait),
+            None if pushed => StartupGate::until_the_list_is_heard(now),
+            None => StartupGate::default(),
         },
         customers: start.settings.customers.iter().map(|(name, _)| name.clone()).collect(),
         peers: None,
@@ -148,30 +148,31 @@
         ring,
         stop: events.get_signal(),
         pulses_taken: now,
-        told_to_reload: None,
-        told_to_end: None,
-        course: Course::by(start.settings.longest_request_timeout),
+        reload_requested: None,
+        shutdown_requested: None,
+        shutdown_schedule: ShutdownSchedule::by(start.settings.longest_request_timeout),
         last_arrival: now,
     };
     // With fellows, what is known from before is for the return to judge.
     let known = if fleet.is_some() { Vec::new() } else { start.known.lines() };
     let known = proxy.start_times.timed(known, now);
     let dials = start.known.entries.iter().map(|entry| entry.dial);
-    proxy.hands.follow(known.iter().zip(dials), true);
-    proxy.balancer.start(&known, now, &mut proxy.hands);
+    proxy.executor.follow(known.iter().zip(dials), true);
+    proxy.balancer.start(&known, now, &mut proxy.executor);
     if !pushed && fleet.is_none() {
-        proxy.early = Early::until_its_turn(now, proxy.hands.wakes_at);
+        proxy.startup_gate = StartupGate::until_its_turn(now, proxy.executor.wakes_at);
     }
     // Lines come back at once here however strained a server is.
-    proxy.balancer.start_periodic_checks(!proxy.hands.tells_delay, now, &mut proxy.hands);
+    proxy.balancer.start_periodic_checks(!proxy.executor.tells_delay, now, &mut proxy.executor);
     if let Some((file, settings)) = fleet.zip(recovery_settings) {
         proxy.join_peers(file, settings, &start.known, start.seed)?;
     }
     proxy.settle();
-    let address = proxy.door.address().map_err(|source| ServeError::Listen { at: start.listen, source })?;
+    let address =
+        proxy.listener.address().map_err(|source| ServeError::Listen { at: start.listen, source })?;
     log::info!("{} listens on {address}, {} servers known", proxy.name, start.known.entries.len());
     events.run(None, &mut proxy, |_| {})?;
-    tally.log();
+    metrics.log();
     Ok(())
 }
 
@@ -184,34 +185,34 @@
 
 impl Proxy {
     pub fn now(&self) -> Timestamp {
-        self.hands.clock.now()
+        self.executor.clock.now()
     }
 
     /// Whether sessions can be taken: there is a list to choose from.
     pub fn is_ready(&self) -> bool {
-        !self.hands.servers.is_empty()
+        !self.executor.servers.is_empty()
     }
 
     /// A client has sent its first line.
-    pub fn open(&mut self, open: Open, client: Rc<Socket<Proxy>>) {
+    pub fn open(&mut self, open: OpenRequest, client: Rc<Socket<Proxy>>) {
         log::trace!("{open:?}");
         let now = self.now();
-        let session = Session::new(self.hands.next_id(), open, client, self.ring, now);
+        let session = Session::new(self.executor.next_id(), open, client, self.ring, now);
         let weak = session.me.clone();
         session.client.on_ready(move |proxy| {
             weak.upgrade().inspect(|session| session.ready(proxy));
         });
-        self.hands.sessions.insert(session.id, session.clone());
-        self.hands.open_ids.insert(session.opening.id);
+        self.executor.sessions.insert(session.id, session.clone());
+        self.executor.open_ids.insert(session.opening.id);
         self.discovery.clone().look(self);
         if session.is_taken_over() {
-            self.hands.due.add(&session);
-            self.hands.take_over(&session);
+            self.executor.pending.add(&session);
+            self.executor.take_over(&session);
         } else {
-            self.hands.tally.count("sessions");
+            self.executor.metrics.count("sessions");
             self.last_arrival = now;
-            if self.early.waits() && self.peers.is_none() {
-                self.early.holds(&session, &self.hands);
+            if self.startup_gate.waits() && self.peers.is_none() {
+                self.startup_gate.holds(&session, &self.executor);
             } else {
                 self.place(&session);
             }
@@ -227,7 +228,7 @@
         if session.is_taken_over() {
             self.balancer.restore_session(&arrival(session, now), server, now);
         } else {
-            self.hands.tally.count("connections up");
+            self.executor.metrics.count("sessions established");
             log::debug!("session {} stands at {server}", session.id.0);
             self.balancer.on_established(session.id, now);
         }
@@ -237,7 +238,7 @@
     pub fn on_attempt_ended(&mut self, session: SessionId, outcome: AttemptOutcome, done: bool) {
         log::debug!("session {} ended: {outcome:?}, done {done}", session.0);
         let now = self.now();
-        self.balancer.on_attempt_ended(session, outcome, done, now, &mut self.hands);
+        self.balancer.on_attempt_ended(session, outcome, done, now, &mut self.executor);
         self.settle();
     }
 
@@ -249,17 +250,17 @@
 
     /// A probe has come back, or was given up, after this long.
     pub fn on_health_check(&mut self, server: &Server, took: Duration) {
-        self.hands.tally.count("probes");
+        self.executor.metrics.count("health checks");
         log::debug!("probe of {} took {} ms", server.id, took.as_ms());
         let now = self.now();
-        self.balancer.on_health_check(&server.id, took, now, &mut self.hands);
+        self.balancer.on_health_check(&server.id, took, now, &mut self.executor);
         self.settle();
     }
 
     /// A server has told how long messages take there.
     pub fn on_message_latency(&mut self, session: SessionId, took: Duration) {
         let now = self.now();
-        self.balancer.on_message_latency(session, took, now, &mut self.hands);
+        self.balancer.on_message_latency(session, took, now, &mut self.executor);
         self.settle();
     }
 
@@ -273,26 +274,26 @@
 
     /// Tells the module what came of its own calls.
     pub fn settle(&mut self) {
-        while let Some((session, outcome, done)) = self.hands.untold.pop_front() {
+        while let Some((session, outcome, done)) = self.executor.untold.pop_front() {
             let now = self.now();
-            self.balancer.on_attempt_ended(session, outcome, done, now, &mut self.hands);
+            self.balancer.on_attempt_ended(session, outcome, done, now, &mut self.executor);
         }
-        if self.hands.wants_list.take() && self.asks_discovery() {
+        if self.executor.wants_list.take() && self.asks_discovery() {
             self.discovery.clone().ask(self);
         }
-        while let Some(server) = self.hands.to_probe.pop_front() {
-            Probe::ask(&server, self);
+        while let Some(server) = self.executor.health_checks_due.pop_front() {
+            HealthCheck::ask(&server, self);
         }
     }
 
     fn tick(&mut self) {
-        for session in self.hands.due.look(Session::is_due) {
-            self.hands.tally.count("sessions looked after");
+        for session in self.executor.pending.look(Session::is_due) {
+            self.executor.metrics.count("session checks");
             session.tick(self);
         }
-        self.sweep_callers();
-        self.hands.lingering.sweep(self.now());
-        self.reload_if_told();
+        self.sweep_pending_connections();
+        self.executor.lingering.sweep(self.now());
+        self.reload_if_requested();
         self.end_of_waiting();
         self.tell_pulses();
         self.end_when_done();
@@ -306,36 +307,36 @@
             return;
         }
         self.pulses_taken = now;
-        let there = &self.hands.sessions;
+        let there = &self.executor.sessions;
         self.balancer.sweep(|session| there.contains_key(session), now);
         self.look_at_windows();
-        let servers: Vec<_> = self.hands.servers.values().cloned().collect();
+        let servers: Vec<_> = self.executor.servers.values().cloned().collect();
         let waits =
             |session: &Session| session.stage.get() == Stage::Established && session.asked.get().is_some();
-        for session in self.hands.unanswered.look(waits) {
-            self.hands.tally.count("sessions looked after");
+        for session in self.executor.unanswered.look(waits) {
+            self.executor.metrics.count("session checks");
             if let Some(asked) = session.asked.get().filter(|_| session.stage.get() == Stage::Established) {
-                self.balancer.on_message_latency(session.id, now.since(asked), now, &mut self.hands);
+                self.balancer.on_message_latency(session.id, now.since(asked), now, &mut self.executor);
                 self.settle();
             }
         }
         for server in servers {
-            if let Some((took, session)) = server.pulse.take() {
+            if let Some((took, session)) = server.message_latency.take() {
                 log::debug!("messages at {} take {} ms", server.id, took.as_ms());
-                self.balancer.on_message_latency(session.id, took, now, &mut self.hands);
+                self.balancer.on_message_latency(session.id, took, now, &mut self.executor);
                 self.settle();
             }
         }
     }
 }
 
-impl OnLoop for Proxy {
+impl EventLoopOwner for Proxy {
     fn handle(&self) -> LoopHandle<'static, Self> {
-        self.hands.handle.clone()
+        self.executor.handle.clone()
     }
 
     fn now(&self) -> Timestamp {
-        self.hands.clock.now()
+        self.executor.clock.now()
     }
 }
 
@@ -343,7 +344,7 @@
     fn on_endpoints(&mut self, list: &EndpointList) -> bool {
         let now = self.now();
         log::debug!("list {}: {} lines, whole {}", list.seq, list.entries.len(), list.whole);
-        self.hands.list_heard.set(true);
+        self.executor.list_heard.set(true);
         if let Some(taken) = self.list_for_peers(list) {
             return taken;
         }
@@ -353,9 +354,9 @@
         }
         let lines = self.start_times.timed(list.lines(), now);
         self.start_times.list_is_heard();
-        self.hands.follow(lines.iter().zip(list.entries.iter().map(|entry| entry.dial)), list.whole);
+        self.executor.follow(lines.iter().zip(list.entries.iter().map(|entry| entry.dial)), list.whole);
         self.balancer.on_endpoints(&lines, list.whole, now);
-        self.hands.take_over_waiting();
+        self.executor.take_over_waiting();
         self.settle();
         self.list_is_here();
         true
@@ -363,17 +364,21 @@
 
     fn on_poll_failed(&mut self, error: &CallError, since: Timestamp) {
         log::warn!("{error}");
-        self.hands.tally.count("list calls failed");
+        self.executor.metrics.count("endpoint polls failed");
         let now = self.now();
-        self.balancer.on_poll_failed(since, now, &mut self.hands);
+        self.balancer.on_poll_failed(since, now, &mut self.executor);
         self.settle();
     }
 
-    fn on_watch_lost(&mut self, error: &CallError, due: Timestamp) {
+    fn on_watch_lost(&mut self, error: &CallError, pending: Timestamp) {
         log::warn!("{error}");
         let silent = matches!(error, CallError::Silent { .. });
-        self.hands.tally.count(if silent { "list calls silent" } else { "list calls failed" });
-        self.balancer.on_watch_lost(due, &mut self.hands);
+        self.executor.metrics.count(if silent {
+            "endpoint polls timed out"
+        } else {
+            "endpoint polls failed"
+        });
+        self.balancer.on_watch_lost(pending, &mut self.executor);
         self.settle();
     }
 }
--- a/crates/proxy/src/session.rs
+++ b/crates/proxy/src/session.rs
@@ -3,12 +3,12 @@
 //! Each direction ends by itself: `up_end` and `down_end` say how, once that is known, and the side that it
 //! leads to is ended the same way after the last byte of its ring.
 
-use crate::hands::Hands;
-use crate::line::{Cutter, Open, TooLong};
+use crate::executor::Executor;
+use crate::net::line::{LineDecoder, OpenRequest, TooLong};
+use crate::net::ring::Ring;
+use crate::net::socket::{End, Socket};
 use crate::proxy::Proxy;
-use crate::ring::Ring;
-use crate::server::Attempt;
-use crate::socket::{End, Socket};
+use crate::upstream::server::Attempt;
 use shelfgrade::host::{AttemptOutcome, SessionId};
 use shelfgrade::time::Timestamp;
 use std::cell::{Cell, RefCell};
@@ -28,7 +28,7 @@
     /// It stands: lines pass both ways.
     Established,
     /// Over for the module; what is left to write is being written.
-    Leaving,
+    Closing,
     /// Both connections are closed.
     Closed,
 }
@@ -38,9 +38,9 @@
     pub stage: Cell<Stage>,
     /// When that stage began.
     pub since: Cell<Timestamp>,
-    pub opening: Open,
+    pub opening: OpenRequest,
     pub client: Rc<Socket<Proxy>>,
-    pub from_client: RefCell<Cutter>,
+    pub from_client: RefCell<LineDecoder>,
     pub attempt: RefCell<Option<Rc<Attempt>>>,
     pub up: RefCell<Ring>,
     pub down: RefCell<Ring>,
@@ -58,7 +58,7 @@
 impl Session {
     pub fn new(
         id: SessionId,
-        opening: Open,
+        opening: OpenRequest,
         client: Rc<Socket<Proxy>>,
         ring: usize,
         now: Timestamp,
@@ -90,7 +90,7 @@
     /// Guards against waiting for a server that does not exist: discovery names all there are at once.
     fn taken_over_within(&self, proxy: &Proxy) -> Duration {
         const NAMED_WITHIN: Duration = Duration::from_millis(2500);
-        let unnamed = proxy.hands.list_heard.get() && self.attempt.borrow().is_none();
+        let unnamed = proxy.executor.list_heard.get() && self.attempt.borrow().is_none();
         if unnamed {
             NAMED_WITHIN
         } else {
@@ -116,7 +116,7 @@
                 return self.wind_up(proxy);
             }
         }
-        proxy.hands.call_again(self);
+        proxy.executor.call_again(self);
     }
 
     /// Writes what can be written, and ends the sides that have had their last byte.
@@ -131,7 +131,7 @@
                 attempt.socket.end(end);
             }
         }
-        if matches!(self.stage.get(), Stage::Established | Stage::Leaving) {
+        if matches!(self.stage.get(), Stage::Established | Stage::Closing) {
             written += self.client.write(&mut down);
             if let (Some(end), true) = (self.down_end.get(), down.is_empty()) {
                 self.client.end(end);
@@ -150,8 +150,8 @@
     /// The session has ended for the module, with all said that the client will hear of it.
     pub fn over_for_module(&self, outcome: AttemptOutcome, proxy: &mut Proxy) {
         if self.stage.get() == Stage::Established {
-            self.enter(Stage::Leaving, proxy.now());
-            proxy.hands.due.add(self);
+            self.enter(Stage::Closing, proxy.now());
+            proxy.executor.pending.add(self);
             proxy.on_attempt_ended(self.id, outcome, true);
         }
     }
@@ -159,9 +159,9 @@
     /// A peer has broken the protocol: its connection ends, and the session with it, however the module is
     /// told that it ended.
     pub fn foul(&self, _: TooLong, outcome: AttemptOutcome, proxy: &mut Proxy) {
-        proxy.hands.tally.complain("long lines");
+        proxy.executor.metrics.warn("overlong lines");
         self.server_ended(End::Fin, outcome, proxy);
-        self.enter(Stage::Leaving, proxy.now());
+        self.enter(Stage::Closing, proxy.now());
     }
 
     /// Sends the client away as soon as the server's last line has ended; true once that is done.
@@ -172,7 +172,7 @@
             self.leaving_line.set(None);
             self.down_end.set(Some(End::Fin));
             self.up_end.set(Some(End::Fin));
-            self.enter(Stage::Leaving, now);
+            self.enter(Stage::Closing, now);
             self.flush();
         }
         moved
@@ -185,7 +185,7 @@
             self.attempt.borrow().iter().for_each(|attempt| attempt.forget_line());
             return proxy.move_now(self);
         }
-        proxy.hands.tally.count("moved inside a line");
+        proxy.executor.metrics.count("migrated inside a line");
         self.server_ended(End::Fin, AttemptOutcome::Cancelled, proxy);
         self.flush();
     }
@@ -193,17 +193,17 @@
     /// Forgets the session once both sides have ended.
     pub fn wind_up(&self, proxy: &mut Proxy) {
         let server_over = || self.attempt.borrow().as_ref().is_none_or(|c| c.socket.is_over());
-        if self.stage.get() == Stage::Leaving && self.client.is_over() && server_over() {
-            self.close(&mut proxy.hands);
+        if self.stage.get() == Stage::Closing && self.client.is_over() && server_over() {
+            self.close(&mut proxy.executor);
         }
     }
 
     /// Closes both connections at once and forgets the session.
-    pub fn close(&self, hands: &mut Hands) {
+    pub fn close(&self, executor: &mut Executor) {
         self.attempt.borrow_mut().take();
         self.stage.set(Stage::Closed);
         self.place.take();
-        hands.forget(self);
+        executor.forget(self);
     }
 
     /// Whether something is to be done that no event may come for.
@@ -211,7 +211,7 @@
         match self.stage.get() {
             Stage::PollerElection => self.is_taken_over(),
             Stage::Established => self.leaving_line.get().is_some(),
-            Stage::Leaving => true,
+            Stage::Closing => true,
             Stage::Closed => false,
         }
     }
@@ -226,9 +226,9 @@
         let past = now.since(self.since.get());
         match self.stage.get() {
             Stage::PollerElection if self.is_taken_over() && past > self.taken_over_within(proxy) => {
-                self.answer("ERR", &mut proxy.hands);
+                self.answer("ERR", &mut proxy.executor);
             }
-            Stage::Leaving if past > LAST_BYTES_WITHIN => self.close(&mut proxy.hands),
+            Stage::Closing if past > LAST_BYTES_WITHIN => self.close(&mut proxy.executor),
             Stage::Established
                 if self.leaving_line.get().is_some_and(|at| now.since(at) > LINE_ENDS_WITHIN) =>
             {
--- a/crates/proxy/src/windows.rs
+++ b/crates/proxy/src/tenants/maintenance_windows.rs
@@ -3,7 +3,7 @@
 //!
 //! The file is the fleet file's `maintenance`. Whoever has a newer version spreads it; it comes into force whole.
 
-use crate::spaces::{put, whole, Shared};
+use crate::tenants::tenant_namespaces::{put, whole, Shared};
 use shelfgrade::host::{Endpoint, EndpointState, ServerId};
 use shelfgrade::time::Timestamp;
 use shelfgrade_maintenance::plan::{goes, short_by, Phase, Plan, Site};
@@ -18,7 +18,7 @@
 const A_SECOND: f64 = 4.0;
 
 #[derive(Default)]
-pub struct Windows {
+pub struct MaintenanceWindows {
     plan: Option<Plan>,
     phases: BTreeMap<String, Phase>,
     /// What each server was put to last.
@@ -34,7 +34,7 @@
     pub begun: Vec<String>,
 }
 
-impl Windows {
+impl MaintenanceWindows {
     /// Reads the file and spreads it, if it can be used.
     pub fn read(&self, path: &Path, now_ms: i64, shared: &impl Shared) {
         let read = || {
--- a/crates/proxy/src/spaces.rs
+++ b/crates/proxy/src/tenants/tenant_namespaces.rs
@@ -36,7 +36,7 @@
 /// A customer whose namespace came or changed, what it is granted, and its part of the whole.
 pub type Changed = (Rc<str>, Rc<[ServerId]>, f64);
 
-pub struct Spaces {
+pub struct TenantNamespaces {
     table: Table,
     /// By customer and rule: what stands there holds one each.
     rooms: BTreeMap<(String, String), Rc<()>>,
@@ -45,9 +45,14 @@
     versions: BTreeMap<String, u64>,
 }
 
-impl Spaces {
+impl TenantNamespaces {
     pub fn new(member: (usize, usize)) -> Self {
-        Spaces { table: Table::default(), rooms: BTreeMap::new(), member, versions: BTreeMap::new() }
+        TenantNamespaces {
+            table: Table::default(),
+            rooms: BTreeMap::new(),
+            member,
+            versions: BTreeMap::new(),
+        }
     }
 
     /// Reads the folder and spreads what is in it; each file by itself, so that a bad one holds up no other.
@@ -125,8 +130,8 @@
             Ok(held) => {
                 log::info!("namespace of {customer}: version {} is in force", held.version());
                 self.versions.insert(customer.to_owned(), held.version());
-                for (rule, early) in held.space.shadowed() {
-                    log::warn!("namespace of {customer}: rule {rule} can never act, as {early} covers it");
+                for (rule, earlier) in held.space.shadowed() {
+                    log::warn!("namespace of {customer}: rule {rule} can never act, as {earlier} covers it");
                 }
             }
             Err(error) => log::error!("namespace of {customer}: {error}; what was there before stays"),
--- a/crates/proxy/src/notes.rs
+++ b/crates/proxy/src/upstream/load_reports.rs
@@ -9,12 +9,12 @@
 use std::time::Duration;
 
 #[derive(Default)]
-pub struct Notes {
+pub struct LoadReports {
     /// When the last note came that may have told of messages.
     last: Cell<Option<Timestamp>>,
 }
 
-impl Notes {
+impl LoadReports {
     /// Whether a note that comes now tells how long messages take.
     pub fn is_delay(&self, told: f64, now: Timestamp) -> bool {
         // Of 1,300 loads seen none was less: a client that asks for so little is as good as gone.
@@ -43,5 +43,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/notes.rs"]
+#[path = "../../tests/unit/load_reports.rs"]
 mod tests;
--- a/crates/proxy/src/pulse.rs
+++ b/crates/proxy/src/upstream/message_latency.rs
@@ -7,11 +7,11 @@
 use std::time::Duration;
 
 #[derive(Default)]
-pub struct Pulse {
+pub struct MessageLatency {
     latest: RefCell<VecDeque<(Duration, Weak<Session>)>>,
 }
 
-impl Pulse {
+impl MessageLatency {
     /// A message of this session has come back.
     pub fn came_back(&self, session: &Session, took: Duration) {
         // More than come back in a second, few enough to hold.
--- a/crates/proxy/src/server.rs
+++ b/crates/proxy/src/upstream/server.rs
@@ -1,14 +1,14 @@
 //! The server's side of a session: one attempt, from the dial to the end of the connection.
 
-use crate::hands::Hands;
-use crate::line::{text, Cutter};
-use crate::notes::Notes;
-use crate::probe::Probe;
+use crate::executor::Executor;
+use crate::net::line::{text, LineDecoder};
+use crate::net::ring::Ring;
+use crate::net::socket::{End, Socket};
 use crate::proxy::Proxy;
-use crate::pulse::Pulse;
-use crate::ring::Ring;
 use crate::session::{Session, Stage};
-use crate::socket::{End, Socket};
+use crate::upstream::health_check::HealthCheck;
+use crate::upstream::load_reports::LoadReports;
+use crate::upstream::message_latency::MessageLatency;
 use calloop::timer::{TimeoutAction, Timer};
 use calloop::{LoopHandle, RegistrationToken};
 use shelfgrade::host::{AttemptOutcome, EndpointState, ServerId};
@@ -27,9 +27,9 @@
     pub id: ServerId,
     pub state: Cell<EndpointState>,
     pub dial: Cell<SocketAddr>,
-    pub pulse: Pulse,
-    pub notes: Notes,
-    pub probe: RefCell<Option<Rc<Probe>>>,
+    pub message_latency: MessageLatency,
+    pub load_reports: LoadReports,
+    pub health_check: RefCell<Option<Rc<HealthCheck>>>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd)]
@@ -46,7 +46,7 @@
     phase: Cell<Phase>,
     /// What is left to write of the first line.
     first: RefCell<Ring>,
-    lines: RefCell<Cutter>,
+    lines: RefCell<LineDecoder>,
     gives_up: Timestamp,
     timer: Cell<Option<(LoopHandle<'static, Proxy>, RegistrationToken)>>,
     /// What the server's last line says of an end that follows it.
@@ -60,11 +60,11 @@
         server: Rc<Server>,
         time_out: Duration,
         now: Timestamp,
-        hands: &Hands,
+        executor: &Executor,
     ) -> io::Result<Rc<Self>> {
         let socket = Socket::dial(server.dial.get())?;
         let weak = session.me.clone();
-        socket.watch(&hands.handle, move |proxy| {
+        socket.watch(&executor.handle, move |proxy| {
             weak.upgrade().inspect(|session| session.ready(proxy));
         })?;
         let attempt = Rc::new(Attempt {
@@ -78,9 +78,9 @@
             farewell: Cell::new(AttemptOutcome::ConnectionLost),
         });
         // What was open before the start has only this one attempt.
-        let dial = hands.dial_time_out.filter(|_| !session.is_taken_over());
+        let dial = executor.dial_time_out.filter(|_| !session.is_taken_over());
         let dial = dial.map_or(time_out, |dial| dial.min(time_out));
-        attempt.give_up_in(dial, session, &hands.handle);
+        attempt.give_up_in(dial, session, &executor.handle);
         Ok(attempt)
     }
 
@@ -94,7 +94,7 @@
 
     /// What it began of a line is not passed on.
     pub fn forget_line(&self) {
-        *self.lines.borrow_mut() = Cutter::default();
+        *self.lines.borrow_mut() = LineDecoder::default();
     }
 
     /// Guards against a stale alarm too: the new one takes the old one's place, and goes with the attempt.
@@ -160,7 +160,7 @@
                     *attempt.first.borrow_mut() = first;
                     attempt.phase.set(Phase::Writing);
                     let wait = attempt.gives_up.since(proxy.now());
-                    attempt.give_up_in(wait, self, &proxy.hands.handle);
+                    attempt.give_up_in(wait, self, &proxy.executor.handle);
                 }
                 Ok(true) | Err(_) => {
                     self.attempt_ended(&attempt, AttemptOutcome::Unreachable, proxy);
@@ -232,7 +232,7 @@
             Ok(lines) => lines.iter().for_each(|line| self.server_says(attempt, text(line), proxy)),
             Err(error) if attempt.is_up() => self.foul(error, AttemptOutcome::ConnectionLost, proxy),
             Err(_) => {
-                proxy.hands.tally.count("long lines");
+                proxy.executor.metrics.count("overlong lines");
                 self.attempt_ended(attempt, AttemptOutcome::ConnectionLost, proxy);
             }
         }
@@ -270,7 +270,7 @@
                 told.into_iter().for_each(|told| self.server_tells(&attempt.server, told, proxy));
             }
             ("BYE" | "MOVE", _) | (_, None) => {}
-            (_, Some(asked)) => attempt.server.pulse.came_back(self, proxy.now().since(asked)),
+            (_, Some(asked)) => attempt.server.message_latency.came_back(self, proxy.now().since(asked)),
         }
     }
 
@@ -278,7 +278,7 @@
     /// second, and how long messages take there now, in milliseconds.
     fn server_tells(&self, server: &Server, told: f64, proxy: &mut Proxy) {
         let now = proxy.now();
-        if proxy.hands.tells_delay && server.notes.is_delay(told, now) {
+        if proxy.executor.tells_delay && server.load_reports.is_delay(told, now) {
             log::debug!("messages at {} take {told} ms, it says", server.id);
             proxy.on_message_latency(self.id, Duration::from_ms(told));
         } else {
@@ -292,7 +292,7 @@
         self.attempt.borrow_mut().take();
         self.down.borrow_mut().clear();
         if self.is_taken_over() {
-            return self.answer("ERR", &mut proxy.hands);
+            return self.answer("ERR", &mut proxy.executor);
         }
         proxy.on_attempt_ended(self.id, outcome, false);
     }
--- a/crates/proxy/tests/sockets/calls.rs
+++ b/crates/proxy/tests/sockets/calls.rs
@@ -104,8 +104,8 @@
         (Call::Socket, libc::ENOMEM),
         (Call::Socket, libc::ENFILE),
         (Call::SetOption, libc::ENOBUFS),
-        (Call::Open, libc::EIO),
-        (Call::Open, libc::ENFILE),
+        (Call::OpenRequest, libc::EIO),
+        (Call::OpenRequest, libc::ENFILE),
     ];
     for (call, error) in errors {
         let plan = Plan::new();
--- a/crates/proxy/tests/sockets/ending.rs
+++ b/crates/proxy/tests/sockets/ending.rs
@@ -32,7 +32,7 @@
     }
     drop((standing, asking, late));
     let (code, log) = program.exit();
-    assert!(code == Some(0) && log.contains("broken assertions 0"), "{code:?} {log}");
+    assert!(code == Some(0) && log.contains("invariant violations 0"), "{code:?} {log}");
     assert!(told.elapsed() < Duration::from_millis(1900), "{:?}", told.elapsed());
 }
 
--- a/crates/proxy/tests/sockets/folders.rs
+++ b/crates/proxy/tests/sockets/folders.rs
@@ -36,7 +36,7 @@
         (Call::Write, Failure::Error(libc::ENOSPC)),
         (Call::Sync, Failure::Error(libc::EIO)),
         (Call::Rename, Failure::Error(libc::EIO)),
-        (Call::Open, Failure::Error(libc::ENOSPC)),
+        (Call::OpenRequest, Failure::Error(libc::ENOSPC)),
     ];
     for (call, failure) in failing {
         let (plan, folder) = (Plan::new(), tempfile::tempdir().unwrap());
@@ -63,9 +63,9 @@
     within(LONG, || generations.iter().all(|path| path.exists()).then_some(()));
     drop(first);
     for _ in 0..4 {
-        plan.fail(Call::Open, 600, Failure::Error(libc::EIO));
+        plan.fail(Call::OpenRequest, 600, Failure::Error(libc::EIO));
         let program = starts_with_a_folder(&plan, folder.path(), &[&server]);
-        plan.mend(Call::Open);
+        plan.mend(Call::OpenRequest);
         // What was logged on the way to that is behind it.
         assert!(!program.said_before.contains("started without it"), "{}", program.said_before);
     }
@@ -79,10 +79,10 @@
     let program = plan.start(USUAL, &[&server]);
     let _old = program.discovery.called();
     let new = Place::new("discovery");
-    plan.fail(Call::Open, 1000, Failure::Error(libc::EIO));
+    plan.fail(Call::OpenRequest, 1000, Failure::Error(libc::EIO));
     program.reads_again(&program.text_with(&new));
-    within(LONG, || (plan.failed(Call::Open) > 0).then_some(()));
+    within(LONG, || (plan.failed(Call::OpenRequest) > 0).then_some(()));
     std::thread::sleep(Duration::from_millis(300));
-    plan.mend(Call::Open);
+    plan.mend(Call::OpenRequest);
     within(Duration::from_secs(2), || new.try_accept());
 }
--- a/crates/proxy/tests/sockets/life.rs
+++ b/crates/proxy/tests/sockets/life.rs
@@ -30,7 +30,7 @@
     assert!(moved[7] - moved[0] > Duration::from_millis(400), "not in a crowd: {moved:?}");
     assert_eq!(late.line(), "MOVE");
     drop((standing, late));
-    assert!(program.ends().contains("connections up 9"));
+    assert!(program.ends().contains("sessions established 9"));
     assert!(told.elapsed() < Duration::from_millis(3700), "before it is killed");
 }
 
@@ -76,7 +76,7 @@
     assert!(answer.starts_with("BUSY") || answer == "ERR", "{answer}");
     assert!(["", "ERR", "BUSY"].contains(&&*silent.line()));
     let (code, log) = program.exit();
-    assert!(code == Some(0) && log.contains("broken assertions 0"), "{code:?} {log}");
+    assert!(code == Some(0) && log.contains("invariant violations 0"), "{code:?} {log}");
     assert!(told.elapsed() < Duration::from_millis(3700), "{:?}", told.elapsed());
     // Who reads late finds all that was sent, and the move behind it.
     (0..lines).for_each(|i| assert_eq!(deaf.line(), format!("M {i}")));
--- a/crates/proxy/tests/sockets/listing.rs
+++ b/crates/proxy/tests/sockets/listing.rs
@@ -108,7 +108,7 @@
     program.terminate();
     let (mut call, _) = new.called();
     call.say(&list(3, true, &[two.entry("in_service")]));
-    assert!(program.ends().contains("connections up 2"));
+    assert!(program.ends().contains("sessions established 2"));
 }
 
 /// Where the list was pushed the program made no call at all, and went by the list known at its start for good.
--- a/crates/proxy/tests/sockets/peers.rs
+++ b/crates/proxy/tests/sockets/peers.rs
@@ -37,7 +37,7 @@
     assert_eq!(client.line(), "M 1");
     assert!(server.try_accept().is_none(), "nothing bad was sent on");
     let log = program.ends();
-    assert!(log.contains("bad first lines 3") && log.contains("more than a first line 2"), "{log}");
+    assert!(log.contains("malformed first lines 3") && log.contains("data after first line 2"), "{log}");
     assert!(log.lines().count() < 12, "bad peers do not fill the log: {log}");
 }
 
@@ -55,7 +55,7 @@
     assert!(client.line().starts_with("BUSY"), "no other server");
     assert!(program.client().is_refused(line.as_bytes()), "its client is about to come again");
     assert!(server.try_accept().is_none());
-    assert!(program.ends().contains("ids in use 2"));
+    assert!(program.ends().contains("duplicate request ids 2"));
 }
 
 /// What came with the end was dropped unread, and the connection closed without a word.
@@ -154,5 +154,5 @@
     within(LONG, || (program.descriptors() <= before).then_some(()));
     let _sides = program.settles(&server);
     let log = program.ends();
-    assert!(log.contains("pushed back for want of descriptors 1"), "{log}");
+    assert!(log.contains("rejected for lack of descriptors 1"), "{log}");
 }
--- a/crates/proxy/tests/sockets/rest.rs
+++ b/crates/proxy/tests/sockets/rest.rs
@@ -22,8 +22,8 @@
         assert_eq!(at_server.line(), "");
     }
     let log = program.ends();
-    let looked_after = counted(&log, "sessions looked after");
-    assert!(counted(&log, "connections up") == CIRCUITS && looked_after < CIRCUITS, "{log}");
+    let looked_after = counted(&log, "session checks");
+    assert!(counted(&log, "sessions established") == CIRCUITS && looked_after < CIRCUITS, "{log}");
 }
 
 /// What waits is looked after all the same: one that is to leave, and whose server never ends the line it began.
@@ -40,7 +40,7 @@
     assert_eq!(client.line(), "", "the piece of a line, and the end");
     drop((resting, client, at_server));
     let log = program.ends();
-    assert_eq!(counted(&log, "moved inside a line"), 1, "{log}");
+    assert_eq!(counted(&log, "migrated inside a line"), 1, "{log}");
 }
 
 /// One whose server ended it, and whose client never ends its own side, keeps no descriptors for long.
@@ -81,5 +81,5 @@
     }
     assert_eq!(opens().line(), "ERR");
     let log = program.ends();
-    assert_eq!(counted(&log, "ids in use"), 1, "{log}");
+    assert_eq!(counted(&log, "duplicate request ids"), 1, "{log}");
 }
--- a/crates/proxy/tests/sockets/room.rs
+++ b/crates/proxy/tests/sockets/room.rs
@@ -221,7 +221,7 @@
         drop(self.crowd);
         drop(self.standing);
         let log = self.program.ends();
-        let refused = ["accepting put off", "os error 24", "a client's socket"];
+        let refused = ["accept paused", "os error 24", "a client's socket"];
         assert!(!refused.iter().any(|word| log.contains(word)), "{log}");
     }
 }
--- a/crates/proxy/tests/sockets/stand.rs
+++ b/crates/proxy/tests/sockets/stand.rs
@@ -329,7 +329,7 @@
     pub fn ends(self) -> String {
         self.terminate();
         let (code, log) = self.exit();
-        assert!(code == Some(0) && log.contains("broken assertions 0"), "{code:?} {log}");
+        assert!(code == Some(0) && log.contains("invariant violations 0"), "{code:?} {log}");
         log
     }
 
--- a/crates/proxy/tests/unit/line.rs
+++ b/crates/proxy/tests/unit/line.rs
@@ -4,8 +4,8 @@
 
 const HEAD: &str = "OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655";
 
-fn parse(line: &str) -> Option<Open> {
-    Open::parse(line, &["chat".to_owned(), "mail".to_owned()])
+fn parse(line: &str) -> Option<OpenRequest> {
+    OpenRequest::parse(line, &["chat".to_owned(), "mail".to_owned()])
 }
 
 #[test]
@@ -76,7 +76,7 @@
 
 #[test]
 fn lines_are_found_across_reads_and_an_endless_one_is_refused() {
-    let mut cutter = Cutter::default();
+    let mut cutter = LineDecoder::default();
     assert_eq!(cutter.feed(b"LOAD 1.5\r\nB"), Ok(vec![b"LOAD 1.5\r\n".to_vec()]));
     assert!(!cutter.between_lines());
     let lines = cutter.feed(b"YE\n\r\n").expect("short lines");
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -178,7 +178,7 @@
     /// Servers tell by themselves how long messages take.
     pub tells_delay: bool,
     /// Probes are allowed.
-    pub may_probe: bool,
+    pub health_checks_allowed: bool,
 }
 
 /// Reads the settings from the text of their JSON object.
@@ -246,7 +246,7 @@
         dial_time_out: Some(bounds.dial_timeout_ms.0).filter(|ms| *ms > 0.0).map(Duration::from_ms),
         list_is_pushed: must_ask_in.is_none(),
         tells_delay: extra.tells_delay,
-        may_probe: bounds.probes,
+        health_checks_allowed: bounds.probes,
     })
 }
 
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -28,7 +28,7 @@
 struct Instance {
     balancer: LoadBalancer,
     classes: Vec<String>,
-    may_probe: bool,
+    health_checks_allowed: bool,
     list_is_pushed: bool,
 }
 
@@ -111,8 +111,8 @@
         if line.name == "BORN" {
             let settings =
                 shelfgrade_settings::parse(line.whole("salt")?, line.required("env")?).context("env")?;
-            let Settings { balancer, classes, may_probe, list_is_pushed, .. } = settings;
-            self.instances.insert(who, Instance { balancer, classes, may_probe, list_is_pushed });
+            let Settings { balancer, classes, health_checks_allowed, list_is_pushed, .. } = settings;
+            self.instances.insert(who, Instance { balancer, classes, health_checks_allowed, list_is_pushed });
             return Ok(());
         }
         if line.name == "HALT" {
@@ -245,13 +245,13 @@
     text: String,
     from: Option<u64>,
     who: u64,
-    may_probe: bool,
+    health_checks_allowed: bool,
     list_is_pushed: bool,
 }
 
 impl Reply {
     fn of(&mut self, who: u64, instance: &Instance) -> &mut Self {
-        (self.who, self.may_probe) = (who, instance.may_probe);
+        (self.who, self.health_checks_allowed) = (who, instance.health_checks_allowed);
         self.list_is_pushed = instance.list_is_pushed;
         self
     }
@@ -291,10 +291,10 @@
     }
 
     fn check_health(&mut self, server: &ServerId) -> bool {
-        if self.may_probe {
+        if self.health_checks_allowed {
             self.say(format_args!("ASK_LOAD server={server}"));
         }
-        self.may_probe
+        self.health_checks_allowed
     }
 
     fn schedule_wakeup(&mut self, at: Timestamp) {
--- a/crates/testkit/tests/size.rs
+++ b/crates/testkit/tests/size.rs
@@ -146,8 +146,8 @@
     }
     fleet.passes(0);
     let refused = &fleet.processes[0].refused;
-    assert_eq!(refused.get("fleet datagrams of others"), Some(&1), "{refused:?}");
+    assert_eq!(refused.get("fleet datagrams from other fleets"), Some(&1), "{refused:?}");
     assert_eq!(refused.get("fleet datagrams damaged"), Some(&3), "{refused:?}");
-    assert_eq!(refused.get("fleet datagrams not to be read"), Some(&2), "{refused:?}");
+    assert_eq!(refused.get("fleet datagrams malformed"), Some(&2), "{refused:?}");
     assert_eq!((fleet.core(0).state_digest(), fleet.core(0).alive().len()), (state, 3));
 }
--- a/crates/testkit/tests/standing.rs
+++ b/crates/testkit/tests/standing.rs
@@ -16,7 +16,7 @@
         let figure = |name: &str| point[name].as_f64().expect("a figure");
         points.push((figure("bytes_each"), figure("core_us_a_line")));
         let log = standing.ends().await;
-        assert!(log.contains("broken assertions 0"), "{log}");
+        assert!(log.contains("invariant violations 0"), "{log}");
     }
     let [few, many] = points[..] else { panic!("two points") };
     assert!(many.0 < 1.5 * few.0 && few.0 < 2.0 * many.0, "memory each: {points:?}");
