--- a/crates/proxy/src/downstream/client.rs
+++ b/crates/proxy/src/downstream/client.rs
@@ -28,7 +28,7 @@
 
     /// Reads once from the client; true if anything came.
     pub fn hear_client(&self, proxy: &mut Proxy) -> bool {
-        if self.stage.get() == Stage::PollerElection {
+        if self.stage.get() == Stage::Connecting {
             let asks = self.client_is_waiting(&mut proxy.executor);
             if !asks {
                 proxy.on_client_closed(self.id);
@@ -71,7 +71,7 @@
                 }
                 self.over_for_module(AttemptOutcome::Cancelled, proxy);
             }
-            Stage::PollerElection | Stage::Closing | Stage::Closed => {}
+            Stage::Connecting | Stage::Closing | Stage::Closed => {}
         }
     }
 
--- a/crates/proxy/src/executor.rs
+++ b/crates/proxy/src/executor.rs
@@ -220,7 +220,7 @@
 
     pub fn take_over_waiting(&mut self) {
         for session in std::mem::take(&mut self.unplaced).iter().filter_map(Weak::upgrade) {
-            if session.stage.get() == Stage::PollerElection {
+            if session.stage.get() == Stage::Connecting {
                 self.take_over(&session);
             }
         }
--- a/crates/proxy/src/lifecycle/graceful_shutdown.rs
+++ b/crates/proxy/src/lifecycle/graceful_shutdown.rs
@@ -69,12 +69,12 @@
         let sessions: Vec<Rc<Session>> = self.executor.sessions.values().cloned().collect();
         let in_stage = |stage| sessions.iter().filter(move |c| c.stage.get() == stage);
         if past >= open_for {
-            for session in in_stage(Stage::PollerElection) {
+            for session in in_stage(Stage::Connecting) {
                 self.executor.metrics.count("failed at shutdown");
                 session.answer("ERR", &mut self.executor);
             }
         }
-        let open = in_stage(Stage::PollerElection).chain(in_stage(Stage::Established)).next().is_some();
+        let open = in_stage(Stage::Connecting).chain(in_stage(Stage::Established)).next().is_some();
         let leaving = in_stage(Stage::Closing).any(|c| !c.client.is_over());
         let quiet = past >= QUIET_FOR && now.since(self.last_arrival) >= QUIET_FOR;
         // Guards against leaving who has connected, and has sent nothing yet or half of its line.
@@ -111,7 +111,7 @@
             }
         }
         for session in self.executor.sessions.values().cloned().collect::<Vec<_>>() {
-            if session.stage.get() == Stage::PollerElection {
+            if session.stage.get() == Stage::Connecting {
                 session.answer("ERR", &mut self.executor);
             }
         }
--- a/crates/proxy/src/lifecycle/startup_gate.rs
+++ b/crates/proxy/src/lifecycle/startup_gate.rs
@@ -96,9 +96,9 @@
         }
     }
 
-    /// Executor a session to the decisions; its request timeout counts from when it came.
+    /// Hands a session to the load balancer; its request timeout counts from when it came.
     pub fn place(&mut self, session: &Rc<Session>) {
-        if session.stage.get() == Stage::PollerElection {
+        if session.stage.get() == Stage::Connecting {
             let now = self.now();
             let mut turn = self.admission_turn(session);
             let ruled = self.rule_for(session);
@@ -119,7 +119,7 @@
             *session.place.borrow_mut() = ruled.as_ref().map(|ruled| ruled.place.clone());
             self.balancer.on_request(whose, &Arrival { turn, among, ..arrival }, now, &mut self.executor);
             // Not turned away: it was let in, or is about to be.
-            let let_in = turn.is_some() && session.stage.get() == Stage::PollerElection;
+            let let_in = turn.is_some() && session.stage.get() == Stage::Connecting;
             self.peers.iter().filter(|_| let_in).for_each(|peers| peers.record_admission());
             self.settle();
         }
--- a/crates/proxy/src/session.rs
+++ b/crates/proxy/src/session.rs
@@ -24,7 +24,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
     /// The module is finding it a server.
-    PollerElection,
+    Connecting,
     /// It stands: lines pass both ways.
     Established,
     /// Over for the module; what is left to write is being written.
@@ -65,7 +65,7 @@
     ) -> Rc<Self> {
         Rc::new_cyclic(|me| Session {
             id,
-            stage: Cell::new(Stage::PollerElection),
+            stage: Cell::new(Stage::Connecting),
             since: Cell::new(now),
             opening,
             client,
@@ -209,7 +209,7 @@
     /// Whether something is to be done that no event may come for.
     pub fn is_due(&self) -> bool {
         match self.stage.get() {
-            Stage::PollerElection => self.is_taken_over(),
+            Stage::Connecting => self.is_taken_over(),
             Stage::Established => self.leaving_line.get().is_some(),
             Stage::Closing => true,
             Stage::Closed => false,
@@ -225,7 +225,7 @@
         let now = proxy.now();
         let past = now.since(self.since.get());
         match self.stage.get() {
-            Stage::PollerElection if self.is_taken_over() && past > self.taken_over_within(proxy) => {
+            Stage::Connecting if self.is_taken_over() && past > self.taken_over_within(proxy) => {
                 self.answer("ERR", &mut proxy.executor);
             }
             Stage::Closing if past > LAST_BYTES_WITHIN => self.close(&mut proxy.executor),
--- a/crates/proxy/src/tenants/tenant_namespaces.rs
+++ b/crates/proxy/src/tenants/tenant_namespaces.rs
@@ -27,7 +27,7 @@
 pub struct Decided {
     pub customer: Rc<str>,
     pub among: Rc<[ServerId]>,
-    /// HeldSession for as long as the session is: how many there are is how full the room is.
+    /// Held for as long as the session is: how many there are is how full the room is.
     pub place: Rc<()>,
     /// The room is full.
     pub full: bool,
--- a/crates/proxy/src/upstream/server.rs
+++ b/crates/proxy/src/upstream/server.rs
@@ -182,7 +182,7 @@
         match attempt.socket.ended.get() {
             Some(how) if self.current(&attempt) && (before.is_none() || how == End::Reset) => {
                 match self.stage.get() {
-                    Stage::PollerElection => {
+                    Stage::Connecting => {
                         self.attempt_ended(&attempt, attempt.unrun_or(AttemptOutcome::ConnectionLost), proxy);
                         return true;
                     }
--- a/crates/testkit/src/simulation.rs
+++ b/crates/testkit/src/simulation.rs
@@ -15,7 +15,7 @@
 //! all.passes(Duration::from_millis(20_000));
 //! all.with(7, |core, now, out| core.put("a key", now, out));
 //! all.cut_region(2);
-//! let known: Vec<(usize, u64)> = all.each(|_, core| core.state());
+//! let known: Vec<(usize, u64)> = all.each(|_, core| core.state_digest());
 //! ```
 
 use crate::region::{Datagram, Region, RegionSeed};
--- a/crates/testkit/tests/processes.rs
+++ b/crates/testkit/tests/processes.rs
@@ -187,7 +187,7 @@
     fs::write(&start, swap(fs::read_to_string(&start).unwrap())).unwrap();
     trial.start(5);
     let told =
-        |trial: &mut Trial| trial.processes.iter().any(|p| p.log().contains("another process of this name"));
+        |trial: &mut Trial| trial.processes.iter().any(|p| p.log().contains("from a duplicate member"));
     trial.until(Duration::from_secs(15), "it is told", told).await;
     comes_back(&mut trial, 20).await;
     trial.ends().await;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -33,21 +33,25 @@
 //!     server_capacity: 30.0,
 //!     proxies: 3.0,
 //! };
-//! let request class = RequestClass { effect: Idempotency::Idempotent, connect_latency_objective: None, message_latency_objective: None };
-//! let pause = Duration::from_millis(2000);
-//! let mut chooser = LoadBalancer::new(7, vec![request class], 4, pause, None, slow_start);
+//! let class = RequestClass {
+//!     idempotency: Idempotency::Idempotent,
+//!     connect_latency_objective: None,
+//!     message_latency_objective: None,
+//! };
+//! let max_retry_after = Duration::from_millis(2000);
+//! let mut balancer = LoadBalancer::new(7, vec![class], 4, max_retry_after, None, slow_start);
 //! let server = Endpoint {
 //!     server: "192.0.2.1:80".into(),
 //!     zone: "a".into(),
 //!     kind: "m2".into(),
 //!     cell: 0,
 //!     started: None,
-//!     standing: EndpointState::Active,
+//!     state: EndpointState::Active,
 //! };
-//! chooser.start(&[server], now, &mut host);
+//! balancer.start(&[server], now, &mut host);
 //! let arrival = Arrival {
 //!     session: SessionId(1),
-//!     request class: Some(0),
+//!     class: Some(0),
 //!     key: Some("lift-12"),
 //!     group: None,
 //!     deadline: now + Duration::from_millis(3000),
@@ -56,7 +60,7 @@
 //!     turn: None,
 //!     among: None,
 //! };
-//! chooser.arrived(&arrival, now, &mut host);
+//! balancer.on_request(&arrival, now, &mut host);
 //! assert_eq!(host.0, ["session 1 to 192.0.2.1:80"]);
 //! ```
 
