--- a/crates/proxy/src/discovery/client.rs
+++ b/crates/proxy/src/discovery/client.rs
@@ -123,7 +123,7 @@
     /// was asked is dropped with its connection and its time-out, and as versions may not match, the new one
     /// is asked for the whole list. What the old one has written until now counts as told, and is heard first.
     pub fn move_to(self: &Rc<Self>, at: SocketAddr, follower: &mut F) -> bool {
-        self.look(follower);
+        self.read_pending(follower);
         let moves = self.at.replace(at) != at;
         if moves {
             self.forget(follower);
@@ -193,7 +193,7 @@
 
     /// Takes in what has come but was not heard of yet. Guards against placing a session, or writing its first byte, by
     /// a list that is no longer the last one told: the news may lie unread in the same turn of the loop.
-    pub fn look(self: &Rc<Self>, follower: &mut F) {
+    pub fn read_pending(self: &Rc<Self>, follower: &mut F) {
         if self.call.borrow().is_some() {
             self.ready(follower);
         }
--- a/crates/proxy/src/downstream/listener.rs
+++ b/crates/proxy/src/downstream/listener.rs
@@ -1,9 +1,9 @@
 //! The door: accepts connections, and keeps those that have yet to send their first line.
 
 use crate::downstream::pending_connection::PendingConnection;
+use crate::lifecycle::serve_error::ServeError;
 use crate::net::socket::Socket;
 use crate::proxy::Proxy;
-use crate::proxy::ServeError;
 use calloop::generic::Generic;
 use calloop::timer::{TimeoutAction, Timer};
 use calloop::{Interest, LoopHandle, Mode, PostAction, RegistrationToken};
--- a/crates/proxy/src/downstream/pending_connection.rs
+++ b/crates/proxy/src/downstream/pending_connection.rs
@@ -65,7 +65,7 @@
 
     /// It has ended its sending behind this, and may still read. Nothing begins for it, as it may have gone.
     fn ends_behind(&self, sent: &[u8], proxy: &mut Proxy) {
-        let asks = whole(sent) == Some("PING") && !proxy.startup_gate.waits();
+        let asks = whole(sent) == Some("PING") && !proxy.startup_gate.is_closed();
         let answer = if asks && proxy.is_ready() { "PONG" } else { "ERR" };
         self.refuse(answer, "clients closed before answer", proxy);
     }
@@ -75,7 +75,7 @@
         if line == Some("PING") {
             self.asks.set(true);
             self.asked.set(true);
-            if !proxy.startup_gate.waits() {
+            if !proxy.startup_gate.is_closed() {
                 self.answer_sign(proxy.is_ready());
             }
             return proxy.heard_of(self);
@@ -84,13 +84,13 @@
             Some(_) if proxy.executor.is_full() => {
                 self.refuse("BUSY", "rejected for lack of descriptors", proxy);
             }
-            Some(_) if proxy.has_closed() => self.refuse("BUSY", "rejected at shutdown", proxy),
+            Some(_) if proxy.rejects_new_sessions() => self.refuse("BUSY", "rejected at shutdown", proxy),
             Some(open) if !proxy.listener.is_new(open.id, &proxy.executor.open_ids) => {
                 self.refuse("ERR", "duplicate request ids", proxy)
             }
             Some(open) => {
                 proxy.listener.forget(self);
-                proxy.open(open, self.socket.clone());
+                proxy.open_session(open, self.socket.clone());
             }
             None => self.refuse("ERR", "malformed first lines", proxy),
         }
--- a/crates/proxy/src/executor.rs
+++ b/crates/proxy/src/executor.rs
@@ -305,7 +305,7 @@
         let set = self.handle.insert_source(timer, |_, _, proxy| {
             let now = proxy.now();
             proxy.balancer.on_timer(now, &mut proxy.executor);
-            proxy.settle();
+            proxy.run_deferred_actions();
             TimeoutAction::Drop
         });
         self.metrics.invariant(set.is_ok(), "a timer can be set");
--- a/crates/proxy/src/fleet/recovery.rs
+++ b/crates/proxy/src/fleet/recovery.rs
@@ -52,13 +52,13 @@
         let changed = live.iter().filter_map(|customer| self.namespaces.changed(customer)).collect();
         self.go_by(changed);
         self.executor.take_over_waiting();
-        self.settle();
+        self.run_deferred_actions();
     }
 
     fn set_polling(&mut self, watches: bool) {
         if watches {
             self.executor.wants_list.set(true);
-            self.settle();
+            self.run_deferred_actions();
         } else {
             self.discovery.drop_call(self);
         }
@@ -66,7 +66,7 @@
 
     fn state_changed(&mut self, _: State) {
         self.executor.list_heard.set(true);
-        self.list_is_here();
+        self.open_startup_gate();
     }
 
     fn restore_flow(&mut self, remembered: &FlowEntry) {
@@ -81,7 +81,7 @@
         self.discovery.forget(self);
         let now = self.executor.clock.now();
         self.balancer.on_poll_failed(now, now, &mut self.executor);
-        self.settle();
+        self.run_deferred_actions();
     }
 
     fn set_quota_fraction(&mut self, part: f64) {
@@ -202,7 +202,7 @@
                 self.executor.migrate(session);
             }
         }
-        self.settle();
+        self.run_deferred_actions();
     }
 
     fn go_by(&mut self, changed: Vec<Changed>) {
--- a/crates/proxy/src/lifecycle/graceful_shutdown.rs
+++ b/crates/proxy/src/lifecycle/graceful_shutdown.rs
@@ -64,7 +64,7 @@
             let ticks_left = open_for.as_ms() - past.as_ms();
             self.balancer
                 .migrate_sessions((ticks_left / TICK.as_millis() as f64) as usize, &mut self.executor);
-            self.settle();
+            self.run_deferred_actions();
         }
         let sessions: Vec<Rc<Session>> = self.executor.sessions.values().cloned().collect();
         let in_stage = |stage| sessions.iter().filter(move |c| c.stage.get() == stage);
@@ -118,7 +118,7 @@
     }
 
     /// Nobody new is taken any more.
-    pub fn has_closed(&self) -> bool {
+    pub fn rejects_new_sessions(&self) -> bool {
         self.shutdown_requested.is_some_and(|told| self.now().since(told) >= self.shutdown_schedule.open_for)
     }
 }
--- a/crates/proxy/src/lifecycle/mod.rs
+++ b/crates/proxy/src/lifecycle/mod.rs
@@ -2,5 +2,6 @@
 
 pub mod graceful_shutdown;
 pub mod reload;
+pub mod serve_error;
 pub mod startup;
 pub mod startup_gate;
--- a/crates/proxy/src/lifecycle/reload.rs
+++ b/crates/proxy/src/lifecycle/reload.rs
@@ -38,7 +38,7 @@
         log::info!("read again: discovery {}{}", start.discovery, if moves { "" } else { ", as before" });
         if moves {
             self.balancer.on_watch_lost(told + COUNTS_AFTER, &mut self.executor);
-            self.settle();
+            self.run_deferred_actions();
         }
     }
 }
--- a/crates/proxy/src/lifecycle/startup_gate.rs
+++ b/crates/proxy/src/lifecycle/startup_gate.rs
@@ -44,7 +44,7 @@
         StartupGate { until: Some(now + wait + WAITS), sessions: Vec::new() }
     }
 
-    pub fn waits(&self) -> bool {
+    pub fn is_closed(&self) -> bool {
         self.until.is_some()
     }
 
@@ -53,7 +53,7 @@
         self.sessions.push(Rc::downgrade(session));
         let timer = Timer::from_duration(longest_wait(session));
         let set = executor.handle.insert_source(timer, |_, _, proxy| {
-            proxy.end_of_waiting();
+            proxy.release_held_sessions();
             TimeoutAction::Drop
         });
         executor.metrics.invariant(set.is_ok(), "a timer can be set");
@@ -67,12 +67,12 @@
 
 impl Proxy {
     /// The list has been heard, or is waited for no longer: who came early has its turn, in the order of coming.
-    pub fn list_is_here(&mut self) {
+    pub fn open_startup_gate(&mut self) {
         if self.startup_gate.until.take().is_none() {
             return;
         }
         for session in std::mem::take(&mut self.startup_gate.sessions) {
-            session.upgrade().inspect(|session| self.place(session));
+            session.upgrade().inspect(|session| self.admit(session));
         }
         let ready = self.is_ready();
         self.listener
@@ -82,22 +82,22 @@
 
     /// Called with each tick, and for each session when its time is up: nobody waits past the bound, and no session past
     /// half of its request timeout.
-    pub fn end_of_waiting(&mut self) {
+    pub fn release_held_sessions(&mut self) {
         let now = self.now();
         let Some(until) = self.startup_gate.until else { return };
         if now >= until {
             log::warn!("no list has come yet: serving with the one known at the start");
-            return self.list_is_here();
+            return self.open_startup_gate();
         }
         let impatient = |c: &Rc<Session>| now.since(c.since.get()) >= longest_wait(c);
         let due = self.startup_gate.sessions.extract_if(.., |c| c.upgrade().as_ref().is_none_or(impatient));
         for session in due.collect::<Vec<_>>().iter().filter_map(Weak::upgrade) {
-            self.place(&session);
+            self.admit(&session);
         }
     }
 
     /// Hands a session to the load balancer; its request timeout counts from when it came.
-    pub fn place(&mut self, session: &Rc<Session>) {
+    pub fn admit(&mut self, session: &Rc<Session>) {
         if session.stage.get() == Stage::Connecting {
             let now = self.now();
             let mut turn = self.admission_turn(session);
@@ -121,7 +121,7 @@
             // Not turned away: it was let in, or is about to be.
             let let_in = turn.is_some() && session.stage.get() == Stage::Connecting;
             self.peers.iter().filter(|_| let_in).for_each(|peers| peers.record_admission());
-            self.settle();
+            self.run_deferred_actions();
         }
     }
 }
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -1,7 +1,8 @@
 //! The real proxy: reads what it is told at its start, and serves until it is told to end.
 
+use shelfgrade_proxy::lifecycle::serve_error::ServeError;
 use shelfgrade_proxy::lifecycle::startup::{Start, StartError};
-use shelfgrade_proxy::proxy::{serve, ServeError};
+use shelfgrade_proxy::proxy::serve;
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -5,16 +5,16 @@
 use crate::discovery::start_times::StartTimes;
 use crate::downstream::listener::Listener;
 use crate::executor::Executor;
-use crate::fleet::fleet_file::{FleetError, FleetFile};
+use crate::fleet::fleet_file::FleetFile;
 use crate::fleet::peers::Peers;
 use crate::fleet::recovery;
 use crate::lifecycle::graceful_shutdown::ShutdownSchedule;
+use crate::lifecycle::serve_error::ServeError;
 use crate::lifecycle::startup::{limit_descriptors, Limits, Start};
 use crate::lifecycle::startup_gate::StartupGate;
 use crate::net::event_loop::EventLoopOwner;
 use crate::net::line::{OpenRequest, LONGEST};
 use crate::net::socket::Socket;
-use crate::net::transient::is_transient;
 use crate::session::{Session, Stage};
 use crate::tenants::maintenance_windows::MaintenanceWindows;
 use crate::tenants::tenant_balancers::TenantBalancers;
@@ -65,29 +65,6 @@
     pub last_arrival: Timestamp,
 }
 
-/// Why a proxy cannot serve, or no longer.
-#[derive(Debug, thiserror::Error)]
-pub enum ServeError {
-    #[error("cannot listen on {at} ({source}): see that the address is this machine's and that nobody listens there")]
-    Listen { at: SocketAddr, source: std::io::Error },
-    #[error("{0}")]
-    Fleet(#[from] FleetError),
-    #[error("the event loop: {0}: see the limits on descriptors and memory, and start it again")]
-    Loop(#[from] calloop::Error),
-}
-
-impl ServeError {
-    /// Whether another start may succeed a moment later.
-    pub fn is_transient(&self) -> bool {
-        match self {
-            ServeError::Listen { source, .. } => is_transient(source),
-            ServeError::Fleet(error) => error.is_transient(),
-            ServeError::Loop(calloop::Error::IoError(source)) => is_transient(source),
-            ServeError::Loop(_) => false,
-        }
-    }
-}
-
 /// Serves until told to end.
 pub fn serve(start: Start) -> Result<(), ServeError> {
     let fleet = FleetFile::from_environment(&start.name)?;
@@ -167,7 +144,7 @@
     if let Some((file, settings)) = fleet.zip(recovery_settings) {
         proxy.join_peers(file, settings, &start.known, start.seed)?;
     }
-    proxy.settle();
+    proxy.run_deferred_actions();
     let address =
         proxy.listener.address().map_err(|source| ServeError::Listen { at: start.listen, source })?;
     log::info!("{} listens on {address}, {} servers known", proxy.name, start.known.entries.len());
@@ -194,7 +171,7 @@
     }
 
     /// A client has sent its first line.
-    pub fn open(&mut self, open: OpenRequest, client: Rc<Socket<Proxy>>) {
+    pub fn open_session(&mut self, open: OpenRequest, client: Rc<Socket<Proxy>>) {
         log::trace!("{open:?}");
         let now = self.now();
         let session = Session::new(self.executor.next_id(), open, client, self.ring, now);
@@ -204,17 +181,17 @@
         });
         self.executor.sessions.insert(session.id, session.clone());
         self.executor.open_ids.insert(session.opening.id);
-        self.discovery.clone().look(self);
+        self.discovery.clone().read_pending(self);
         if session.is_taken_over() {
             self.executor.pending.add(&session);
             self.executor.take_over(&session);
         } else {
             self.executor.metrics.count("sessions");
             self.last_arrival = now;
-            if self.startup_gate.waits() && self.peers.is_none() {
+            if self.startup_gate.is_closed() && self.peers.is_none() {
                 self.startup_gate.holds(&session, &self.executor);
             } else {
-                self.place(&session);
+                self.admit(&session);
             }
         }
         // What came since its line was read, brings no event of its own.
@@ -239,7 +216,7 @@
         log::debug!("session {} ended: {outcome:?}, done {done}", session.0);
         let now = self.now();
         self.balancer.on_attempt_ended(session, outcome, done, now, &mut self.executor);
-        self.settle();
+        self.run_deferred_actions();
     }
 
     /// The client has left before its answer; the attempt that was out has ended with it.
@@ -254,18 +231,18 @@
         log::debug!("probe of {} took {} ms", server.id, took.as_ms());
         let now = self.now();
         self.balancer.on_health_check(&server.id, took, now, &mut self.executor);
-        self.settle();
+        self.run_deferred_actions();
     }
 
     /// A server has told how long messages take there.
     pub fn on_message_latency(&mut self, session: SessionId, took: Duration) {
         let now = self.now();
         self.balancer.on_message_latency(session, took, now, &mut self.executor);
-        self.settle();
+        self.run_deferred_actions();
     }
 
     /// Carries out a move that waited for the end of a line.
-    pub fn move_now(&mut self, session: &Session) {
+    pub fn finish_migration(&mut self, session: &Session) {
         let now = self.now();
         if session.try_moving(now) {
             self.on_attempt_ended(session.id, AttemptOutcome::Cancelled, true);
@@ -273,7 +250,7 @@
     }
 
     /// Tells the module what came of its own calls.
-    pub fn settle(&mut self) {
+    pub fn run_deferred_actions(&mut self) {
         while let Some((session, outcome, done)) = self.executor.untold.pop_front() {
             let now = self.now();
             self.balancer.on_attempt_ended(session, outcome, done, now, &mut self.executor);
@@ -294,7 +271,7 @@
         self.sweep_pending_connections();
         self.executor.lingering.sweep(self.now());
         self.reload_if_requested();
-        self.end_of_waiting();
+        self.release_held_sessions();
         self.tell_pulses();
         self.end_when_done();
     }
@@ -317,14 +294,14 @@
             self.executor.metrics.count("session checks");
             if let Some(asked) = session.asked.get().filter(|_| session.stage.get() == Stage::Established) {
                 self.balancer.on_message_latency(session.id, now.since(asked), now, &mut self.executor);
-                self.settle();
+                self.run_deferred_actions();
             }
         }
         for server in servers {
             if let Some((took, session)) = server.message_latency.take() {
                 log::debug!("messages at {} take {} ms", server.id, took.as_ms());
                 self.balancer.on_message_latency(session.id, took, now, &mut self.executor);
-                self.settle();
+                self.run_deferred_actions();
             }
         }
     }
@@ -357,8 +334,8 @@
         self.executor.follow(lines.iter().zip(list.entries.iter().map(|entry| entry.dial)), list.whole);
         self.balancer.on_endpoints(&lines, list.whole, now);
         self.executor.take_over_waiting();
-        self.settle();
-        self.list_is_here();
+        self.run_deferred_actions();
+        self.open_startup_gate();
         true
     }
 
@@ -367,7 +344,7 @@
         self.executor.metrics.count("endpoint polls failed");
         let now = self.now();
         self.balancer.on_poll_failed(since, now, &mut self.executor);
-        self.settle();
+        self.run_deferred_actions();
     }
 
     fn on_watch_lost(&mut self, error: &CallError, pending: Timestamp) {
@@ -379,7 +356,7 @@
             "endpoint polls failed"
         });
         self.balancer.on_watch_lost(pending, &mut self.executor);
-        self.settle();
+        self.run_deferred_actions();
     }
 }
 
--- a/crates/proxy/src/session.rs
+++ b/crates/proxy/src/session.rs
@@ -183,7 +183,7 @@
     fn move_without_the_line(&self, proxy: &mut Proxy) {
         if self.down.borrow_mut().cut_unfinished_line() {
             self.attempt.borrow().iter().for_each(|attempt| attempt.forget_line());
-            return proxy.move_now(self);
+            return proxy.finish_migration(self);
         }
         proxy.executor.metrics.count("migrated inside a line");
         self.server_ended(End::Fin, AttemptOutcome::Cancelled, proxy);
--- a/crates/proxy/src/upstream/server.rs
+++ b/crates/proxy/src/upstream/server.rs
@@ -149,7 +149,7 @@
         if attempt.phase.get() == Phase::Dialling {
             let up = attempt.socket.is_up();
             if matches!(up, Ok(true)) {
-                proxy.discovery.clone().look(proxy);
+                proxy.discovery.clone().read_pending(proxy);
             }
             match up {
                 Ok(false) => return false,
@@ -224,7 +224,7 @@
                 down.cut(after);
                 attempt.forget_line();
                 drop(down);
-                return proxy.move_now(self);
+                return proxy.finish_migration(self);
             }
         }
         let lines = attempt.lines.borrow_mut().feed(self.down.borrow().latest(read));
