--- a/crates/proxy/src/discovery/client.rs
+++ b/crates/proxy/src/discovery/client.rs
@@ -1,214 +1,160 @@
-//! Discovery over HTTP/1.1: one connection, one call at a time, and after each answer the next watch at once.
+//! The client of discovery: one connection over HTTP/1.1, one call at a time, and a watch for the next version as soon as
+//! a list is received.
 
-use crate::discovery::endpoint_list::{EndpointList, ListError};
-use crate::net::event_loop::EventLoopOwner;
-use crate::net::http::{Exchange, HttpError};
+use crate::discovery::call_error::CallError;
+use crate::discovery::endpoint_list::EndpointList;
+use crate::discovery::events::DiscoveryEvents;
+use crate::discovery::poll_schedule::{CallTimeouts, PollRequest, PollSchedule};
+use crate::net::http::{Answer, Exchange, HttpError};
 use crate::net::ring::Ring;
 use crate::net::socket::Socket;
 use calloop::timer::{TimeoutAction, Timer};
 use calloop::RegistrationToken;
-use nanorand::{Rng, WyRand};
-use shelfgrade::time::{DurationExt, Timestamp};
+use shelfgrade::time::Timestamp;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 
-// What a silent watch misses counts as told six seconds after it fell silent, or two after its wait, whichever is
-// later. It may have fallen silent as soon as it was asked for.
-const COUNTS_AFTER: Duration = Duration::from_millis(6000);
-const PAST_ITS_WAIT: Duration = Duration::from_millis(2000);
+/// Size of the buffer of a request, in bytes.
+const REQUEST_BUFFER_SIZE: usize = 512;
+/// Size of the buffer that responses are read through, in bytes.
+const RESPONSE_BUFFER_SIZE: usize = 16 << 10;
 
-/// How long calls may take.
-pub struct Pace {
-    /// How long a watch waits for news, drawn anew for each. Guards against a fleet whose watches, all answered at the
-    /// same change and silent together, would all ask in the same instant: more than discovery can take. A new watch,
-    /// which may be kept waiting before, waits for less of it.
-    waits: [Duration; 2],
-    /// The answer to a wait that is over is on its way for less than this, where the watch went on from an answer;
-    slack: Duration,
-    /// where it is a new one, discovery may have others to answer before.
-    in_turn: Duration,
-    /// A call that does not wait, and a connection.
-    at_once: Duration,
-    dial: Duration,
-}
-
-/// Discovery that all proxies ask: with these waits silence is known 2.8 s after a watch was asked for at the latest,
-/// which leaves time for a call that is kept waiting and refused, and for others after it. Another try after a
-/// connection that is not up, or a call that is silent, comes in the four seconds after which a new discovery's list
-/// counts as told.
-pub const ASKED: Pace = Pace {
-    waits: [Duration::from_millis(800), Duration::from_millis(2000)],
-    slack: Duration::from_millis(300),
-    in_turn: Duration::from_millis(2000),
-    at_once: Duration::from_millis(2500),
-    dial: Duration::from_millis(1000),
-};
-
-/// An agent of this proxy's own, on the same machine: it answers within milliseconds. Guards against hanging on a call
-/// from an outage: what the agent gets when that is over counts as told at once.
-pub const PUSHED: Pace = Pace {
-    waits: [Duration::from_millis(150), Duration::from_millis(300)],
-    slack: Duration::from_millis(150),
-    in_turn: Duration::from_millis(150),
-    at_once: Duration::from_millis(1000),
-    dial: Duration::from_millis(250),
-};
-
-/// What became of a call that brought no list.
-#[derive(Debug, thiserror::Error)]
-pub enum CallError {
-    #[error(
-        "discovery at {at}: cannot connect ({source}): start it, or correct its address in the start-up file"
-    )]
-    Dial { at: SocketAddr, source: std::io::Error },
-    #[error("discovery at {at}: no connection in time: see whether it runs and the way there is open")]
-    NotUp { at: SocketAddr },
-    #[error("discovery at {at}: silent: asked again at once; if this goes on, look at it and the way there")]
-    Silent { at: SocketAddr },
-    #[error("discovery at {at}: {source}")]
-    Http { at: SocketAddr, source: HttpError },
-    #[error("discovery at {at}: {source}")]
-    List { at: SocketAddr, source: ListError },
-}
-
-/// Who follows the list, and whose loop carries the calls.
-pub trait Follower: EventLoopOwner {
-    /// Discovery has told a list; true where it is to be watched on from there.
-    fn on_endpoints(&mut self, list: &EndpointList) -> bool;
-    /// A call that was out since then was refused or has failed.
-    fn on_poll_failed(&mut self, error: &CallError, since: Timestamp);
-    /// A watch, or a call that was taken, has had no answer in its time, or one that is of no use: it is broken, and is
-    /// asked for anew at once. What it missed counts as told at `due`.
-    fn on_watch_lost(&mut self, error: &CallError, due: Timestamp);
-}
-
-pub struct Discovery<F: Follower> {
-    at: Cell<SocketAddr>,
-    seq: Cell<Option<u64>>,
-    socket: RefCell<Option<Rc<Socket<F>>>>,
+/// The client of one discovery; outcomes go to `E`.
+pub struct Discovery<E: DiscoveryEvents> {
+    address: Cell<SocketAddr>,
+    /// The version of the endpoint list held, if there is one.
+    version: Cell<Option<u64>>,
+    socket: RefCell<Option<Rc<Socket<E>>>>,
     request: RefCell<Ring>,
-    inbox: RefCell<Ring>,
-    /// The call that is out.
-    call: RefCell<Option<Exchange>>,
+    response: RefCell<Ring>,
+    /// The call in flight.
+    exchange: RefCell<Option<Exchange>>,
     /// When the last call began.
-    began: Cell<Timestamp>,
+    call_started_at: Cell<Timestamp>,
     timer: Cell<Option<RegistrationToken>>,
-    /// The last call was answered, by a list.
-    heard: Cell<bool>,
-    pace: Pace,
-    chance: RefCell<WyRand>,
+    /// Whether the last call brought a list.
+    last_call_succeeded: Cell<bool>,
+    schedule: PollSchedule,
 }
 
-impl<F: Follower> Discovery<F> {
-    /// `seq` is the version of the list held, if there is one.
-    pub fn new(at: SocketAddr, seq: Option<u64>, pace: Pace, seed: u64) -> Rc<Self> {
+impl<E: DiscoveryEvents> Discovery<E> {
+    /// A client that has not called yet. `version` is that of the list held, if there is one.
+    pub fn new(address: SocketAddr, version: Option<u64>, timeouts: CallTimeouts, seed: u64) -> Rc<Self> {
         Rc::new(Discovery {
-            at: Cell::new(at),
-            seq: Cell::new(seq),
+            address: Cell::new(address),
+            version: Cell::new(version),
             socket: RefCell::default(),
-            request: RefCell::new(Ring::new(512)),
-            inbox: RefCell::new(Ring::new(16 << 10)),
-            call: RefCell::default(),
-            began: Cell::default(),
+            request: RefCell::new(Ring::new(REQUEST_BUFFER_SIZE)),
+            response: RefCell::new(Ring::new(RESPONSE_BUFFER_SIZE)),
+            exchange: RefCell::default(),
+            call_started_at: Cell::default(),
             timer: Cell::default(),
-            heard: Cell::default(),
-            pace,
-            chance: RefCell::new(WyRand::new_seed(seed)),
+            last_call_succeeded: Cell::default(),
+            schedule: PollSchedule::new(timeouts, seed),
         })
     }
 
-    /// From now on another one is asked; true if it is another. Guards against hearing both: what the old one
-    /// was asked is dropped with its connection and its time-out, and as versions may not match, the new one
-    /// is asked for the whole list. What the old one has written until now counts as told, and is heard first.
-    pub fn move_to(self: &Rc<Self>, at: SocketAddr, follower: &mut F) -> bool {
-        self.read_pending(follower);
-        let moves = self.at.replace(at) != at;
-        if moves {
-            self.forget(follower);
+    /// Switches to another discovery; returns whether the address is another one. A response that the old one has already
+    /// written still counts and is read first. Versions of the two need not match, so the complete list is requested
+    /// next.
+    pub fn switch_to(self: &Rc<Self>, address: SocketAddr, events: &mut E) -> bool {
+        self.read_pending(events);
+        let is_other = self.address.replace(address) != address;
+        if is_other {
+            self.reset(events);
         }
-        moves
+        is_other
     }
 
-    /// Asks for what is newer than the list held, or for all of it; where a call is out, that one serves.
-    pub fn ask(self: &Rc<Self>, follower: &mut F) {
-        self.call(false, follower);
+    /// Polls for a list newer than the one held, or for the complete list. A call in flight serves instead.
+    pub fn poll(self: &Rc<Self>, events: &mut E) {
+        self.start_call(false, events);
     }
 
-    /// `goes_on`: the last call has just been answered.
-    fn call(self: &Rc<Self>, goes_on: bool, follower: &mut F) {
-        if self.call.borrow().is_some() {
-            return;
+    /// Processes a response that has arrived and whose event has not been dispatched: no session may be placed, and no
+    /// first byte written, by a list that is no longer the latest received.
+    pub fn read_pending(self: &Rc<Self>, events: &mut E) {
+        if self.exchange.borrow().is_some() {
+            self.on_socket_ready(events);
         }
-        let began = follower.now();
-        self.began.set(began);
-        let (path, wait, more) = match self.seq.get() {
-            Some(seq) => {
-                let (part, more) = if goes_on { (1.0, self.pace.slack) } else { (0.4, self.pace.in_turn) };
-                let wait = self.draw_wait(part);
-                (format!("/catalog/members?index={seq}&wait={}", wait.as_ms()), wait, more)
-            }
-            None => ("/catalog/members".to_owned(), Duration::ZERO, self.pace.at_once),
-        };
-        let due = began + COUNTS_AFTER.max(wait + PAST_ITS_WAIT);
-        let begun = Exchange::get(self.at.get(), &path)
-            .map_err(|source| CallError::Http { at: self.at.get(), source });
-        let dialled = begun.and_then(|(call, bytes)| {
-            self.request.borrow_mut().clear();
-            self.request.borrow_mut().push(&bytes);
-            *self.call.borrow_mut() = Some(call);
-            self.dial(follower).map_err(|source| CallError::Dial { at: self.at.get(), source })
-        });
-        // A failure at once is told as one in time is: not from within this call.
-        let first = if dialled.is_ok() { self.pace.dial } else { Duration::ZERO };
-        let (me, ends, error) = (self.clone(), began + wait + more, Cell::new(dialled.err()));
-        let timer = Timer::from_duration(first);
-        let token = follower.handle().insert_source(timer, move |_, _, follower| {
-            let left = ends.since(follower.now());
-            let up = me.socket.borrow().as_ref().is_some_and(|s| s.is_up().unwrap_or(false));
-            if up && left > Duration::ZERO {
-                return TimeoutAction::ToDuration(left);
-            }
-            me.timer.take();
-            let at = me.at.get();
-            let error =
-                error.take().unwrap_or(if up { CallError::Silent { at } } else { CallError::NotUp { at } });
-            match error {
-                CallError::Silent { .. } => me.missed(&error, due, follower),
-                _ => me.failed(&error, follower),
-            }
-            TimeoutAction::Drop
-        });
-        self.timer.set(token.ok());
-        self.flush();
     }
 
-    /// How long the next watch waits, in whole milliseconds.
-    fn draw_wait(&self, part: f64) -> Duration {
-        let [least, most] = self.pace.waits.map(|wait| wait.as_ms());
-        let luck = f64::from(self.chance.borrow_mut().generate::<f32>());
-        Duration::from_ms((part * (least + (most - least) * luck)).floor())
+    /// Drops the call in flight and the version held: the next call requests the complete list.
+    pub fn reset(&self, events: &E) {
+        self.cancel_call(events);
+        self.version.set(None);
     }
 
-    /// Takes in what has come but was not heard of yet. Guards against placing a session, or writing its first byte, by
-    /// a list that is no longer the last one told: the news may lie unread in the same turn of the loop.
-    pub fn read_pending(self: &Rc<Self>, follower: &mut F) {
-        if self.call.borrow().is_some() {
-            self.ready(follower);
+    /// Drops the call in flight and its connection.
+    pub fn cancel_call(&self, events: &E) {
+        self.stop_timer(events);
+        self.socket.take();
+        self.exchange.take();
+    }
+
+    fn start_call(self: &Rc<Self>, is_continuation: bool, events: &mut E) {
+        if self.exchange.borrow().is_some() {
+            return;
         }
+        self.call_started_at.set(events.now());
+        let request = self.schedule.next_request(self.version.get(), is_continuation);
+        let connect_error = self.send(&request.path, events).err();
+        self.start_timer(&request, connect_error, events);
+        self.flush();
+    }
+
+    /// Connects where there is no connection, and queues the request.
+    fn send(self: &Rc<Self>, path: &str, events: &E) -> Result<(), CallError> {
+        let at = self.address.get();
+        let (exchange, bytes) = Exchange::get(at, path).map_err(|source| CallError::Http { at, source })?;
+        self.request.borrow_mut().clear();
+        self.request.borrow_mut().push(&bytes);
+        *self.exchange.borrow_mut() = Some(exchange);
+        self.connect(events).map_err(|source| CallError::Dial { at, source })
     }
 
-    fn dial(self: &Rc<Self>, follower: &mut F) -> std::io::Result<()> {
+    fn connect(self: &Rc<Self>, events: &E) -> std::io::Result<()> {
         if self.socket.borrow().is_none() {
-            let socket = Rc::new(Socket::dial(self.at.get())?);
+            let socket = Rc::new(Socket::dial(self.address.get())?);
             let me = self.clone();
-            socket.watch(&follower.handle(), move |follower| me.ready(follower))?;
+            socket.watch(&events.handle(), move |events| me.on_socket_ready(events))?;
             *self.socket.borrow_mut() = Some(socket);
         }
         Ok(())
     }
 
+    /// Sets the timer of a call: for the connect timeout first, then for what is left until the response deadline. An
+    /// error at once is reported by the timer too, and so never from within the call that met it.
+    fn start_timer(self: &Rc<Self>, request: &PollRequest, connect_error: Option<CallError>, events: &E) {
+        let started_at = self.call_started_at.get();
+        let response_deadline = request.response_deadline(started_at);
+        let refresh_deadline = request.refresh_deadline(started_at);
+        let first_check =
+            if connect_error.is_none() { self.schedule.connect_timeout() } else { Duration::ZERO };
+        let (me, connect_error) = (self.clone(), Cell::new(connect_error));
+        let timer = Timer::from_duration(first_check);
+        let token = events.handle().insert_source(timer, move |_, _, events| {
+            let time_left = response_deadline.since(events.now());
+            let is_connected = me.is_connected();
+            if is_connected && time_left > Duration::ZERO {
+                return TimeoutAction::ToDuration(time_left);
+            }
+            me.timer.take();
+            match connect_error.take() {
+                Some(error) => me.on_call_failed(&error, events),
+                None => me.on_timeout(is_connected, refresh_deadline, events),
+            }
+            TimeoutAction::Drop
+        });
+        self.timer.set(token.ok());
+    }
+
+    fn is_connected(&self) -> bool {
+        self.socket.borrow().as_ref().is_some_and(|socket| socket.is_up().unwrap_or(false))
+    }
+
     fn flush(&self) {
         let Some(socket) = self.socket.borrow().clone() else { return };
         if socket.is_up().is_ok_and(|up| up) {
@@ -216,95 +162,107 @@
         }
     }
 
-    fn ready(self: &Rc<Self>, follower: &mut F) {
+    fn on_socket_ready(self: &Rc<Self>, events: &mut E) {
         let Some(socket) = self.socket.borrow().clone() else { return };
-        let at = self.at.get();
+        let at = self.address.get();
         match socket.is_up() {
-            Err(source) => return self.failed(&CallError::Dial { at, source }, follower),
+            Err(source) => return self.on_call_failed(&CallError::Dial { at, source }, events),
             Ok(false) => return,
             Ok(true) => {}
         }
         self.flush();
-        let mut call = self.call.borrow_mut();
-        let mut inbox = self.inbox.borrow_mut();
-        while socket.read(&mut inbox) > 0 {
-            // What comes between calls is nothing that was asked for.
-            let _ = call.as_mut().map(|call| inbox.drain_to(call.come()));
-            inbox.clear();
-        }
-        drop(inbox);
-        let ended = socket.ended.get().is_some();
-        let answer = call.as_mut().map(|call| call.answer(ended));
-        drop(call);
+        self.read(&socket);
+        let has_ended = socket.ended.get().is_some();
+        let answer = self.exchange.borrow_mut().as_mut().map(|exchange| exchange.answer(has_ended));
         match answer {
-            // Between calls it may end as it likes; the next call opens another.
-            None if ended => drop(self.socket.take()),
+            // Discovery may close an idle connection; the next call opens another.
+            None if has_ended => drop(self.socket.take()),
             None | Some(Ok(None)) => {}
-            Some(Ok(Some(answer))) => match EndpointList::parse(&answer.body) {
-                // Guards against following changes to a list that was never had: discovery counts from the start again.
-                Ok(list) if !list.whole && self.seq.get().is_some_and(|asked| list.seq < asked) => {
-                    log::warn!("discovery at {at}: back at version {}: asked for all", list.seq);
-                    self.forget(follower);
-                    self.ask(follower);
-                }
-                Ok(mut list) => {
-                    list.told_at = answer.date;
-                    if !answer.keeps {
-                        self.socket.take();
-                    }
-                    self.stop_timer(follower);
-                    self.call.take();
-                    self.seq.set(Some(list.seq));
-                    self.heard.set(true);
-                    if follower.on_endpoints(&list) {
-                        self.call(true, follower);
-                    }
-                }
-                Err(source) => self.failed(&CallError::List { at, source }, follower),
-            },
-            Some(Err(source)) => self.failed(&CallError::Http { at, source }, follower),
+            Some(Ok(Some(answer))) => self.on_response(&answer, events),
+            Some(Err(source)) => self.on_call_failed(&CallError::Http { at, source }, events),
         }
     }
 
-    fn missed(&self, error: &CallError, due: Timestamp, follower: &mut F) {
-        self.heard.set(false);
-        self.drop_call(follower);
-        follower.on_watch_lost(error, due);
+    fn read(&self, socket: &Socket<E>) {
+        let mut exchange = self.exchange.borrow_mut();
+        let mut response = self.response.borrow_mut();
+        while socket.read(&mut response) > 0 {
+            // Bytes that come between calls answer nothing and are dropped.
+            let _ = exchange.as_mut().map(|exchange| response.drain_to(exchange.come()));
+            response.clear();
+        }
     }
 
-    fn failed(&self, error: &CallError, follower: &mut F) {
-        let begun = match (error, &*self.call.borrow()) {
-            (_, None) => return drop(self.socket.take()),
-            (CallError::Http { source: HttpError::CutOff, .. }, Some(call)) => call.has_begun(),
-            (CallError::Http { source: HttpError::Status(_), .. }, _) => false,
-            (CallError::Http { .. } | CallError::List { .. }, _) => true,
-            _ => false,
+    fn on_response(self: &Rc<Self>, answer: &Answer, events: &mut E) {
+        let at = self.address.get();
+        let mut list = match EndpointList::parse(&answer.body) {
+            Ok(list) => list,
+            Err(source) => return self.on_call_failed(&CallError::List { at, source }, events),
         };
-        // Guards against news that was written, and so counts as told, but could not be read, being asked for only
-        // after the pause of a refusal. A discovery that writes nothing else is not asked without end.
-        if begun && self.heard.get() {
-            return self.missed(error, follower.now(), follower);
+        // A discovery that was restarted counts versions from the start, and its delta is to a list not held here.
+        if !list.is_complete && self.version.get().is_some_and(|held| list.version < held) {
+            log::warn!("discovery at {at}: back at version {}: requesting the complete list", list.version);
+            self.reset(events);
+            return self.poll(events);
+        }
+        list.sent_at = answer.date;
+        if !answer.keeps {
+            self.socket.take();
+        }
+        self.stop_timer(events);
+        self.exchange.take();
+        self.version.set(Some(list.version));
+        self.last_call_succeeded.set(true);
+        if events.on_endpoints(&list) {
+            self.start_call(true, events);
         }
-        self.drop_call(follower);
-        follower.on_poll_failed(error, self.began.get());
     }
 
-    /// What was told is not gone by: the next call is for the whole list.
-    pub fn forget(&self, follower: &F) {
-        self.drop_call(follower);
-        self.seq.set(None);
+    fn on_timeout(&self, is_connected: bool, refresh_deadline: Timestamp, events: &mut E) {
+        let at = self.address.get();
+        if is_connected {
+            self.on_watch_lost(&CallError::ResponseTimeout { at }, refresh_deadline, events);
+        } else {
+            self.on_call_failed(&CallError::ConnectTimeout { at }, events);
+        }
     }
 
-    /// Forgets the call and its connection.
-    pub fn drop_call(&self, follower: &F) {
-        self.stop_timer(follower);
-        self.socket.take();
-        self.call.take();
+    fn on_watch_lost(&self, error: &CallError, refresh_deadline: Timestamp, events: &mut E) {
+        self.last_call_succeeded.set(false);
+        self.cancel_call(events);
+        events.on_watch_lost(error, refresh_deadline);
+    }
+
+    fn on_call_failed(&self, error: &CallError, events: &mut E) {
+        if self.exchange.borrow().is_none() {
+            return drop(self.socket.take());
+        }
+        // A response that has begun may hold a change, so it is requested again at once and not after the backoff of a
+        // refusal. Only after a success: a discovery that sends nothing but garbage must not be polled in a tight loop.
+        if self.response_has_begun(error) && self.last_call_succeeded.get() {
+            return self.on_watch_lost(error, events.now(), events);
+        }
+        self.cancel_call(events);
+        events.on_poll_failed(error, self.call_started_at.get());
+    }
+
+    /// Whether the call failed after discovery had begun its response.
+    fn response_has_begun(&self, error: &CallError) -> bool {
+        match error {
+            CallError::Http { source: HttpError::CutOff, .. } => {
+                self.exchange.borrow().as_ref().is_some_and(Exchange::has_begun)
+            }
+            CallError::Http { source: HttpError::Status(_), .. } => false,
+            CallError::Http { .. } | CallError::List { .. } => true,
+            CallError::Dial { .. } | CallError::ConnectTimeout { .. } | CallError::ResponseTimeout { .. } => {
+                false
+            }
+        }
     }
 
-    fn stop_timer(&self, follower: &F) {
+    fn stop_timer(&self, events: &E) {
         if let Some(token) = self.timer.take() {
-            follower.handle().remove(token);
+            events.handle().remove(token);
         }
     }
 }
--- a/crates/proxy/src/discovery/start_times.rs
+++ b/crates/proxy/src/discovery/start_times.rs
@@ -1,5 +1,7 @@
-//! When servers started, on this process's clock. The list tells it as Unix time, which this process read once, at its
-//! own start, from a wall clock that may have been off by then.
+//! Start times of servers on this process's clock.
+//!
+//! Discovery reports a start as Unix time. This process reads Unix time once, at its own start, from a wall clock that
+//! may have been off, so a reported start cannot be compared with this clock as it is.
 
 use shelfgrade::host::{Endpoint, EndpointState, ServerId};
 use shelfgrade::time::{DurationExt, Timestamp};
@@ -7,102 +9,113 @@
 use std::time::Duration;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// How many starts are remembered, of servers that are listed and of such as were.
-const REMEMBERED: usize = 1 << 16;
-/// How late the list may be: what discovery has counts as told after this long.
-const LIST_IS_LATE: Duration = Duration::from_millis(6000);
+/// Most starts tracked, of servers that are or were listed.
+const MAX_TRACKED_STARTS: usize = 1 << 16;
+/// A change is on the list at most this long after it was made.
+const MAX_LIST_DELAY: Duration = Duration::from_millis(6000);
+/// Differences between the clocks up to this are ignored: discovery's time comes in whole seconds, and a response takes a
+/// moment.
+const CLOCK_TOLERANCE_MS: f64 = 2000.0;
 
-/// A start as the list tells it.
+/// One start of a server.
 #[derive(Clone, Copy)]
-struct Start {
-    told: Timestamp,
-    heard_at: Timestamp,
-    /// When it was on this clock, where this process has seen it happen.
-    seen: Option<Timestamp>,
+struct TrackedStart {
+    /// As discovery reports it.
+    reported: Timestamp,
+    /// When it was first on a list, on this clock.
+    first_listed: Timestamp,
+    /// When it was on this clock, if it happened while this process was watching.
+    observed: Option<Timestamp>,
 }
 
-/// The starts that were told so far.
+/// The starts reported so far, and what is known of the difference between the clocks.
 #[derive(Default)]
 pub struct StartTimes {
-    starts: BTreeMap<ServerId, Start>,
-    /// How far this clock is ahead of discovery's, where that is known; never behind.
-    ahead: Duration,
-    /// The least time between a start, as told, and when it was heard of, in milliseconds: the list's lateness at its
-    /// best, and how far this clock is ahead of that by which starts are told, or behind it.
-    least_late_ms: Option<f64>,
-    /// A list has come from discovery, so that a start which is new on a later one has just happened.
-    heard: bool,
+    starts: BTreeMap<ServerId, TrackedStart>,
+    /// How far this clock is ahead of discovery's; zero if it is behind or that is unknown.
+    clock_lead: Duration,
+    /// The shortest time so far between a reported start and its first listing, in milliseconds: the list's shortest
+    /// delay plus the difference between the clocks, which may be negative.
+    min_listing_delay_ms: Option<f64>,
+    /// Whether a list has come from discovery: a start that is new on a later one has just happened.
+    list_received: bool,
 }
 
 impl StartTimes {
-    /// Discovery has told its time with a list. Guards against a wall clock that was ahead when this process started:
-    /// what had just started then would count as warm. A clock that was behind needs no such word, as no start counts
-    /// as yet to come. True where starts that were told before are others now.
-    pub fn discovery_says(&mut self, time: SystemTime, now: Timestamp) -> bool {
-        // The time is told in whole seconds, and its answer takes a moment.
-        const HARMLESS_MS: f64 = 2000.0;
-        let theirs = time.duration_since(UNIX_EPOCH).unwrap_or_default();
-        let ahead = now.since(Timestamp::from_ms(theirs.as_secs_f64() * 1000.0));
-        // Guards against starts that seem to come later with each answer.
-        let differs = (ahead.as_ms() - self.ahead.as_ms()).abs() > HARMLESS_MS;
-        if differs {
-            self.ahead = ahead;
+    /// Takes in discovery's clock as sent with a list. Returns whether starts reported earlier have changed.
+    ///
+    /// If this clock was ahead when the process started, servers that had just started would count as warmed up. A clock
+    /// that was behind does no harm, as no start counts as being in the future.
+    pub fn update_clock_lead(&mut self, discovery_time: SystemTime, now: Timestamp) -> bool {
+        let since_epoch = discovery_time.duration_since(UNIX_EPOCH).unwrap_or_default();
+        let lead = now.since(Timestamp::from_ms(since_epoch.as_secs_f64() * 1000.0));
+        // A lead that followed every response would move starts later with each.
+        let has_changed = (lead.as_ms() - self.clock_lead.as_ms()).abs() > CLOCK_TOLERANCE_MS;
+        if has_changed {
+            self.clock_lead = lead;
         }
-        differs
+        has_changed
     }
 
-    /// Lines that were timed before, with their starts as they are now.
-    pub fn timed_anew(&self, lines: Vec<Endpoint>) -> Vec<Endpoint> {
-        let start_of = |line: &Endpoint| self.starts.get(&line.server).map(|start| self.here(start));
-        lines.into_iter().map(|line| Endpoint { started: start_of(&line).or(line.started), ..line }).collect()
+    /// Endpoints that were localized before, by the present clock lead.
+    pub fn relocalize(&self, endpoints: Vec<Endpoint>) -> Vec<Endpoint> {
+        let start_of =
+            |endpoint: &Endpoint| self.starts.get(&endpoint.server).map(|start| self.on_this_clock(start));
+        endpoints
+            .into_iter()
+            .map(|endpoint| Endpoint { started: start_of(&endpoint).or(endpoint.started), ..endpoint })
+            .collect()
     }
 
-    fn here(&self, start: &Start) -> Timestamp {
-        start.seen.unwrap_or((start.told + self.ahead).min(start.heard_at))
+    fn on_this_clock(&self, start: &TrackedStart) -> Timestamp {
+        start.observed.unwrap_or((start.reported + self.clock_lead).min(start.first_listed))
     }
 
-    /// Lines of the list with their starts on this clock. Guards against a wall clock that is off: a start that is new
-    /// on a list has just happened, however long ago it is told to be.
-    pub fn timed(&mut self, lines: Vec<Endpoint>, now: Timestamp) -> Vec<Endpoint> {
-        if self.starts.len() > REMEMBERED {
-            // Who is forgotten and listed again counts as cold once more.
+    /// Endpoints of a list received at `now`, with their starts on this clock. A start that is new on a list has just
+    /// happened, whatever time is reported for it.
+    pub fn localize(&mut self, endpoints: Vec<Endpoint>, now: Timestamp) -> Vec<Endpoint> {
+        if self.starts.len() > MAX_TRACKED_STARTS {
+            // A server that is listed again after this goes through slow start once more, which is harmless.
             self.starts.clear();
         }
-        lines.into_iter().map(|line| Endpoint { started: self.start_of(&line, now), ..line }).collect()
+        endpoints
+            .into_iter()
+            .map(|endpoint| Endpoint { started: self.start_of(&endpoint, now), ..endpoint })
+            .collect()
     }
 
-    fn start_of(&mut self, line: &Endpoint, now: Timestamp) -> Option<Timestamp> {
-        let told = line.started?;
-        if line.state == EndpointState::Removed {
-            return Some(told);
+    fn start_of(&mut self, endpoint: &Endpoint, now: Timestamp) -> Option<Timestamp> {
+        let reported = endpoint.started?;
+        if endpoint.state == EndpointState::Removed {
+            return Some(reported);
         }
-        let known = self.starts.get(&line.server).copied().filter(|start| start.told == told);
-        let start = known.unwrap_or_else(|| {
-            let seen = self.heard.then(|| self.just_happened(told, now));
-            let start = Start { told, heard_at: now, seen };
-            self.starts.insert(line.server.clone(), start);
+        let tracked = self.starts.get(&endpoint.server).copied();
+        let start = tracked.filter(|start| start.reported == reported).unwrap_or_else(|| {
+            let observed = self.list_received.then(|| self.observe(reported, now));
+            let start = TrackedStart { reported, first_listed: now, observed };
+            self.starts.insert(endpoint.server.clone(), start);
             start
         });
-        Some(self.here(&start))
+        Some(self.on_this_clock(&start))
     }
 
-    /// When a start was that this process has seen happen: as long ago as the list is later than at its best. The first
-    /// one, and any that would be longer ago than a list is late, counts from now.
-    fn just_happened(&mut self, told: Timestamp, now: Timestamp) -> Timestamp {
-        let late_ms = now.as_ms() - told.as_ms();
-        let least_ms = self.least_late_ms.map_or(late_ms, |least| least.min(late_ms));
-        self.least_late_ms = Some(least_ms);
-        let here = Timestamp::from_ms(told.as_ms() + least_ms).min(now);
-        if now.since(here) > LIST_IS_LATE {
+    /// The time of a start that has just been listed: as long ago as this listing's delay exceeds the shortest one. The
+    /// first one observed, and one that would be older than a list can be late, counts from now.
+    fn observe(&mut self, reported: Timestamp, now: Timestamp) -> Timestamp {
+        let delay_ms = now.as_ms() - reported.as_ms();
+        let min_delay_ms = self.min_listing_delay_ms.map_or(delay_ms, |min_ms| min_ms.min(delay_ms));
+        self.min_listing_delay_ms = Some(min_delay_ms);
+        let start = Timestamp::from_ms(reported.as_ms() + min_delay_ms).min(now);
+        if now.since(start) > MAX_LIST_DELAY {
             now
         } else {
-            here
+            start
         }
     }
 
-    /// A list of discovery's has been gone by.
-    pub fn list_is_heard(&mut self) {
-        self.heard = true;
+    /// A list from discovery has been applied.
+    pub fn on_list_applied(&mut self) {
+        self.list_received = true;
     }
 }
 
--- a/crates/proxy/src/fleet/recovery.rs
+++ b/crates/proxy/src/fleet/recovery.rs
@@ -1,6 +1,6 @@
 //! The proxy among its fellows, where the fleet file is named: what the return asks of it, and what it tells the return.
 
-use crate::discovery::endpoint_list::{EndpointList, Entry, Health};
+use crate::discovery::endpoint_list::{EndpointList, EndpointRecord, Health};
 use crate::fleet::fleet_file::{FleetError, FleetFile};
 use crate::fleet::peers::{PeerEvents, Peers};
 use crate::proxy::Proxy;
@@ -60,7 +60,7 @@
             self.executor.wants_list.set(true);
             self.run_deferred_actions();
         } else {
-            self.discovery.drop_call(self);
+            self.discovery.cancel_call(self);
         }
     }
 
@@ -78,7 +78,7 @@
 
     fn list_rejected(&mut self) {
         self.executor.metrics.warn("endpoint lists rejected");
-        self.discovery.forget(self);
+        self.discovery.reset(self);
         let now = self.executor.clock.now();
         self.balancer.on_poll_failed(now, now, &mut self.executor);
         self.run_deferred_actions();
@@ -114,15 +114,15 @@
 impl Proxy {
     /// Where there are fellows, discovery's list goes to the return, which says what of it is gone by; whether it was taken
     /// and discovery is to be watched on from there.
-    pub fn list_for_peers(&mut self, list: &EndpointList) -> Option<bool> {
+    pub fn hand_list_to_peers(&mut self, list: &EndpointList) -> Option<bool> {
         let peers = self.peers.clone()?;
-        let records = list.entries.iter().map(|entry| (entry.host.clone(), record(entry))).collect();
-        let taken = peers.on_endpoint_list(records, list.whole, list.seq, self);
+        let records = list.records.iter().map(|entry| (entry.host.clone(), record(entry))).collect();
+        let taken = peers.on_endpoint_list(records, list.is_complete, list.version, self);
         Some(taken && peers.watches())
     }
 
     /// Whether this process asks discovery itself.
-    pub fn asks_discovery(&self) -> bool {
+    pub fn polls_discovery(&self) -> bool {
         self.peers.as_ref().is_none_or(|peers| peers.watches())
     }
 
@@ -142,9 +142,12 @@
         known: &EndpointList,
         seed: u64,
     ) -> Result<(), FleetError> {
-        let dials = known.entries.iter().map(|entry| entry.dial);
-        let known =
-            known.lines().into_iter().zip(dials).map(|(endpoint, dial)| EndpointAddress { endpoint, dial });
+        let dials = known.addresses();
+        let known = known
+            .endpoints()
+            .into_iter()
+            .zip(dials)
+            .map(|(endpoint, dial)| EndpointAddress { endpoint, dial });
         let peers = Peers::begin(file, settings, known.collect(), seed, self)?;
         self.namespaces = TenantNamespaces::new(peers.member());
         self.peers = Some(peers.clone());
@@ -231,17 +234,17 @@
     }
 }
 
-fn record(entry: &Entry) -> ServerRecord {
+fn record(entry: &EndpointRecord) -> ServerRecord {
     ServerRecord {
-        dial: entry.dial,
-        site: entry.site.clone(),
+        dial: entry.address,
+        site: entry.zone.clone(),
         kind: entry.kind.clone(),
-        block: entry.block,
+        block: entry.cell,
         health: match entry.health {
             Health::InService => restore::Health::InService,
             Health::Terminating => restore::Health::Terminating,
             Health::Terminated => restore::Health::Terminated,
         },
-        born_ms: entry.born_ms,
+        born_ms: entry.started_ms,
     }
 }
--- a/crates/proxy/src/lifecycle/reload.rs
+++ b/crates/proxy/src/lifecycle/reload.rs
@@ -34,7 +34,7 @@
         }
         self.reload_requested = None;
         self.read_namespaces();
-        let moves = self.discovery.clone().move_to(start.discovery, self);
+        let moves = self.discovery.clone().switch_to(start.discovery, self);
         log::info!("read again: discovery {}{}", start.discovery, if moves { "" } else { ", as before" });
         if moves {
             self.balancer.on_watch_lost(told + COUNTS_AFTER, &mut self.executor);
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -1,7 +1,7 @@
 //! The proxy: owns the decisions, hears from the sockets, and carries out what is decided.
 
-use crate::discovery::client::{CallError, Discovery, Follower, ASKED, PUSHED};
-use crate::discovery::endpoint_list::EndpointList;
+use crate::discovery::client::Discovery;
+use crate::discovery::poll_schedule::{LOCAL_AGENT, SHARED_DISCOVERY};
 use crate::discovery::start_times::StartTimes;
 use crate::downstream::listener::Listener;
 use crate::executor::Executor;
@@ -34,6 +34,8 @@
 /// How often what no event comes for is looked after.
 pub const TICK: Duration = Duration::from_millis(100);
 
+mod discovery_events;
+
 pub struct Proxy {
     pub balancer: TenantBalancers,
     pub namespaces: TenantNamespaces,
@@ -88,8 +90,8 @@
 
     // Where the list is pushed, all of it is asked for at the start, so that the answer comes at once.
     let pushed = start.settings.list_is_pushed;
-    let whole = start.known.entries.is_empty() || pushed || fleet.is_some();
-    let seq = Some(start.known.seq).filter(|_| !whole);
+    let whole = start.known.records.is_empty() || pushed || fleet.is_some();
+    let seq = Some(start.known.version).filter(|_| !whole);
     let settings_text = start.settings_text;
     let recovery_settings = fleet.as_ref().map(|fleet| recovery::recovery_settings(&start.settings, fleet));
     let signs = (start.settings.health_checks_allowed, start.settings.tells_delay);
@@ -113,7 +115,12 @@
         executor,
         classes: start.settings.classes,
         listener,
-        discovery: Discovery::new(start.discovery, seq, if pushed { PUSHED } else { ASKED }, start.seed),
+        discovery: Discovery::new(
+            start.discovery,
+            seq,
+            if pushed { LOCAL_AGENT } else { SHARED_DISCOVERY },
+            start.seed,
+        ),
         startup_gate: match &fleet {
             Some(fleet) => StartupGate::until_the_return_serves(now, fleet.list_wait),
             None if pushed => StartupGate::until_the_list_is_heard(now),
@@ -131,9 +138,9 @@
         last_arrival: now,
     };
     // With fellows, what is known from before is for the return to judge.
-    let known = if fleet.is_some() { Vec::new() } else { start.known.lines() };
-    let known = proxy.start_times.timed(known, now);
-    let dials = start.known.entries.iter().map(|entry| entry.dial);
+    let known = if fleet.is_some() { Vec::new() } else { start.known.endpoints() };
+    let known = proxy.start_times.localize(known, now);
+    let dials = start.known.addresses();
     proxy.executor.follow(known.iter().zip(dials), true);
     proxy.balancer.start(&known, now, &mut proxy.executor);
     if !pushed && fleet.is_none() {
@@ -147,7 +154,7 @@
     proxy.run_deferred_actions();
     let address =
         proxy.listener.address().map_err(|source| ServeError::Listen { at: start.listen, source })?;
-    log::info!("{} listens on {address}, {} servers known", proxy.name, start.known.entries.len());
+    log::info!("{} listens on {address}, {} servers known", proxy.name, start.known.records.len());
     events.run(None, &mut proxy, |_| {})?;
     metrics.log();
     Ok(())
@@ -255,8 +262,8 @@
             let now = self.now();
             self.balancer.on_attempt_ended(session, outcome, done, now, &mut self.executor);
         }
-        if self.executor.wants_list.take() && self.asks_discovery() {
-            self.discovery.clone().ask(self);
+        if self.executor.wants_list.take() && self.polls_discovery() {
+            self.discovery.clone().poll(self);
         }
         while let Some(server) = self.executor.health_checks_due.pop_front() {
             HealthCheck::ask(&server, self);
@@ -317,49 +324,6 @@
     }
 }
 
-impl Follower for Proxy {
-    fn on_endpoints(&mut self, list: &EndpointList) -> bool {
-        let now = self.now();
-        log::debug!("list {}: {} lines, whole {}", list.seq, list.entries.len(), list.whole);
-        self.executor.list_heard.set(true);
-        if let Some(taken) = self.list_for_peers(list) {
-            return taken;
-        }
-        if list.told_at.is_some_and(|time| self.start_times.discovery_says(time, now)) {
-            let known = self.start_times.timed_anew(self.balancer.list());
-            self.balancer.on_endpoints(&known, false, now);
-        }
-        let lines = self.start_times.timed(list.lines(), now);
-        self.start_times.list_is_heard();
-        self.executor.follow(lines.iter().zip(list.entries.iter().map(|entry| entry.dial)), list.whole);
-        self.balancer.on_endpoints(&lines, list.whole, now);
-        self.executor.take_over_waiting();
-        self.run_deferred_actions();
-        self.open_startup_gate();
-        true
-    }
-
-    fn on_poll_failed(&mut self, error: &CallError, since: Timestamp) {
-        log::warn!("{error}");
-        self.executor.metrics.count("endpoint polls failed");
-        let now = self.now();
-        self.balancer.on_poll_failed(since, now, &mut self.executor);
-        self.run_deferred_actions();
-    }
-
-    fn on_watch_lost(&mut self, error: &CallError, pending: Timestamp) {
-        log::warn!("{error}");
-        let silent = matches!(error, CallError::Silent { .. });
-        self.executor.metrics.count(if silent {
-            "endpoint polls timed out"
-        } else {
-            "endpoint polls failed"
-        });
-        self.balancer.on_watch_lost(pending, &mut self.executor);
-        self.run_deferred_actions();
-    }
-}
-
 pub fn arrival(session: &Session, deadline: Timestamp) -> Arrival<'_> {
     let opening = &session.opening;
     Arrival {
--- a/crates/proxy/tests/unit/endpoint_list.rs
+++ b/crates/proxy/tests/unit/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Stories of `listing.rs` from within.
+//! Unit tests of `endpoint_list.rs`.
 
 use super::*;
 
@@ -10,10 +10,10 @@
 
 #[test]
 fn an_answer_is_taken_whole_or_not_at_all() {
-    let listing = parse("in_service", r#""127.0.0.1:80""#).expect("a good answer");
-    let line = &listing.lines()[0];
-    assert_eq!((&*line.server, line.started, line.state), ("s", None, EndpointState::Active));
-    assert_eq!(line.kind, "m2");
+    let list = parse("in_service", r#""127.0.0.1:80""#).expect("a good answer");
+    let endpoint = &list.endpoints()[0];
+    assert_eq!((&*endpoint.server, endpoint.started, endpoint.state), ("s", None, EndpointState::Active));
+    assert_eq!(endpoint.kind, "m2");
     assert!(parse("terminated", "null").is_ok());
     assert!(parse("in_service", "null").is_err());
     assert!(parse("in_service", r#""nowhere""#).is_err());
@@ -22,6 +22,6 @@
         let entry = format!(r#"{{"host":"s","dial":"127.0.0.1:80",{class}"health":"in_service"}}"#);
         EndpointList::parse(format!(r#"{{"seq":4,"hosts":[{entry}]}}"#).as_bytes())
     };
-    assert!(without("").is_ok_and(|listing| listing.lines()[0].kind.is_empty()), "kinds may be left out");
+    assert!(without("").is_ok_and(|list| list.endpoints()[0].kind.is_empty()), "kinds may be left out");
     assert!(without(r#""class":7,"#).is_err());
 }
--- a/crates/proxy/tests/unit/start_times.rs
+++ b/crates/proxy/tests/unit/start_times.rs
@@ -1,9 +1,9 @@
-//! Stories of `start_times.rs` from within.
+//! Unit tests of `start_times.rs`.
 
 use super::*;
 use std::time::Duration;
 
-fn line(server: &str, started_ms: f64) -> Endpoint {
+fn endpoint(server: &str, started_ms: f64) -> Endpoint {
     Endpoint {
         server: server.into(),
         zone: "a".into(),
@@ -18,9 +18,9 @@
     Timestamp::from_ms(ms)
 }
 
-/// The one line's start, in milliseconds.
+/// The one endpoint's start, in milliseconds.
 fn start(starts: &mut StartTimes, server: &str, started_ms: f64, now_ms: f64) -> Option<f64> {
-    starts.timed(vec![line(server, started_ms)], at(now_ms))[0].started.map(Timestamp::as_ms)
+    starts.localize(vec![endpoint(server, started_ms)], at(now_ms))[0].started.map(Timestamp::as_ms)
 }
 
 #[test]
@@ -41,7 +41,7 @@
         let base = 1e12;
         let at = |ms| base + ahead_ms + ms;
         start(&mut starts, "s1", base + 4000.0, at(10_000.0));
-        starts.list_is_heard();
+        starts.on_list_applied();
         let first = start(&mut starts, "s2", base + 19_000.0, at(20_000.0));
         assert_eq!(first, Some(at(20_000.0)), "it tells how late the list is, at most");
         assert_eq!(start(&mut starts, "s2", base + 19_000.0, at(25_000.0)), first, "once timed it stays so");
@@ -61,9 +61,9 @@
 fn discoverys_time_makes_starts_later_where_this_clock_is_ahead_and_never_earlier() {
     let unix = |ms| UNIX_EPOCH + Duration::from_millis(ms);
     let mut starts = StartTimes::default();
-    starts.discovery_says(unix(9_000), at(10_000.0));
+    starts.update_clock_lead(unix(9_000), at(10_000.0));
     assert_eq!(start(&mut starts, "s1", 4000.0, 10_000.0), Some(4000.0), "as near as the time is told");
-    starts.discovery_says(unix(1_000), at(3_601_000.0));
+    starts.update_clock_lead(unix(1_000), at(3_601_000.0));
     assert_eq!(start(&mut starts, "s2", 500.0, 3_601_000.0), Some(3_600_500.0));
     assert_eq!(start(&mut starts, "s3", 2000.0, 3_601_000.0), Some(3_601_000.0));
     assert_eq!(
@@ -71,12 +71,12 @@
         Some(10_000.0),
         "also of what was known before"
     );
-    starts.discovery_says(unix(1_900), at(3_601_000.0));
+    starts.update_clock_lead(unix(1_900), at(3_601_000.0));
     assert_eq!(
         start(&mut starts, "s2", 500.0, 3_602_000.0),
         Some(3_600_500.0),
         "seconds that pass change nothing"
     );
-    starts.discovery_says(unix(7_200_000), at(10_000.0));
+    starts.update_clock_lead(unix(7_200_000), at(10_000.0));
     assert_eq!(start(&mut starts, "s4", 4000.0, 10_000.0), Some(4000.0));
 }
