--- a/crates/proxy/src/fleet/peers.rs
+++ b/crates/proxy/src/fleet/peers.rs
@@ -1,217 +1,141 @@
-//! A process among its fellows: the socket between them, the alarms, and the disk, round the core of the return.
+//! The driver of the peer protocol: the UDP socket, the timer and the snapshots around the recovery state machine
+//! [`Node`], which does no I/O.
 //!
-//! Whom it serves is told what happens through [`PeerEvents`], and through nothing else.
+//! What happens is reported to the owner through [`PeerEvents`] only.
+
+mod environment;
+mod notification;
+mod saving;
+mod shared_map;
 
-use crate::fleet::disk::{self, Disk};
 use crate::fleet::fleet_file::{FleetError, FleetFile};
-use crate::net::event_loop::EventLoopOwner;
+use crate::fleet::peer_events::PeerEvents;
+use crate::fleet::snapshot_writer::{self, SnapshotWriter};
 use calloop::generic::Generic;
 use calloop::timer::{TimeoutAction, Timer};
 use calloop::{Interest, Mode, PostAction, RegistrationToken};
-use serde::{de::DeserializeOwned, Serialize};
-use shelfgrade::handover::FlowEntry;
+use environment::NodeEnvironment;
+use notification::Notification;
+use saving::LastSave;
 use shelfgrade::host::Turn;
 use shelfgrade::time::Timestamp;
-use shelfgrade_fleet::{Entry, Environment, MemberId, PutError, Version};
 use shelfgrade_recovery::admission::State;
-use shelfgrade_recovery::environment::{EndpointAddress, RecoveryEnvironment, RecoverySettings};
+use shelfgrade_recovery::environment::{EndpointAddress, RecoverySettings};
 use shelfgrade_recovery::node::Node;
-use shelfgrade_recovery::restore::{ServerRecord, HEARTBEAT_PREFIX, LIST_KEY, SERVER_PREFIX};
-use shelfgrade_recovery::snapshot;
+use shelfgrade_recovery::restore::ServerRecord;
+use shelfgrade_recovery::snapshot::{self, Snapshot};
 use std::cell::{Cell, RefCell};
 use std::net::{SocketAddr, UdpSocket};
 use std::path::PathBuf;
 use std::rc::Rc;
 
-/// Who is among fellows.
-pub trait PeerEvents: EventLoopOwner {
-    fn apply_endpoints(&mut self, lines: Vec<EndpointAddress>, whole: bool);
-    fn set_polling(&mut self, watches: bool);
-    fn state_changed(&mut self, state: State);
-    fn restore_flow(&mut self, remembered: &FlowEntry);
-    /// Discovery's list was not gone by: all of it is to be asked for again, after a while.
-    fn list_rejected(&mut self);
-    /// What this process may do of what the fleet may, from 0 to 1.
-    fn set_quota_fraction(&mut self, part: f64);
-    /// What the decisions remember, for the disk.
-    fn flow_entries(&self) -> Vec<FlowEntry>;
-    /// Something that others put into what all share is new, or has changed.
-    fn shared_entry_changed(&mut self, key: &str);
-    fn warn(&self, what: &'static str);
-}
-
-pub struct Peers<C: PeerEvents> {
-    core: RefCell<Node>,
+/// This process as a member of its fleet.
+pub struct Peers {
+    node: RefCell<Node>,
     file: RefCell<FleetFile>,
     socket: UdpSocket,
     timer: Cell<Option<RegistrationToken>>,
-    disk: RefCell<Option<Disk>>,
-    /// What was written last, and when.
-    saved: Cell<(u64, Timestamp)>,
-    /// What is to be told once the core has finished.
-    told: RefCell<Vec<Told<C>>>,
-}
-
-/// Something to tell once the core, which is telling it, can be called again.
-type Told<C> = Box<dyn FnOnce(&mut C)>;
-
-/// The core's way out.
-struct Out<'a, C: PeerEvents> {
-    peers: &'a Peers<C>,
-}
-
-impl<C: PeerEvents> Out<'_, C> {
-    fn tell(&self, what: impl FnOnce(&mut C) + 'static) {
-        self.peers.told.borrow_mut().push(Box::new(what));
-    }
-
-    fn name(&self, member: MemberId) -> String {
-        self.peers.file.borrow().roster.name(member).unwrap_or("?").to_owned()
-    }
-}
-
-impl<C: PeerEvents> Environment for Out<'_, C> {
-    fn send(&mut self, to: MemberId, datagram: Vec<u8>) {
-        let address = self.peers.file.borrow().addresses.get(usize::from(to.0)).copied();
-        // One that is lost is made up for by those that follow.
-        let _ = address.map(|address| self.peers.socket.send_to(&datagram, address));
-    }
-    fn entry_changed(&mut self, entry: &Entry) {
-        log::trace!("{} is known at version {:?}", entry.key, entry.version);
-        if ![SERVER_PREFIX, HEARTBEAT_PREFIX, LIST_KEY].iter().any(|own| entry.key.starts_with(own)) {
-            let key = entry.key.clone();
-            self.tell(move |events| events.shared_entry_changed(&key));
-        }
-    }
-    fn member_joined(&mut self, member: MemberId) {
-        log::info!("fellow {} is there", self.name(member));
-    }
-    fn member_left(&mut self, member: MemberId) {
-        log::info!("fellow {} is gone", self.name(member));
-    }
-    fn datagram_rejected(&mut self, why: &'static str) {
-        self.tell(move |events| events.warn(why));
-    }
+    snapshot_writer: RefCell<Option<SnapshotWriter>>,
+    last_save: Cell<LastSave>,
+    /// What the node reported during a call, delivered when the call has returned and the node can be called again.
+    notifications: RefCell<Vec<Notification>>,
 }
 
-impl<C: PeerEvents> RecoveryEnvironment for Out<'_, C> {
-    fn apply_endpoints(&mut self, lines: Vec<EndpointAddress>, whole: bool) {
-        self.tell(move |events| events.apply_endpoints(lines, whole));
-    }
-    fn set_polling(&mut self, watches: bool) {
-        log::info!(
-            "{}",
-            if watches { "asks discovery, for all" } else { "leaves asking discovery to fellows" }
-        );
-        self.tell(move |events| events.set_polling(watches));
-    }
-    fn state_changed(&mut self, state: State, why: &str) {
-        log::info!("return: {}; {why}", state.name());
-        self.tell(move |events| events.state_changed(state));
-    }
-    fn restore_flow(&mut self, key: u64, server: &str, started_ms: f64) {
-        let started = (started_ms > 0.0).then(|| Timestamp::from_ms(started_ms));
-        let remembered = FlowEntry { key, server: server.to_owned(), started };
-        self.tell(move |events| events.restore_flow(&remembered));
-    }
-    fn list_rejected(&mut self, why: &str) {
-        log::warn!("list not taken: {why}");
-        self.tell(|events| events.list_rejected());
-    }
-}
-
-impl<C: PeerEvents> Peers<C> {
-    /// Reads what an earlier life left, and begins to listen; `known` are the servers of the start-up file.
-    pub fn begin(
+impl Peers {
+    /// Restores the snapshot of the last run and joins the fleet; `known` are the endpoints of the start-up file.
+    ///
+    /// # Errors
+    ///
+    /// [`FleetError::Bind`] if the socket cannot be opened.
+    pub fn join<E: PeerEvents>(
         file: FleetFile,
         settings: RecoverySettings,
         known: Vec<EndpointAddress>,
         seed: u64,
-        events: &mut C,
+        events: &mut E,
     ) -> Result<Rc<Self>, FleetError> {
         let at = file.addresses[usize::from(file.roster.me().0)];
-        let bind = |source| FleetError::Bind { at, source };
-        let socket = UdpSocket::bind(at).map_err(bind)?;
-        socket.set_nonblocking(true).map_err(bind)?;
-        let name = file.roster.name(file.roster.me()).unwrap_or_default();
-        let found = file.state_dir.as_deref().map(disk::read).unwrap_or_default();
-        let (before, errors) = snapshot::newest(&found, file.roster.fleet(), name);
-        for (generation, error) in errors {
-            log::warn!("snapshot {generation}: {error}");
-        }
+        let bind_error = |source| FleetError::Bind { at, source };
+        let socket = UdpSocket::bind(at).map_err(bind_error)?;
+        socket.set_nonblocking(true).map_err(bind_error)?;
+        let snapshot = newest_snapshot(&file);
         let now = events.now();
-        let mut core = Node::new(file.roster.clone(), settings, before, seed, (now, wall_ms(now)));
-        core.add_known_endpoints(known.into_iter(), now);
-        log::info!(
-            "return: {}; one of {} in {}",
-            core.state().name(),
-            file.roster.size(),
-            file.roster.fleet()
-        );
-        let disk = file.state_dir.as_deref().map(Disk::begin);
+        let mut node = Node::new(file.roster.clone(), settings, snapshot, seed, (now, wall_ms(now)));
+        node.add_known_endpoints(known.into_iter(), now);
+        let (state, size, fleet) = (node.state().name(), file.roster.size(), file.roster.fleet());
+        log::info!("recovery: {state}; one of {size} in {fleet}");
+        let snapshot_writer = file.state_dir.as_deref().map(SnapshotWriter::start);
         let peers = Rc::new(Peers {
-            core: RefCell::new(core),
+            node: RefCell::new(node),
             file: RefCell::new(file),
             timer: Cell::default(),
-            disk: RefCell::new(disk),
-            saved: Cell::new((0, now)),
-            told: RefCell::default(),
-            socket: socket.try_clone().map_err(bind)?,
+            snapshot_writer: RefCell::new(snapshot_writer),
+            last_save: Cell::new(LastSave { state_digest: 0, at: now }),
+            notifications: RefCell::default(),
+            socket: socket.try_clone().map_err(bind_error)?,
         });
         let me = peers.clone();
         let source = Generic::new(socket, Interest::READ, Mode::Level);
         let watched = events.handle().insert_source(source, move |_, _, events| {
-            me.ready(events);
+            me.on_socket_ready(events);
             Ok(PostAction::Continue)
         });
-        watched.map_err(|error| bind(std::io::Error::other(error.error)))?;
+        watched.map_err(|error| bind_error(std::io::Error::other(error.error)))?;
         peers.on_timer(events);
         Ok(peers)
     }
 
-    fn ready(self: &Rc<Self>, events: &mut C) {
-        // Guards against a storm of datagrams starving the clients.
-        const AT_ONCE: usize = 64;
+    fn on_socket_ready(self: &Rc<Self>, events: &mut impl PeerEvents) {
+        // Bounded, so that a flood of datagrams does not starve the clients.
+        const MAX_DATAGRAMS_PER_EVENT: usize = 64;
         let mut datagram = [0; shelfgrade_fleet::LONGEST];
-        for _ in 0..AT_ONCE {
+        for _ in 0..MAX_DATAGRAMS_PER_EVENT {
             let Ok((length, from)) = self.socket.recv_from(&mut datagram) else { break };
-            if self.knows(from) {
+            if self.is_peer_address(from) {
                 let now = events.now();
-                let mut core = self.core.borrow_mut();
-                core.on_datagram(&datagram[..length], (now, wall_ms(now)), &mut Out { peers: self });
+                let mut environment = NodeEnvironment { peers: self };
+                self.node.borrow_mut().on_datagram(
+                    &datagram[..length],
+                    (now, wall_ms(now)),
+                    &mut environment,
+                );
             } else {
                 events.warn("fleet datagrams from unknown addresses");
             }
         }
-        self.settle(events);
+        self.deliver_notifications(events);
     }
 
-    fn knows(&self, from: SocketAddr) -> bool {
+    fn is_peer_address(&self, from: SocketAddr) -> bool {
         self.file.borrow().addresses.contains(&from)
     }
 
-    fn on_timer(self: &Rc<Self>, events: &mut C) {
+    fn on_timer(self: &Rc<Self>, events: &mut impl PeerEvents) {
         let now = events.now();
-        self.core.borrow_mut().on_timer((now, wall_ms(now)), &mut Out { peers: self });
-        self.save(now, events);
-        self.settle(events);
+        self.node.borrow_mut().on_timer((now, wall_ms(now)), &mut NodeEnvironment { peers: self });
+        self.save_if_due(now, events);
+        self.deliver_notifications(events);
     }
 
-    /// Tells what the core has said, and sets the next alarm.
-    fn settle(self: &Rc<Self>, events: &mut C) {
+    /// Delivers what the node has reported, and schedules its next wakeup.
+    pub fn deliver_notifications(self: &Rc<Self>, events: &mut impl PeerEvents) {
         loop {
-            let told = std::mem::take(&mut *self.told.borrow_mut());
-            if told.is_empty() {
+            let notifications = std::mem::take(&mut *self.notifications.borrow_mut());
+            if notifications.is_empty() {
                 break;
             }
-            told.into_iter().for_each(|tell| tell(events));
+            notifications.into_iter().for_each(|notification| notification.deliver(events));
         }
         let now = events.now();
-        events.set_quota_fraction(self.core.borrow().quota_fraction(now));
+        events.set_quota_fraction(self.node.borrow().quota_fraction(now));
+        self.schedule_wakeup(now, events);
+    }
+
+    fn schedule_wakeup(self: &Rc<Self>, now: Timestamp, events: &impl PeerEvents) {
         if let Some(token) = self.timer.take() {
             events.handle().remove(token);
         }
-        let timer = Timer::from_duration(self.core.borrow().next_wakeup().since(now));
+        let timer = Timer::from_duration(self.node.borrow().next_wakeup().since(now));
         let me = self.clone();
         let token = events.handle().insert_source(timer, move |_, _, events| {
             me.timer.take();
@@ -221,126 +145,105 @@
         self.timer.set(token.ok());
     }
 
-    /// Writes what is new, as often as the file says.
-    fn save(&self, now: Timestamp, events: &C) {
-        let (state, at) = self.saved.get();
-        let due = now.since(at) >= self.file.borrow().save_every;
-        let new = self.core.borrow().fleet().state_digest();
-        if let Some(disk) = self.disk.borrow().as_ref().filter(|_| due && new != state) {
-            let (number, bytes) = self.bytes(now, events);
-            if disk.write(number, bytes) {
-                self.saved.set((new, now));
-            }
-        }
-    }
-
-    fn bytes(&self, now: Timestamp, events: &C) -> (u64, Vec<u8>) {
-        let held = events.flow_entries().into_iter().map(|held| (held.key, held.server));
-        let saved = self.core.borrow_mut().snapshot(held, wall_ms(now));
-        (saved.number, snapshot::write(&saved))
-    }
-
-    /// Discovery has told a list; whether it was taken.
+    /// Hands a list from discovery to the node; returns whether it was accepted.
     pub fn on_endpoint_list(
         self: &Rc<Self>,
         records: Vec<(String, ServerRecord)>,
-        whole: bool,
-        seq: u64,
-        events: &mut C,
+        is_complete: bool,
+        version: u64,
+        events: &mut impl PeerEvents,
     ) -> bool {
         let now = events.now();
-        let taken =
-            self.core.borrow_mut().on_endpoint_list(records, whole, seq, now, &mut Out { peers: self });
-        self.settle(events);
-        taken
+        let mut environment = NodeEnvironment { peers: self };
+        let accepted =
+            self.node.borrow_mut().on_endpoint_list(records, is_complete, version, now, &mut environment);
+        self.deliver_notifications(events);
+        accepted
     }
 
-    /// A session has come: what it is owed. Guards against parts of the fleet's rights that ran out while this process
-    /// was stopped: they are asked for again with each.
+    /// A new session's place in the order of admission, or none outside of a recovery. `class` and `customer` are
+    /// positions in the settings. The quota fraction is brought up to date first, as leases may have expired while this
+    /// process was suspended.
     pub fn admission_turn(
         &self,
-        of: (Option<usize>, Option<usize>),
+        class: Option<usize>,
+        customer: Option<usize>,
         key: u64,
-        events: &mut C,
+        events: &mut impl PeerEvents,
     ) -> Option<Turn> {
         let now = events.now();
-        events.set_quota_fraction(self.core.borrow().quota_fraction(now));
-        self.core.borrow_mut().admission_turn(of, key, now)
+        events.set_quota_fraction(self.node.borrow().quota_fraction(now));
+        self.node.borrow_mut().admission_turn((class, customer), key, now)
     }
 
-    /// The value under a key of what all share.
-    pub fn get<T: DeserializeOwned>(&self, key: &str) -> Option<T> {
-        self.core.borrow().fleet().get(key)
-    }
-
-    /// Puts a value into what all share, under a version that whoever writes it counts; an older one changes nothing.
-    pub fn put<T: Serialize>(&self, key: &str, value: &T, count: u64) -> Result<(), PutError> {
-        let version = Version { count, by: 0 };
-        self.core.borrow_mut().fleet_mut().put_version(key, value, version, &mut Out { peers: self })
-    }
-
-    /// All keys of what all share that begin so.
-    pub fn keys(&self, prefix: &str) -> Vec<String> {
-        let core = self.core.borrow();
-        core.fleet().entries().into_iter().map(|e| e.key).filter(|key| key.starts_with(prefix)).collect()
+    /// Records that the session which came last was admitted.
+    pub fn record_admission(&self) {
+        self.node.borrow_mut().record_admission();
     }
 
-    /// This process's place among so many.
+    /// This process's position in the roster, and the roster's size.
     pub fn member(&self) -> (usize, usize) {
         let file = self.file.borrow();
         (usize::from(file.roster.me().0), file.roster.size())
     }
 
+    /// The folder of the tenants' namespaces, if this process reads one.
     pub fn namespaces_dir(&self) -> Option<PathBuf> {
         self.file.borrow().namespaces_dir.clone()
     }
 
-    pub fn maintenance(&self) -> Option<PathBuf> {
+    /// The file of the maintenance windows, if this process reads one.
+    pub fn maintenance_file(&self) -> Option<PathBuf> {
         self.file.borrow().maintenance.clone()
     }
 
-    /// The fleet's time, by the most of its clocks, in Unix milliseconds.
+    /// The fleet's time by the median of its clocks, in Unix milliseconds.
     pub fn fleet_ms(&self, now: Timestamp) -> i64 {
-        wall_ms(now) as i64 + self.core.borrow().fleet().clock_correction_ms()
-    }
-
-    pub fn record_admission(&self) {
-        self.core.borrow_mut().record_admission();
+        wall_ms(now) as i64 + self.node.borrow().fleet().clock_correction_ms()
     }
 
+    /// The state of this process's recovery.
     pub fn state(&self) -> State {
-        self.core.borrow().state()
+        self.node.borrow().state()
     }
 
-    pub fn watches(&self) -> bool {
-        self.core.borrow().is_poller()
+    /// Whether this process polls discovery for the fleet.
+    pub fn is_poller(&self) -> bool {
+        self.node.borrow().is_poller()
     }
 
-    /// Goes by another file, as far as that can be while processes run.
-    pub fn read_again(&self, name: &str) -> Result<(), FleetError> {
+    /// Reads the fleet file again and applies what may change at runtime.
+    ///
+    /// # Errors
+    ///
+    /// [`FleetError`] if the file cannot be used or changes what is fixed; nothing changes then.
+    pub fn reload_file(&self, name: &str) -> Result<(), FleetError> {
         let Some(next) = FleetFile::from_environment(name)? else { return Ok(()) };
         self.file.borrow().may_follow(&next)?;
         *self.file.borrow_mut() = next;
         Ok(())
     }
 
-    /// Tells what was put into what all share from outside a call of the core's.
-    pub fn tell_news(self: &Rc<Self>, events: &mut C) {
-        self.settle(events);
+    /// Leaves the fleet: notifies the peers, and waits until the last snapshot is written.
+    pub fn leave(&self, events: &impl PeerEvents) {
+        let now = events.now();
+        self.node.borrow_mut().leave((now, wall_ms(now)), &mut NodeEnvironment { peers: self });
+        self.write_last_snapshot(now, events);
     }
+}
 
-    /// This process ends: its fellows hear of it, and the disk has all.
-    pub fn leave(&self, events: &C) {
-        let now = events.now();
-        self.core.borrow_mut().leave((now, wall_ms(now)), &mut Out { peers: self });
-        if let Some(disk) = self.disk.borrow_mut().take() {
-            let (number, bytes) = self.bytes(now, events);
-            disk.end(number, bytes);
-        }
+/// The newest usable snapshot of this process, if it keeps any.
+fn newest_snapshot(file: &FleetFile) -> Option<Snapshot> {
+    let name = file.roster.name(file.roster.me()).unwrap_or_default();
+    let found = file.state_dir.as_deref().map(snapshot_writer::read).unwrap_or_default();
+    let (newest, errors) = snapshot::newest(&found, file.roster.fleet(), name);
+    for (generation, error) in errors {
+        log::warn!("snapshot {generation}: {error}");
     }
+    newest
 }
 
-/// This machine's Unix time, which the loop's clock was set by.
+/// This machine's Unix time in milliseconds, by the event loop's clock.
 fn wall_ms(now: Timestamp) -> u64 {
     now.as_ms() as u64
 }
--- /dev/null
+++ b/crates/proxy/src/fleet/peers/environment.rs
@@ -0,0 +1,83 @@
+//! The environment of the recovery state machine: sends datagrams, and queues what the owner is to be notified of.
+
+use super::notification::Notification;
+use super::Peers;
+use shelfgrade::handover::FlowEntry;
+use shelfgrade::time::Timestamp;
+use shelfgrade_fleet::{Entry, Environment, MemberId};
+use shelfgrade_recovery::admission::State;
+use shelfgrade_recovery::environment::{EndpointAddress, RecoveryEnvironment};
+use shelfgrade_recovery::restore::{HEARTBEAT_PREFIX, LIST_KEY, SERVER_PREFIX};
+
+/// Keys of the shared map that the recovery state machine handles by itself.
+const INTERNAL_KEY_PREFIXES: [&str; 3] = [SERVER_PREFIX, HEARTBEAT_PREFIX, LIST_KEY];
+
+/// Passed to each call of the node.
+pub(super) struct NodeEnvironment<'a> {
+    pub(super) peers: &'a Peers,
+}
+
+impl NodeEnvironment<'_> {
+    fn notify(&self, notification: Notification) {
+        self.peers.notifications.borrow_mut().push(notification);
+    }
+
+    fn name(&self, member: MemberId) -> String {
+        self.peers.file.borrow().roster.name(member).unwrap_or("?").to_owned()
+    }
+}
+
+impl Environment for NodeEnvironment<'_> {
+    fn send(&mut self, to: MemberId, datagram: Vec<u8>) {
+        let address = self.peers.file.borrow().addresses.get(usize::from(to.0)).copied();
+        // The protocol repeats what a lost datagram carried.
+        let _ = address.map(|address| self.peers.socket.send_to(&datagram, address));
+    }
+
+    fn entry_changed(&mut self, entry: &Entry) {
+        log::trace!("{} is known at version {:?}", entry.key, entry.version);
+        if !INTERNAL_KEY_PREFIXES.iter().any(|prefix| entry.key.starts_with(prefix)) {
+            self.notify(Notification::SharedEntryChanged(entry.key.clone()));
+        }
+    }
+
+    fn member_joined(&mut self, member: MemberId) {
+        log::info!("peer {} joined", self.name(member));
+    }
+
+    fn member_left(&mut self, member: MemberId) {
+        log::info!("peer {} left", self.name(member));
+    }
+
+    fn datagram_rejected(&mut self, why: &'static str) {
+        self.notify(Notification::Warning(why));
+    }
+}
+
+impl RecoveryEnvironment for NodeEnvironment<'_> {
+    fn apply_endpoints(&mut self, endpoints: Vec<EndpointAddress>, is_complete: bool) {
+        self.notify(Notification::Endpoints { endpoints, is_complete });
+    }
+
+    fn set_polling(&mut self, is_poller: bool) {
+        let what =
+            if is_poller { "polls discovery for the fleet" } else { "leaves polling discovery to peers" };
+        log::info!("{what}");
+        self.notify(Notification::Polling { is_poller });
+    }
+
+    fn state_changed(&mut self, state: State, why: &str) {
+        log::info!("recovery: {}; {why}", state.name());
+        self.notify(Notification::StateChanged(state));
+    }
+
+    fn restore_flow(&mut self, key: u64, server: &str, started_ms: f64) {
+        let started = (started_ms > 0.0).then(|| Timestamp::from_ms(started_ms));
+        self.notify(Notification::RestoredFlow(FlowEntry { key, server: server.to_owned(), started }));
+    }
+
+    fn list_rejected(&mut self, why: &str) {
+        log::warn!("endpoint list rejected: {why}");
+        self.notify(Notification::ListRejected);
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/fleet/peers/shared_map.rs
@@ -0,0 +1,29 @@
+//! Access to the replicated map that all processes of the fleet share.
+
+use super::environment::NodeEnvironment;
+use super::Peers;
+use crate::tenants::tenant_namespaces::Shared;
+use serde::{de::DeserializeOwned, Serialize};
+use shelfgrade_fleet::Version;
+
+impl Peers {
+    /// All keys that begin with `prefix`.
+    pub fn keys(&self, prefix: &str) -> Vec<String> {
+        let node = self.node.borrow();
+        let keys = node.fleet().entries().into_iter().map(|entry| entry.key);
+        keys.filter(|key| key.starts_with(prefix)).collect()
+    }
+}
+
+impl Shared for Peers {
+    fn get<T: DeserializeOwned>(&self, key: &str) -> Option<T> {
+        self.node.borrow().fleet().get(key)
+    }
+
+    fn put<T: Serialize>(&self, key: &str, value: &T, version: u64) -> Result<(), String> {
+        let version = Version { count: version, by: 0 };
+        let mut node = self.node.borrow_mut();
+        let put = node.fleet_mut().put_version(key, value, version, &mut NodeEnvironment { peers: self });
+        put.map(|_| ()).map_err(|error| error.to_string())
+    }
+}
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,7 +1,8 @@
-//! A balancer for long-lived connections on real sockets, round the decisions of the crate `shelfgrade`.
+//! A balancer for long-lived connections on real sockets, around the load balancer of the crate `shelfgrade`.
 //!
-//! [`lifecycle::startup::Start`] holds what a proxy is told at its start; [`proxy::serve`] runs it on one thread and one
-//! loop until it is told to end. The decisions are the module's; this crate carries them out.
+//! [`lifecycle::startup::Start`] holds what a proxy is given at its start; [`lifecycle::serve::serve`] runs it on one thread
+//! and one event loop until it is stopped. The load balancer decides, without I/O; this crate does the I/O and carries the
+//! decisions out.
 
 mod discovery;
 mod downstream;
--- a/crates/proxy/src/lifecycle/mod.rs
+++ b/crates/proxy/src/lifecycle/mod.rs
@@ -1,7 +1,7 @@
-//! From the start-up file to the exit: startup, readiness, reload and graceful shutdown.
+//! From the start-up file to the exit: startup, the startup gate, and the schedule of a graceful shutdown.
 
-pub mod graceful_shutdown;
-pub mod reload;
+pub mod serve;
 pub mod serve_error;
+pub mod shutdown_schedule;
 pub mod startup;
 pub mod startup_gate;
--- a/crates/proxy/src/lifecycle/startup_gate.rs
+++ b/crates/proxy/src/lifecycle/startup_gate.rs
@@ -1,127 +1,80 @@
-//! What comes before the list has been heard, where the list is pushed: what its service has counts as told from
-//! the first moment of a process, so nobody is placed by the old list while the new one is on its way.
+//! The startup gate: sessions that arrive before the endpoint list are held, so that none is placed by an outdated list
+//! while the present one is on its way.
 
-use crate::executor::Executor;
-use crate::proxy::Proxy;
-use crate::session::{Session, Stage};
-use calloop::timer::{TimeoutAction, Timer};
-use shelfgrade::host::{Arrival, Turn};
-use shelfgrade::time::{DurationExt, Timestamp};
+use shelfgrade::time::Timestamp;
 use std::rc::{Rc, Weak};
 use std::time::Duration;
 
-// An agent on the same machine answers within milliseconds; one that has not by now does not run, and a client
-// waits for a server no longer than this for the hope of it.
-const WAITS: Duration = Duration::from_millis(1000);
+/// An agent on the same machine responds within milliseconds, so one that has not by then is not running. Polls that are
+/// scheduled within this are not waited for either.
+const LIST_TIMEOUT: Duration = Duration::from_millis(1000);
+/// How long past its scheduled time a poll may take; refused, the proxy serves by the list that it has.
+const POLL_RESPONSE_TIMEOUT: Duration = Duration::from_millis(500);
 
-// When one comes again whose namespace has no room or no rule for it: connections last minutes, and some end in a second.
-const NO_ROOM: Duration = Duration::from_millis(1000);
+/// Holds sessions of type `S` until it opens.
+pub struct StartupGate<S> {
+    /// When it opens at the latest; none once it is open.
+    opens_by: Option<Timestamp>,
+    held: Vec<HeldSession<S>>,
+}
 
-/// Who waits for the first word of the list.
-#[derive(Default)]
-pub struct StartupGate {
-    until: Option<Timestamp>,
-    sessions: Vec<Weak<Session>>,
+struct HeldSession<S> {
+    session: Weak<S>,
+    arrived_at: Timestamp,
+    max_hold: Duration,
 }
 
-impl StartupGate {
-    pub fn until_the_list_is_heard(now: Timestamp) -> Self {
-        StartupGate { until: Some(now + WAITS), sessions: Vec::new() }
+impl<S> StartupGate<S> {
+    /// A gate that holds nobody.
+    pub fn opened() -> Self {
+        StartupGate { opens_by: None, held: Vec::new() }
     }
 
-    /// Where the list is asked for, and this proxy's turn to ask comes late among many. Guards against serving by a list
-    /// from before it was started again: what changed while it was away counts as told six seconds after the change,
-    /// whoever was there to hear it. Turns of up to a second are not waited for.
-    pub fn until_its_turn(now: Timestamp, asks_at: Timestamp) -> Self {
-        // An answer takes milliseconds, or is one among many that come at once; refused, it serves by the list it has.
-        const ANSWERED_IN: Duration = Duration::from_millis(500);
-        let late = asks_at.since(now) > WAITS;
-        StartupGate { until: late.then_some(asks_at + ANSWERED_IN), sessions: Vec::new() }
+    /// For a list that a local agent pushes.
+    pub fn until_pushed_list(now: Timestamp) -> Self {
+        StartupGate { opens_by: Some(now + LIST_TIMEOUT), held: Vec::new() }
     }
 
-    /// Where the return says when: it has a bound of its own, and this one is for the case that it fails.
-    pub fn until_the_return_serves(now: Timestamp, wait: Duration) -> Self {
-        StartupGate { until: Some(now + wait + WAITS), sessions: Vec::new() }
+    /// For a list that is polled at `poll_at`, which may be late among many proxies: what changed while this one was down
+    /// has to be applied six seconds after the change, so it must not serve by the list from before for long.
+    pub fn until_first_poll(now: Timestamp, poll_at: Timestamp) -> Self {
+        let is_late = poll_at.since(now) > LIST_TIMEOUT;
+        StartupGate { opens_by: is_late.then_some(poll_at + POLL_RESPONSE_TIMEOUT), held: Vec::new() }
     }
 
-    pub fn is_closed(&self) -> bool {
-        self.until.is_some()
+    /// For a recovery, which opens the gate within `list_wait`; this bound is for the case that it fails to.
+    pub fn until_recovery(now: Timestamp, list_wait: Duration) -> Self {
+        StartupGate { opens_by: Some(now + list_wait + LIST_TIMEOUT), held: Vec::new() }
     }
 
-    /// Keeps a session until then, and no longer than half of its request timeout.
-    pub fn holds(&mut self, session: &Rc<Session>, executor: &Executor) {
-        self.sessions.push(Rc::downgrade(session));
-        let timer = Timer::from_duration(longest_wait(session));
-        let set = executor.handle.insert_source(timer, |_, _, proxy| {
-            proxy.release_held_sessions();
-            TimeoutAction::Drop
-        });
-        executor.metrics.invariant(set.is_ok(), "a timer can be set");
+    pub fn is_closed(&self) -> bool {
+        self.opens_by.is_some()
     }
-}
 
-/// How long a session may wait for the list.
-fn longest_wait(session: &Session) -> Duration {
-    session.opening.request_timeout.scaled(0.5)
-}
+    /// Whether the gate is closed and should have opened by `now`.
+    pub fn is_overdue(&self, now: Timestamp) -> bool {
+        self.opens_by.is_some_and(|opens_by| now >= opens_by)
+    }
 
-impl Proxy {
-    /// The list has been heard, or is waited for no longer: who came early has its turn, in the order of coming.
-    pub fn open_startup_gate(&mut self) {
-        if self.startup_gate.until.take().is_none() {
-            return;
-        }
-        for session in std::mem::take(&mut self.startup_gate.sessions) {
-            session.upgrade().inspect(|session| self.admit(session));
-        }
-        let ready = self.is_ready();
-        self.listener
-            .pending_connections()
-            .for_each(|pending_connection| pending_connection.answer_sign(ready));
+    /// Holds a session for `max_hold` from its arrival at most.
+    pub fn hold(&mut self, session: &Rc<S>, arrived_at: Timestamp, max_hold: Duration) {
+        self.held.push(HeldSession { session: Rc::downgrade(session), arrived_at, max_hold });
     }
 
-    /// Called with each tick, and for each session when its time is up: nobody waits past the bound, and no session past
-    /// half of its request timeout.
-    pub fn release_held_sessions(&mut self) {
-        let now = self.now();
-        let Some(until) = self.startup_gate.until else { return };
-        if now >= until {
-            log::warn!("no list has come yet: serving with the one known at the start");
-            return self.open_startup_gate();
-        }
-        let impatient = |c: &Rc<Session>| now.since(c.since.get()) >= longest_wait(c);
-        let due = self.startup_gate.sessions.extract_if(.., |c| c.upgrade().as_ref().is_none_or(impatient));
-        for session in due.collect::<Vec<_>>().iter().filter_map(Weak::upgrade) {
-            self.admit(&session);
-        }
+    /// Opens the gate; returns the sessions held in the order of their arrival, or none if it was open.
+    pub fn open(&mut self) -> Option<Vec<Weak<S>>> {
+        self.opens_by.take()?;
+        Some(std::mem::take(&mut self.held).into_iter().map(|held| held.session).collect())
     }
 
-    /// Hands a session to the load balancer; its request timeout counts from when it came.
-    pub fn admit(&mut self, session: &Rc<Session>) {
-        if session.stage.get() == Stage::Connecting {
-            let now = self.now();
-            let mut turn = self.admission_turn(session);
-            let ruled = self.rule_for(session);
-            if let Some(ruled) = ruled.as_ref().filter(|ruled| ruled.full) {
-                log::debug!("session {}: no room for {}", session.id.0, ruled.customer);
-                self.executor.metrics.count("sessions over namespace quota");
-                turn = Some(turn.unwrap_or(Turn { before: 2.0, again: NO_ROOM }))
-                    .map(|t| Turn { before: 2.0, ..t });
-            }
-            if let Some(ruled) = ruled.as_ref().filter(|ruled| !self.balancer.knows(&ruled.customer)) {
-                let space = self.namespaces.changed(&ruled.customer);
-                space.into_iter().for_each(|space| self.balancer.begin(space, now, &mut self.executor));
-            }
-            let among = ruled.as_ref().map(|ruled| &ruled.among);
-            let whose = ruled.as_ref().map(|ruled| &ruled.customer);
-            let arrival =
-                crate::proxy::arrival(session, session.since.get() + session.opening.request_timeout);
-            *session.place.borrow_mut() = ruled.as_ref().map(|ruled| ruled.place.clone());
-            self.balancer.on_request(whose, &Arrival { turn, among, ..arrival }, now, &mut self.executor);
-            // Not turned away: it was let in, or is about to be.
-            let let_in = turn.is_some() && session.stage.get() == Stage::Connecting;
-            self.peers.iter().filter(|_| let_in).for_each(|peers| peers.record_admission());
-            self.run_deferred_actions();
+    /// The sessions that cannot be held any longer, if the gate is closed.
+    pub fn take_expired(&mut self, now: Timestamp) -> Vec<Weak<S>> {
+        if !self.is_closed() {
+            return Vec::new();
         }
+        let is_expired = |held: &mut HeldSession<S>| {
+            held.session.strong_count() == 0 || now.since(held.arrived_at) >= held.max_hold
+        };
+        self.held.extract_if(.., is_expired).map(|held| held.session).collect()
     }
 }
--- a/crates/proxy/src/metrics.rs
+++ b/crates/proxy/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters on the `metrics` facade, with an exporter into the log; docs/on-call.md explains them.
+//! Counters on the `metrics` facade, with an exporter into the log. `docs/on-call.md` explains each of them.
 
 use metrics::{Counter, Gauge, Histogram, Key, KeyName, Metadata, Recorder, SharedString, Unit};
 use metrics_util::registry::{AtomicStorage, Registry};
@@ -6,11 +6,11 @@
 use std::sync::atomic::Ordering;
 use std::sync::{Arc, OnceLock};
 
-/// What must hold and did not.
-const BROKEN: &str = "invariant violations";
+/// The counter of invariants that did not hold.
+const INVARIANT_VIOLATIONS: &str = "invariant violations";
 
-/// Keeps counters until they are logged. A program that embeds this one may have set a recorder of its own, which
-/// then has them all, and the log none.
+/// Keeps counters until they are logged. A program that embeds this crate may have set a recorder of its own, which then
+/// receives all counters, and the log none.
 #[derive(Clone)]
 struct Exporter(Arc<Registry<Key, AtomicStorage>>);
 
@@ -38,19 +38,21 @@
         self.0.get_or_create_counter(key, |counter| Counter::from_arc(counter.clone()))
     }
 
-    // Nothing here is measured in these.
+    // This crate uses counters only.
     fn register_gauge(&self, _: &Key, _: &Metadata<'_>) -> Gauge {
         Gauge::noop()
     }
+
     fn register_histogram(&self, _: &Key, _: &Metadata<'_>) -> Histogram {
         Histogram::noop()
     }
 }
 
+/// The proxy's counters; each is named by what it counts.
 pub struct Metrics(Exporter);
 
 impl Default for Metrics {
-    /// The process has one recorder, however often a start is tried.
+    /// The process has one recorder, however often a start is retried.
     fn default() -> Self {
         static EXPORTER: OnceLock<Exporter> = OnceLock::new();
         let exporter = EXPORTER.get_or_init(|| {
@@ -65,11 +67,13 @@
 }
 
 impl Metrics {
+    /// Adds one to a counter.
     pub fn count(&self, what: &'static str) {
         metrics::counter!(what).increment(1);
     }
 
-    /// Counts what a peer did wrong. Guards against bad peers filling the log: only each doubling is told.
+    /// Counts an error of the other side, and logs each doubling of the count: misbehaving clients or peers must not fill
+    /// the log.
     pub fn warn(&self, what: &'static str) {
         self.count(what);
         let so_far = self.0.count(what);
@@ -78,19 +82,20 @@
         }
     }
 
-    /// What must hold: asserted in debug builds, counted in release builds.
+    /// Checks an invariant: asserted in debug builds, logged and counted in release builds.
     pub fn invariant(&self, holds: bool, what: &'static str) {
         debug_assert!(holds, "{what}");
         if !holds {
             log::error!("does not hold: {what}");
-            self.count(BROKEN);
+            self.count(INVARIANT_VIOLATIONS);
         }
     }
 
+    /// Logs all counters that have moved, and the invariant violations in any case.
     pub fn log(&self) {
         let mut counts = self.0.counts();
-        let broken = counts.remove(BROKEN).unwrap_or(0);
-        let counts: Vec<_> = counts.iter().map(|(what, n)| format!("{what} {n}")).collect();
-        log::info!("counted: {}; {BROKEN} {broken}", counts.join(", "));
+        let violations = counts.remove(INVARIANT_VIOLATIONS).unwrap_or(0);
+        let counts: Vec<_> = counts.iter().map(|(what, count)| format!("{what} {count}")).collect();
+        log::info!("counted: {}; {INVARIANT_VIOLATIONS} {violations}", counts.join(", "));
     }
 }
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -1,262 +1,92 @@
-//! The proxy: owns the decisions, hears from the sockets, and carries out what is decided.
+//! The proxy: composes the load balancers, the executor of their decisions, the listener and the control side. What each
+//! part reports is handled in a module of its own below.
+
+mod admission;
+mod discovery_events;
+mod fleet_endpoints;
+mod fleet_membership;
+mod graceful_shutdown;
+mod peer_events;
+mod reload;
+mod session_events;
+mod ticks;
 
 use crate::discovery::client::Discovery;
-use crate::discovery::poll_schedule::{LOCAL_AGENT, SHARED_DISCOVERY};
 use crate::discovery::start_times::StartTimes;
 use crate::downstream::listener::Listener;
 use crate::executor::Executor;
-use crate::fleet::fleet_file::FleetFile;
 use crate::fleet::peers::Peers;
-use crate::fleet::recovery;
-use crate::lifecycle::graceful_shutdown::ShutdownSchedule;
-use crate::lifecycle::serve_error::ServeError;
-use crate::lifecycle::startup::{limit_descriptors, Limits, Start};
+use crate::lifecycle::shutdown_schedule::ShutdownSchedule;
 use crate::lifecycle::startup_gate::StartupGate;
 use crate::net::event_loop::EventLoopOwner;
-use crate::net::line::{OpenRequest, LONGEST};
-use crate::net::socket::Socket;
-use crate::session::{Session, Stage};
+use crate::session::Session;
 use crate::tenants::maintenance_windows::MaintenanceWindows;
 use crate::tenants::tenant_balancers::TenantBalancers;
 use crate::tenants::tenant_namespaces::TenantNamespaces;
 use crate::upstream::health_check::HealthCheck;
-use crate::upstream::server::Server;
-use calloop::signals::{Signal, Signals};
-use calloop::timer::{TimeoutAction, Timer};
-use calloop::{EventLoop, LoopHandle, LoopSignal};
-use shelfgrade::host::{Arrival, AttemptOutcome, Endpoint, ServerId, SessionId};
-use shelfgrade::time::{DurationExt, Timestamp};
+use calloop::{LoopHandle, LoopSignal};
+use shelfgrade::host::ServerId;
+use shelfgrade::time::Timestamp;
+use shelfgrade_recovery::environment::EndpointAddress;
 use std::collections::BTreeMap;
-use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How often what no event comes for is looked after.
+/// The interval at which work is done that no event triggers.
 pub const TICK: Duration = Duration::from_millis(100);
 
-mod discovery_events;
-
+/// All state of a running proxy; everything happens on one thread.
 pub struct Proxy {
+    pub name: String,
     pub balancer: TenantBalancers,
-    pub namespaces: TenantNamespaces,
-    pub maintenance_windows: MaintenanceWindows,
-    /// The list as the fleet has it, before windows are put on it.
-    pub fleet_endpoints: BTreeMap<ServerId, (Endpoint, Option<SocketAddr>)>,
-    pub slow_start: Duration,
-    start_times: StartTimes,
     pub executor: Executor,
-    /// The request classes' names in their order.
-    pub classes: Vec<String>,
     pub listener: Listener,
-    pub discovery: Rc<Discovery<Proxy>>,
-    pub startup_gate: StartupGate,
-    /// The customers' names in their order.
+    /// The request classes' names, in the order of the settings.
+    pub classes: Vec<String>,
+    /// The customers' names, in the order of the settings.
     pub customers: Vec<String>,
-    /// The others that it shares with, where a file names them.
-    pub peers: Option<Rc<Peers<Proxy>>>,
-    pub name: String,
-    /// The size of one ring.
-    ring: usize,
-    pub stop: LoopSignal,
-    pulses_taken: Timestamp,
-    /// When it was told to read its files again, where that is still to be done.
-    pub reload_requested: Option<Timestamp>,
-    /// Since when it has been told to end, and when the last session came.
-    pub shutdown_requested: Option<Timestamp>,
-    pub shutdown_schedule: ShutdownSchedule,
-    pub last_arrival: Timestamp,
-}
-
-/// Serves until told to end.
-pub fn serve(start: Start) -> Result<(), ServeError> {
-    let fleet = FleetFile::from_environment(&start.name)?;
-    let limits = Limits { sockets: limit_descriptors(start.limits.sockets), ..start.limits };
-    let ring = ring_size(limits);
+    /// How long a server that has started is in slow start.
+    pub slow_start: Duration,
+    /// The size of one ring buffer of a session, in bytes.
+    pub ring_size: usize,
 
-    let mut events: EventLoop<'static, Proxy> = EventLoop::try_new()?;
-    let handle = events.handle();
-    let listener = Listener::open(start.listen, &handle)?;
-    let signals = Signals::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP])?;
-    let signals = handle.insert_source(signals, |event, _, proxy| match event.signal() {
-        Signal::SIGHUP => proxy.reload_requested(),
-        _ => proxy.shutdown_requested(),
-    });
-    signals.map_err(|error| error.error)?;
-    let tick = handle.insert_source(Timer::from_duration(TICK), |_, _, proxy| {
-        proxy.tick();
-        TimeoutAction::ToDuration(TICK)
-    });
-    tick.map_err(|error| error.error)?;
+    pub discovery: Rc<Discovery<Proxy>>,
+    pub start_times: StartTimes,
 
-    // Where the list is pushed, all of it is asked for at the start, so that the answer comes at once.
-    let pushed = start.settings.list_is_pushed;
-    let whole = start.known.records.is_empty() || pushed || fleet.is_some();
-    let seq = Some(start.known.version).filter(|_| !whole);
-    let settings_text = start.settings_text;
-    let recovery_settings = fleet.as_ref().map(|fleet| recovery::recovery_settings(&start.settings, fleet));
-    let signs = (start.settings.health_checks_allowed, start.settings.tells_delay);
-    let executor = Executor::new(handle, limits, start.settings.dial_time_out, signs);
-    let now = executor.clock.now();
-    let metrics = executor.metrics.clone();
-    let mut proxy = Proxy {
-        // What the settings made once they make again.
-        balancer: TenantBalancers::new(
-            start.settings.balancer,
-            Box::new(move |seed| {
-                shelfgrade_settings::parse(seed, &settings_text).ok().map(|settings| settings.balancer)
-            }),
-            start.seed,
-        ),
-        namespaces: TenantNamespaces::new((0, 1)),
-        maintenance_windows: MaintenanceWindows::default(),
-        fleet_endpoints: BTreeMap::new(),
-        slow_start: start.settings.slow_start,
-        start_times: StartTimes::default(),
-        executor,
-        classes: start.settings.classes,
-        listener,
-        discovery: Discovery::new(
-            start.discovery,
-            seq,
-            if pushed { LOCAL_AGENT } else { SHARED_DISCOVERY },
-            start.seed,
-        ),
-        startup_gate: match &fleet {
-            Some(fleet) => StartupGate::until_the_return_serves(now, fleet.list_wait),
-            None if pushed => StartupGate::until_the_list_is_heard(now),
-            None => StartupGate::default(),
-        },
-        customers: start.settings.customers.iter().map(|(name, _)| name.clone()).collect(),
-        peers: None,
-        name: start.name,
-        ring,
-        stop: events.get_signal(),
-        pulses_taken: now,
-        reload_requested: None,
-        shutdown_requested: None,
-        shutdown_schedule: ShutdownSchedule::by(start.settings.longest_request_timeout),
-        last_arrival: now,
-    };
-    // With fellows, what is known from before is for the return to judge.
-    let known = if fleet.is_some() { Vec::new() } else { start.known.endpoints() };
-    let known = proxy.start_times.localize(known, now);
-    let dials = start.known.addresses();
-    proxy.executor.follow(known.iter().zip(dials), true);
-    proxy.balancer.start(&known, now, &mut proxy.executor);
-    if !pushed && fleet.is_none() {
-        proxy.startup_gate = StartupGate::until_its_turn(now, proxy.executor.wakes_at);
-    }
-    // Lines come back at once here however strained a server is.
-    proxy.balancer.start_periodic_checks(!proxy.executor.tells_delay, now, &mut proxy.executor);
-    if let Some((file, settings)) = fleet.zip(recovery_settings) {
-        proxy.join_peers(file, settings, &start.known, start.seed)?;
-    }
-    proxy.run_deferred_actions();
-    let address =
-        proxy.listener.address().map_err(|source| ServeError::Listen { at: start.listen, source })?;
-    log::info!("{} listens on {address}, {} servers known", proxy.name, start.known.records.len());
-    events.run(None, &mut proxy, |_| {})?;
-    metrics.log();
-    Ok(())
-}
+    /// The other processes of the fleet, if a fleet file names them.
+    pub peers: Option<Rc<Peers>>,
+    /// The endpoints that the fleet has agreed on, before maintenance windows are applied.
+    pub fleet_endpoints: BTreeMap<ServerId, EndpointAddress>,
+    pub namespaces: TenantNamespaces,
+    pub maintenance_windows: MaintenanceWindows,
 
-/// The size of one ring: so that two for every descriptor take half of the memory at most.
-fn ring_size(limits: Limits) -> usize {
-    // Room for one of the longest lines and more; over four of them buys nothing for lines this short.
-    let (least, most) = (LONGEST + 512, 16 << 10);
-    ((limits.memory_mb << 20) as usize / 2 / (2 * limits.sockets.max(1) as usize)).clamp(least, most)
+    pub startup_gate: StartupGate<Session>,
+    /// When the last session arrived.
+    pub last_arrival: Timestamp,
+    /// When message latencies were last reported to the load balancer.
+    pub latencies_reported_at: Timestamp,
+    /// When a reload was requested, while it is pending.
+    pub reload_requested_at: Option<Timestamp>,
+    /// When the shutdown was requested.
+    pub shutdown_requested_at: Option<Timestamp>,
+    pub shutdown_schedule: ShutdownSchedule,
+    /// Stops the event loop.
+    pub stop: LoopSignal,
 }
 
 impl Proxy {
+    /// The event loop's clock.
     pub fn now(&self) -> Timestamp {
         self.executor.clock.now()
     }
 
-    /// Whether sessions can be taken: there is a list to choose from.
+    /// Whether there is a server that sessions can be placed at.
     pub fn is_ready(&self) -> bool {
         !self.executor.servers.is_empty()
     }
 
-    /// A client has sent its first line.
-    pub fn open_session(&mut self, open: OpenRequest, client: Rc<Socket<Proxy>>) {
-        log::trace!("{open:?}");
-        let now = self.now();
-        let session = Session::new(self.executor.next_id(), open, client, self.ring, now);
-        let weak = session.me.clone();
-        session.client.on_ready(move |proxy| {
-            weak.upgrade().inspect(|session| session.ready(proxy));
-        });
-        self.executor.sessions.insert(session.id, session.clone());
-        self.executor.open_ids.insert(session.opening.id);
-        self.discovery.clone().read_pending(self);
-        if session.is_taken_over() {
-            self.executor.pending.add(&session);
-            self.executor.take_over(&session);
-        } else {
-            self.executor.metrics.count("sessions");
-            self.last_arrival = now;
-            if self.startup_gate.is_closed() && self.peers.is_none() {
-                self.startup_gate.holds(&session, &self.executor);
-            } else {
-                self.admit(&session);
-            }
-        }
-        // What came since its line was read, brings no event of its own.
-        session.ready(self);
-        self.make_room();
-    }
-
-    /// The session's connection is up.
-    pub fn on_established(&mut self, session: &Session, server: &ServerId) {
-        let now = self.now();
-        if session.is_taken_over() {
-            self.balancer.restore_session(&arrival(session, now), server, now);
-        } else {
-            self.executor.metrics.count("sessions established");
-            log::debug!("session {} stands at {server}", session.id.0);
-            self.balancer.on_established(session.id, now);
-        }
-    }
-
-    /// An attempt, or a standing connection, has ended; `done` where the client's side has its end by that.
-    pub fn on_attempt_ended(&mut self, session: SessionId, outcome: AttemptOutcome, done: bool) {
-        log::debug!("session {} ended: {outcome:?}, done {done}", session.0);
-        let now = self.now();
-        self.balancer.on_attempt_ended(session, outcome, done, now, &mut self.executor);
-        self.run_deferred_actions();
-    }
-
-    /// The client has left before its answer; the attempt that was out has ended with it.
-    pub fn on_client_closed(&mut self, session: SessionId) {
-        self.balancer.on_client_closed(session);
-        self.on_attempt_ended(session, AttemptOutcome::Cancelled, true);
-    }
-
-    /// A probe has come back, or was given up, after this long.
-    pub fn on_health_check(&mut self, server: &Server, took: Duration) {
-        self.executor.metrics.count("health checks");
-        log::debug!("probe of {} took {} ms", server.id, took.as_ms());
-        let now = self.now();
-        self.balancer.on_health_check(&server.id, took, now, &mut self.executor);
-        self.run_deferred_actions();
-    }
-
-    /// A server has told how long messages take there.
-    pub fn on_message_latency(&mut self, session: SessionId, took: Duration) {
-        let now = self.now();
-        self.balancer.on_message_latency(session, took, now, &mut self.executor);
-        self.run_deferred_actions();
-    }
-
-    /// Carries out a move that waited for the end of a line.
-    pub fn finish_migration(&mut self, session: &Session) {
-        let now = self.now();
-        if session.try_moving(now) {
-            self.on_attempt_ended(session.id, AttemptOutcome::Cancelled, true);
-        }
-    }
-
-    /// Tells the module what came of its own calls.
+    /// Carries out what was put off while the load balancer was being called: outcomes of attempts that ended at once, a
+    /// poll of discovery, and health checks.
     pub fn run_deferred_actions(&mut self) {
         while let Some((session, outcome, done)) = self.executor.untold.pop_front() {
             let now = self.now();
@@ -269,49 +99,6 @@
             HealthCheck::ask(&server, self);
         }
     }
-
-    fn tick(&mut self) {
-        for session in self.executor.pending.look(Session::is_due) {
-            self.executor.metrics.count("session checks");
-            session.tick(self);
-        }
-        self.sweep_pending_connections();
-        self.executor.lingering.sweep(self.now());
-        self.reload_if_requested();
-        self.release_held_sessions();
-        self.tell_pulses();
-        self.end_when_done();
-    }
-
-    /// Once a second the module hears how long messages take at each server.
-    fn tell_pulses(&mut self) {
-        const EVERY: Duration = Duration::from_millis(1000);
-        let now = self.now();
-        if now.since(self.pulses_taken) < EVERY {
-            return;
-        }
-        self.pulses_taken = now;
-        let there = &self.executor.sessions;
-        self.balancer.sweep(|session| there.contains_key(session), now);
-        self.look_at_windows();
-        let servers: Vec<_> = self.executor.servers.values().cloned().collect();
-        let waits =
-            |session: &Session| session.stage.get() == Stage::Established && session.asked.get().is_some();
-        for session in self.executor.unanswered.look(waits) {
-            self.executor.metrics.count("session checks");
-            if let Some(asked) = session.asked.get().filter(|_| session.stage.get() == Stage::Established) {
-                self.balancer.on_message_latency(session.id, now.since(asked), now, &mut self.executor);
-                self.run_deferred_actions();
-            }
-        }
-        for server in servers {
-            if let Some((took, session)) = server.message_latency.take() {
-                log::debug!("messages at {} take {} ms", server.id, took.as_ms());
-                self.balancer.on_message_latency(session.id, took, now, &mut self.executor);
-                self.run_deferred_actions();
-            }
-        }
-    }
 }
 
 impl EventLoopOwner for Proxy {
@@ -323,18 +110,3 @@
         self.executor.clock.now()
     }
 }
-
-pub fn arrival(session: &Session, deadline: Timestamp) -> Arrival<'_> {
-    let opening = &session.opening;
-    Arrival {
-        session: session.id,
-        class: Some(opening.class),
-        key: Some(&opening.key),
-        group: opening.group.as_deref(),
-        deadline,
-        mid_flow: opening.mid_flow,
-        returned: opening.returned,
-        turn: None,
-        among: None,
-    }
-}
--- /dev/null
+++ b/crates/proxy/src/proxy/admission.rs
@@ -0,0 +1,130 @@
+//! Admission of sessions: held at the startup gate, then handed to the load balancer in their turn and by the rule of
+//! their customer's namespace.
+
+use crate::proxy::Proxy;
+use crate::session::{Session, Stage};
+use crate::tenants::tenant_namespaces::Decided;
+use calloop::timer::{TimeoutAction, Timer};
+use shelfgrade::host::{Arrival, Turn};
+use shelfgrade::time::{DurationExt, Timestamp};
+use std::rc::{Rc, Weak};
+use std::time::Duration;
+use xxhash_rust::xxh3::xxh3_64;
+
+/// When a session over its namespace's quota is to come again: some connections end every second.
+const RETRY_AFTER_OVER_QUOTA: Duration = Duration::from_millis(1000);
+/// A place in the order of admission that is never reached.
+const NOT_ADMITTED: f64 = 2.0;
+/// The fraction of its request timeout for which a session may be held at the startup gate.
+const MAX_HOLD_FRACTION: f64 = 0.5;
+
+impl Proxy {
+    /// Holds a session at the startup gate, and no longer than half of its request timeout.
+    pub fn hold_at_startup_gate(&mut self, session: &Rc<Session>) {
+        let max_hold = session.opening.request_timeout.scaled(MAX_HOLD_FRACTION);
+        self.startup_gate.hold(session, session.since.get(), max_hold);
+        let timer = Timer::from_duration(max_hold);
+        let set = self.executor.handle.insert_source(timer, |_, _, proxy| {
+            proxy.release_held_sessions();
+            TimeoutAction::Drop
+        });
+        self.executor.metrics.invariant(set.is_ok(), "a timer can be set");
+    }
+
+    /// Opens the startup gate: the sessions held are admitted in the order of their arrival, and pending health checks
+    /// of this proxy are answered.
+    pub fn open_startup_gate(&mut self) {
+        let Some(held) = self.startup_gate.open() else { return };
+        for session in held {
+            session.upgrade().inspect(|session| self.admit(session));
+        }
+        let is_ready = self.is_ready();
+        self.listener
+            .pending_connections()
+            .for_each(|pending_connection| pending_connection.answer_sign(is_ready));
+    }
+
+    /// Called with each tick and when a session's hold time is over: opens the gate when it has been closed for too long,
+    /// or admits the sessions that cannot be held any longer.
+    pub fn release_held_sessions(&mut self) {
+        let now = self.now();
+        if self.startup_gate.is_overdue(now) {
+            log::warn!("no endpoint list yet: serving with the one known at the start");
+            return self.open_startup_gate();
+        }
+        for session in self.startup_gate.take_expired(now).iter().filter_map(Weak::upgrade) {
+            self.admit(&session);
+        }
+    }
+
+    /// Hands a session to the load balancer; its request timeout counts from its arrival.
+    pub fn admit(&mut self, session: &Rc<Session>) {
+        if session.stage.get() != Stage::Connecting {
+            return;
+        }
+        let now = self.now();
+        let mut turn = self.admission_turn(session);
+        let rule = self.rule_for(session);
+        if let Some(rule) = rule.as_ref().filter(|rule| rule.full) {
+            log::debug!("session {}: the quota of {} is used up", session.id.0, rule.customer);
+            self.executor.metrics.count("sessions over namespace quota");
+            let again = turn.map_or(RETRY_AFTER_OVER_QUOTA, |turn| turn.again);
+            turn = Some(Turn { before: NOT_ADMITTED, again });
+        }
+        if let Some(rule) = &rule {
+            self.ensure_balancer_of(&rule.customer, now);
+        }
+        let deadline = session.since.get() + session.opening.request_timeout;
+        let among = rule.as_ref().map(|rule| &rule.among);
+        let arrival = Arrival { turn, among, ..arrival(session, deadline) };
+        *session.place.borrow_mut() = rule.as_ref().map(|rule| rule.place.clone());
+        let customer = rule.as_ref().map(|rule| &rule.customer);
+        self.balancer.on_request(customer, &arrival, now, &mut self.executor);
+        // One that was rejected has been answered and left this stage.
+        let was_admitted = turn.is_some() && session.stage.get() == Stage::Connecting;
+        self.peers.iter().filter(|_| was_admitted).for_each(|peers| peers.record_admission());
+        self.run_deferred_actions();
+    }
+
+    /// The load balancer of a customer with a namespace is created with its first session.
+    fn ensure_balancer_of(&mut self, customer: &Rc<str>, now: Timestamp) {
+        if !self.balancer.knows(customer) {
+            let namespace = self.namespaces.changed(customer);
+            namespace
+                .into_iter()
+                .for_each(|namespace| self.balancer.begin(namespace, now, &mut self.executor));
+        }
+    }
+
+    /// The session's place in the order of admission, during a recovery.
+    fn admission_turn(&mut self, session: &Session) -> Option<Turn> {
+        let peers = self.peers.clone()?;
+        let opening = &session.opening;
+        let name = opening.customer.as_ref();
+        let customer = name.and_then(|name| self.customers.iter().position(|known| known == name));
+        peers.admission_turn(Some(opening.class), customer, xxh3_64(opening.key.as_bytes()), self)
+    }
+
+    /// What the namespace of its customer decides about a session, if there is one.
+    fn rule_for(&mut self, session: &Session) -> Option<Decided> {
+        let opening = &session.opening;
+        let class = self.classes.get(opening.class).map_or("", String::as_str);
+        self.namespaces.decide(opening.customer.as_deref(), class, opening.group.as_deref())
+    }
+}
+
+/// A session's request as the load balancer takes it.
+pub fn arrival(session: &Session, deadline: Timestamp) -> Arrival<'_> {
+    let opening = &session.opening;
+    Arrival {
+        session: session.id,
+        class: Some(opening.class),
+        key: Some(&opening.key),
+        group: opening.group.as_deref(),
+        deadline,
+        mid_flow: opening.mid_flow,
+        returned: opening.returned,
+        turn: None,
+        among: None,
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/proxy/fleet_endpoints.rs
@@ -0,0 +1,83 @@
+//! The fleet's endpoints as the load balancer gets them: with maintenance windows applied, and split by namespace.
+
+use crate::proxy::Proxy;
+use crate::session::Stage;
+use crate::tenants::tenant_namespaces::Changed;
+use shelfgrade::host::{Endpoint, Host, SessionId};
+use shelfgrade_recovery::environment::EndpointAddress;
+
+/// An established session and the zone of its server.
+struct SessionInZone {
+    session: SessionId,
+    zone: String,
+}
+
+impl Proxy {
+    /// Takes over endpoints that the fleet has agreed on. The windows are updated first: a process that starts inside a
+    /// window must not send clients there until the next tick.
+    pub fn apply_fleet_endpoints(&mut self, endpoints: Vec<EndpointAddress>, is_complete: bool) {
+        if is_complete {
+            self.fleet_endpoints.clear();
+        }
+        for address in &endpoints {
+            self.fleet_endpoints.insert(address.endpoint.server.clone(), duplicate(address));
+        }
+        self.update_maintenance();
+        self.apply_with_maintenance(endpoints, is_complete);
+    }
+
+    /// Called once a second and with each change of the list: begins and ends maintenance windows by the schedule.
+    pub fn update_maintenance(&mut self) {
+        let Some(peers) = self.peers.clone().filter(|_| !self.maintenance_windows.are_none()) else { return };
+        let fleet_ms = peers.fleet_ms(self.now());
+        let endpoints: Vec<Endpoint> =
+            self.fleet_endpoints.values().map(|known| known.endpoint.clone()).collect();
+        let sessions = self.sessions_in_zones();
+        let sessions_in = |zone: &str| sessions.iter().filter(|session| session.zone == zone).count();
+        let look = self.maintenance_windows.look(fleet_ms, &endpoints, sessions_in);
+        if look.changed {
+            self.apply_with_maintenance(self.fleet_endpoints.values().map(duplicate).collect(), true);
+        }
+        for SessionInZone { session, zone } in sessions {
+            if look.begun.contains(&zone) {
+                self.executor.metrics.count("migrated for maintenance");
+                self.executor.migrate(session);
+            }
+        }
+        self.run_deferred_actions();
+    }
+
+    fn sessions_in_zones(&self) -> Vec<SessionInZone> {
+        let established =
+            self.executor.sessions.values().filter(|session| session.stage.get() == Stage::Established);
+        established
+            .filter_map(|session| {
+                let known = self.fleet_endpoints.get(&session.attempt.borrow().as_ref()?.server.id)?;
+                Some(SessionInZone { session: session.id, zone: known.endpoint.zone.clone() })
+            })
+            .collect()
+    }
+
+    fn apply_with_maintenance(&mut self, endpoints: Vec<EndpointAddress>, is_complete: bool) {
+        let now = self.now();
+        let (endpoints, addresses): (Vec<_>, Vec<_>) = endpoints
+            .into_iter()
+            .map(|known| (self.maintenance_windows.line(&known.endpoint, self.slow_start, now), known.dial))
+            .unzip();
+        self.executor.follow(endpoints.iter().zip(addresses.iter().copied()), is_complete);
+        self.balancer.on_endpoints(&endpoints, is_complete, now);
+    }
+
+    /// Passes changed namespaces to the load balancers of their customers.
+    pub fn apply_namespace_changes(&mut self, changes: Vec<Changed>) {
+        let now = self.now();
+        for (customer, servers, share) in changes {
+            self.balancer.has_space(&customer, &servers, share, now);
+        }
+        self.balancer.common_has(self.namespaces.common_share());
+    }
+}
+
+fn duplicate(address: &EndpointAddress) -> EndpointAddress {
+    EndpointAddress { endpoint: address.endpoint.clone(), dial: address.dial }
+}
--- /dev/null
+++ b/crates/proxy/src/proxy/fleet_membership.rs
@@ -0,0 +1,61 @@
+//! The proxy as a member of its fleet: joining, and which part of discovery and of the shared files falls to it.
+
+use crate::discovery::endpoint_list::EndpointList;
+use crate::fleet::fleet_file::{FleetError, FleetFile};
+use crate::fleet::peer_events::PeerEvents;
+use crate::fleet::peers::Peers;
+use crate::fleet::server_records::server_records;
+use crate::proxy::Proxy;
+use crate::tenants::tenant_namespaces::TenantNamespaces;
+use shelfgrade_recovery::environment::{EndpointAddress, RecoverySettings};
+
+impl Proxy {
+    /// Joins the fleet that the fleet file describes. `known` is the list of the start-up file.
+    pub fn join_fleet(
+        &mut self,
+        file: FleetFile,
+        settings: RecoverySettings,
+        known: &EndpointList,
+        seed: u64,
+    ) -> Result<(), FleetError> {
+        let known = known
+            .endpoints()
+            .into_iter()
+            .zip(known.addresses())
+            .map(|(endpoint, dial)| EndpointAddress { endpoint, dial });
+        let peers = Peers::join(file, settings, known.collect(), seed, self)?;
+        self.namespaces = TenantNamespaces::new(peers.member());
+        self.peers = Some(peers.clone());
+        // Entries restored from the snapshot are not reported as changed.
+        for key in peers.keys("") {
+            PeerEvents::shared_entry_changed(self, &key);
+        }
+        self.reload_tenant_files();
+        Ok(())
+    }
+
+    /// In a fleet, hands a list from discovery to the recovery, which decides what of it is applied. Returns whether to
+    /// go on watching discovery, or none without peers.
+    pub fn hand_list_to_peers(&mut self, list: &EndpointList) -> Option<bool> {
+        let peers = self.peers.clone()?;
+        let accepted = peers.on_endpoint_list(server_records(list), list.is_complete, list.version, self);
+        Some(accepted && peers.is_poller())
+    }
+
+    /// Whether this process polls discovery itself.
+    pub fn polls_discovery(&self) -> bool {
+        self.peers.as_ref().is_none_or(|peers| peers.is_poller())
+    }
+
+    /// Reads the tenants' namespaces and the maintenance windows that the fleet file names, and shares what is new.
+    pub fn reload_tenant_files(&mut self) {
+        let Some(peers) = self.peers.clone() else { return };
+        if let Some(folder) = peers.namespaces_dir() {
+            self.namespaces.read(&folder, &*peers);
+        }
+        if let Some(path) = peers.maintenance_file() {
+            self.maintenance_windows.read(&path, peers.fleet_ms(self.now()), &*peers);
+        }
+        peers.deliver_notifications(self);
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/proxy/peer_events.rs
@@ -0,0 +1,80 @@
+//! How the proxy reacts to what it learns from its peers and from its recovery.
+
+use crate::fleet::peer_events::PeerEvents;
+use crate::proxy::Proxy;
+use crate::tenants::maintenance_windows::WINDOWS;
+use shelfgrade::handover::FlowEntry;
+use shelfgrade::host::EndpointState;
+use shelfgrade_recovery::admission::State;
+use shelfgrade_recovery::environment::EndpointAddress;
+use std::time::Duration;
+
+/// How long a restored flow is remembered: as long as the flow table keeps a connection that has ended.
+const RESTORED_FLOW_TTL: Duration = Duration::from_millis(30_000);
+/// The load balancer uses half of the bound on a server in slow start, as a proxy without peers guesses its quota. A
+/// leased quota is exact, so it may use half as much again.
+const LEASED_QUOTA_FACTOR: f64 = 1.5;
+
+impl PeerEvents for Proxy {
+    fn apply_endpoints(&mut self, endpoints: Vec<EndpointAddress>, is_complete: bool) {
+        self.apply_fleet_endpoints(endpoints, is_complete);
+        self.fleet_endpoints.retain(|_, known| known.endpoint.state != EndpointState::Removed);
+        self.namespaces.follow(self.balancer.list());
+        let customers = self.balancer.customers();
+        let changes = customers.iter().filter_map(|customer| self.namespaces.changed(customer)).collect();
+        self.apply_namespace_changes(changes);
+        self.executor.take_over_waiting();
+        self.run_deferred_actions();
+    }
+
+    fn set_polling(&mut self, is_poller: bool) {
+        if is_poller {
+            self.executor.wants_list.set(true);
+            self.run_deferred_actions();
+        } else {
+            self.discovery.cancel_call(self);
+        }
+    }
+
+    fn state_changed(&mut self, _: State) {
+        self.executor.list_heard.set(true);
+        self.open_startup_gate();
+    }
+
+    fn restore_flow(&mut self, flow: &FlowEntry) {
+        let now = self.now();
+        if self.balancer.restore_flow(flow, RESTORED_FLOW_TTL, now) {
+            self.executor.metrics.count("flows restored");
+        }
+    }
+
+    fn list_rejected(&mut self) {
+        self.executor.metrics.warn("endpoint lists rejected");
+        self.discovery.reset(self);
+        let now = self.now();
+        self.balancer.on_poll_failed(now, now, &mut self.executor);
+        self.run_deferred_actions();
+    }
+
+    fn set_quota_fraction(&mut self, fraction: f64) {
+        self.balancer.set_quota_fraction(fraction * self.balancer.proxies() * LEASED_QUOTA_FACTOR);
+    }
+
+    fn flow_entries(&self) -> Vec<FlowEntry> {
+        self.balancer.flow_entries()
+    }
+
+    fn shared_entry_changed(&mut self, key: &str) {
+        let Some(peers) = self.peers.clone() else { return };
+        if key.starts_with(WINDOWS) {
+            let fleet_ms = peers.fleet_ms(self.now());
+            return self.maintenance_windows.heard(fleet_ms, &*peers);
+        }
+        let changes = self.namespaces.heard(key, &*peers);
+        self.apply_namespace_changes(changes);
+    }
+
+    fn warn(&self, what: &'static str) {
+        self.executor.metrics.warn(what);
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/proxy/session_events.rs
@@ -0,0 +1,95 @@
+//! How the proxy reacts to the events of sessions and servers: each is reported to the load balancer, and what it decides
+//! is carried out.
+
+use super::admission::arrival;
+use crate::net::line::OpenRequest;
+use crate::net::socket::Socket;
+use crate::proxy::Proxy;
+use crate::session::Session;
+use crate::upstream::server::Server;
+use shelfgrade::host::{AttemptOutcome, ServerId, SessionId};
+use shelfgrade::time::DurationExt;
+use std::rc::Rc;
+use std::time::Duration;
+
+impl Proxy {
+    /// A client has sent its first line.
+    pub fn open_session(&mut self, open: OpenRequest, client: Rc<Socket<Proxy>>) {
+        log::trace!("{open:?}");
+        let now = self.now();
+        let session = Session::new(self.executor.next_id(), open, client, self.ring_size, now);
+        let weak = session.me.clone();
+        session.client.on_ready(move |proxy| {
+            weak.upgrade().inspect(|session| session.ready(proxy));
+        });
+        self.executor.sessions.insert(session.id, session.clone());
+        self.executor.open_ids.insert(session.opening.id);
+        self.discovery.clone().read_pending(self);
+        if session.is_taken_over() {
+            self.executor.pending.add(&session);
+            self.executor.take_over(&session);
+        } else {
+            self.executor.metrics.count("sessions");
+            self.last_arrival = now;
+            if self.startup_gate.is_closed() && self.peers.is_none() {
+                self.hold_at_startup_gate(&session);
+            } else {
+                self.admit(&session);
+            }
+        }
+        // Bytes that came after its first line was read trigger no event of their own.
+        session.ready(self);
+        self.make_room();
+    }
+
+    /// The session's connection to its server is established.
+    pub fn on_established(&mut self, session: &Session, server: &ServerId) {
+        let now = self.now();
+        if session.is_taken_over() {
+            self.balancer.restore_session(&arrival(session, now), server, now);
+        } else {
+            self.executor.metrics.count("sessions established");
+            log::debug!("session {} established at {server}", session.id.0);
+            self.balancer.on_established(session.id, now);
+        }
+    }
+
+    /// An attempt, or an established connection, has ended. `done`: the client's connection has ended with it or been
+    /// answered, so no retry follows.
+    pub fn on_attempt_ended(&mut self, session: SessionId, outcome: AttemptOutcome, done: bool) {
+        log::debug!("session {} ended: {outcome:?}, done {done}", session.0);
+        let now = self.now();
+        self.balancer.on_attempt_ended(session, outcome, done, now, &mut self.executor);
+        self.run_deferred_actions();
+    }
+
+    /// The client has left before its answer, and the attempt in flight has ended with it.
+    pub fn on_client_closed(&mut self, session: SessionId) {
+        self.balancer.on_client_closed(session);
+        self.on_attempt_ended(session, AttemptOutcome::Cancelled, true);
+    }
+
+    /// A health check was answered, or given up, after `took`.
+    pub fn on_health_check(&mut self, server: &Server, took: Duration) {
+        self.executor.metrics.count("health checks");
+        log::debug!("health check of {} took {} ms", server.id, took.as_ms());
+        let now = self.now();
+        self.balancer.on_health_check(&server.id, took, now, &mut self.executor);
+        self.run_deferred_actions();
+    }
+
+    /// A server has reported how long messages take there.
+    pub fn on_message_latency(&mut self, session: SessionId, took: Duration) {
+        let now = self.now();
+        self.balancer.on_message_latency(session, took, now, &mut self.executor);
+        self.run_deferred_actions();
+    }
+
+    /// Carries out a migration that waited for the end of a line, if the line has ended.
+    pub fn finish_migration(&mut self, session: &Session) {
+        let now = self.now();
+        if session.try_moving(now) {
+            self.on_attempt_ended(session.id, AttemptOutcome::Cancelled, true);
+        }
+    }
+}
--- a/crates/proxy/tests/sockets/crossing.rs
+++ b/crates/proxy/tests/sockets/crossing.rs
@@ -141,7 +141,7 @@
         let mut at_server = server.accept();
         assert!(at_server.line().starts_with("OPEN"));
         program.terminate();
-        while !program.logs().contains("told to end") {}
+        while !program.logs().contains("shutdown requested") {}
         program.stands_still();
         // Past the moment at which the end answers all that wait.
         std::thread::sleep(Duration::from_millis(3300));
--- a/crates/proxy/tests/sockets/ending.rs
+++ b/crates/proxy/tests/sockets/ending.rs
@@ -104,7 +104,7 @@
     let server = Place::new("s1");
     let mut program = Program::start(HASTY, &[&server]);
     program.terminate();
-    while !program.logs().contains("told to end") {}
+    while !program.logs().contains("shutdown requested") {}
     program.stands_still();
     let mut early = program.opens("lift-1", ",d=1200");
     let mut silent = program.client();
--- a/crates/proxy/tests/sockets/faults.rs
+++ b/crates/proxy/tests/sockets/faults.rs
@@ -111,7 +111,7 @@
     // Nobody accepts what comes now, and then nobody listens.
     let closed = Place::closed("discovery");
     program.reads_again(&program.text_with(&closed));
-    assert!(program.logs().contains("read again"));
+    assert!(program.logs().contains("reloaded: discovery"));
     let line = program.logs();
     let place = format!("discovery at {}", closed.address);
     assert!(
--- a/crates/proxy/tests/sockets/listing.rs
+++ b/crates/proxy/tests/sockets/listing.rs
@@ -74,7 +74,7 @@
     let (mut old, path) = program.discovery.called();
     assert!(path.contains("index=7"), "{path}");
     program.reads_again("{ no file");
-    assert!(program.logs().contains("not read again, nothing changes"));
+    assert!(program.logs().contains("reload failed, nothing changes"));
     program.reads_again(&program.text.clone());
     assert!(program.logs().contains("as before"));
     assert!(old.is_quiet(), "its watch goes on");
--- a/crates/proxy/tests/unit/fleet_file.rs
+++ b/crates/proxy/tests/unit/fleet_file.rs
@@ -1,4 +1,4 @@
-//! Stories of `fleet_file.rs` from within.
+//! Unit tests of `fleet_file.rs`.
 
 use super::*;
 
--- a/crates/proxy/tests/unit/disk.rs
+++ b/crates/proxy/tests/unit/snapshot_writer.rs
@@ -1,8 +1,12 @@
-//! Stories of `disk.rs` from within.
+//! Unit tests of `snapshot_writer.rs`.
 
 use super::*;
 use std::time::{Duration, Instant};
 
+fn job(number: u64, bytes: &[u8]) -> SnapshotJob {
+    SnapshotJob { number, bytes: bytes.to_vec() }
+}
+
 /// Waits until the file of this number holds these bytes.
 fn is_written(folder: &Path, number: u64, bytes: &[u8]) {
     let began = Instant::now();
@@ -17,8 +21,8 @@
 fn what_cannot_be_written_is_tried_again_until_it_can_be() {
     let parent = tempfile::tempdir().unwrap();
     let folder = parent.path().join("not-there-yet");
-    let disk = Disk::begin(&folder);
-    assert!(disk.write(3, b"state".to_vec()));
+    let writer = SnapshotWriter::start(&folder);
+    assert!(writer.write(job(3, b"state")));
     std::thread::sleep(Duration::from_millis(100));
     fs::create_dir(&folder).unwrap();
     is_written(&folder, 3, b"state");
@@ -28,9 +32,9 @@
 fn what_is_newer_takes_the_place_of_what_could_not_be_written() {
     let parent = tempfile::tempdir().unwrap();
     let folder = parent.path().join("not-there-yet");
-    let disk = Disk::begin(&folder);
+    let writer = SnapshotWriter::start(&folder);
     for number in 3..9 {
-        while !disk.write(number, number.to_string().into_bytes()) {
+        while !writer.write(job(number, number.to_string().as_bytes())) {
             std::thread::sleep(Duration::from_millis(2));
         }
     }
@@ -45,10 +49,10 @@
     let folder = tempfile::tempdir().unwrap();
     // Opening it for writing waits for a reader that never comes.
     rustix::fs::mkfifoat(rustix::fs::CWD, folder.path().join("shelfgrade.new"), 0o600.into()).unwrap();
-    let disk = Disk::begin(folder.path());
+    let writer = SnapshotWriter::start(folder.path());
     let (over, is_over) = std::sync::mpsc::channel();
     std::thread::spawn(move || {
-        disk.end(1, b"last".to_vec());
+        writer.finish(job(1, b"last"));
         over.send(()).unwrap();
     });
     is_over.recv_timeout(Duration::from_secs(2)).expect("it ends");
@@ -57,8 +61,8 @@
 #[test]
 fn the_end_waits_for_what_can_be_written() {
     let folder = tempfile::tempdir().unwrap();
-    let disk = Disk::begin(folder.path());
-    assert!(disk.write(1, b"one".to_vec()));
-    disk.end(2, b"last".to_vec());
+    let writer = SnapshotWriter::start(folder.path());
+    assert!(writer.write(job(1, b"one")));
+    writer.finish(job(2, b"last"));
     assert_eq!(fs::read(path(folder.path(), generation(2))).unwrap(), b"last");
 }
--- a/crates/testkit/examples/try.rs
+++ b/crates/testkit/examples/try.rs
@@ -35,7 +35,7 @@
     );
     println!("What one of them logged since:");
     let log = trial.processes[0].log();
-    let since: Vec<_> = log.lines().filter(|line| line.contains("return:")).collect();
+    let since: Vec<_> = log.lines().filter(|line| line.contains("recovery:")).collect();
     since.iter().rev().take(3).rev().for_each(|line| println!("  {line}"));
     let breaches = checks::rules(&trial.record);
     let nearest = trial.record.seen().coldest.iter().map(|(n, bound)| *n as f64 / bound).fold(0.0, f64::max);
--- a/crates/testkit/tests/processes.rs
+++ b/crates/testkit/tests/processes.rs
@@ -83,7 +83,7 @@
     println!("back after {took:?} with {calls} calls to discovery");
     assert!(calls <= 6, "a few ask for all: {calls}");
     let words =
-        ["torn at", "snapshot 0: empty", "of format 99", "of the process n004", "return:", "no snapshot ("];
+        ["torn at", "snapshot 0: empty", "of format 99", "of the process n004", "recovery:", "no snapshot ("];
     for (process, word) in trial.processes.iter().zip(words) {
         assert!(process.log().contains(word), "{word} in {}", process.log());
     }
