--- a/crates/proxy/src/discovery/endpoint_list.rs
+++ b/crates/proxy/src/discovery/endpoint_list.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddr;
 use std::time::SystemTime;
 
-/// Why a list is rejected. It is rejected as a whole, and the one held before stays in force.
+/// Why a list is rejected. No part of it is applied, and the one held before stays in force.
 #[derive(Debug, thiserror::Error)]
 pub enum ListError {
     /// The text is not JSON of this form.
--- a/crates/proxy/src/fleet/fleet_file.rs
+++ b/crates/proxy/src/fleet/fleet_file.rs
@@ -1,5 +1,5 @@
 //! The fleet file, which makes this process a member of a fleet: `SHELFGRADE_FLEET` names it, and `deploy/fleet.toml` is
-//! one with every key explained. It is checked as a whole, and read again at `SIGHUP`.
+//! one with every key explained. It is checked completely, and read again at `SIGHUP`.
 
 use crate::net::transient::is_transient;
 use serde::Deserialize;
@@ -22,13 +22,13 @@
     #[error("{path}, line {line}, column {column}: {what}: correct it there; deploy/fleet.toml explains every key")]
     Form { path: String, line: usize, column: usize, what: String },
     /// The names of the processes cannot be a roster.
-    #[error("{path}, fellows: {source}")]
+    #[error("{path}, [fellows]: {source}")]
     Roster { path: String, source: RosterError },
     /// A number is out of its bounds.
     #[error("{path}, {key}: {value} where {min} to {max} is wanted: correct it there")]
     Bound { path: String, key: &'static str, value: u64, min: u64, max: u64 },
     /// Two processes have the same address.
-    #[error("{path}, fellows: {first} and {second} have one address: give each process one of its own")]
+    #[error("{path}, [fellows]: {first} and {second} have one address: give each process one of its own")]
     DuplicateAddress { path: String, first: String, second: String },
     /// The socket between peers cannot be opened.
     #[error("cannot receive from peers at {at} ({source}): see that the address is this machine's and that nobody has it")]
--- a/crates/proxy/src/fleet/peers.rs
+++ b/crates/proxy/src/fleet/peers.rs
@@ -145,7 +145,7 @@
         self.timer.set(token.ok());
     }
 
-    /// Hands a list from discovery to the node; returns whether it was accepted.
+    /// Passes a list from discovery to the node; returns whether it was accepted.
     pub fn on_endpoint_list(
         self: &Rc<Self>,
         records: Vec<(String, ServerRecord)>,
--- a/crates/proxy/src/lifecycle/serve.rs
+++ b/crates/proxy/src/lifecycle/serve.rs
@@ -31,7 +31,7 @@
     stop: LoopSignal,
 }
 
-/// Runs a proxy until it is told to stop by a signal.
+/// Runs a proxy until a signal stops it.
 ///
 /// # Errors
 ///
--- a/crates/proxy/src/lifecycle/shutdown_schedule.rs
+++ b/crates/proxy/src/lifecycle/shutdown_schedule.rs
@@ -7,7 +7,7 @@
 const KILL_GRACE: Duration = Duration::from_millis(700);
 /// The most of a request timeout that counts for this, and what counts where the settings give none.
 const MAX_REQUEST_TIMEOUT: Duration = Duration::from_millis(3000);
-/// How long before the kill the last sessions have been told to move: enough for final lines to be read, and for one more
+/// How long before the kill the last sessions have been migrated: enough for final lines to be read, and for one more
 /// tick.
 const STOP_ACCEPTING_BEFORE_KILL: Duration = Duration::from_millis(500);
 /// How long before the kill those that sent nothing are answered: one more tick follows, for answers still being written.
--- a/crates/proxy/src/proxy/admission.rs
+++ b/crates/proxy/src/proxy/admission.rs
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Hands a session to the load balancer; its request timeout counts from its arrival.
+    /// Passes a session to the load balancer; its request timeout counts from its arrival.
     pub fn admit(&mut self, session: &Rc<Session>) {
         if session.stage.get() != Stage::Connecting {
             return;
--- a/crates/proxy/src/proxy/fleet_membership.rs
+++ b/crates/proxy/src/proxy/fleet_membership.rs
@@ -34,7 +34,7 @@
         Ok(())
     }
 
-    /// In a fleet, hands a list from discovery to the recovery, which decides what of it is applied. Returns whether to
+    /// In a fleet, passes a list from discovery to the recovery, which decides what of it is applied. Returns whether to
     /// go on watching discovery, or none without peers.
     pub fn hand_list_to_peers(&mut self, list: &EndpointList) -> Option<bool> {
         let peers = self.peers.clone()?;
--- a/crates/proxy/tests/unit/fleet_file.rs
+++ b/crates/proxy/tests/unit/fleet_file.rs
@@ -40,8 +40,8 @@
             "nowhere",
             ["fleet.toml, line 4, column 6", "invalid socket address", "correct it"],
         ),
-        ("7401", "7400", ["fleet.toml, fellows", "n0 and n1 have one address", "one of its own"]),
-        ("n1", "n2", ["fleet.toml, fellows", "n1, is not among the fellows", "add it"]),
+        ("7401", "7400", ["fleet.toml, [fellows]", "n0 and n1 have one address", "one of its own"]),
+        ("n1", "n2", ["fleet.toml, [fellows]", "n1, is not among the fellows", "add it"]),
         ("fleet = \"dar\"\n", "", ["fleet.toml, line 1", "missing field `fleet`", "correct it there"]),
     ];
     for (good, bad, words) in faults {
