--- a/crates/cells/src/process.rs
+++ b/crates/cells/src/process.rs
@@ -335,7 +335,7 @@
         self.others(1).pop().or(replica)
     }
 
-    /// To be called when [`Process::next`] says so, or more often.
+    /// To be called when [`Process::next_wakeup`] says so, or more often.
     pub fn on_timer(&mut self, now: Timestamp, environment: &mut dyn Environment) {
         if let Some(swim) = &mut self.swim {
             let mut sends = Vec::new();
--- a/crates/cells/src/replica.rs
+++ b/crates/cells/src/replica.rs
@@ -360,7 +360,7 @@
         self.proposal = None;
     }
 
-    /// To be called when [`Replica::next`] says so, or more often.
+    /// To be called when [`Replica::next_wakeup`] says so, or more often.
     pub fn on_timer(&mut self, now: Timestamp, environment: &mut dyn Environment) {
         if now >= self.pulls {
             self.pulls = now + PULL;
--- a/crates/proxy/examples/failing_calls/main.rs
+++ b/crates/proxy/examples/failing_calls/main.rs
@@ -3,6 +3,8 @@
 //!
 //! Only calls through the C library are reached; the event loop's own are made without it.
 
+#![allow(unsafe_code)] // Interposing on the C library's functions needs raw pointers.
+
 mod plan;
 
 use libc::{c_char, c_int, c_void, clockid_t, mode_t, size_t, sockaddr, socklen_t, ssize_t, timespec};
