--- a/crates/proxy/src/fleet/peers.rs
+++ b/crates/proxy/src/fleet/peers.rs
@@ -9,9 +9,9 @@
 use calloop::timer::{TimeoutAction, Timer};
 use calloop::{Interest, Mode, PostAction, RegistrationToken};
 use serde::{de::DeserializeOwned, Serialize};
-use shelfgrade::handover::FlowEntry;
-use shelfgrade::host::Turn;
+use shelfgrade::host::AdmissionTurn;
 use shelfgrade::time::Timestamp;
+use shelfgrade::warm_restart::FlowEntry;
 use shelfgrade_fleet::{Entry, Environment, MemberId, PutError, Version};
 use shelfgrade_recovery::admission::State;
 use shelfgrade_recovery::environment::{EndpointAddress, RecoveryEnvironment, RecoverySettings};
@@ -262,7 +262,7 @@
         of: (Option<usize>, Option<usize>),
         key: u64,
         events: &mut C,
-    ) -> Option<Turn> {
+    ) -> Option<AdmissionTurn> {
         let now = events.now();
         events.set_quota_fraction(self.core.borrow().quota_fraction(now));
         self.core.borrow_mut().admission_turn(of, key, now)
--- a/crates/proxy/src/fleet/recovery.rs
+++ b/crates/proxy/src/fleet/recovery.rs
@@ -8,8 +8,8 @@
 use crate::tenants::maintenance_windows::WINDOWS;
 use crate::tenants::tenant_namespaces::{Changed, Decided, Shared, TenantNamespaces};
 use serde::{de::DeserializeOwned, Serialize};
-use shelfgrade::handover::FlowEntry;
-use shelfgrade::host::{Endpoint, EndpointState, Host, ServerId, Turn};
+use shelfgrade::host::{AdmissionTurn, Endpoint, EndpointState, Host, ServerId};
+use shelfgrade::warm_restart::FlowEntry;
 use shelfgrade_recovery::admission::{ClassPriority, State};
 use shelfgrade_recovery::environment::{EndpointAddress, RecoverySettings};
 use shelfgrade_recovery::restore::{self, ServerRecord};
@@ -127,7 +127,7 @@
     }
 
     /// A session's turn, where there is a crowd that comes back.
-    pub fn admission_turn(&mut self, session: &Session) -> Option<Turn> {
+    pub fn admission_turn(&mut self, session: &Session) -> Option<AdmissionTurn> {
         let peers = self.peers.clone()?;
         let opening = &session.opening;
         let customer = opening.customer.as_ref().and_then(|t| self.customers.iter().position(|c| c == t));
--- a/crates/proxy/src/lifecycle/startup_gate.rs
+++ b/crates/proxy/src/lifecycle/startup_gate.rs
@@ -5,7 +5,7 @@
 use crate::proxy::Proxy;
 use crate::session::{Session, Stage};
 use calloop::timer::{TimeoutAction, Timer};
-use shelfgrade::host::{Arrival, Turn};
+use shelfgrade::host::{AdmissionTurn, Arrival};
 use shelfgrade::time::{DurationExt, Timestamp};
 use std::rc::{Rc, Weak};
 use std::time::Duration;
@@ -105,8 +105,8 @@
             if let Some(ruled) = ruled.as_ref().filter(|ruled| ruled.full) {
                 log::debug!("session {}: no room for {}", session.id.0, ruled.customer);
                 self.executor.metrics.count("sessions over namespace quota");
-                turn = Some(turn.unwrap_or(Turn { before: 2.0, again: NO_ROOM }))
-                    .map(|t| Turn { before: 2.0, ..t });
+                turn = Some(turn.unwrap_or(AdmissionTurn { fraction_ahead: 2.0, retry_after: NO_ROOM }))
+                    .map(|t| AdmissionTurn { fraction_ahead: 2.0, ..t });
             }
             if let Some(ruled) = ruled.as_ref().filter(|ruled| !self.balancer.knows(&ruled.customer)) {
                 let space = self.namespaces.changed(&ruled.customer);
@@ -117,7 +117,12 @@
             let arrival =
                 crate::proxy::arrival(session, session.since.get() + session.opening.request_timeout);
             *session.place.borrow_mut() = ruled.as_ref().map(|ruled| ruled.place.clone());
-            self.balancer.on_request(whose, &Arrival { turn, among, ..arrival }, now, &mut self.executor);
+            self.balancer.on_request(
+                whose,
+                &Arrival { admission_turn: turn, allowed_servers: among, ..arrival },
+                now,
+                &mut self.executor,
+            );
             // Not turned away: it was let in, or is about to be.
             let let_in = turn.is_some() && session.stage.get() == Stage::Connecting;
             self.peers.iter().filter(|_| let_in).for_each(|peers| peers.record_admission());
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -392,8 +392,8 @@
         group: opening.group.as_deref(),
         deadline,
         mid_flow: opening.mid_flow,
-        returned: opening.returned,
-        turn: None,
-        among: None,
+        reconnected: opening.returned,
+        admission_turn: None,
+        allowed_servers: None,
     }
 }
--- a/crates/proxy/src/tenants/tenant_balancers.rs
+++ b/crates/proxy/src/tenants/tenant_balancers.rs
@@ -1,10 +1,10 @@
 //! The decisions of one process: one set for all sessions, and one for each customer that has a namespace, so that no
 //! customer's storm, jam or strain is another's. Each is the same decision module.
 
-use shelfgrade::choice::LoadBalancer;
-use shelfgrade::handover::FlowEntry;
+use shelfgrade::balancer::LoadBalancer;
 use shelfgrade::host::{Arrival, AttemptOutcome, Endpoint, EndpointState, Host, ServerId, SessionId};
 use shelfgrade::time::Timestamp;
+use shelfgrade::warm_restart::FlowEntry;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/recovery/src/admission.rs
+++ b/crates/recovery/src/admission.rs
@@ -4,7 +4,7 @@
 //! session, the part of the crowd that goes before it and a time to come again, and lets a cold server have those that
 //! come before its share of the crowd is used up.
 
-use shelfgrade::host::Turn;
+use shelfgrade::host::AdmissionTurn;
 use shelfgrade::time::{DurationExt, Timestamp};
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -124,7 +124,7 @@
         key: u64,
         luck: f64,
         now: Timestamp,
-    ) -> Option<Turn> {
+    ) -> Option<AdmissionTurn> {
         let past = self.came.iter().take_while(|came| now.since(came.at) > CROWD).count();
         self.came.drain(..past);
         if self.state == State::Serving {
@@ -144,7 +144,7 @@
         };
         self.came.push_back(Came { at: now, class, customer, let_in: false });
         self.came.drain(..self.came.len().saturating_sub(SAMPLES));
-        Some(Turn { before, again: self.again(luck, now) })
+        Some(AdmissionTurn { fraction_ahead: before, retry_after: self.again(luck, now) })
     }
 
     /// The session that came last was let in.
--- a/crates/recovery/src/node.rs
+++ b/crates/recovery/src/node.rs
@@ -10,7 +10,7 @@
 };
 use crate::snapshot::{HeldSession, Snapshot};
 use nanorand::{Rng, WyRand};
-use shelfgrade::host::{Endpoint, ServerId, Turn};
+use shelfgrade::host::{AdmissionTurn, Endpoint, ServerId};
 use shelfgrade::time::Timestamp;
 use shelfgrade_fleet::{Entry, Fleet, MemberId, Roster, Version};
 use std::collections::{BTreeMap, BTreeSet};
@@ -131,7 +131,7 @@
         of: (Option<usize>, Option<usize>),
         key: u64,
         now: Timestamp,
-    ) -> Option<Turn> {
+    ) -> Option<AdmissionTurn> {
         let luck = f64::from(self.chance.generate::<f32>());
         self.back.admission_turn(of, key, luck, now)
     }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -2,7 +2,7 @@
 //! them. Unknown keys are ignored.
 
 use serde::Deserialize;
-use shelfgrade::choice::{LoadBalancer, SlowStart};
+use shelfgrade::balancer::{LoadBalancer, SlowStart};
 use shelfgrade::host::{Idempotency, KeyScope, RequestClass};
 use shelfgrade::time::DurationExt;
 use std::collections::BTreeMap;
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -3,7 +3,7 @@
 mod wire;
 
 use anyhow::{bail, Context, Result};
-use shelfgrade::choice::LoadBalancer;
+use shelfgrade::balancer::LoadBalancer;
 use shelfgrade::host::{Arrival, AttemptOutcome, Endpoint, EndpointState, Host, ServerId, SessionId};
 use shelfgrade::time::{DurationExt, Timestamp};
 use shelfgrade_settings::Settings;
@@ -219,9 +219,9 @@
         group: line.optional("group"),
         deadline: line.point("due_ms")?,
         mid_flow: line.flag("stray")?,
-        returned: line.flag("returned")?,
-        turn: None,
-        among: None,
+        reconnected: line.flag("returned")?,
+        admission_turn: None,
+        allowed_servers: None,
     })
 }
 
--- a/crates/testkit/src/decisions.rs
+++ b/crates/testkit/src/decisions.rs
@@ -3,7 +3,7 @@
 
 use hdrhistogram::Histogram;
 use serde_json::{json, Value};
-use shelfgrade::choice::{LoadBalancer, SlowStart};
+use shelfgrade::balancer::{LoadBalancer, SlowStart};
 use shelfgrade::host::*;
 use shelfgrade::time::Timestamp;
 use std::collections::{BTreeMap, VecDeque};
@@ -157,9 +157,9 @@
             group: Some(&group),
             deadline: self.now + Duration::from_millis(4800),
             mid_flow: false,
-            returned,
-            turn: None,
-            among: None,
+            reconnected: returned,
+            admission_turn: None,
+            allowed_servers: None,
         };
         with(self, &arrival)
     }
--- a/src/choice/mod.rs
+++ b/src/balancer/mod.rs
@@ -241,7 +241,7 @@
         self.sessions.remove(&session.id);
         if session.may_reject() {
             let again = || self.most_pause.scaled(0.5 + 0.5 * self.shelf.luck());
-            host.reject(session.id, session.turn.map_or_else(again, |turn| turn.again));
+            host.reject(session.id, session.admission_turn.map_or_else(again, |turn| turn.retry_after));
         } else {
             host.fail(session.id);
         }
--- a/src/choice/placement.rs
+++ b/src/balancer/placement.rs
@@ -38,8 +38,8 @@
         const MORE: usize = 2;
         let crowd = self.shelf.crowd(now);
         let blind = session.group.is_some() && self.slow_start.out_of_sight(session.key, servers.len());
-        let most = if session.returned && blind { 1.0 / (1.0 + MORE as f64) } else { 1.0 };
-        let first = session.turn.map_or(1.0 - draw, |turn| turn.before);
+        let most = if session.reconnected && blind { 1.0 / (1.0 + MORE as f64) } else { 1.0 };
+        let first = session.admission_turn.map_or(1.0 - draw, |turn| turn.fraction_ahead);
         let usable = |s: &&Rc<Server>, part: f64| {
             s.state.get() == EndpointState::Active
                 && session.may_go_to(s, now)
@@ -57,7 +57,7 @@
 
         // The ordinary path: the key's hash, and the next in order past what drains, is gone or is overfull.
         let by_group = session.group.filter(|_| !session.mid_flow || blind);
-        if !session.returned || by_group.is_none() {
+        if !session.reconnected || by_group.is_none() {
             let at = session.key as usize % servers.len().max(1);
             let own = servers[at..].iter().chain(&servers[..at]).find(|s| usable(s, part) && !overfull(s));
             // Guards against placing by hash in a fleet that is strained where this proxy cannot see it.
@@ -79,7 +79,7 @@
         let cold = || {
             ranked.iter().min_by_key(|r| r.0).is_some_and(|r| self.slow_start.warm_fraction(r.1, now) < 1.0)
         };
-        let more = if blind && (!session.returned || cold()) { MORE } else { 0 };
+        let more = if blind && (!session.reconnected || cold()) { MORE } else { 0 };
         let width = by_group.map_or(0, |g| self.shelf.width(g, ranked.len()) + more).min(ranked.len());
         if width + MORE < ranked.len() {
             ranked.select_nth_unstable_by_key(width + MORE, |r| r.0);
--- a/src/host.rs
+++ b/src/host.rs
@@ -73,20 +73,20 @@
     /// Packets of a connection that some server already holds.
     pub mid_flow: bool,
     /// The client has come back after a break or after being sent away.
-    pub returned: bool,
+    pub reconnected: bool,
     /// Its turn in a crowd that comes back, where there is one and somebody reckons it.
-    pub turn: Option<Turn>,
+    pub admission_turn: Option<AdmissionTurn>,
     /// The servers that it may go to, in the order of their ids, where not all.
-    pub among: Option<&'a Rc<[ServerId]>>,
+    pub allowed_servers: Option<&'a Rc<[ServerId]>>,
 }
 
 /// A session's turn, from outside: what is owed goes first.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Turn {
+pub struct AdmissionTurn {
     /// The part of the crowd that goes before it, from 0 to 1; beyond 1 nobody is let in yet.
-    pub before: f64,
+    pub fraction_ahead: f64,
     /// When it is to come again, where it is not let in.
-    pub again: Duration,
+    pub retry_after: Duration,
 }
 
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,10 +1,10 @@
 //! Decides where a balancer places long-lived connections.
 //!
-//! [`choice`] holds every decision, [`host`] the interface to whatever carries them out, [`time`] the types
+//! [`balancer`] holds every decision, [`host`] the interface to whatever carries them out, [`time`] the types
 //! of time. A host implements [`host::Host`] and calls a [`choice::LoadBalancer`]:
 //!
 //! ```
-//! use shelfgrade::choice::{LoadBalancer, SlowStart};
+//! use shelfgrade::balancer::{LoadBalancer, SlowStart};
 //! use shelfgrade::host::*;
 //! use shelfgrade::time::Timestamp;
 //! use std::time::Duration;
@@ -56,17 +56,17 @@
 //!     group: None,
 //!     deadline: now + Duration::from_millis(3000),
 //!     mid_flow: false,
-//!     returned: false,
-//!     turn: None,
-//!     among: None,
+//!     reconnected: false,
+//!     admission_turn: None,
+//!     allowed_servers: None,
 //! };
 //! balancer.on_request(&arrival, now, &mut host);
 //! assert_eq!(host.0, ["session 1 to 192.0.2.1:80"]);
 //! ```
 
-pub mod books;
-pub mod choice;
-pub mod handover;
+pub mod balancer;
 pub mod host;
+pub mod outstanding;
 mod record;
 pub mod time;
+pub mod warm_restart;
--- a/src/record.rs
+++ b/src/record.rs
@@ -1,7 +1,8 @@
 //! What a proxy keeps of servers and sessions: plain records, on which `choice` decides.
 
 use crate::host::{
-    Arrival, AttemptOutcome, Endpoint, EndpointState, Idempotency, RequestClass, ServerId, SessionId, Turn,
+    AdmissionTurn, Arrival, AttemptOutcome, Endpoint, EndpointState, Idempotency, RequestClass, ServerId,
+    SessionId,
 };
 use crate::time::{DurationExt, Timestamp};
 use nanorand::{Rng, WyRand};
@@ -275,9 +276,9 @@
     pub(crate) connect_latency_objective: Option<Duration>,
     pub(crate) deadline: Timestamp,
     pub(crate) mid_flow: bool,
-    pub(crate) returned: bool,
-    pub(crate) turn: Option<Turn>,
-    pub(crate) among: Option<Rc<[ServerId]>>,
+    pub(crate) reconnected: bool,
+    pub(crate) admission_turn: Option<AdmissionTurn>,
+    pub(crate) allowed_servers: Option<Rc<[ServerId]>>,
     pub(crate) stands: Cell<bool>,
     pub(crate) answered: Cell<bool>,
     /// It waits for the first sign of life from its servers, or has done so before the next attempt.
@@ -301,16 +302,16 @@
             connect_latency_objective: class.and_then(|o| o.connect_latency_objective),
             deadline: arrival.deadline,
             mid_flow: arrival.mid_flow,
-            returned: arrival.returned,
-            turn: arrival.turn,
-            among: arrival.among.cloned(),
+            reconnected: arrival.reconnected,
+            admission_turn: arrival.admission_turn,
+            allowed_servers: arrival.allowed_servers.cloned(),
             ..Session::default()
         }
     }
 
     /// The servers that it may go to, in the order of the list, where not all.
     pub(crate) fn left_of(&self, all: &[Rc<Server>]) -> Option<Vec<Rc<Server>>> {
-        let among = self.among.as_ref()?;
-        Some(all.iter().filter(|server| among.binary_search(&server.id).is_ok()).cloned().collect())
+        let allowed = self.allowed_servers.as_ref()?;
+        Some(all.iter().filter(|server| allowed.binary_search(&server.id).is_ok()).cloned().collect())
     }
 }
--- a/src/handover.rs
+++ b/src/warm_restart.rs
@@ -1,6 +1,6 @@
 //! What a host may hand over from an earlier life of the proxy, and take from this one; nothing is decided here.
 
-use crate::choice::LoadBalancer;
+use crate::balancer::LoadBalancer;
 use crate::host::EndpointState;
 use crate::record::Known;
 use crate::time::Timestamp;
--- a/tests/scenarios/books.rs
+++ b/tests/scenarios/books.rs
@@ -3,9 +3,9 @@
 
 use crate::fake::*;
 use nanorand::{Rng, WyRand};
-use shelfgrade::books::Outstanding;
-use shelfgrade::choice::LoadBalancer;
+use shelfgrade::balancer::LoadBalancer;
 use shelfgrade::host::*;
+use shelfgrade::outstanding::Outstanding;
 use shelfgrade::time::Timestamp;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -156,7 +156,7 @@
             group: (self.model.draw(3) > 0).then_some(&*group),
             deadline: self.now + Duration::from_millis(request_timeout),
             mid_flow: self.model.draw(5) == 0,
-            returned: self.model.draw(3) == 0,
+            reconnected: self.model.draw(3) == 0,
             ..plain(&key)
         };
         self.model.sessions.insert(self.last, (Stage::Waiting, 0));
@@ -269,7 +269,7 @@
         let mut play = Play::begin(seed);
         for _ in 0..400 {
             play.step();
-            stood = stood.max(play.balancer.outstanding().held);
+            stood = stood.max(play.balancer.outstanding().established_sessions);
         }
         play.winds_up();
         assert_eq!(play.balancer.outstanding(), Outstanding::default(), "seed {seed}");
--- a/tests/scenarios/cold.rs
+++ b/tests/scenarios/cold.rs
@@ -152,7 +152,7 @@
 /// A group of some forty came back in a wave from a strained server to a cold one: 6.2 times what it could do in two seconds.
 #[test]
 fn a_group_that_comes_back_in_a_wave_is_let_into_a_cold_server_less_than_new_clients_are() {
-    let sent = |returned: bool| {
+    let sent = |reconnected: bool| {
         let of_one = |seed: u64| {
             let mut proxy = Proxy::among(100, None, seed, &TWELVE.map(server));
             proxy.notes.mute = true;
@@ -162,7 +162,7 @@
             // By then the share of one client at a time has no bound.
             proxy.passes(6000);
             let key = format!("key{seed}");
-            let came = proxy.arrives(Arrival { group: Some("g"), returned, ..plain(&key) });
+            let came = proxy.arrives(Arrival { group: Some("g"), reconnected, ..plain(&key) });
             proxy.sent_to(came).len()
         };
         (0..300).map(of_one).sum::<usize>()
@@ -188,7 +188,7 @@
             // Four came just before, so that one in four is let in.
             (0..4).for_each(|i| drop(proxy.settles(plain(&format!("just-before-{seed}-{i}")))));
             let key = format!("key{seed}");
-            let came = proxy.arrives(Arrival { group: Some(&key), returned: true, ..plain(&key) });
+            let came = proxy.arrives(Arrival { group: Some(&key), reconnected: true, ..plain(&key) });
             usize::from(proxy.sent_to(came).first().is_some_and(|place| place == "a1"))
         };
         (0..800).map(of_one).sum::<usize>()
@@ -220,7 +220,7 @@
         // A burst of what the zone held, and of as many who come anyway.
         for i in 0..8 {
             let (key, group) = (format!("back-{seed}-{i}"), format!("bank-{}", (seed + i) % 40));
-            proxy.settles(Arrival { group: Some(&group), returned: i % 2 == 0, ..plain(&key) });
+            proxy.settles(Arrival { group: Some(&group), reconnected: i % 2 == 0, ..plain(&key) });
             proxy.passes(240);
         }
         for attempt in proxy.notes.attempts[before..].iter().filter(|c| c.1.starts_with('z')) {
--- a/tests/scenarios/fake.rs
+++ b/tests/scenarios/fake.rs
@@ -1,6 +1,6 @@
 //! One proxy on a fake host that notes what it is asked to do.
 
-use shelfgrade::choice::{LoadBalancer, SlowStart};
+use shelfgrade::balancer::{LoadBalancer, SlowStart};
 use shelfgrade::host::*;
 use shelfgrade::time::Timestamp;
 use std::collections::BTreeMap;
@@ -84,9 +84,9 @@
         group: None,
         deadline: Timestamp::default(),
         mid_flow: false,
-        returned: false,
-        turn: None,
-        among: None,
+        reconnected: false,
+        admission_turn: None,
+        allowed_servers: None,
     }
 }
 
@@ -243,7 +243,7 @@
 
 /// Where a session of the group goes that came back.
 pub fn home(proxy: &mut Proxy, group: &str) -> Option<String> {
-    proxy.settles(Arrival { group: Some(group), returned: true, ..plain("k") })
+    proxy.settles(Arrival { group: Some(group), reconnected: true, ..plain("k") })
 }
 
 /// One of three hundred proxies, whose servers can hold 2,400 connections as far as the settings tell.
--- a/tests/scenarios/gathering.rs
+++ b/tests/scenarios/gathering.rs
@@ -11,7 +11,7 @@
     for i in 0..48 {
         // The group is half of all that comes.
         let (key, group) = (format!("back-{i}"), if i % 2 == 0 { "lifts" } else { &format!("other-{i}") });
-        proxy.settles(Arrival { group: Some(group), returned: true, ..plain(&key) });
+        proxy.settles(Arrival { group: Some(group), reconnected: true, ..plain(&key) });
     }
     let servers: std::collections::BTreeSet<_> =
         proxy.notes.attempts.iter().filter(|c| c.0 % 2 == 1).map(|c| &c.1).collect();
@@ -25,7 +25,7 @@
     for i in 0..200 {
         let key = format!("back-{i}");
         let group = format!("group-{}", i % 10);
-        let session = proxy.arrives(Arrival { group: Some(&group), returned: true, ..plain(&key) });
+        let session = proxy.arrives(Arrival { group: Some(&group), reconnected: true, ..plain(&key) });
         while proxy.sent_to(session).last().is_some_and(|place| gone.contains(&place.as_str())) {
             let tried = proxy.sent_to(session).len();
             proxy.attempt_ends(session, AttemptOutcome::Unreachable);
@@ -63,7 +63,7 @@
     let mut places = |group: &str| {
         let back = |i| {
             let key = format!("back-{i}");
-            proxy.settles(Arrival { group: Some(group), returned: true, ..plain(&key) })
+            proxy.settles(Arrival { group: Some(group), reconnected: true, ..plain(&key) })
         };
         (0..30).map(back).collect::<BTreeSet<_>>().len()
     };
@@ -189,7 +189,7 @@
 #[test]
 fn where_probes_are_refused_a_group_starts_on_three_servers_and_comes_back_to_one() {
     let list: Vec<_> = (0..50).map(|i| server(&format!("a{i:02}"))).collect();
-    let places = |returned: bool, cold: &str| -> BTreeSet<_> {
+    let places = |reconnected: bool, cold: &str| -> BTreeSet<_> {
         let place_of = |seed: u64| {
             let mut proxy = Proxy::among(150, None, seed, &list);
             proxy.notes.mute = true;
@@ -200,7 +200,7 @@
             );
             // By then it may have nearly all that it can bear.
             proxy.passes(7900);
-            proxy.settles(Arrival { group: Some("g"), returned, ..plain(&format!("key{seed}")) })
+            proxy.settles(Arrival { group: Some("g"), reconnected, ..plain(&format!("key{seed}")) })
         };
         (0..60).filter_map(place_of).collect()
     };
--- a/tests/scenarios/jams.rs
+++ b/tests/scenarios/jams.rs
@@ -16,7 +16,7 @@
                 before = proxy.notes.attempts.len();
             }
             let key = format!("lift-{i}");
-            let session = proxy.arrives(Arrival { returned: true, ..plain(&key) });
+            let session = proxy.arrives(Arrival { reconnected: true, ..plain(&key) });
             // As long as it is sent somewhere else.
             for tried in 1..=4 {
                 if proxy.sent_to(session).len() == tried {
--- a/tests/scenarios/order.rs
+++ b/tests/scenarios/order.rs
@@ -105,7 +105,7 @@
     let before = proxy.notes.attempts.len();
     for i in 0..12 {
         let key = format!("back-{i}");
-        proxy.arrives(Arrival { group: Some("lifts"), returned: true, ..plain(&key) });
+        proxy.arrives(Arrival { group: Some("lifts"), reconnected: true, ..plain(&key) });
     }
     let under_way = &proxy.notes.attempts[before..];
     let most = under_way.iter().map(|c| under_way.iter().filter(|d| d.1 == c.1).count()).max();
--- a/tests/scenarios/ramp.rs
+++ b/tests/scenarios/ramp.rs
@@ -15,7 +15,7 @@
 
 use crate::fake::*;
 use nanorand::{Rng, WyRand};
-use shelfgrade::choice::SlowStart;
+use shelfgrade::balancer::SlowStart;
 use shelfgrade::host::*;
 use shelfgrade::time::{DurationExt, Timestamp};
 use std::cmp::Reverse;
@@ -190,7 +190,7 @@
                 let group = Some(group.as_str()).filter(|_| self.day.grouped);
                 let arrival = Arrival {
                     group,
-                    returned,
+                    reconnected: returned,
                     mid_flow: client.is_multiple_of(10),
                     class: Some([IDEMPOTENT, IDEMPOTENT, NON_IDEMPOTENT][(client % 3) as usize]),
                     ..plain(&key)
--- a/tests/scenarios/relief.rs
+++ b/tests/scenarios/relief.rs
@@ -22,7 +22,7 @@
 fn a_strained_server_has_guests_sent_away_and_they_gather_with_their_group() {
     let mut proxy = Proxy::of_four();
     let member = |key| Arrival { group: Some("bank-1"), ..plain(key) };
-    let returned = |key| Arrival { returned: true, ..member(key) };
+    let returned = |key| Arrival { reconnected: true, ..member(key) };
     let home = proxy.settles(returned("k1")).expect("a place");
     let away = ["a1", "a2", "b1", "b2"].into_iter().find(|place| *place != home).expect("another");
     let (light, heavy) = (key_for(away), key_for(away));
--- a/tests/scenarios/told.rs
+++ b/tests/scenarios/told.rs
@@ -3,7 +3,7 @@
 
 use crate::fake::*;
 use nanorand::{Rng, WyRand};
-use shelfgrade::choice::{LoadBalancer, SlowStart};
+use shelfgrade::balancer::{LoadBalancer, SlowStart};
 use shelfgrade::time::{DurationExt, Timestamp};
 use std::time::Duration;
 
--- a/tests/scenarios/trust.rs
+++ b/tests/scenarios/trust.rs
@@ -112,7 +112,7 @@
             let home = home(&mut proxy, "bank").expect("a home");
             proxy.strains(&[&home], 500);
             proxy.passes(15_000);
-            proxy.settles(Arrival { group: Some("bank"), returned: true, ..plain("back") }) == Some(home)
+            proxy.settles(Arrival { group: Some("bank"), reconnected: true, ..plain("back") }) == Some(home)
         };
         (0..60).filter(tries).count()
     };
