--- a/crates/proxy/src/fleet/recovery.rs
+++ b/crates/proxy/src/fleet/recovery.rs
@@ -5,8 +5,8 @@
 use crate::fleet::peers::{PeerEvents, Peers};
 use crate::proxy::Proxy;
 use crate::session::{Session, Stage};
-use crate::tenants::maintenance_windows::WINDOWS;
-use crate::tenants::tenant_namespaces::{Changed, Decided, Shared, TenantNamespaces};
+use crate::tenants::maintenance_windows::SCHEDULE_KEY;
+use crate::tenants::tenant_namespaces::{NamespaceUpdate, ReplicatedStore, RuleDecision, TenantNamespaces};
 use serde::{de::DeserializeOwned, Serialize};
 use shelfgrade::handover::FlowEntry;
 use shelfgrade::host::{Endpoint, EndpointState, Host, ServerId, Turn};
@@ -23,16 +23,16 @@
 
 /// What the settings say of a return.
 pub fn recovery_settings(settings: &Settings, file: &FleetFile) -> RecoverySettings {
-    let owed = settings.owed.iter().map(|(connect_latency_objective, priority_weight)| ClassPriority {
-        connect_latency_objective: *connect_latency_objective,
-        priority_weight: *priority_weight,
+    let classes = settings.class_priorities.iter().map(|class| ClassPriority {
+        connect_latency_objective: class.connect_latency_objective,
+        priority_weight: class.priority_weight,
     });
     RecoverySettings {
-        classes: owed.collect(),
-        shares: settings.customers.iter().map(|(_, share)| *share).collect(),
+        classes: classes.collect(),
+        shares: settings.customers.iter().map(|customer| customer.share).collect(),
         wait: file.list_wait,
         slow_start: settings.slow_start,
-        most_pause: settings.most_pause,
+        most_pause: settings.max_retry_after,
     }
 }
 
@@ -44,12 +44,12 @@
         for line in &lines {
             self.fleet_endpoints.insert(line.endpoint.server.clone(), (line.endpoint.clone(), line.dial));
         }
-        self.look_at_windows();
+        self.apply_maintenance_windows();
         self.go_by_lines(lines.iter().map(|line| (line.endpoint.clone(), line.dial)).collect(), whole);
         self.fleet_endpoints.retain(|_, (line, _)| line.state != EndpointState::Removed);
-        self.namespaces.follow(self.balancer.list());
+        self.namespaces.set_endpoints(self.balancer.endpoints());
         let live = self.balancer.customers();
-        let changed = live.iter().filter_map(|customer| self.namespaces.changed(customer)).collect();
+        let changed = live.iter().filter_map(|customer| self.namespaces.update_for(customer)).collect();
         self.go_by(changed);
         self.executor.take_over_waiting();
         self.settle();
@@ -98,11 +98,11 @@
 
     fn shared_entry_changed(&mut self, key: &str) {
         let Some(peers) = self.peers.clone() else { return };
-        if key.starts_with(WINDOWS) {
+        if key.starts_with(SCHEDULE_KEY) {
             let now = peers.fleet_ms(self.executor.clock.now());
-            return self.maintenance_windows.heard(now, &*peers);
+            return self.maintenance_windows.on_schedule_changed(now, &*peers);
         }
-        let changed = self.namespaces.heard(key, &*peers);
+        let changed = self.namespaces.on_shared_entry_changed(key, &*peers);
         self.go_by(changed);
     }
 
@@ -160,10 +160,10 @@
     pub fn read_namespaces(&mut self) {
         let Some(peers) = self.peers.clone() else { return };
         if let Some(folder) = peers.namespaces_dir() {
-            self.namespaces.read(&folder, &*peers);
+            self.namespaces.load(&folder, &*peers);
         }
         if let Some(path) = peers.maintenance() {
-            self.maintenance_windows.read(&path, peers.fleet_ms(self.executor.clock.now()), &*peers);
+            self.maintenance_windows.load(&path, peers.fleet_ms(self.executor.clock.now()), &*peers);
         }
         peers.tell_news(self);
     }
@@ -171,7 +171,7 @@
     /// Goes by these lines, as far as windows leave them what they are.
     fn go_by_lines(&mut self, lines: Vec<(Endpoint, Option<SocketAddr>)>, whole: bool) {
         let now = self.executor.clock.now();
-        let as_put = |line: &Endpoint| self.maintenance_windows.line(line, self.slow_start, now);
+        let as_put = |line: &Endpoint| self.maintenance_windows.apply_to(line, self.slow_start, now);
         let lines: Vec<_> = lines.iter().map(|(line, dial)| (as_put(line), *dial)).collect();
         self.executor.follow(lines.iter().map(|(line, dial)| (line, *dial)), whole);
         let endpoint: Vec<_> = lines.into_iter().map(|(line, _)| line).collect();
@@ -180,8 +180,10 @@
 
     /// Called once a second, and with each word of the list before anybody goes by it: sites empty, close and come back by
     /// the schedule. Guards against a process that starts in the midst of a window sending clients there until it looks.
-    pub fn look_at_windows(&mut self) {
-        let Some(peers) = self.peers.clone().filter(|_| !self.maintenance_windows.are_none()) else { return };
+    pub fn apply_maintenance_windows(&mut self) {
+        let Some(peers) = self.peers.clone().filter(|_| self.maintenance_windows.has_schedule()) else {
+            return;
+        };
         let now = self.executor.clock.now();
         let list: Vec<_> = self.fleet_endpoints.values().map(|(line, _)| line.clone()).collect();
         let site_of = |server: &ServerId| self.fleet_endpoints.get(server).map(|(line, _)| line.zone.clone());
@@ -192,12 +194,12 @@
             .filter_map(|c| Some((c.id, site_of(&c.attempt.borrow().as_ref()?.server.id)?)))
             .collect();
         let held = |site: &str| at.iter().filter(|(_, zone)| zone == site).count();
-        let look = self.maintenance_windows.look(peers.fleet_ms(now), &list, held);
-        if look.changed {
+        let changes = self.maintenance_windows.evaluate(peers.fleet_ms(now), &list, held);
+        if changes.endpoints_changed {
             self.go_by_lines(self.fleet_endpoints.values().cloned().collect(), true);
         }
         for (session, site) in at {
-            if look.begun.contains(&site) {
+            if changes.closing_sites.contains(&site) {
                 self.executor.metrics.count("migrated for maintenance");
                 self.executor.migrate(session);
             }
@@ -205,23 +207,23 @@
         self.settle();
     }
 
-    fn go_by(&mut self, changed: Vec<Changed>) {
+    fn go_by(&mut self, updates: Vec<NamespaceUpdate>) {
         let now = self.executor.clock.now();
-        for (customer, servers, share) in changed {
-            self.balancer.has_space(&customer, &servers, share, now);
+        for update in updates {
+            self.balancer.update_tenant(&update, now);
         }
-        self.balancer.common_has(self.namespaces.common_share());
+        self.balancer.set_default_quota_share(self.namespaces.default_quota_share());
     }
 
     /// What the namespace of its customer decides of a session, where there is one.
-    pub fn rule_for(&mut self, session: &Session) -> Option<Decided> {
+    pub fn rule_for(&mut self, session: &Session) -> Option<RuleDecision> {
         let opening = &session.opening;
         let class = self.classes.get(opening.class).map_or("", String::as_str);
         self.namespaces.decide(opening.customer.as_deref(), class, opening.group.as_deref())
     }
 }
 
-impl Shared for Peers<Proxy> {
+impl ReplicatedStore for Peers<Proxy> {
     fn get<T: DeserializeOwned>(&self, key: &str) -> Option<T> {
         Peers::get(self, key)
     }
--- a/crates/proxy/src/lifecycle/startup_gate.rs
+++ b/crates/proxy/src/lifecycle/startup_gate.rs
@@ -102,21 +102,22 @@
             let now = self.now();
             let mut turn = self.admission_turn(session);
             let ruled = self.rule_for(session);
-            if let Some(ruled) = ruled.as_ref().filter(|ruled| ruled.full) {
+            if let Some(ruled) = ruled.as_ref().filter(|ruled| ruled.is_over_quota) {
                 log::debug!("session {}: no room for {}", session.id.0, ruled.customer);
                 self.executor.metrics.count("sessions over namespace quota");
                 turn = Some(turn.unwrap_or(Turn { before: 2.0, again: NO_ROOM }))
                     .map(|t| Turn { before: 2.0, ..t });
             }
-            if let Some(ruled) = ruled.as_ref().filter(|ruled| !self.balancer.knows(&ruled.customer)) {
-                let space = self.namespaces.changed(&ruled.customer);
-                space.into_iter().for_each(|space| self.balancer.begin(space, now, &mut self.executor));
+            if let Some(ruled) = ruled.as_ref().filter(|ruled| !self.balancer.has_tenant(&ruled.customer)) {
+                if let Some(update) = self.namespaces.update_for(&ruled.customer) {
+                    self.balancer.add_tenant(update, now, &mut self.executor);
+                }
             }
-            let among = ruled.as_ref().map(|ruled| &ruled.among);
+            let among = ruled.as_ref().map(|ruled| &ruled.servers);
             let whose = ruled.as_ref().map(|ruled| &ruled.customer);
             let arrival =
                 crate::proxy::arrival(session, session.since.get() + session.opening.request_timeout);
-            *session.place.borrow_mut() = ruled.as_ref().map(|ruled| ruled.place.clone());
+            *session.place.borrow_mut() = ruled.as_ref().map(|ruled| ruled.reservation.clone());
             self.balancer.on_request(whose, &Arrival { turn, among, ..arrival }, now, &mut self.executor);
             // Not turned away: it was let in, or is about to be.
             let let_in = turn.is_some() && session.stage.get() == Stage::Connecting;
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -115,8 +115,8 @@
     let seq = Some(start.known.seq).filter(|_| !whole);
     let settings_text = start.settings_text;
     let recovery_settings = fleet.as_ref().map(|fleet| recovery::recovery_settings(&start.settings, fleet));
-    let signs = (start.settings.health_checks_allowed, start.settings.tells_delay);
-    let executor = Executor::new(handle, limits, start.settings.dial_time_out, signs);
+    let signs = (start.settings.health_checks_allowed, start.settings.servers_report_latency);
+    let executor = Executor::new(handle, limits, start.settings.dial_timeout, signs);
     let now = executor.clock.now();
     let metrics = executor.metrics.clone();
     let mut proxy = Proxy {
@@ -142,7 +142,7 @@
             None if pushed => StartupGate::until_the_list_is_heard(now),
             None => StartupGate::default(),
         },
-        customers: start.settings.customers.iter().map(|(name, _)| name.clone()).collect(),
+        customers: start.settings.customers.iter().map(|customer| customer.name.clone()).collect(),
         peers: None,
         name: start.name,
         ring,
@@ -150,7 +150,7 @@
         pulses_taken: now,
         reload_requested: None,
         shutdown_requested: None,
-        shutdown_schedule: ShutdownSchedule::by(start.settings.longest_request_timeout),
+        shutdown_schedule: ShutdownSchedule::by(start.settings.max_request_timeout),
         last_arrival: now,
     };
     // With fellows, what is known from before is for the return to judge.
@@ -308,8 +308,8 @@
         }
         self.pulses_taken = now;
         let there = &self.executor.sessions;
-        self.balancer.sweep(|session| there.contains_key(session), now);
-        self.look_at_windows();
+        self.balancer.evict_idle(|session| there.contains_key(session), now);
+        self.apply_maintenance_windows();
         let servers: Vec<_> = self.executor.servers.values().cloned().collect();
         let waits =
             |session: &Session| session.stage.get() == Stage::Established && session.asked.get().is_some();
@@ -349,7 +349,7 @@
             return taken;
         }
         if list.told_at.is_some_and(|time| self.start_times.discovery_says(time, now)) {
-            let known = self.start_times.timed_anew(self.balancer.list());
+            let known = self.start_times.timed_anew(self.balancer.endpoints());
             self.balancer.on_endpoints(&known, false, now);
         }
         let lines = self.start_times.timed(list.lines(), now);
--- a/crates/proxy/src/tenants/maintenance_windows.rs
+++ b/crates/proxy/src/tenants/maintenance_windows.rs
@@ -3,7 +3,7 @@
 //!
 //! The file is the fleet file's `maintenance`. Whoever has a newer version spreads it; it comes into force whole.
 
-use crate::tenants::tenant_namespaces::{put, whole, Shared};
+use crate::tenants::tenant_namespaces::{put, whole, ReplicatedStore};
 use shelfgrade::host::{Endpoint, EndpointState, ServerId};
 use shelfgrade::time::Timestamp;
 use shelfgrade_maintenance::plan::{goes, short_by, Phase, Plan, Site};
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 /// Under which all share it.
-pub const WINDOWS: &str = "windows";
+pub const SCHEDULE_KEY: &str = "windows";
 /// What one process moves off a site in a second: four rounds, in each of which a server that drains sends one away.
 const A_SECOND: f64 = 4.0;
 
@@ -25,23 +25,23 @@
     put: BTreeMap<ServerId, EndpointState>,
 }
 
-/// What a look at the clock brought.
+/// What a changes at the clock brought.
 #[derive(Default)]
-pub struct Look {
+pub struct WindowChanges {
     /// Servers whose lines are others than before.
-    pub changed: bool,
+    pub endpoints_changed: bool,
     /// Sites whose window begins now: what is left there is told to move.
-    pub begun: Vec<String>,
+    pub closing_sites: Vec<String>,
 }
 
 impl MaintenanceWindows {
     /// Reads the file and spreads it, if it can be used.
-    pub fn read(&self, path: &Path, now_ms: i64, shared: &impl Shared) {
+    pub fn load(&self, path: &Path, now_ms: i64, shared: &impl ReplicatedStore) {
         let read = || {
             let text = std::fs::read_to_string(path).map_err(|error| error.to_string())?;
             let schedule = Schedule::parse(&text).map_err(|error| error.to_string())?;
             schedule.check(now_ms).map_err(|error| error.to_string())?;
-            put(WINDOWS, schedule.version, &schedule, shared)
+            put(SCHEDULE_KEY, schedule.version, &schedule, shared)
         };
         if let Err(error) = read() {
             log::error!("{}: {error}; the schedule before stays", path.display());
@@ -49,8 +49,8 @@
     }
 
     /// The schedule has changed in what all share.
-    pub fn heard(&mut self, now_ms: i64, shared: &impl Shared) {
-        let Some(schedule) = whole::<Schedule>(WINDOWS, shared) else { return };
+    pub fn on_schedule_changed(&mut self, now_ms: i64, shared: &impl ReplicatedStore) {
+        let Some(schedule) = whole::<Schedule>(SCHEDULE_KEY, shared) else { return };
         let held = self.plan.as_ref().map_or(0, Plan::version);
         if schedule.version <= held {
             return;
@@ -69,8 +69,13 @@
     }
 
     /// Looks at the clock; `list` is the list as discovery has it, `held` how many sessions this process has at a site.
-    pub fn look(&mut self, now_ms: i64, list: &[Endpoint], held: impl Fn(&str) -> usize) -> Look {
-        let Some(plan) = &mut self.plan else { return Look::default() };
+    pub fn evaluate(
+        &mut self,
+        now_ms: i64,
+        list: &[Endpoint],
+        held: impl Fn(&str) -> usize,
+    ) -> WindowChanges {
+        let Some(plan) = &mut self.plan else { return WindowChanges::default() };
         let mut sites: BTreeMap<String, Site> = BTreeMap::new();
         for line in list {
             let site = sites.entry(line.zone.clone()).or_insert(Site { servers: 0 });
@@ -80,10 +85,10 @@
             Ok(phases) => phases,
             Err(error) => {
                 log::error!("maintenance: {error}");
-                return Look::default();
+                return WindowChanges::default();
             }
         };
-        let mut look = Look::default();
+        let mut changes = WindowChanges::default();
         for (site, phase) in &phases {
             if self.phases.get(site).unwrap_or(&Phase::Open) == phase {
                 continue;
@@ -101,7 +106,7 @@
                 }
                 Phase::Closed { until } => {
                     log::info!("site {site}: without traffic, until {}", shown(*until));
-                    look.begun.push(site.clone());
+                    changes.closing_sites.push(site.clone());
                 }
                 Phase::HeldBack { why } => log::warn!("site {site}: its window is held back: {why}"),
             }
@@ -109,9 +114,9 @@
         self.phases = phases;
         let now: BTreeMap<_, _> =
             list.iter().map(|line| (line.server.clone(), self.state(line, list, now_ms))).collect();
-        look.changed = now != self.put;
+        changes.endpoints_changed = now != self.put;
         self.put = now;
-        look
+        changes
     }
 
     /// What a server is for the decisions.
@@ -133,7 +138,7 @@
     }
 
     /// A line of the list as the decisions get it: draining in its site's window, and cold after it.
-    pub fn line(&self, line: &Endpoint, slow_start: Duration, now: Timestamp) -> Endpoint {
+    pub fn apply_to(&self, line: &Endpoint, slow_start: Duration, now: Timestamp) -> Endpoint {
         let Some(plan) = &self.plan else { return line.clone() };
         let state = self.put.get(&line.server).copied().unwrap_or(line.state);
         let back = plan.back_since(&line.zone).map(|ms| Timestamp::from_ms(ms as f64));
@@ -141,7 +146,7 @@
         Endpoint { state, started: line.started.max(back), ..line.clone() }
     }
 
-    pub fn are_none(&self) -> bool {
-        self.plan.is_none()
+    pub fn has_schedule(&self) -> bool {
+        self.plan.is_some()
     }
 }
--- a/crates/proxy/src/tenants/tenant_balancers.rs
+++ b/crates/proxy/src/tenants/tenant_balancers.rs
@@ -1,6 +1,7 @@
 //! The decisions of one process: one set for all sessions, and one for each customer that has a namespace, so that no
 //! customer's storm, jam or strain is another's. Each is the same decision module.
 
+use crate::tenants::tenant_namespaces::NamespaceUpdate;
 use shelfgrade::choice::LoadBalancer;
 use shelfgrade::handover::FlowEntry;
 use shelfgrade::host::{Arrival, AttemptOutcome, Endpoint, EndpointState, Host, ServerId, SessionId};
@@ -10,7 +11,7 @@
 use std::time::Duration;
 
 /// Makes decisions for one more customer, from a seed.
-pub type Make = Box<dyn Fn(u64) -> Option<LoadBalancer>>;
+pub type BalancerFactory = Box<dyn Fn(u64) -> Option<LoadBalancer>>;
 
 struct Own {
     balancer: LoadBalancer,
@@ -24,7 +25,7 @@
 pub struct TenantBalancers {
     common: LoadBalancer,
     common_share: f64,
-    make: Make,
+    make: BalancerFactory,
     seed: u64,
     /// By customer, for those that had a session since their namespace came.
     own: BTreeMap<Rc<str>, Own>,
@@ -38,7 +39,7 @@
 }
 
 impl TenantBalancers {
-    pub fn new(common: LoadBalancer, make: Make, seed: u64) -> Self {
+    pub fn new(common: LoadBalancer, make: BalancerFactory, seed: u64) -> Self {
         TenantBalancers {
             common,
             common_share: 1.0,
@@ -66,7 +67,7 @@
         self.list.retain(|_, line| line.state != EndpointState::Removed);
     }
 
-    pub fn list(&self) -> Vec<Endpoint> {
+    pub fn endpoints(&self) -> Vec<Endpoint> {
         self.list.values().cloned().collect()
     }
 
@@ -92,26 +93,22 @@
     }
 
     /// What a customer with decisions of its own is granted has changed.
-    pub fn has_space(&mut self, customer: &Rc<str>, servers: &Rc<[ServerId]>, share: f64, now: Timestamp) {
-        if let Some(own) = self.own.get_mut(customer) {
-            (own.granted, own.share) = (servers.clone(), share);
-            own.balancer.on_endpoints(&granted(&self.list, servers), true, now);
+    pub fn update_tenant(&mut self, update: &NamespaceUpdate, now: Timestamp) {
+        if let Some(own) = self.own.get_mut(&update.customer) {
+            (own.granted, own.share) = (update.servers.clone(), update.quota_share);
+            own.balancer.on_endpoints(&granted(&self.list, &update.servers), true, now);
             self.set_quota_fraction(self.part);
         }
     }
 
-    pub fn knows(&self, customer: &str) -> bool {
+    pub fn has_tenant(&self, customer: &str) -> bool {
         self.own.contains_key(customer)
     }
 
     /// A customer with a namespace has its first session in a while: from here on it has decisions of its own, over what
     /// it is granted. Guards against ten thousand namespaces taking memory for customers who never come.
-    pub fn begin(
-        &mut self,
-        (customer, servers, share): (Rc<str>, Rc<[ServerId]>, f64),
-        now: Timestamp,
-        host: &mut dyn Host,
-    ) {
+    pub fn add_tenant(&mut self, update: NamespaceUpdate, now: Timestamp, host: &mut dyn Host) {
+        let NamespaceUpdate { customer, servers, quota_share: share } = update;
         let seed = self.seed ^ xxhash_rust::xxh3::xxh3_64(customer.as_bytes());
         // The settings made the common ones, so they make these.
         let Some(mut balancer) = (self.make)(seed) else { return };
@@ -126,7 +123,7 @@
     }
 
     /// The part of the whole for those without a namespace.
-    pub fn common_has(&mut self, share: f64) {
+    pub fn set_default_quota_share(&mut self, share: f64) {
         self.common_share = share;
         self.set_quota_fraction(self.part);
     }
@@ -236,7 +233,7 @@
 
     /// Called once a second: forgets whose sessions those were that are no more, and the decisions of who has had none
     /// for as long as their table would know a connection.
-    pub fn sweep(&mut self, there: impl Fn(&SessionId) -> bool, now: Timestamp) {
+    pub fn evict_idle(&mut self, there: impl Fn(&SessionId) -> bool, now: Timestamp) {
         const IDLE: Duration = Duration::from_millis(60_000);
         if self.own.is_empty() {
             return;
--- a/crates/proxy/src/tenants/tenant_namespaces.rs
+++ b/crates/proxy/src/tenants/tenant_namespaces.rs
@@ -17,24 +17,28 @@
 pub const SPACES: &str = "space/";
 
 /// What all share, as far as namespaces need it.
-pub trait Shared {
+pub trait ReplicatedStore {
     fn get<T: DeserializeOwned>(&self, key: &str) -> Option<T>;
     /// Puts a value under a version; one that is not newer changes nothing.
     fn put<T: Serialize>(&self, key: &str, value: &T, version: u64) -> Result<(), String>;
 }
 
 /// What a session's rule says.
-pub struct Decided {
+pub struct RuleDecision {
     pub customer: Rc<str>,
-    pub among: Rc<[ServerId]>,
+    pub servers: Rc<[ServerId]>,
     /// Held for as long as the session is: how many there are is how full the room is.
-    pub place: Rc<()>,
+    pub reservation: Rc<()>,
     /// The room is full.
-    pub full: bool,
+    pub is_over_quota: bool,
 }
 
 /// A customer whose namespace came or changed, what it is granted, and its part of the whole.
-pub type Changed = (Rc<str>, Rc<[ServerId]>, f64);
+pub struct NamespaceUpdate {
+    pub customer: Rc<str>,
+    pub servers: Rc<[ServerId]>,
+    pub quota_share: f64,
+}
 
 pub struct TenantNamespaces {
     table: Table,
@@ -56,7 +60,7 @@
     }
 
     /// Reads the folder and spreads what is in it; each file by itself, so that a bad one holds up no other.
-    pub fn read(&mut self, folder: &Path, shared: &impl Shared) {
+    pub fn load(&mut self, folder: &Path, shared: &impl ReplicatedStore) {
         let files = match std::fs::read_dir(folder) {
             Ok(files) => files,
             Err(error) => {
@@ -75,7 +79,7 @@
     }
 
     /// Guards against a bad file reaching the others, or those that start later and have nothing from before.
-    fn read_file(&mut self, path: &Path, shared: &impl Shared) -> Result<(), String> {
+    fn read_file(&mut self, path: &Path, shared: &impl ReplicatedStore) -> Result<(), String> {
         let text = std::fs::read_to_string(path).map_err(|error| error.to_string())?;
         if path.file_stem().is_some_and(|name| name == GRANTS) {
             let grants = Grants::parse(&text).map_err(|error| error.to_string())?;
@@ -90,19 +94,23 @@
 
     /// Something under a key has changed in what all share: what is whole now comes into force. Gives whose namespaces
     /// are to be gone by.
-    pub fn heard(&mut self, changed: &str, shared: &impl Shared) -> Vec<Changed> {
+    pub fn on_shared_entry_changed(
+        &mut self,
+        changed: &str,
+        shared: &impl ReplicatedStore,
+    ) -> Vec<NamespaceUpdate> {
         if changed.starts_with(GRANTS) {
             if let Some(grants) = whole::<Grants>(GRANTS, shared) {
                 self.grant(grants);
                 // Those that were refused for want of a grant may have one now.
                 let all: Vec<_> = self.versions.keys().cloned().collect();
                 all.iter().for_each(|customer| self.space(customer, shared));
-                return all.iter().filter_map(|customer| self.changed(customer)).collect();
+                return all.iter().filter_map(|customer| self.update_for(customer)).collect();
             }
         } else if let Some(customer) = changed.strip_prefix(SPACES).and_then(|rest| rest.split('/').next()) {
             self.versions.entry(customer.to_owned()).or_default();
             self.space(customer, shared);
-            return self.changed(customer).into_iter().collect();
+            return self.update_for(customer).into_iter().collect();
         }
         Vec::new()
     }
@@ -120,7 +128,7 @@
         }
     }
 
-    fn space(&mut self, customer: &str, shared: &impl Shared) {
+    fn space(&mut self, customer: &str, shared: &impl ReplicatedStore) {
         let Some(space) = whole::<Space>(&format!("{SPACES}{customer}"), shared) else { return };
         // Guards against one customer's rules under another's name.
         if space.customer != customer || self.table.get(customer).is_some_and(|held| held.space == space) {
@@ -139,24 +147,33 @@
     }
 
     /// What a customer is granted now, where its namespace is in force.
-    pub fn changed(&mut self, customer: &str) -> Option<Changed> {
+    pub fn update_for(&mut self, customer: &str) -> Option<NamespaceUpdate> {
         let share = self.table.share(customer);
         let held = self.table.get(customer)?;
-        Some((customer.into(), held.granted().clone(), share))
+        Some(NamespaceUpdate {
+            customer: customer.into(),
+            servers: held.granted().clone(),
+            quota_share: share,
+        })
     }
 
     /// The list of servers has changed.
-    pub fn follow(&mut self, list: Vec<Endpoint>) {
+    pub fn set_endpoints(&mut self, list: Vec<Endpoint>) {
         self.table.follow(list);
     }
 
     /// The part of the whole for those without a namespace.
-    pub fn common_share(&self) -> f64 {
+    pub fn default_quota_share(&self) -> f64 {
         self.table.common_share()
     }
 
     /// What decides a session; none where its customer has no namespace.
-    pub fn decide(&mut self, customer: Option<&str>, class: &str, group: Option<&str>) -> Option<Decided> {
+    pub fn decide(
+        &mut self,
+        customer: Option<&str>,
+        class: &str,
+        group: Option<&str>,
+    ) -> Option<RuleDecision> {
         let customer = customer?;
         let (member, members) = self.member;
         match self.table.look_up(Some(customer), class, group) {
@@ -164,20 +181,35 @@
             // Nothing of the fleet is left for it.
             Found::NoRule => {
                 let among: Rc<[ServerId]> = Rc::from([]);
-                Some(Decided { customer: customer.into(), among, place: Rc::new(()), full: true })
+                Some(RuleDecision {
+                    customer: customer.into(),
+                    servers: among,
+                    reservation: Rc::new(()),
+                    is_over_quota: true,
+                })
             }
             Found::Rule(ruled) => {
                 let room = part_of_room(ruled.room(), member, members) as usize;
                 let place = self.rooms.entry((customer.to_owned(), ruled.rule().name.clone())).or_default();
                 let full = Rc::strong_count(place) > room;
-                Some(Decided { customer: customer.into(), among: ruled.among(), place: place.clone(), full })
+                Some(RuleDecision {
+                    customer: customer.into(),
+                    servers: ruled.among(),
+                    reservation: place.clone(),
+                    is_over_quota: full,
+                })
             }
         }
     }
 }
 
 /// Puts something into what all share, in pieces.
-pub fn put<T: Serialize>(whole: &str, version: u64, value: &T, shared: &impl Shared) -> Result<(), String> {
+pub fn put<T: Serialize>(
+    whole: &str,
+    version: u64,
+    value: &T,
+    shared: &impl ReplicatedStore,
+) -> Result<(), String> {
     let (head, pieces) = cut(version, value).map_err(|error| error.to_string())?;
     for (index, piece) in pieces.iter().enumerate() {
         shared.put(&key(whole, index), piece, version)?;
@@ -186,7 +218,7 @@
 }
 
 /// What was put so, once all of it is there.
-pub fn whole<T: DeserializeOwned>(whole: &str, shared: &impl Shared) -> Option<T> {
+pub fn whole<T: DeserializeOwned>(whole: &str, shared: &impl ReplicatedStore) -> Option<T> {
     let head: Head = shared.get(whole)?;
     join(&head, |piece| shared.get(&key(whole, piece)))
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -59,13 +59,13 @@
     bounds: Bounds,
     invariants: Invariants,
     #[serde(default)]
-    customers: Vec<Customer>,
+    customers: Vec<CustomerSetting>,
     #[serde(default)]
     extra: Extra,
 }
 
 #[derive(Deserialize)]
-struct Customer {
+struct CustomerSetting {
     name: String,
     #[serde(default)]
     share: Amount,
@@ -156,27 +156,41 @@
     Some(bounds.iter().sum()).filter(|all| *all > 0.0)
 }
 
+/// What a request class is owed.
+pub struct ClassPriority {
+    /// Time within which a connection should be established.
+    pub connect_latency_objective: Option<Duration>,
+    /// Worth of one second, relative to the other classes.
+    pub priority_weight: f64,
+}
+
+/// A customer and its share.
+pub struct Customer {
+    pub name: String,
+    pub share: f64,
+}
+
 /// A proxy's settings, read.
 pub struct Settings {
     pub balancer: LoadBalancer,
     /// The request classes' names in their order.
     pub classes: Vec<String>,
     /// What each is owed, in the same order: the time within which a connection should stand, and a second's priority weight.
-    pub owed: Vec<(Option<Duration>, f64)>,
+    pub class_priorities: Vec<ClassPriority>,
     /// The customers' names and shares.
-    pub customers: Vec<(String, f64)>,
+    pub customers: Vec<Customer>,
     /// How long a server takes to be warm.
     pub slow_start: Duration,
     /// The longest that a client stays away when told to.
-    pub most_pause: Duration,
+    pub max_retry_after: Duration,
     /// The longest that any client waits for its connection; none where a request class does not tell.
-    pub longest_request_timeout: Option<Duration>,
+    pub max_request_timeout: Option<Duration>,
     /// A connection that is not established within this has failed; none where the settings leave it open.
-    pub dial_time_out: Option<Duration>,
+    pub dial_timeout: Option<Duration>,
     /// The list is pushed: what its service has counts as told, whether or not it was heard.
     pub list_is_pushed: bool,
     /// Servers tell by themselves how long messages take.
-    pub tells_delay: bool,
+    pub servers_report_latency: bool,
     /// Probes are allowed.
     pub health_checks_allowed: bool,
 }
@@ -205,10 +219,11 @@
         Discovery::Automatic => None,
         Discovery::Subscribe => Some(Duration::from_ms(invariants.must_ask_in_ms.0)),
     };
-    let owed = classes.iter().map(|class| {
-        (class.connect_latency_objective_ms.map(|l| Duration::from_ms(l.0)), class.priority_weight.0)
+    let class_priorities = classes.iter().map(|class| ClassPriority {
+        connect_latency_objective: class.connect_latency_objective_ms.map(|l| Duration::from_ms(l.0)),
+        priority_weight: class.priority_weight.0,
     });
-    let owed = owed.collect();
+    let class_priorities = class_priorities.collect();
     let request_timeout =
         classes.iter().map(|class| class.request_timeout_ms.map(|p| Duration::from_ms(p.0)));
     let longest_request_timeout =
@@ -238,14 +253,14 @@
     Ok(Settings {
         balancer,
         classes: classes.into_iter().map(|o| o.name).collect(),
-        owed,
-        customers: customers.into_iter().map(|c| (c.name, c.share.0)).collect(),
+        class_priorities,
+        customers: customers.into_iter().map(|c| Customer { name: c.name, share: c.share.0 }).collect(),
         slow_start: span,
-        most_pause,
-        longest_request_timeout,
-        dial_time_out: Some(bounds.dial_timeout_ms.0).filter(|ms| *ms > 0.0).map(Duration::from_ms),
+        max_retry_after: most_pause,
+        max_request_timeout: longest_request_timeout,
+        dial_timeout: Some(bounds.dial_timeout_ms.0).filter(|ms| *ms > 0.0).map(Duration::from_ms),
         list_is_pushed: must_ask_in.is_none(),
-        tells_delay: extra.tells_delay,
+        servers_report_latency: extra.tells_delay,
         health_checks_allowed: bounds.probes,
     })
 }
--- a/crates/settings/tests/unit/lib.rs
+++ b/crates/settings/tests/unit/lib.rs
@@ -53,7 +53,7 @@
 #[test]
 fn settings_that_do_not_tell_of_proxies_probes_or_notes_are_taken_cautiously() {
     let settings = settings("", "8600").expect("enough to begin with");
-    assert!(!settings.health_checks_allowed && !settings.tells_delay);
+    assert!(!settings.health_checks_allowed && !settings.servers_report_latency);
     // A first call for the list is as late as in a large fleet: some of thirty wait over two seconds.
     let late = |seed: u64| {
         let mut host = Alarms::default();
