--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -14,13 +14,14 @@
 mod roster;
 mod swim;
 
-pub use packet::{PacketError, LONGEST};
-pub use quota_leases::{QuotaLeases, LEASE, RENEW};
-pub use replicated_map::{Entry, Map, Merged, Version, LONGEST_KEY, LONGEST_VALUE};
+pub use packet::{PacketError, MAX_DATAGRAM_BYTES};
+pub use quota_leases::LEASE_DURATION;
+pub use replicated_map::{Entry, MergeOutcome, ReplicatedMap, Version, MAX_KEY_BYTES, MAX_VALUE_BYTES};
 pub use roster::{rank, Incarnation, MemberId, Roster, RosterError};
 
 use clock_skew::Skew;
 use packet::{Message, Packet};
+use quota_leases::{QuotaLeases, RENEW_INTERVAL};
 use serde::{de::DeserializeOwned, Serialize};
 use shelfgrade::time::{DurationExt, Timestamp};
 use std::cell::RefCell;
@@ -29,7 +30,7 @@
 use swim::{Known, Swim, SwimEvents};
 
 /// How many entries the map holds: some thousands of servers, with room for what customers and sites have.
-pub const MOST_ENTRIES: usize = 8192;
+pub const MAX_ENTRIES: usize = 8192;
 
 /// What the fleet's core asks of whoever carries it out, and tells.
 pub trait Environment {
@@ -46,7 +47,7 @@
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum PutError {
     #[error(
-        "{key}: {length} bytes where {LONGEST_VALUE} are the most: shorten it, or split it over several keys"
+        "{key}: {length} bytes where {MAX_VALUE_BYTES} are the most: shorten it, or split it over several keys"
     )]
     TooLong { key: String, length: usize },
     #[error("{0}: the map is full: delete what is no longer used")]
@@ -104,7 +105,7 @@
     /// `born`: microseconds of Unix time, or more where an earlier life of this process is known to have had more.
     pub fn new(roster: Roster, started_at: u64, seed: u64, now: Timestamp) -> Self {
         let me = Incarnation { member: roster.me(), started_at };
-        let map = Map::new(MOST_ENTRIES);
+        let map = ReplicatedMap::new(MAX_ENTRIES);
         let known = Rc::new(RefCell::new(Known { map, fresh: Vec::new(), over_bound: 0 }));
         Fleet {
             swim: Swim::new(me, &roster, known.clone(), seed, now),
@@ -195,7 +196,7 @@
         environment: &mut dyn Environment,
     ) -> Result<(), PutError> {
         let value = postcard::to_stdvec(value).unwrap_or_default();
-        if value.len() > LONGEST_VALUE || key.len() > LONGEST_KEY {
+        if value.len() > MAX_VALUE_BYTES || key.len() > MAX_KEY_BYTES {
             return Err(PutError::TooLong { key: key.to_owned(), length: value.len() });
         }
         self.write(
@@ -214,13 +215,13 @@
     fn write(&mut self, entry: Entry, environment: &mut dyn Environment) -> Result<(), PutError> {
         let merged = self.known.borrow_mut().map.merge(entry.clone());
         match merged {
-            Merged::News => {
+            MergeOutcome::Applied => {
                 self.swim.spread(&entry);
                 environment.entry_changed(&entry);
                 Ok(())
             }
-            Merged::Known => Ok(()),
-            Merged::OverBound => Err(PutError::Full(entry.key)),
+            MergeOutcome::Stale => Ok(()),
+            MergeOutcome::Rejected => Err(PutError::Full(entry.key)),
         }
     }
 
@@ -327,7 +328,7 @@
             }
         }
         if now >= self.next_ask {
-            self.next_ask = now + RENEW;
+            self.next_ask = now + RENEW_INTERVAL;
             for (witness, message) in self.quota_leases.ask(self.swim.alive(), now) {
                 match message {
                     Message::Ask { number, units, releases } if witness == self.me.member => {
--- a/crates/fleet/src/packet.rs
+++ b/crates/fleet/src/packet.rs
@@ -6,7 +6,7 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// The longest datagram, in bytes: under what any network carries whole.
-pub const LONGEST: usize = 1400;
+pub const MAX_DATAGRAM_BYTES: usize = 1400;
 /// The format's number, part of the tag: other ones are another fleet's.
 const FORMAT: u64 = 1;
 
@@ -56,9 +56,9 @@
     #[error("damaged on its way: see the network between the processes")]
     Damaged,
     #[error("not to be read: see that all processes run one version")]
-    Unreadable,
+    Malformed,
     #[error("from a seat that the roster does not have: see that all processes have one list of fellows")]
-    Stranger,
+    UnknownMember,
 }
 
 fn tag(roster: &Roster) -> u64 {
@@ -75,7 +75,7 @@
 
 pub fn read(roster: &Roster, bytes: &[u8]) -> Result<Packet, PacketError> {
     let number = |at: usize| bytes.get(at..at + 8).and_then(|b| b.try_into().ok()).map(u64::from_le_bytes);
-    let (Some(fleet), Some(check)) = (number(0), number(8)) else { return Err(PacketError::Unreadable) };
+    let (Some(fleet), Some(check)) = (number(0), number(8)) else { return Err(PacketError::Malformed) };
     if fleet != tag(roster) {
         return Err(PacketError::Foreign);
     }
@@ -83,13 +83,13 @@
     if check != xxh3_64_with_seed(body, fleet) {
         return Err(PacketError::Damaged);
     }
-    let (packet, rest): (Packet, _) = postcard::take_from_bytes(body).map_err(|_| PacketError::Unreadable)?;
+    let (packet, rest): (Packet, _) = postcard::take_from_bytes(body).map_err(|_| PacketError::Malformed)?;
     if !rest.is_empty() {
-        return Err(PacketError::Unreadable);
+        return Err(PacketError::Malformed);
     }
     match roster.name(packet.from.member) {
         Some(_) => Ok(packet),
-        None => Err(PacketError::Stranger),
+        None => Err(PacketError::UnknownMember),
     }
 }
 
--- a/crates/fleet/src/quota_leases.rs
+++ b/crates/fleet/src/quota_leases.rs
@@ -20,11 +20,11 @@
 
 /// How long a unit is held without another word: four askings, so that losing three in a row costs nothing. It is also how
 /// long a fleet has its floors alone after a loss of power: with four seconds service took one and a half longer.
-pub const LEASE: Duration = Duration::from_millis(2000);
+pub const LEASE_DURATION: Duration = Duration::from_millis(2000);
 /// What a witness waits beyond that: clocks of two machines do not run apart by a twentieth.
 const MORE: f64 = 1.05;
 /// How often leases are asked for anew.
-pub const RENEW: Duration = Duration::from_millis(500);
+pub const RENEW_INTERVAL: Duration = Duration::from_millis(500);
 /// Of how many one is enough to lose two.
 const WITNESSES: usize = 5;
 /// How many units one process asks for: what it sends does not grow with what is dead.
@@ -116,7 +116,7 @@
 
     fn holds(&self, unit: u16, claim: &Claim, now: Timestamp) -> bool {
         let majority = self.witnesses(unit).len() / 2 + 1;
-        claim.granted.values().filter(|asked| now < **asked + LEASE).count() >= majority
+        claim.granted.values().filter(|asked| now < **asked + LEASE_DURATION).count() >= majority
     }
 
     /// Asks for the units that this process should hold, as far as it sees who is `alive`, itself included; the
@@ -169,7 +169,7 @@
                 self.held_by.remove(unit);
             }
         }
-        let long = LEASE.scaled(MORE);
+        let long = LEASE_DURATION.scaled(MORE);
         if now < self.began + long {
             return Vec::new();
         }
--- a/crates/fleet/src/replicated_map.rs
+++ b/crates/fleet/src/replicated_map.rs
@@ -12,8 +12,8 @@
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
 /// The longest key and value, in bytes: an entry has to fit in one datagram with what is round it.
-pub const LONGEST_KEY: usize = 96;
-pub const LONGEST_VALUE: usize = 900;
+pub const MAX_KEY_BYTES: usize = 96;
+pub const MAX_VALUE_BYTES: usize = 900;
 /// How many parts of the map are compared by themselves.
 pub const BUCKETS: usize = 64;
 /// Counts beyond this are none that anybody reached by counting.
@@ -39,10 +39,10 @@
 
 /// What became of an entry that was merged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Merged {
-    News,
-    Known,
-    OverBound,
+pub enum MergeOutcome {
+    Applied,
+    Stale,
+    Rejected,
 }
 
 impl Entry {
@@ -54,8 +54,8 @@
     }
 
     pub fn fits(&self) -> bool {
-        self.key.len() <= LONGEST_KEY
-            && self.value.as_ref().is_none_or(|value| value.len() <= LONGEST_VALUE)
+        self.key.len() <= MAX_KEY_BYTES
+            && self.value.as_ref().is_none_or(|value| value.len() <= MAX_VALUE_BYTES)
             && self.version.count <= MOST_COUNT
     }
 }
@@ -69,7 +69,7 @@
     (place(key) as usize) % BUCKETS
 }
 
-pub struct Map {
+pub struct ReplicatedMap {
     entries: BTreeMap<Rc<str>, Entry>,
     /// The keys by the hashes that decide who stays.
     places: BTreeSet<(u64, Rc<str>)>,
@@ -79,10 +79,10 @@
     most: usize,
 }
 
-impl Map {
+impl ReplicatedMap {
     /// `most`: how many entries it holds, deleted ones included.
     pub fn new(most: usize) -> Self {
-        Map {
+        ReplicatedMap {
             entries: BTreeMap::new(),
             places: BTreeSet::new(),
             parts: std::array::from_fn(|_| BTreeSet::new()),
@@ -126,18 +126,18 @@
         found
     }
 
-    pub fn merge(&mut self, entry: Entry) -> Merged {
+    pub fn merge(&mut self, entry: Entry) -> MergeOutcome {
         if !entry.fits() {
-            return Merged::OverBound;
+            return MergeOutcome::Rejected;
         }
         if let Some(held) = self.entries.get(entry.key.as_str()) {
             if (held.version, &held.value, held.owner) >= (entry.version, &entry.value, entry.owner) {
-                return Merged::Known;
+                return MergeOutcome::Stale;
             }
         } else if self.entries.len() >= self.most {
             let last = self.places.last().cloned();
             let Some(last) = last.filter(|last| (place(&entry.key), &*entry.key) < (last.0, &*last.1)) else {
-                return Merged::OverBound;
+                return MergeOutcome::Rejected;
             };
             self.forget(&last.1);
         }
@@ -147,7 +147,7 @@
         self.places.insert((place(&key), key.clone()));
         self.parts[bucket(&key)].insert(key.clone());
         self.entries.insert(key, entry);
-        Merged::News
+        MergeOutcome::Applied
     }
 
     fn forget(&mut self, key: &str) {
--- a/crates/fleet/src/roster.rs
+++ b/crates/fleet/src/roster.rs
@@ -21,17 +21,17 @@
 pub enum RosterError {
     #[error("no fellow is named: name every process of the fleet, this one included")]
     Empty,
-    #[error("{0} fellows: a fleet has {MOST} at most; split it in two")]
+    #[error("{0} fellows: a fleet has {MAX_MEMBERS} at most; split it in two")]
     TooMany(usize),
     #[error("{0} is named twice: give each process a name of its own")]
-    Twice(String),
+    DuplicateName(String),
     #[error("this process, {0}, is not among the fellows: add it, at every process")]
-    NotMe(String),
+    LocalNameMissing(String),
 }
 
 /// As many as members of two bytes and the trials at size go up to. Each costs a process about 150 bytes of memory, measured
 /// from 100 to 3,800 with nothing shared but who is there; what it sends at rest is bounded (`docs/fleet.md`, Figures).
-pub const MOST: usize = 4096;
+pub const MAX_MEMBERS: usize = 4096;
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Roster {
@@ -55,22 +55,22 @@
         if names.is_empty() {
             return Err(RosterError::Empty);
         }
-        if names.len() > MOST {
+        if names.len() > MAX_MEMBERS {
             return Err(RosterError::TooMany(names.len()));
         }
         if let Some(twice) = names.windows(2).find(|pair| pair[0] == pair[1]) {
-            return Err(RosterError::Twice(twice[0].clone()));
+            return Err(RosterError::DuplicateName(twice[0].clone()));
         }
         let tag =
             names.iter().fold(xxh3_64(fleet.as_bytes()), |tag, name| xxh3_64_with_seed(name.as_bytes(), tag));
         let shared = Shared { fleet: fleet.to_owned(), names, tag };
-        Roster { shared: Arc::new(shared), me: MemberId(0) }.seen_by(me)
+        Roster { shared: Arc::new(shared), me: MemberId(0) }.with_local_member(me)
     }
 
     /// The same roster at another of its processes, in one copy where both are in one program.
-    pub fn seen_by(&self, me: &str) -> Result<Self, RosterError> {
+    pub fn with_local_member(&self, me: &str) -> Result<Self, RosterError> {
         let member = self.shared.names.binary_search_by(|name| name.as_str().cmp(me));
-        let member = member.map_err(|_| RosterError::NotMe(me.to_owned()))?;
+        let member = member.map_err(|_| RosterError::LocalNameMissing(me.to_owned()))?;
         Ok(Roster { shared: self.shared.clone(), me: MemberId(member as u16) })
     }
 
--- a/crates/fleet/src/swim.rs
+++ b/crates/fleet/src/swim.rs
@@ -1,7 +1,7 @@
 //! Who is there: SWIM with suspicion, by the library `foca`, which does no I/O; rumours of entries ride on its messages.
 
 use crate::membership_filter::{self, Incarnations};
-use crate::replicated_map::{Entry, Map, Merged, Version};
+use crate::replicated_map::{Entry, MergeOutcome, ReplicatedMap, Version};
 use crate::roster::{missing, Incarnation, MemberId, Roster};
 use foca::{
     AccumulatingRuntime, BroadcastHandler, Config, Foca, Identity, Invalidates, OwnedNotification,
@@ -54,7 +54,7 @@
 
 /// The map, and what has changed in it since that was last told.
 pub struct Known {
-    pub map: Map,
+    pub map: ReplicatedMap,
     pub fresh: Vec<Entry>,
     pub over_bound: u64,
 }
@@ -63,11 +63,11 @@
     pub fn merge(&mut self, entry: Entry) -> bool {
         let merged = self.map.merge(entry.clone());
         match merged {
-            Merged::News => self.fresh.push(entry),
-            Merged::OverBound => self.over_bound += 1,
-            Merged::Known => {}
+            MergeOutcome::Applied => self.fresh.push(entry),
+            MergeOutcome::Rejected => self.over_bound += 1,
+            MergeOutcome::Stale => {}
         }
-        merged == Merged::News
+        merged == MergeOutcome::Applied
     }
 }
 
--- a/crates/fleet/tests/unit/quota_leases.rs
+++ b/crates/fleet/tests/unit/quota_leases.rs
@@ -50,7 +50,7 @@
     asks(&mut all, heir, &[1, 2], &[heir, other], soon);
     let units = all[heir].claims.keys().filter(|unit| all[heir].holds(**unit, &all[heir].claims[unit], soon));
     assert!(!units.collect::<Vec<_>>().contains(&&0), "the first one may still use it");
-    let later = now + LEASE.scaled(3.0);
+    let later = now + LEASE_DURATION.scaled(3.0);
     asks(&mut all, heir, &[1, 2], &[heir, other], later);
     assert!(all[heir].holds(0, &all[heir].claims[&0], later) && all[0].quota_fraction(later) == HALF);
 }
--- a/crates/fleet/tests/unit/roster.rs
+++ b/crates/fleet/tests/unit/roster.rs
@@ -9,6 +9,6 @@
     assert_eq!((one.tag(), one.me(), other.me()), (other.tag(), MemberId(2), MemberId(0)));
     assert_ne!(one.tag(), of(&["a", "b"], "a").unwrap().tag());
     assert_eq!(of(&[], "a"), Err(RosterError::Empty));
-    assert_eq!(of(&["a", "b", "a"], "a"), Err(RosterError::Twice("a".into())));
-    assert_eq!(of(&["a", "b"], "c"), Err(RosterError::NotMe("c".into())));
+    assert_eq!(of(&["a", "b", "a"], "a"), Err(RosterError::DuplicateName("a".into())));
+    assert_eq!(of(&["a", "b"], "c"), Err(RosterError::LocalNameMissing("c".into())));
 }
--- a/crates/proxy/src/fleet/peers.rs
+++ b/crates/proxy/src/fleet/peers.rs
@@ -13,11 +13,10 @@
 use shelfgrade::host::Turn;
 use shelfgrade::time::Timestamp;
 use shelfgrade_fleet::{Entry, Environment, MemberId, PutError, Version};
-use shelfgrade_recovery::admission::State;
-use shelfgrade_recovery::environment::{EndpointAddress, RecoveryEnvironment, RecoverySettings};
-use shelfgrade_recovery::node::Node;
-use shelfgrade_recovery::restore::{ServerRecord, HEARTBEAT_PREFIX, LIST_KEY, SERVER_PREFIX};
-use shelfgrade_recovery::snapshot;
+use shelfgrade_recovery::{
+    snapshot, ClockReading, EndpointAddress, Node, RecoveryEnvironment, RecoverySettings, RecoveryState,
+    Requester, ServerRecord, HEARTBEAT_PREFIX, LIST_KEY, SERVER_PREFIX,
+};
 use std::cell::{Cell, RefCell};
 use std::net::{SocketAddr, UdpSocket};
 use std::path::PathBuf;
@@ -27,7 +26,7 @@
 pub trait PeerEvents: EventLoopOwner {
     fn apply_endpoints(&mut self, lines: Vec<EndpointAddress>, whole: bool);
     fn set_polling(&mut self, watches: bool);
-    fn state_changed(&mut self, state: State);
+    fn state_changed(&mut self, state: RecoveryState);
     fn restore_flow(&mut self, remembered: &FlowEntry);
     /// Discovery's list was not gone by: all of it is to be asked for again, after a while.
     fn list_rejected(&mut self);
@@ -105,7 +104,7 @@
         );
         self.tell(move |events| events.set_polling(watches));
     }
-    fn state_changed(&mut self, state: State, why: &str) {
+    fn state_changed(&mut self, state: RecoveryState, why: &str) {
         log::info!("return: {}; {why}", state.name());
         self.tell(move |events| events.state_changed(state));
     }
@@ -135,12 +134,12 @@
         socket.set_nonblocking(true).map_err(bind)?;
         let name = file.roster.name(file.roster.me()).unwrap_or_default();
         let found = file.state_dir.as_deref().map(disk::read).unwrap_or_default();
-        let (before, errors) = snapshot::newest(&found, file.roster.fleet(), name);
-        for (generation, error) in errors {
-            log::warn!("snapshot {generation}: {error}");
+        let loaded = snapshot::select_newest(&found, file.roster.fleet(), name);
+        for rejected in loaded.rejected {
+            log::warn!("snapshot {}: {}", rejected.generation, rejected.error);
         }
         let now = events.now();
-        let mut core = Node::new(file.roster.clone(), settings, before, seed, (now, wall_ms(now)));
+        let mut core = Node::new(file.roster.clone(), settings, loaded.newest, seed, clock(now));
         core.add_known_endpoints(known.into_iter(), now);
         log::info!(
             "return: {}; one of {} in {}",
@@ -172,13 +171,13 @@
     fn ready(self: &Rc<Self>, events: &mut C) {
         // Guards against a storm of datagrams starving the clients.
         const AT_ONCE: usize = 64;
-        let mut datagram = [0; shelfgrade_fleet::LONGEST];
+        let mut datagram = [0; shelfgrade_fleet::MAX_DATAGRAM_BYTES];
         for _ in 0..AT_ONCE {
             let Ok((length, from)) = self.socket.recv_from(&mut datagram) else { break };
             if self.knows(from) {
                 let now = events.now();
                 let mut core = self.core.borrow_mut();
-                core.on_datagram(&datagram[..length], (now, wall_ms(now)), &mut Out { peers: self });
+                core.on_datagram(&datagram[..length], clock(now), &mut Out { peers: self });
             } else {
                 events.warn("fleet datagrams from unknown addresses");
             }
@@ -192,7 +191,7 @@
 
     fn on_timer(self: &Rc<Self>, events: &mut C) {
         let now = events.now();
-        self.core.borrow_mut().on_timer((now, wall_ms(now)), &mut Out { peers: self });
+        self.core.borrow_mut().on_timer(clock(now), &mut Out { peers: self });
         self.save(now, events);
         self.settle(events);
     }
@@ -237,7 +236,7 @@
     fn bytes(&self, now: Timestamp, events: &C) -> (u64, Vec<u8>) {
         let held = events.flow_entries().into_iter().map(|held| (held.key, held.server));
         let saved = self.core.borrow_mut().snapshot(held, wall_ms(now));
-        (saved.number, snapshot::write(&saved))
+        (saved.sequence, snapshot::encode(&saved))
     }
 
     /// Discovery has told a list; whether it was taken.
@@ -257,15 +256,10 @@
 
     /// A session has come: what it is owed. Guards against parts of the fleet's rights that ran out while this process
     /// was stopped: they are asked for again with each.
-    pub fn admission_turn(
-        &self,
-        of: (Option<usize>, Option<usize>),
-        key: u64,
-        events: &mut C,
-    ) -> Option<Turn> {
+    pub fn admission_turn(&self, requester: Requester, key: u64, events: &mut C) -> Option<Turn> {
         let now = events.now();
         events.set_quota_fraction(self.core.borrow().quota_fraction(now));
-        self.core.borrow_mut().admission_turn(of, key, now)
+        self.core.borrow_mut().admission_turn(requester, key, now)
     }
 
     /// The value under a key of what all share.
@@ -308,7 +302,7 @@
         self.core.borrow_mut().record_admission();
     }
 
-    pub fn state(&self) -> State {
+    pub fn state(&self) -> RecoveryState {
         self.core.borrow().state()
     }
 
@@ -332,7 +326,7 @@
     /// This process ends: its fellows hear of it, and the disk has all.
     pub fn leave(&self, events: &C) {
         let now = events.now();
-        self.core.borrow_mut().leave((now, wall_ms(now)), &mut Out { peers: self });
+        self.core.borrow_mut().leave(clock(now), &mut Out { peers: self });
         if let Some(disk) = self.disk.borrow_mut().take() {
             let (number, bytes) = self.bytes(now, events);
             disk.end(number, bytes);
@@ -340,6 +334,10 @@
     }
 }
 
+fn clock(now: Timestamp) -> ClockReading {
+    ClockReading { now, wall_ms: wall_ms(now) }
+}
+
 /// This machine's Unix time, which the loop's clock was set by.
 fn wall_ms(now: Timestamp) -> u64 {
     now.as_ms() as u64
--- a/crates/proxy/src/fleet/recovery.rs
+++ b/crates/proxy/src/fleet/recovery.rs
@@ -10,9 +10,9 @@
 use serde::{de::DeserializeOwned, Serialize};
 use shelfgrade::handover::FlowEntry;
 use shelfgrade::host::{Endpoint, EndpointState, Host, ServerId, Turn};
-use shelfgrade_recovery::admission::{ClassPriority, State};
-use shelfgrade_recovery::environment::{EndpointAddress, RecoverySettings};
-use shelfgrade_recovery::restore::{self, ServerRecord};
+use shelfgrade_recovery::{
+    ClassPriority, EndpointAddress, RecoverySettings, RecoveryState, Requester, ServerHealth, ServerRecord,
+};
 use shelfgrade_settings::Settings;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -29,10 +29,10 @@
     });
     RecoverySettings {
         classes: owed.collect(),
-        shares: settings.customers.iter().map(|(_, share)| *share).collect(),
-        wait: file.list_wait,
+        customer_shares: settings.customers.iter().map(|(_, share)| *share).collect(),
+        list_wait: file.list_wait,
         slow_start: settings.slow_start,
-        most_pause: settings.most_pause,
+        max_retry_after: settings.most_pause,
     }
 }
 
@@ -42,10 +42,10 @@
             self.fleet_endpoints.clear();
         }
         for line in &lines {
-            self.fleet_endpoints.insert(line.endpoint.server.clone(), (line.endpoint.clone(), line.dial));
+            self.fleet_endpoints.insert(line.endpoint.server.clone(), (line.endpoint.clone(), line.address));
         }
         self.look_at_windows();
-        self.go_by_lines(lines.iter().map(|line| (line.endpoint.clone(), line.dial)).collect(), whole);
+        self.go_by_lines(lines.iter().map(|line| (line.endpoint.clone(), line.address)).collect(), whole);
         self.fleet_endpoints.retain(|_, (line, _)| line.state != EndpointState::Removed);
         self.namespaces.follow(self.balancer.list());
         let live = self.balancer.customers();
@@ -64,7 +64,7 @@
         }
     }
 
-    fn state_changed(&mut self, _: State) {
+    fn state_changed(&mut self, _: RecoveryState) {
         self.executor.list_heard.set(true);
         self.list_is_here();
     }
@@ -131,7 +131,8 @@
         let peers = self.peers.clone()?;
         let opening = &session.opening;
         let customer = opening.customer.as_ref().and_then(|t| self.customers.iter().position(|c| c == t));
-        peers.admission_turn((Some(opening.class), customer), xxh3_64(opening.key.as_bytes()), self)
+        let requester = Requester { class: Some(opening.class), customer };
+        peers.admission_turn(requester, xxh3_64(opening.key.as_bytes()), self)
     }
 
     /// Begins to be one of several, where the environment names a file for that.
@@ -143,8 +144,11 @@
         seed: u64,
     ) -> Result<(), FleetError> {
         let dials = known.entries.iter().map(|entry| entry.dial);
-        let known =
-            known.lines().into_iter().zip(dials).map(|(endpoint, dial)| EndpointAddress { endpoint, dial });
+        let known = known
+            .lines()
+            .into_iter()
+            .zip(dials)
+            .map(|(endpoint, address)| EndpointAddress { endpoint, address });
         let peers = Peers::begin(file, settings, known.collect(), seed, self)?;
         self.namespaces = TenantNamespaces::new(peers.member());
         self.peers = Some(peers.clone());
@@ -233,15 +237,15 @@
 
 fn record(entry: &Entry) -> ServerRecord {
     ServerRecord {
-        dial: entry.dial,
-        site: entry.site.clone(),
+        address: entry.dial,
+        zone: entry.site.clone(),
         kind: entry.kind.clone(),
-        block: entry.block,
+        cell: entry.block,
         health: match entry.health {
-            Health::InService => restore::Health::InService,
-            Health::Terminating => restore::Health::Terminating,
-            Health::Terminated => restore::Health::Terminated,
+            Health::InService => ServerHealth::InService,
+            Health::Terminating => ServerHealth::Terminating,
+            Health::Terminated => ServerHealth::Terminated,
         },
-        born_ms: entry.born_ms,
+        started_ms: entry.born_ms,
     }
 }
--- a/crates/recovery/src/admission.rs
+++ b/crates/recovery/src/admission.rs
@@ -11,22 +11,22 @@
 
 /// The states of a return, in their order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum State {
+pub enum RecoveryState {
     /// The list has yet to be agreed, and a bound on the wait for it to pass.
-    Waiting,
+    AwaitingList,
     /// Servers are cold: sessions are let in as rooms come up.
-    Warming,
+    RampingUp,
     /// All as ever.
     Serving,
 }
 
-impl State {
+impl RecoveryState {
     /// As the log has it.
     pub fn name(self) -> &'static str {
         match self {
-            State::Waiting => "waiting for the list",
-            State::Warming => "letting clients in as servers warm up",
-            State::Serving => "serving",
+            RecoveryState::AwaitingList => "waiting for the list",
+            RecoveryState::RampingUp => "letting clients in as servers warm up",
+            RecoveryState::Serving => "serving",
         }
     }
 }
@@ -39,6 +39,15 @@
     pub priority_weight: f64,
 }
 
+/// Who sends a request, as far as admission distinguishes.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
+pub struct Requester {
+    /// The index of its request class in the settings.
+    pub class: Option<usize>,
+    /// The index of its customer in the settings.
+    pub customer: Option<usize>,
+}
+
 /// How long what came counts as the crowd: as long as the module's own.
 const CROWD: Duration = Duration::from_millis(2000);
 /// The most arrivals that are remembered.
@@ -55,13 +64,13 @@
 }
 
 pub struct RecoveryRamp {
-    state: State,
+    state: RecoveryState,
     until: Timestamp,
     classes: Vec<ClassPriority>,
     /// Shares of the customers, by their places in the settings.
     shares: Vec<f64>,
     slow_start: Duration,
-    most_pause: Duration,
+    max_retry_after: Duration,
     warm_at: Option<Timestamp>,
     /// When the first session came that might be let in.
     opened: Option<Timestamp>,
@@ -69,28 +78,28 @@
 }
 
 impl RecoveryRamp {
-    /// `wait`: how long the list is waited for. `slow_start`: how long a server takes to be warm. `most_pause`: the longest
+    /// `wait`: how long the list is waited for. `slow_start`: how long a server takes to be warm. `max_retry_after`: the longest
     /// that a client stays away when told to.
     pub fn new(
         classes: Vec<ClassPriority>,
         shares: Vec<f64>,
-        (wait, slow_start, most_pause): (Duration, Duration, Duration),
+        (wait, slow_start, max_retry_after): (Duration, Duration, Duration),
         now: Timestamp,
     ) -> Self {
         RecoveryRamp {
-            state: State::Waiting,
+            state: RecoveryState::AwaitingList,
             until: now + wait,
             classes,
             shares,
             slow_start,
-            most_pause,
+            max_retry_after,
             warm_at: None,
             opened: None,
             came: VecDeque::new(),
         }
     }
 
-    pub fn state(&self) -> State {
+    pub fn state(&self) -> RecoveryState {
         self.state
     }
 
@@ -98,19 +107,19 @@
     pub fn list_is_here(&mut self, starts: impl Iterator<Item = Option<Timestamp>>, now: Timestamp) {
         let warm = starts.flatten().map(|start| start + self.slow_start).filter(|warm| *warm > now);
         self.warm_at = warm.max();
-        self.state = if self.warm_at.is_some() { State::Warming } else { State::Serving };
+        self.state = if self.warm_at.is_some() { RecoveryState::RampingUp } else { RecoveryState::Serving };
     }
 
     /// True where the bound on the wait for the list has passed just now, and what is known has to do.
     pub fn waited(&self, now: Timestamp) -> bool {
-        self.state == State::Waiting && now >= self.until
+        self.state == RecoveryState::AwaitingList && now >= self.until
     }
 
     /// Looks at the clock; true where the state has changed.
     pub fn on_timer(&mut self, now: Timestamp) -> bool {
-        let over = self.state == State::Warming && self.warm_at.is_none_or(|warm| now >= warm);
+        let over = self.state == RecoveryState::RampingUp && self.warm_at.is_none_or(|warm| now >= warm);
         if over {
-            self.state = State::Serving;
+            self.state = RecoveryState::Serving;
             self.came.clear();
         }
         over
@@ -120,19 +129,19 @@
     /// that are owed alike take turns; `luck` is from 0 to 1.
     pub fn admission_turn(
         &mut self,
-        (class, customer): (Option<usize>, Option<usize>),
+        Requester { class, customer }: Requester,
         key: u64,
         luck: f64,
         now: Timestamp,
     ) -> Option<Turn> {
         let past = self.came.iter().take_while(|came| now.since(came.at) > CROWD).count();
         self.came.drain(..past);
-        if self.state == State::Serving {
+        if self.state == RecoveryState::Serving {
             return None;
         }
         let before = match self.state {
             // Beyond the whole crowd: nobody is let in.
-            State::Waiting => 2.0,
+            RecoveryState::AwaitingList => 2.0,
             _ => {
                 // Guards against the first of a crowd being taken for all of it: what comes in the first moments stands
                 // for what comes in the whole of its time, and only as much of the room is given as of that has passed.
@@ -190,10 +199,10 @@
     fn again(&self, luck: f64, now: Timestamp) -> Duration {
         const LEAST: Duration = Duration::from_millis(100);
         let left = match self.state {
-            State::Waiting => self.until.since(now) + self.slow_start,
+            RecoveryState::AwaitingList => self.until.since(now) + self.slow_start,
             _ => self.warm_at.map_or(Duration::ZERO, |warm| warm.since(now)),
         };
-        LEAST + left.min(self.most_pause.scaled(0.95)).scaled(luck)
+        LEAST + left.min(self.max_retry_after.scaled(0.95)).scaled(luck)
     }
 }
 
--- a/crates/recovery/src/agreement.rs
+++ b/crates/recovery/src/agreement.rs
@@ -22,7 +22,16 @@
     pub epoch: u64,
     pub seq: u64,
     /// Versions and a digest of the list at each, the oldest first.
-    pub past: Vec<(u64, u32)>,
+    pub past: Vec<ListVersion>,
+}
+
+/// The digest of the list at one version of it.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
+pub struct ListVersion {
+    /// Discovery's version number.
+    pub seq: u64,
+    /// [`list_digest`](crate::list_digest) of the list.
+    pub digest: u32,
 }
 
 /// What a list is to the one held.
@@ -42,7 +51,7 @@
         if self.epoch == 0 {
             return ListVerdict::Anew;
         }
-        let then = self.past.iter().find(|past| past.0 == seq).map(|past| past.1);
+        let then = self.past.iter().find(|past| past.seq == seq).map(|past| past.digest);
         match then {
             _ if seq > self.seq => ListVerdict::Goes,
             Some(then) if then == digest && seq == self.seq => ListVerdict::Goes,
@@ -58,8 +67,8 @@
             self.past.clear();
         }
         self.seq = seq;
-        self.past.retain(|past| past.0 != seq);
-        self.past.push((seq, digest));
+        self.past.retain(|past| past.seq != seq);
+        self.past.push(ListVersion { seq, digest });
         self.past.drain(..self.past.len().saturating_sub(REMEMBERED));
     }
 
--- a/crates/recovery/src/environment.rs
+++ b/crates/recovery/src/environment.rs
@@ -1,15 +1,25 @@
 //! What a comeback is told at its start, and what it asks of the process round it.
 
-use crate::admission::{ClassPriority, State};
+use crate::admission::{ClassPriority, RecoveryState};
 use shelfgrade::host::Endpoint;
+use shelfgrade::time::Timestamp;
 use shelfgrade_fleet::{Entry, Environment, MemberId};
 use std::net::SocketAddr;
 use std::time::Duration;
 
+/// The two clocks of a process at one moment.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct ClockReading {
+    /// The event loop's clock, which timeouts go by.
+    pub now: Timestamp,
+    /// This machine's Unix time in milliseconds, uncorrected.
+    pub wall_ms: u64,
+}
+
 /// A line of the list to go by.
 pub struct EndpointAddress {
     pub endpoint: Endpoint,
-    pub dial: Option<SocketAddr>,
+    pub address: Option<SocketAddr>,
 }
 
 /// What the comeback asks of the process, beside what the fleet does.
@@ -19,7 +29,7 @@
     /// Watches discovery for all, or does not any longer.
     fn set_polling(&mut self, watches: bool);
     /// Another state of the return, and why.
-    fn state_changed(&mut self, state: State, why: &str);
+    fn state_changed(&mut self, state: RecoveryState, why: &str);
     /// A client key's connection was at this server, which started then, in Unix milliseconds; it may be remembered.
     fn restore_flow(&mut self, key: u64, server: &str, started_ms: f64);
     /// A list was not taken, and why.
@@ -30,11 +40,11 @@
 pub struct RecoverySettings {
     pub classes: Vec<ClassPriority>,
     /// Shares of the customers, by their places in the settings.
-    pub shares: Vec<f64>,
+    pub customer_shares: Vec<f64>,
     /// How long the list is waited for, how long a server warms up, and how long a client stays away at most.
-    pub wait: Duration,
+    pub list_wait: Duration,
     pub slow_start: Duration,
-    pub most_pause: Duration,
+    pub max_retry_after: Duration,
 }
 
 /// What the fleet told in one call.
--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -5,10 +5,17 @@
 //!
 //! `docs/recovery.md` has the table of every item and why it is trusted or not.
 
-pub mod admission;
-pub mod agreement;
-pub mod environment;
-pub mod node;
-pub mod poller_election;
-pub mod restore;
+mod admission;
+mod agreement;
+mod environment;
+mod node;
+mod poller_election;
+mod restore;
 pub mod snapshot;
+
+pub use admission::{ClassPriority, RecoveryState, Requester};
+pub use agreement::{ListHistory, ListVersion};
+pub use environment::{ClockReading, EndpointAddress, RecoveryEnvironment, RecoverySettings};
+pub use node::Node;
+pub use poller_election::Heartbeat;
+pub use restore::{list_digest, ServerHealth, ServerRecord, HEARTBEAT_PREFIX, LIST_KEY, SERVER_PREFIX};
--- a/crates/recovery/src/node.rs
+++ b/crates/recovery/src/node.rs
@@ -1,12 +1,14 @@
 //! A process among its fellows, from its start on: what it takes from before, the list that it agrees on with them, and
 //! when it serves.
 
-use crate::admission::{RecoveryRamp, State};
-use crate::agreement::{ListHistory, ListVerdict};
-use crate::environment::{EndpointAddress, EnvironmentRecorder, RecoveryEnvironment, RecoverySettings};
+use crate::admission::{RecoveryRamp, RecoveryState, Requester};
+use crate::agreement::{ListHistory, ListVerdict, ListVersion};
+use crate::environment::{
+    ClockReading, EndpointAddress, EnvironmentRecorder, RecoveryEnvironment, RecoverySettings,
+};
 use crate::poller_election::{Heartbeat, PollerElection};
 use crate::restore::{
-    digest, server, Health, Restored, ServerRecord, HEARTBEAT_PREFIX, LIST_KEY, SERVER_PREFIX,
+    list_digest, server, Restored, ServerHealth, ServerRecord, HEARTBEAT_PREFIX, LIST_KEY, SERVER_PREFIX,
 };
 use crate::snapshot::{HeldSession, Snapshot};
 use nanorand::{Rng, WyRand};
@@ -51,18 +53,18 @@
         settings: RecoverySettings,
         before: Option<Snapshot>,
         seed: u64,
-        (now, wall_ms): (Timestamp, u64),
+        ClockReading { now, wall_ms }: ClockReading,
     ) -> Self {
-        let saved = before.as_ref().map_or(0, |saved| saved.number);
+        let saved = before.as_ref().map_or(0, |saved| saved.sequence);
         let restored = before.map(|saved| Restored::from(saved, now));
         let started_at = restored.as_ref().map_or(0, |restored| restored.started_at).max(wall_ms * 1000);
         let election = PollerElection::new(roster.me(), roster.members(), roster.tag(), now);
-        let spans = (settings.wait, settings.slow_start, settings.most_pause);
+        let spans = (settings.list_wait, settings.slow_start, settings.max_retry_after);
         let mut comeback = Node {
             fleet: Fleet::new(roster, started_at, seed, now),
             election,
             counting: ListHistory::default(),
-            back: RecoveryRamp::new(settings.classes, settings.shares, spans, now),
+            back: RecoveryRamp::new(settings.classes, settings.customer_shares, spans, now),
             records: BTreeMap::new(),
             before: Default::default(),
             candidates: Vec::new(),
@@ -101,7 +103,7 @@
         &mut self.fleet
     }
 
-    pub fn state(&self) -> State {
+    pub fn state(&self) -> RecoveryState {
         self.back.state()
     }
 
@@ -112,8 +114,8 @@
     /// Servers that were known before, where nothing newer is: the start-up file's, as candidates beside the snapshot's.
     pub fn add_known_endpoints(&mut self, lines: impl Iterator<Item = EndpointAddress>, now: Timestamp) {
         let held: BTreeSet<_> = self.candidates.iter().map(|c| c.server.clone()).collect();
-        for EndpointAddress { endpoint, dial } in lines {
-            self.dials.extend(dial.map(|dial| (endpoint.server.clone(), dial)));
+        for EndpointAddress { endpoint, address } in lines {
+            self.dials.extend(address.map(|address| (endpoint.server.clone(), address)));
             if !held.contains(&endpoint.server) {
                 self.candidates.push(Endpoint { started: Some(now), ..endpoint });
             }
@@ -126,14 +128,9 @@
     }
 
     /// The turn of a session that has come, or none where all is as ever.
-    pub fn admission_turn(
-        &mut self,
-        of: (Option<usize>, Option<usize>),
-        key: u64,
-        now: Timestamp,
-    ) -> Option<Turn> {
+    pub fn admission_turn(&mut self, requester: Requester, key: u64, now: Timestamp) -> Option<Turn> {
         let luck = f64::from(self.chance.generate::<f32>());
-        self.back.admission_turn(of, key, luck, now)
+        self.back.admission_turn(requester, key, luck, now)
     }
 
     /// The session that came last was let in.
@@ -144,7 +141,7 @@
     pub fn on_datagram(
         &mut self,
         datagram: &[u8],
-        (now, wall_ms): (Timestamp, u64),
+        ClockReading { now, wall_ms }: ClockReading,
         environment: &mut dyn RecoveryEnvironment,
     ) {
         let mut heard = EnvironmentRecorder { environment, entries: Vec::new() };
@@ -157,7 +154,11 @@
         self.fleet.next_wakeup().min(self.next_heartbeat)
     }
 
-    pub fn on_timer(&mut self, (now, wall_ms): (Timestamp, u64), environment: &mut dyn RecoveryEnvironment) {
+    pub fn on_timer(
+        &mut self,
+        ClockReading { now, wall_ms }: ClockReading,
+        environment: &mut dyn RecoveryEnvironment,
+    ) {
         let mut heard = EnvironmentRecorder { environment, entries: Vec::new() };
         self.fleet.on_timer(now, wall_ms, &mut heard);
         let entries = heard.entries;
@@ -165,13 +166,14 @@
         if now < self.next_heartbeat {
             return;
         }
-        self.next_heartbeat = now + HEARTBEAT_INTERVALS[usize::from(self.back.state() == State::Serving)];
+        self.next_heartbeat =
+            now + HEARTBEAT_INTERVALS[usize::from(self.back.state() == RecoveryState::Serving)];
         self.look_at_the_pollers(now, environment);
         if self.back.waited(now) {
             self.go_by_what_was(now, environment);
         }
         if self.back.on_timer(now) {
-            environment.state_changed(State::Serving, "all servers are warm");
+            environment.state_changed(RecoveryState::Serving, "all servers are warm");
         }
         let corrected = self.fleet.clock_correction_ms();
         // Less is the network's delay.
@@ -212,10 +214,13 @@
     /// The wait for the list is over: the servers known from before have to do, all as cold.
     fn go_by_what_was(&mut self, now: Timestamp, environment: &mut dyn RecoveryEnvironment) {
         // Guards against servers that can be chosen and not be dialled: those that the start-up file alone knows.
-        let before = |line: &Endpoint| self.before.1.get(&*line.server).and_then(|record| record.dial);
+        let before = |line: &Endpoint| self.before.1.get(&*line.server).and_then(|record| record.address);
         let dial = |line: &Endpoint| before(line).or(self.dials.get(&line.server).copied());
-        let lines: Vec<_> =
-            self.candidates.iter().map(|c| EndpointAddress { dial: dial(c), endpoint: c.clone() }).collect();
+        let lines: Vec<_> = self
+            .candidates
+            .iter()
+            .map(|c| EndpointAddress { address: dial(c), endpoint: c.clone() })
+            .collect();
         let why =
             format!("no list in time; {} servers are known from before, and taken for cold", lines.len());
         self.back.list_is_here(lines.iter().map(|line| line.endpoint.started), now);
@@ -239,7 +244,7 @@
         }
         let mut next = if whole { BTreeMap::new() } else { self.records.clone() };
         next.extend(records);
-        let what = digest(next.iter().map(|(host, record)| (host.as_str(), record)));
+        let what = list_digest(next.iter().map(|(host, record)| (host.as_str(), record)));
         let told = if whole { self.counting.judge(seq, what) } else { ListVerdict::Goes };
         if told == ListVerdict::Older {
             let held = self.counting.seq;
@@ -252,7 +257,7 @@
         counting.took(told, seq, what);
         for (host, known) in self.records.iter().filter(|_| whole) {
             // Absent from a whole list: gone.
-            let gone = || ServerRecord { health: Health::Terminated, ..known.clone() };
+            let gone = || ServerRecord { health: ServerHealth::Terminated, ..known.clone() };
             next.entry(host.clone()).or_insert_with(gone);
         }
         if told == ListVerdict::Anew {
@@ -262,7 +267,7 @@
                 .collect();
             // What is known of servers may make another list of it.
             counting.past.clear();
-            counting.past.push((seq, what));
+            counting.past.push(ListVersion { seq, digest: what });
         }
         let version = Version { count: counting.stamp(seq), by: self.fleet.me().started_at };
         let mut heard = EnvironmentRecorder { environment, entries: Vec::new() };
@@ -355,7 +360,7 @@
         self.back.list_is_here(lines.iter().map(|line| line.endpoint.started), now);
         environment.apply_endpoints(lines, true);
         for (key, server, started_ms) in std::mem::take(&mut self.held) {
-            if self.records.get(&server).is_some_and(|record| record.born_ms == started_ms) {
+            if self.records.get(&server).is_some_and(|record| record.started_ms == started_ms) {
                 environment.restore_flow(key, &server, started_ms);
             }
         }
@@ -364,11 +369,11 @@
     }
 
     fn digest(&self) -> u32 {
-        digest(self.records.iter().map(|(host, record)| (host.as_str(), record)))
+        list_digest(self.records.iter().map(|(host, record)| (host.as_str(), record)))
     }
 
     fn lines(&self, now: Timestamp) -> Vec<EndpointAddress> {
-        let there = self.records.iter().filter(|(_, record)| record.health != Health::Terminated);
+        let there = self.records.iter().filter(|(_, record)| record.health != ServerHealth::Terminated);
         there.filter_map(|(host, _)| self.line(host, now)).collect()
     }
 
@@ -376,29 +381,33 @@
     /// cold servers for warm, one behind takes them for cold for an hour.
     fn line(&self, host: &str, now: Timestamp) -> Option<EndpointAddress> {
         let record = self.records.get(host)?;
-        let mine_ms = (record.born_ms - self.fleet.clock_correction_ms() as f64).max(1.0);
-        let started = (record.born_ms > 0.0).then(|| Timestamp::from_ms(mine_ms).min(now));
-        Some(EndpointAddress { endpoint: record.line(host, started), dial: record.dial })
+        let mine_ms = (record.started_ms - self.fleet.clock_correction_ms() as f64).max(1.0);
+        let started = (record.started_ms > 0.0).then(|| Timestamp::from_ms(mine_ms).min(now));
+        Some(EndpointAddress { endpoint: record.line(host, started), address: record.address })
     }
 
     /// What outlives this process; `held` are the mid-flow keys with their servers.
     pub fn snapshot(&mut self, held: impl Iterator<Item = (u64, String)>, wall_ms: u64) -> Snapshot {
         self.saved += 1;
-        let started_at = |server: &str| self.records.get(server).map(|record| record.born_ms);
+        let started_at = |server: &str| self.records.get(server).map(|record| record.started_ms);
         let held = held
             .filter_map(|(key, server)| Some(HeldSession { key, started_ms: started_at(&server)?, server }));
         Snapshot {
             fleet: self.fleet.roster().fleet().to_owned(),
             name: self.fleet.roster().name(self.fleet.me().member).unwrap_or_default().to_owned(),
-            number: self.saved,
-            at_ms: wall_ms,
+            sequence: self.saved,
+            written_at_ms: wall_ms,
             started_at: self.fleet.me().started_at,
             entries: self.fleet.entries(),
             held: held.collect(),
         }
     }
 
-    pub fn leave(&mut self, (now, wall_ms): (Timestamp, u64), environment: &mut dyn RecoveryEnvironment) {
+    pub fn leave(
+        &mut self,
+        ClockReading { now, wall_ms }: ClockReading,
+        environment: &mut dyn RecoveryEnvironment,
+    ) {
         self.fleet.leave(now, wall_ms, &mut EnvironmentRecorder { environment, entries: Vec::new() });
     }
 }
--- a/crates/recovery/src/restore.rs
+++ b/crates/recovery/src/restore.rs
@@ -16,29 +16,29 @@
 /// A line of the server list as all share it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ServerRecord {
-    pub dial: Option<SocketAddr>,
-    pub site: String,
+    pub address: Option<SocketAddr>,
+    pub zone: String,
     pub kind: String,
-    pub block: u64,
-    pub health: Health,
+    pub cell: u64,
+    pub health: ServerHealth,
     /// Unix time in milliseconds; 0 for long ago.
-    pub born_ms: f64,
+    pub started_ms: f64,
 }
 
 /// In the order in which a server goes through them in one life.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Health {
+pub enum ServerHealth {
     InService,
     Terminating,
     Terminated,
 }
 
-impl Health {
+impl ServerHealth {
     pub fn state(self) -> EndpointState {
         match self {
-            Health::InService => EndpointState::Active,
-            Health::Terminating => EndpointState::Draining,
-            Health::Terminated => EndpointState::Removed,
+            ServerHealth::InService => EndpointState::Active,
+            ServerHealth::Terminating => EndpointState::Draining,
+            ServerHealth::Terminated => EndpointState::Removed,
         }
     }
 }
@@ -47,7 +47,7 @@
     /// Where a new count of discovery's begins: what was known of this life of the server is not taken back by it.
     /// Guards against a draining server that looks new because discovery has forgotten.
     pub fn after(mut self, known: Option<&ServerRecord>) -> Self {
-        if let Some(known) = known.filter(|known| known.born_ms == self.born_ms) {
+        if let Some(known) = known.filter(|known| known.started_ms == self.started_ms) {
             self.health = self.health.max(known.health);
         }
         self
@@ -56,9 +56,9 @@
     pub fn line(&self, host: &str, started: Option<Timestamp>) -> Endpoint {
         Endpoint {
             server: host.into(),
-            zone: self.site.clone(),
+            zone: self.zone.clone(),
             kind: self.kind.clone(),
-            cell: self.block,
+            cell: self.cell,
             started,
             state: self.health.state(),
         }
@@ -72,8 +72,8 @@
 }
 
 /// One number for a whole list: the same where all lines are, in whatever order. What is gone counts as not there.
-pub fn digest<'a>(records: impl Iterator<Item = (&'a str, &'a ServerRecord)>) -> u32 {
-    let there = records.filter(|(_, record)| record.health != Health::Terminated);
+pub fn list_digest<'a>(records: impl Iterator<Item = (&'a str, &'a ServerRecord)>) -> u32 {
+    let there = records.filter(|(_, record)| record.health != ServerHealth::Terminated);
     let line = |(host, record): (&str, &ServerRecord)| {
         xxh3_64(&postcard::to_stdvec(&(host, record)).unwrap_or_default())
     };
@@ -97,7 +97,7 @@
     pub fn from(saved: Snapshot, now: Timestamp) -> Self {
         let record = |entry: &Entry| -> Option<Endpoint> {
             let (host, record) = server(entry)?;
-            Some(record.line(&host, Some(now))).filter(|_| record.health != Health::Terminated)
+            Some(record.line(&host, Some(now))).filter(|_| record.health != ServerHealth::Terminated)
         };
         Restored {
             candidates: saved.entries.iter().filter_map(record).collect(),
--- a/crates/recovery/src/snapshot.rs
+++ b/crates/recovery/src/snapshot.rs
@@ -20,9 +20,9 @@
     pub fleet: String,
     pub name: String,
     /// Counts up with each writing.
-    pub number: u64,
+    pub sequence: u64,
     /// Unix time by the clock of the machine that wrote it, in milliseconds; for the log, nothing is decided by it.
-    pub at_ms: u64,
+    pub written_at_ms: u64,
     /// The greatest number that a life of this process has had.
     pub started_at: u64,
     /// All that the fleet shares, deleted entries included.
@@ -49,20 +49,38 @@
     )]
     Torn { held: usize, wanted: usize },
     #[error("no snapshot: something else has this name; see that `state_dir` is this process's alone")]
-    NotOne,
+    NotASnapshot,
     #[error("damaged: its checksum does not match; see the disk. It is written anew")]
     Damaged,
     #[error(
         "of format {0}, where this program reads {FORMAT} at most: start the newer program, or go without it"
     )]
-    Newer(u16),
+    UnsupportedFormat(u16),
     #[error("of the fleet {0}: each fleet needs a `state_dir` of its own")]
-    Foreign(String),
+    OtherFleet(String),
     #[error("of the process {0}: a copied disk? Each process needs a `state_dir` of its own")]
-    Fellows(String),
+    OtherMember(String),
 }
 
-pub fn write(saved: &Snapshot) -> Vec<u8> {
+/// What the snapshot files of a process yield.
+#[derive(Debug, Default, PartialEq)]
+pub struct LoadedSnapshots {
+    /// The usable snapshot with the highest sequence number.
+    pub newest: Option<Snapshot>,
+    /// The files that cannot be used.
+    pub rejected: Vec<RejectedGeneration>,
+}
+
+/// A snapshot file that cannot be used.
+#[derive(Debug, PartialEq)]
+pub struct RejectedGeneration {
+    /// The index of the file, below [`GENERATIONS`].
+    pub generation: usize,
+    /// Why it is not used.
+    pub error: SnapshotError,
+}
+
+pub fn encode(saved: &Snapshot) -> Vec<u8> {
     // What is kept is made of numbers, texts and lists: it has no way to fail.
     let body = postcard::to_stdvec(saved).unwrap_or_default();
     let mut bytes = Vec::with_capacity(HEAD + body.len());
@@ -74,19 +92,19 @@
     bytes
 }
 
-pub fn read(bytes: &[u8], fleet: &str, name: &str) -> Result<Snapshot, SnapshotError> {
+pub fn decode(bytes: &[u8], fleet: &str, name: &str) -> Result<Snapshot, SnapshotError> {
     if bytes.is_empty() {
         return Err(SnapshotError::Empty);
     }
     let known = bytes.len().min(MAGIC.len());
     if bytes[..known] != MAGIC[..known] {
-        return Err(SnapshotError::NotOne);
+        return Err(SnapshotError::NotASnapshot);
     }
     let torn = |wanted| SnapshotError::Torn { held: bytes.len(), wanted };
     let Some((head, body)) = bytes.split_at_checked(HEAD) else { return Err(torn(HEAD)) };
     let format = u16::from_le_bytes([head[8], head[9]]);
     if format > FORMAT {
-        return Err(SnapshotError::Newer(format));
+        return Err(SnapshotError::UnsupportedFormat(format));
     }
     let length = head[10..18].try_into().map_or(u64::MAX, u64::from_le_bytes);
     let length = usize::try_from(length).unwrap_or(usize::MAX);
@@ -103,31 +121,29 @@
     }
     let saved: Snapshot = postcard::from_bytes(body).map_err(|_| SnapshotError::Damaged)?;
     if saved.fleet != fleet {
-        return Err(SnapshotError::Foreign(saved.fleet));
+        return Err(SnapshotError::OtherFleet(saved.fleet));
     }
     if saved.name != name {
-        return Err(SnapshotError::Fellows(saved.name));
+        return Err(SnapshotError::OtherMember(saved.name));
     }
     Ok(saved)
 }
 
 /// Of two generations the newer one that can be used, and what is wrong with the others; a file that is not there is
 /// no fault.
-pub fn newest(
-    files: &[Option<Vec<u8>>],
-    fleet: &str,
-    name: &str,
-) -> (Option<Snapshot>, Vec<(usize, SnapshotError)>) {
+pub fn select_newest(files: &[Option<Vec<u8>>], fleet: &str, name: &str) -> LoadedSnapshots {
     let mut best: Option<Snapshot> = None;
-    let mut errors = Vec::new();
+    let mut rejected = Vec::new();
     for (generation, bytes) in files.iter().enumerate().filter_map(|(i, bytes)| Some((i, bytes.as_ref()?))) {
-        match read(bytes, fleet, name) {
-            Ok(saved) if best.as_ref().is_none_or(|best| saved.number > best.number) => best = Some(saved),
+        match decode(bytes, fleet, name) {
+            Ok(saved) if best.as_ref().is_none_or(|best| saved.sequence > best.sequence) => {
+                best = Some(saved)
+            }
             Ok(_) => {}
-            Err(error) => errors.push((generation, error)),
+            Err(error) => rejected.push(RejectedGeneration { generation, error }),
         }
     }
-    (best, errors)
+    LoadedSnapshots { newest: best, rejected }
 }
 
 /// Which file a writing goes to: never the one that holds the last good state.
--- a/crates/recovery/tests/stored_bytes.rs
+++ b/crates/recovery/tests/stored_bytes.rs
@@ -4,10 +4,11 @@
 use recorded::{hex, Recorded};
 use serde::{de::DeserializeOwned, Serialize};
 use shelfgrade_fleet::{Entry, MemberId, Version};
-use shelfgrade_recovery::agreement::ListHistory;
-use shelfgrade_recovery::poller_election::Heartbeat;
-use shelfgrade_recovery::restore::{digest, Health, ServerRecord, HEARTBEAT_PREFIX, LIST_KEY, SERVER_PREFIX};
-use shelfgrade_recovery::snapshot::{read, write, HeldSession, Snapshot};
+use shelfgrade_recovery::snapshot::{decode, encode, HeldSession, Snapshot};
+use shelfgrade_recovery::{
+    list_digest, Heartbeat, ListHistory, ListVersion, ServerHealth, ServerRecord, HEARTBEAT_PREFIX, LIST_KEY,
+    SERVER_PREFIX,
+};
 use std::fmt::Debug;
 
 #[path = "../../../tests/support/recorded.rs"]
@@ -15,14 +16,14 @@
 
 const RECORDED: Recorded = Recorded(include_str!("fixtures/stored.hex"));
 
-fn record(health: Health, dial: Option<&str>) -> ServerRecord {
+fn record(health: ServerHealth, address: Option<&str>) -> ServerRecord {
     ServerRecord {
-        dial: dial.map(|dial| dial.parse().unwrap()),
-        site: "a".into(),
+        address: address.map(|address| address.parse().unwrap()),
+        zone: "a".into(),
         kind: "m2".into(),
-        block: 300,
+        cell: 300,
         health,
-        born_ms: 1_790_000_000_000.5,
+        started_ms: 1_790_000_000_000.5,
     }
 }
 
@@ -33,21 +34,28 @@
 
 #[test]
 fn entries_are_written_and_read_as_an_earlier_release_wrote_them() {
-    keeps("server in service", &record(Health::InService, Some("127.0.0.1:9001")));
-    keeps("server terminating", &record(Health::Terminating, Some("[::1]:9001")));
-    keeps("server terminated", &record(Health::Terminated, None));
+    keeps("server in service", &record(ServerHealth::InService, Some("127.0.0.1:9001")));
+    keeps("server terminating", &record(ServerHealth::Terminating, Some("[::1]:9001")));
+    keeps("server terminated", &record(ServerHealth::Terminated, None));
     keeps("beat", &Heartbeat { epoch: 3, seq: 70_000, digest: u32::MAX, answered: true });
-    keeps("list", &ListHistory { epoch: 3, seq: 70_000, past: vec![(69_999, 1), (70_000, u32::MAX)] });
+    keeps(
+        "list",
+        &ListHistory {
+            epoch: 3,
+            seq: 70_000,
+            past: vec![ListVersion { seq: 69_999, digest: 1 }, ListVersion { seq: 70_000, digest: u32::MAX }],
+        },
+    );
     assert_eq!([SERVER_PREFIX, HEARTBEAT_PREFIX, LIST_KEY], ["server/", "beat/", "list"]);
 }
 
 #[test]
 fn a_list_has_the_digest_that_an_earlier_release_gave_it() {
     let records = [
-        ("s-1", record(Health::InService, Some("127.0.0.1:9001"))),
-        ("s-2", record(Health::Terminating, None)),
+        ("s-1", record(ServerHealth::InService, Some("127.0.0.1:9001"))),
+        ("s-2", record(ServerHealth::Terminating, None)),
     ];
-    let digest = digest(records.iter().map(|(host, record)| (*host, record)));
+    let digest = list_digest(records.iter().map(|(host, record)| (*host, record)));
     assert_eq!(hex(&digest.to_le_bytes()), RECORDED.digits("digest"));
 }
 
@@ -58,15 +66,18 @@
     let saved = Snapshot {
         fleet: "dar".into(),
         name: "n1".into(),
-        number: 17,
-        at_ms: 1_790_000_000_456,
+        sequence: 17,
+        written_at_ms: 1_790_000_000_456,
         started_at: 1_790_000_000_000_123,
         entries: vec![
-            entry("server/s-1", postcard::to_stdvec(&record(Health::InService, Some("127.0.0.1:9001"))).ok()),
+            entry(
+                "server/s-1",
+                postcard::to_stdvec(&record(ServerHealth::InService, Some("127.0.0.1:9001"))).ok(),
+            ),
             entry("space/x", None),
         ],
         held: vec![HeldSession { key: u64::MAX, server: "s-1".into(), started_ms: 1_790_000_000_000.5 }],
     };
-    assert_eq!(hex(&write(&saved)), RECORDED.digits("snapshot"));
-    assert_eq!(read(&RECORDED.bytes("snapshot"), "dar", "n1"), Ok(saved));
+    assert_eq!(hex(&encode(&saved)), RECORDED.digits("snapshot"));
+    assert_eq!(decode(&RECORDED.bytes("snapshot"), "dar", "n1"), Ok(saved));
 }
--- a/crates/testkit/src/drawn.rs
+++ b/crates/testkit/src/drawn.rs
@@ -3,9 +3,9 @@
 use nanorand::{Rng, WyRand};
 use shelfgrade::time::Timestamp;
 use shelfgrade_fleet::{Entry, Environment, Fleet, MemberId, Roster};
-use shelfgrade_recovery::admission::{ClassPriority, State};
-use shelfgrade_recovery::environment::{EndpointAddress, RecoveryEnvironment, RecoverySettings};
-use shelfgrade_recovery::node::Node;
+use shelfgrade_recovery::{
+    ClassPriority, ClockReading, EndpointAddress, Node, RecoveryEnvironment, RecoverySettings, RecoveryState,
+};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
@@ -57,12 +57,12 @@
         };
         let settings = RecoverySettings {
             classes: vec![owed(300, 3.0), owed(500, 5.0), owed(800, 1.0)],
-            shares: vec![0.5, 0.3, 0.2],
-            wait: Duration::from_millis(2000),
+            customer_shares: vec![0.5, 0.3, 0.2],
+            list_wait: Duration::from_millis(2000),
             slow_start: Duration::from_millis(8600),
-            most_pause: Duration::from_millis(2000),
+            max_retry_after: Duration::from_millis(2000),
         };
-        Node::new(roster, settings, None, seed, (now, wall_ms))
+        Node::new(roster, settings, None, seed, ClockReading { now, wall_ms })
     }
     fn fleet(&self) -> &Fleet {
         Node::fleet(self)
@@ -71,10 +71,10 @@
         Node::next_wakeup(self)
     }
     fn on_timer(&mut self, now: Timestamp, wall_ms: u64, asked: &mut Asked) {
-        Node::on_timer(self, (now, wall_ms), asked);
+        Node::on_timer(self, ClockReading { now, wall_ms }, asked);
     }
     fn on_datagram(&mut self, datagram: &[u8], now: Timestamp, wall_ms: u64, asked: &mut Asked) {
-        Node::on_datagram(self, datagram, (now, wall_ms), asked);
+        Node::on_datagram(self, datagram, ClockReading { now, wall_ms }, asked);
     }
 }
 
@@ -83,7 +83,7 @@
     pub core: Option<C>,
     /// It watches discovery, and the states of its return with their moments.
     pub watches: bool,
-    pub states: Vec<(Timestamp, State)>,
+    pub states: Vec<(Timestamp, RecoveryState)>,
     /// It is stopped: nothing reaches it, and its clock goes on.
     stopped: bool,
     /// How far its wall clock is off, in milliseconds.
@@ -101,7 +101,7 @@
     entries: Vec<Entry>,
     refused: Vec<&'static str>,
     watches: Option<bool>,
-    state: Option<State>,
+    state: Option<RecoveryState>,
 }
 
 impl RecoveryEnvironment for Asked {
@@ -109,7 +109,7 @@
     fn set_polling(&mut self, watches: bool) {
         self.watches = Some(watches);
     }
-    fn state_changed(&mut self, state: State, _: &str) {
+    fn state_changed(&mut self, state: RecoveryState, _: &str) {
         self.state = Some(state);
     }
     fn restore_flow(&mut self, _: u64, _: &str, _: f64) {}
@@ -118,7 +118,11 @@
 
 impl Environment for Asked {
     fn send(&mut self, to: MemberId, datagram: Vec<u8>) {
-        assert!(datagram.len() <= shelfgrade_fleet::LONGEST, "{} bytes in one datagram", datagram.len());
+        assert!(
+            datagram.len() <= shelfgrade_fleet::MAX_DATAGRAM_BYTES,
+            "{} bytes in one datagram",
+            datagram.len()
+        );
         self.sent.push((to, datagram));
     }
     fn entry_changed(&mut self, entry: &Entry) {
--- a/crates/testkit/src/hollow.rs
+++ b/crates/testkit/src/hollow.rs
@@ -31,7 +31,7 @@
 impl Hollow {
     /// `life` tells apart what is started in one seat.
     pub fn new(roster: &Roster, name: &str, incarnation: u64, now: Timestamp) -> Self {
-        let roster = roster.seen_by(name).expect("one of the roster");
+        let roster = roster.with_local_member(name).expect("one of the roster");
         let process = roster.me().0;
         let started_at = now.as_ms() as u64 * 1000 + incarnation;
         let seed = u64::from(process).wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ incarnation;
@@ -51,7 +51,11 @@
 
 impl Environment for HollowEnvironment<'_> {
     fn send(&mut self, to: MemberId, datagram: Vec<u8>) {
-        assert!(datagram.len() <= shelfgrade_fleet::LONGEST, "{} bytes in one datagram", datagram.len());
+        assert!(
+            datagram.len() <= shelfgrade_fleet::MAX_DATAGRAM_BYTES,
+            "{} bytes in one datagram",
+            datagram.len()
+        );
         self.out.push((usize::from(to.0), datagram));
     }
     fn entry_changed(&mut self, _: &Entry) {
--- a/crates/testkit/src/sockets.rs
+++ b/crates/testkit/src/sockets.rs
@@ -5,7 +5,7 @@
 use crate::simulation::{Core, Outbox};
 use rustix::event::{epoll, Timespec};
 use shelfgrade::time::{DurationExt, Timestamp};
-use shelfgrade_fleet::{Roster, LONGEST};
+use shelfgrade_fleet::{Roster, MAX_DATAGRAM_BYTES};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{SocketAddr, UdpSocket};
 use std::time::{Duration, Instant};
@@ -95,7 +95,7 @@
     pub fn passes(&mut self, time: Duration) {
         let end = Instant::now() + time;
         let mut events = Vec::with_capacity(256);
-        let mut datagram = [0; LONGEST];
+        let mut datagram = [0; MAX_DATAGRAM_BYTES];
         while let Some(left) = end.checked_duration_since(Instant::now()).filter(|left| !left.is_zero()) {
             while let Some((_, at)) = self.alarms.first().copied().filter(|first| first.0 <= self.now()) {
                 self.act(at, |core, now, out| core.on_timer(now, out));
--- a/crates/testkit/tests/returns.rs
+++ b/crates/testkit/tests/returns.rs
@@ -1,9 +1,7 @@
 //! The return of three hundred in virtual time: who asks, when all know the list, and in which order states follow.
 
 use shelfgrade::time::{DurationExt, Timestamp};
-use shelfgrade_recovery::admission::State;
-use shelfgrade_recovery::node::Node;
-use shelfgrade_recovery::restore::{Health, ServerRecord};
+use shelfgrade_recovery::{Node, RecoveryState, ServerHealth, ServerRecord};
 use shelfgrade_testkit::drawn::{Drawn, Network};
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -14,12 +12,12 @@
 /// Discovery's list: servers that started a moment ago.
 fn list(now: Timestamp) -> Vec<(String, ServerRecord)> {
     let fact = || ServerRecord {
-        dial: "10.1.0.18:8000".parse().ok(),
-        site: "a".into(),
+        address: "10.1.0.18:8000".parse().ok(),
+        zone: "a".into(),
         kind: "m2".into(),
-        block: 0,
-        health: Health::InService,
-        born_ms: now.as_ms(),
+        cell: 0,
+        health: ServerHealth::InService,
+        started_ms: now.as_ms(),
     };
     (0..81).map(|i| (format!("s-{i:03}"), fact())).collect()
 }
@@ -53,7 +51,7 @@
     (fleet, calls)
 }
 
-fn states(fleet: &Drawn<Node>, member: usize) -> Vec<State> {
+fn states(fleet: &Drawn<Node>, member: usize) -> Vec<RecoveryState> {
     fleet.processes[member].states.iter().map(|(_, state)| *state).collect()
 }
 
@@ -67,7 +65,9 @@
         (0..SIZE).map(|member| fleet.processes[member].states[0].0.since(began).as_ms()).collect();
     let slowest = late.iter().copied().fold(0.0, f64::max);
     println!("three hundred have the list after {slowest} ms at the latest, with {} calls", calls.len());
-    assert!(slowest <= 2300.0 && (0..SIZE).all(|member| states(&fleet, member)[0] == State::Warming));
+    assert!(
+        slowest <= 2300.0 && (0..SIZE).all(|member| states(&fleet, member)[0] == RecoveryState::RampingUp)
+    );
     assert!(fleet.sum_of_parts() > 0.95 && fleet.sum_of_parts() <= 1.0 + 1e-9);
 }
 
@@ -83,7 +83,7 @@
     let asked: BTreeSet<_> = calls.iter().map(|call| call.1).collect();
     assert!(asked.len() <= 9, "{asked:?}");
     // Nobody knew any server: what is known from before has to do, and there is nothing.
-    assert!((0..SIZE).all(|member| states(&fleet, member) == [State::Serving]));
+    assert!((0..SIZE).all(|member| states(&fleet, member) == [RecoveryState::Serving]));
 }
 
 #[test]
--- a/crates/testkit/tests/shared.rs
+++ b/crates/testkit/tests/shared.rs
@@ -3,7 +3,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use shelfgrade::time::DurationExt;
-use shelfgrade_fleet::{Entry, Fleet, Map, MemberId, Merged, Version, LEASE};
+use shelfgrade_fleet::{Entry, Fleet, MemberId, MergeOutcome, ReplicatedMap, Version, LEASE_DURATION};
 use shelfgrade_testkit::drawn::{Drawn, CALM, ROUGH};
 
 fn entry() -> impl Strategy<Value = Entry> {
@@ -17,7 +17,7 @@
 }
 
 fn merged(entries: &[Entry]) -> Vec<Entry> {
-    let mut map = Map::new(9);
+    let mut map = ReplicatedMap::new(9);
     for entry in entries {
         map.merge(entry.clone());
     }
@@ -55,16 +55,16 @@
 
 #[test]
 fn what_is_over_a_bound_changes_nothing() {
-    let mut map = Map::new(4);
+    let mut map = ReplicatedMap::new(4);
     let of = |key: String, length: usize, count: u64| Entry {
         key,
         version: Version { count, by: 1 },
         owner: MemberId(0),
         value: Some(vec![7; length]),
     };
-    assert_eq!(map.merge(of("a".into(), 901, 1)), Merged::OverBound);
-    assert_eq!(map.merge(of("a".repeat(97), 1, 1)), Merged::OverBound);
-    assert_eq!(map.merge(of("a".into(), 1, u64::MAX)), Merged::OverBound, "a count that nobody reached");
+    assert_eq!(map.merge(of("a".into(), 901, 1)), MergeOutcome::Rejected);
+    assert_eq!(map.merge(of("a".repeat(97), 1, 1)), MergeOutcome::Rejected);
+    assert_eq!(map.merge(of("a".into(), 1, u64::MAX)), MergeOutcome::Rejected, "a count that nobody reached");
     for i in 0..50 {
         map.merge(of(format!("k{i}"), 9, 1));
     }
@@ -138,6 +138,6 @@
         "able to serve, and no more than is surely its own"
     );
     let mut single = Drawn::<Fleet>::running(1, CALM, 7);
-    single.passes(2 * LEASE.as_ms() as u64);
+    single.passes(2 * LEASE_DURATION.as_ms() as u64);
     assert_eq!(single.core(0).quota_fraction(single.now), 1.0);
 }
