--- a/crates/recovery/tests/unit/admission.rs
+++ b/crates/recovery/tests/unit/admission.rs
@@ -108,7 +108,7 @@
 fn the_crowd_is_told_to_come_again_over_the_warm_up() {
     let mut back = returning();
     let again = |back: &mut RecoveryRamp, luck, ms| {
-        back.admission_turn(requester(None, None), 1, luck, at(ms)).expect("a turn").again
+        back.admission_turn(requester(None, None), 1, luck, at(ms)).expect("a turn").retry_after
     };
     assert_eq!(again(&mut back, 1.0, 1100), Duration::from_millis(2000), "no longer than a client keeps to");
     back.list_is_here([Some(at(1000))].into_iter(), at(1200));
