--- a/crates/cells/tests/agreement.rs
+++ b/crates/cells/tests/agreement.rs
@@ -4,7 +4,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use shelfgrade_cells::{Action, Change, Stored};
-use shelfgrade_testkit::cells::{OneValue, World, CALM, ROUGH};
+use shelfgrade_testkit::cells::{CellsSimulation, OneValue, CALM, ROUGH};
 
 /// The same cases every time.
 fn cases(cases: u32) -> ProptestConfig {
@@ -21,8 +21,8 @@
 }
 
 /// All that run and may vote hold the same.
-fn agree(world: &World) -> bool {
-    let mut states = (0..world.replicas).filter_map(|node| world.replica(node)).map(|replica| {
+fn agree(simulation: &CellsSimulation) -> bool {
+    let mut states = (0..simulation.replicas).filter_map(|node| simulation.replica(node)).map(|replica| {
         let state = replica.state();
         (state.whole(), state.to(), state.digest())
     });
@@ -41,39 +41,39 @@
 }
 
 /// Five replicas that are killed, lose their disks one at a time, and are cut in drawn ways.
-fn never_two_values(steps: &[(u8, usize, u64)], seed: u64, forgets: bool) -> World {
-    let mut world = World::founded(&[0, 0, 1, 1, 2], ROUGH, seed).with_horizon(16);
+fn never_two_values(steps: &[(u8, usize, u64)], seed: u64, forgets: bool) -> CellsSimulation {
+    let mut simulation = CellsSimulation::founded(&[0, 0, 1, 1, 2], ROUGH, seed).with_horizon(16);
     let mut id = 0;
     for (what, node, ms) in steps {
         let node = node % 5;
         match what % 8 {
-            0 => world.kill(node),
-            1 if !world.runs(node) => world.start(node),
-            2 => world.nodes[node].group = 1,
-            3 => world.nodes.iter_mut().for_each(|node| node.group = 0),
+            0 => simulation.kill(node),
+            1 if !simulation.runs(node) => simulation.start(node),
+            2 => simulation.nodes[node].group = 1,
+            3 => simulation.nodes.iter_mut().for_each(|node| node.group = 0),
             4 if forgets => {
                 // A planted breach: a disk that is lost, and nobody says so.
-                world.kill(node);
-                world.nodes[node].stored = vec![Stored::Founded];
-                world.start(node);
+                simulation.kill(node);
+                simulation.nodes[node].stored = vec![Stored::Founded];
+                simulation.start(node);
             }
             4 => {
                 // One disk at a time: with a majority of disks gone nobody knows what was chosen.
-                let voting = |node: usize| world.replica(node).is_some_and(|replica| replica.votes());
+                let voting = |node: usize| simulation.replica(node).is_some_and(|replica| replica.votes());
                 if (0..5).filter(|other| *other != node && voting(*other)).count() == 4 {
-                    world.kill(node);
-                    world.nodes[node].stored.clear();
-                    world.start(node);
+                    simulation.kill(node);
+                    simulation.nodes[node].stored.clear();
+                    simulation.start(node);
                 }
             }
             _ => {
                 id += 1;
-                world.submit(node, put(id, &format!("k{}", id % 3), id as u8));
+                simulation.submit(node, put(id, &format!("k{}", id % 3), id as u8));
             }
         }
-        world.passes(*ms);
+        simulation.passes(*ms);
     }
-    world
+    simulation
 }
 
 fn steps() -> impl Strategy<Value = Vec<(u8, usize, u64)>> {
@@ -85,38 +85,33 @@
 
     #[test]
     fn no_version_ever_has_two_values_and_all_agree_after_meeting_again(steps in steps(), seed in any::<u64>()) {
-        let mut world = never_two_values(&steps, seed, false);
-        prop_assert!(world.one_value.breaches.is_empty(), "{:?}", world.one_value.breaches);
+        let mut simulation = never_two_values(&steps, seed, false);
+        prop_assert!(simulation.one_value.breaches.is_empty(), "{:?}", simulation.one_value.breaches);
         for node in 0..5 {
-            world.nodes[node].group = 0;
-            if !world.runs(node) {
-                world.start(node);
+            simulation.nodes[node].group = 0;
+            if !simulation.runs(node) {
+                simulation.start(node);
             }
         }
-        world.net = CALM;
-        world.submit(0, put(9999, "last", 1));
-        let all = |world: &World| agree(world) && world.outcomes.contains_key(&9999);
-        let agreed = world.until(30_000, 100, all);
-        let each: Vec<_> = (0..5).filter_map(|node| world.replica(node)).map(|replica| {
+        simulation.net = CALM;
+        simulation.submit(0, put(9999, "last", 1));
+        let all = |simulation: &CellsSimulation| agree(simulation) && simulation.outcomes.contains_key(&9999);
+        let agreed = simulation.until(30_000, 100, all);
+        let each: Vec<_> = (0..5).filter_map(|node| simulation.replica(node)).map(|replica| {
             let state = replica.state();
             (replica.votes(), replica.slot(), state.to(), state.head(), state.digest())
         }).collect();
-        prop_assert!(agreed, "they never agreed: {each:?}, {:?}", world.outcomes.get(&9999));
-        prop_assert!(world.one_value.breaches.is_empty(), "{:?}", world.one_value.breaches);
+        prop_assert!(agreed, "they never agreed: {each:?}, {:?}", simulation.outcomes.get(&9999));
+        prop_assert!(simulation.one_value.breaches.is_empty(), "{:?}", simulation.one_value.breaches);
     }
 }
 
 #[test]
 fn disks_that_are_lost_unsaid_are_found_by_the_same_check() {
-    let mut chance = WyRand::new_seed(3);
+    let mut rng = WyRand::new_seed(3);
     let breaks = (0..200u64).any(|seed| {
-        let mut step = || {
-            (
-                chance.generate_range(0..8u8),
-                chance.generate_range(0..5usize),
-                chance.generate_range(1..900u64),
-            )
-        };
+        let mut step =
+            || (rng.generate_range(0..8u8), rng.generate_range(0..5usize), rng.generate_range(1..900u64));
         let steps: Vec<_> = (0..60).map(|_| step()).collect();
         !never_two_values(&steps, seed, true).one_value.breaches.is_empty()
     });
--- a/crates/cells/tests/log.rs
+++ b/crates/cells/tests/log.rs
@@ -5,7 +5,7 @@
     State, Stored, Version, Vote,
 };
 use shelfgrade_testkit::cells::fleet::{percentile, TEN};
-use shelfgrade_testkit::cells::{address, World, CALM, FLEET};
+use shelfgrade_testkit::cells::{address, CellsSimulation, CALM, FLEET};
 
 fn put(id: u64, key: &str, value: u8) -> Change {
     Change { id, action: Action::Put { key: key.to_owned(), value: vec![value] } }
@@ -21,8 +21,8 @@
 }
 
 /// All that run and may vote hold the same.
-fn agree(world: &World) -> bool {
-    let mut states = (0..world.replicas).filter_map(|node| world.replica(node)).map(|replica| {
+fn agree(simulation: &CellsSimulation) -> bool {
+    let mut states = (0..simulation.replicas).filter_map(|node| simulation.replica(node)).map(|replica| {
         let state = replica.state();
         (state.whole(), state.to(), state.digest())
     });
@@ -32,29 +32,31 @@
 
 #[test]
 fn what_one_replica_is_given_all_come_to_hold() {
-    let mut world = World::founded(&[0, 1, 2], CALM, 1);
+    let mut simulation = CellsSimulation::founded(&[0, 1, 2], CALM, 1);
     for id in 1..=40 {
-        world.submit(id as usize % 3, put(id, &format!("k{id}"), 1));
+        simulation.submit(id as usize % 3, put(id, &format!("k{id}"), 1));
     }
-    let done = |world: &World| agree(world) && world.replica(0).is_some_and(|r| r.state().entries() == 40);
-    assert!(world.until(20_000, 50, done), "three replicas in three regions, 40 changes");
-    assert!((1..=40).all(|id| world.outcomes.get(&id) == Some(&Ok(()))), "{:?}", world.outcomes);
-    assert!(world.one_value.breaches.is_empty());
+    let done = |simulation: &CellsSimulation| {
+        agree(simulation) && simulation.replica(0).is_some_and(|r| r.state().entries() == 40)
+    };
+    assert!(simulation.until(20_000, 50, done), "three replicas in three regions, 40 changes");
+    assert!((1..=40).all(|id| simulation.outcomes.get(&id) == Some(&Ok(()))), "{:?}", simulation.outcomes);
+    assert!(simulation.one_value.breaches.is_empty());
 }
 
 #[test]
 fn replicas_that_all_propose_do_not_undo_each_other() {
-    let mut world = World::founded(&TEN, CALM, 11);
+    let mut simulation = CellsSimulation::founded(&TEN, CALM, 11);
     let mut took = Vec::new();
     let mut waits: Vec<(u64, u64)> = Vec::new();
     for step in 0..1000u64 {
         if step % 10 == 0 && step < 900 {
             let id = 1 + step / 10;
-            world.submit((id * 7 % 10) as usize, put(id, &format!("k{id}"), 1));
+            simulation.submit((id * 7 % 10) as usize, put(id, &format!("k{id}"), 1));
             waits.push((id, step));
         }
-        world.passes(40);
-        let done = |(id, _): &(u64, u64)| world.outcomes.contains_key(id);
+        simulation.passes(40);
+        let done = |(id, _): &(u64, u64)| simulation.outcomes.contains_key(id);
         took.extend(waits.iter().filter(|waits| done(waits)).map(|(_, since)| (40 * (step - since)) as f64));
         waits.retain(|waits| !done(waits));
     }
@@ -68,34 +70,37 @@
 
 #[test]
 fn a_change_that_is_sent_again_counts_once() {
-    let mut world = World::founded(&[0, 0, 0], CALM, 2);
-    world.submit(0, put(1, "k", 1));
-    world.passes(2000);
-    world.submit(1, put(2, "k", 2));
-    world.passes(2000);
+    let mut simulation = CellsSimulation::founded(&[0, 0, 0], CALM, 2);
+    simulation.submit(0, put(1, "k", 1));
+    simulation.passes(2000);
+    simulation.submit(1, put(2, "k", 2));
+    simulation.passes(2000);
     // Its writer never heard of it, and asks another replica.
-    world.submit(2, put(1, "k", 1));
-    world.passes(2000);
-    assert_eq!(world.outcomes.get(&1), Some(&Err(ChangeError::Again)));
+    simulation.submit(2, put(1, "k", 1));
+    simulation.passes(2000);
+    assert_eq!(simulation.outcomes.get(&1), Some(&Err(ChangeError::Again)));
     for node in 0..3 {
-        let state = world.replica(node).expect("runs").state();
+        let state = simulation.replica(node).expect("runs").state();
         assert_eq!(state.entry("k"), Some(&[2][..]), "the older change undid the newer one");
     }
 }
 
 #[test]
 fn a_majority_is_needed_and_enough() {
-    let mut world = World::founded(&[0, 0, 1, 1, 2], CALM, 3);
-    world.kill(3);
-    world.kill(4);
-    world.submit(0, put(1, "k", 1));
-    assert!(world.until(10_000, 50, |world| world.outcomes.contains_key(&1)), "three of five");
-    world.kill(2);
-    world.submit(0, put(2, "k", 2));
-    world.passes(20_000);
-    assert!(!world.outcomes.contains_key(&2), "two of five are no majority");
-    world.start(2);
-    assert!(world.until(10_000, 50, |world| world.outcomes.get(&2) == Some(&Ok(()))), "three again");
+    let mut simulation = CellsSimulation::founded(&[0, 0, 1, 1, 2], CALM, 3);
+    simulation.kill(3);
+    simulation.kill(4);
+    simulation.submit(0, put(1, "k", 1));
+    assert!(simulation.until(10_000, 50, |simulation| simulation.outcomes.contains_key(&1)), "three of five");
+    simulation.kill(2);
+    simulation.submit(0, put(2, "k", 2));
+    simulation.passes(20_000);
+    assert!(!simulation.outcomes.contains_key(&2), "two of five are no majority");
+    simulation.start(2);
+    assert!(
+        simulation.until(10_000, 50, |simulation| simulation.outcomes.get(&2) == Some(&Ok(()))),
+        "three again"
+    );
 }
 
 #[test]
@@ -153,101 +158,107 @@
 
 #[test]
 fn a_replica_that_lost_its_disk_does_not_vote_until_it_has_caught_up() {
-    let mut world = World::founded(&[0, 0, 0], CALM, 4);
+    let mut simulation = CellsSimulation::founded(&[0, 0, 0], CALM, 4);
     for id in 1..=5 {
-        world.submit(0, put(id, "k", id as u8));
-        world.passes(500);
+        simulation.submit(0, put(id, "k", id as u8));
+        simulation.passes(500);
     }
-    world.kill(2);
-    world.nodes[2].stored.clear();
-    world.kill(1);
-    world.start(2);
-    world.submit(0, put(6, "k", 6));
-    world.passes(20_000);
-    let lost = world.replica(2).expect("runs");
-    assert!(!lost.votes() && !world.outcomes.contains_key(&6), "it cannot know what it voted for");
+    simulation.kill(2);
+    simulation.nodes[2].stored.clear();
+    simulation.kill(1);
+    simulation.start(2);
+    simulation.submit(0, put(6, "k", 6));
+    simulation.passes(20_000);
+    let lost = simulation.replica(2).expect("runs");
+    assert!(!lost.votes() && !simulation.outcomes.contains_key(&6), "it cannot know what it voted for");
     assert_eq!(lost.state().entry("k"), Some(&[5][..]), "it learns all the same");
-    assert!(world.refused["cells storage lost, empty or with a gap"] == 1);
-    world.start(1);
-    assert!(world.until(10_000, 50, |world| world.outcomes.get(&6) == Some(&Ok(()))), "two with their disks");
+    assert!(simulation.refused["cells storage lost, empty or with a gap"] == 1);
+    simulation.start(1);
+    assert!(
+        simulation.until(10_000, 50, |simulation| simulation.outcomes.get(&6) == Some(&Ok(()))),
+        "two with their disks"
+    );
     // It votes again when the others have gone one slot on.
-    world.submit(0, put(7, "k", 7));
-    world.passes(3000);
-    assert!(world.replica(2).is_some_and(|lost| lost.votes()));
-    world.kill(1);
-    world.submit(0, put(8, "k", 8));
-    assert!(world.until(10_000, 50, |world| world.outcomes.get(&8) == Some(&Ok(()))), "it counts again");
+    simulation.submit(0, put(7, "k", 7));
+    simulation.passes(3000);
+    assert!(simulation.replica(2).is_some_and(|lost| lost.votes()));
+    simulation.kill(1);
+    simulation.submit(0, put(8, "k", 8));
+    assert!(
+        simulation.until(10_000, 50, |simulation| simulation.outcomes.get(&8) == Some(&Ok(()))),
+        "it counts again"
+    );
 }
 
 #[test]
 fn a_change_given_to_a_replica_that_lost_its_disk_is_chosen_by_the_others() {
-    let mut world = World::founded(&[0, 0, 0], CALM, 10);
-    world.submit(0, put(1, "k", 1));
-    world.passes(1000);
-    world.kill(2);
-    world.nodes[2].stored.clear();
-    world.start(2);
-    world.submit(2, put(2, "k", 2));
+    let mut simulation = CellsSimulation::founded(&[0, 0, 0], CALM, 10);
+    simulation.submit(0, put(1, "k", 1));
+    simulation.passes(1000);
+    simulation.kill(2);
+    simulation.nodes[2].stored.clear();
+    simulation.start(2);
+    simulation.submit(2, put(2, "k", 2));
     assert!(
-        world.until(5000, 50, |world| world.outcomes.get(&2) == Some(&Ok(()))),
+        simulation.until(5000, 50, |simulation| simulation.outcomes.get(&2) == Some(&Ok(()))),
         "its writer waits for ever"
     );
 }
 
 #[test]
 fn a_replica_that_restarts_while_it_recovers_goes_on_recovering() {
-    let mut world = World::founded(&[0, 0, 0], CALM, 5);
-    world.submit(0, put(1, "k", 1));
-    world.passes(1000);
-    world.kill(2);
-    world.nodes[2].stored.clear();
-    world.kill(1);
+    let mut simulation = CellsSimulation::founded(&[0, 0, 0], CALM, 5);
+    simulation.submit(0, put(1, "k", 1));
+    simulation.passes(1000);
+    simulation.kill(2);
+    simulation.nodes[2].stored.clear();
+    simulation.kill(1);
     for _ in 0..3 {
-        world.start(2);
-        world.passes(2000);
-        assert!(!world.replica(2).is_some_and(|lost| lost.votes()));
-        world.kill(2);
+        simulation.start(2);
+        simulation.passes(2000);
+        assert!(!simulation.replica(2).is_some_and(|lost| lost.votes()));
+        simulation.kill(2);
     }
 }
 
 #[test]
 fn storage_with_a_gap_is_a_lost_disk() {
-    let mut world = World::founded(&[0, 0, 0], CALM, 6);
+    let mut simulation = CellsSimulation::founded(&[0, 0, 0], CALM, 6);
     for id in 1..=4 {
-        world.submit(0, put(id, "k", id as u8));
-        world.passes(500);
+        simulation.submit(0, put(id, "k", id as u8));
+        simulation.passes(500);
     }
-    world.kill(0);
+    simulation.kill(0);
     let chosen = |stored: &Stored| matches!(stored, Stored::Chosen { slot: 2, .. });
-    let at = world.nodes[0].stored.iter().position(chosen).expect("stored");
-    world.nodes[0].stored.remove(at);
-    world.start(0);
-    assert!(world.refused.contains_key("cells storage lost, empty or with a gap"));
-    assert!(!world.replica(0).is_some_and(|replica| replica.votes()));
-    assert!(world.until(5000, 50, agree), "it learns from the others");
+    let at = simulation.nodes[0].stored.iter().position(chosen).expect("stored");
+    simulation.nodes[0].stored.remove(at);
+    simulation.start(0);
+    assert!(simulation.refused.contains_key("cells storage lost, empty or with a gap"));
+    assert!(!simulation.replica(0).is_some_and(|replica| replica.votes()));
+    assert!(simulation.until(5000, 50, agree), "it learns from the others");
 }
 
 #[test]
 fn a_vote_is_kept_over_a_restart() {
-    let mut world = World::founded(&[0, 0, 0], CALM, 7);
-    let send = |world: &mut World, from: usize, to: usize, message: Paxos| {
+    let mut simulation = CellsSimulation::founded(&[0, 0, 0], CALM, 7);
+    let send = |simulation: &mut CellsSimulation, from: usize, to: usize, message: Paxos| {
         let bytes = write(shelfgrade_cells::fleet(FLEET), &Message::Paxos(message));
-        world.inject(address(from), to, &bytes);
+        simulation.inject(address(from), to, &bytes);
     };
     let late = Ballot { round: 9, by: 1 };
-    send(&mut world, 1, 0, Paxos::Prepare { slot: 1, ballot: late });
-    world.kill(0);
-    world.start(0);
+    send(&mut simulation, 1, 0, Paxos::Prepare { slot: 1, ballot: late });
+    simulation.kill(0);
+    simulation.start(0);
     let early = Ballot { round: 8, by: 2 };
-    send(&mut world, 2, 0, Paxos::Accept { slot: 1, ballot: early, batch: vec![put(1, "k", 1)] });
-    let held = |world: &World| {
-        world.nodes[0].stored.iter().rev().find_map(|stored| match stored {
+    send(&mut simulation, 2, 0, Paxos::Accept { slot: 1, ballot: early, batch: vec![put(1, "k", 1)] });
+    let held = |simulation: &CellsSimulation| {
+        simulation.nodes[0].stored.iter().rev().find_map(|stored| match stored {
             Stored::Vote(vote) => Some(vote.clone()),
             _ => None,
         })
     };
     assert_eq!(
-        held(&world),
+        held(&simulation),
         Some(Vote { slot: 1, promised: late, accepted: None }),
         "it had promised a later one"
     );
@@ -255,28 +266,28 @@
 
 #[test]
 fn a_fork_a_gap_and_votes_of_nobody_change_nothing_and_are_counted() {
-    let mut world = World::founded(&[0, 0, 0], CALM, 8);
-    world.submit(0, put(1, "k", 1));
-    world.passes(1000);
+    let mut simulation = CellsSimulation::founded(&[0, 0, 0], CALM, 8);
+    simulation.submit(0, put(1, "k", 1));
+    simulation.passes(1000);
     let fleet = shelfgrade_cells::fleet(FLEET);
     let chosen =
         |slot, id| write(fleet, &Message::Paxos(Paxos::Chosen { slot, batch: vec![put(id, "k", 9)] }));
-    let before = world.replica(0).expect("runs").state().digest();
-    world.inject(address(1), 0, &chosen(1, 77));
-    world.inject(address(1), 0, &chosen(9, 78));
-    world.inject(address(400), 0, &chosen(2, 79));
+    let before = simulation.replica(0).expect("runs").state().digest();
+    simulation.inject(address(1), 0, &chosen(1, 77));
+    simulation.inject(address(1), 0, &chosen(9, 78));
+    simulation.inject(address(400), 0, &chosen(2, 79));
     let other = Paxos::Prepare { slot: 2, ballot: Ballot { round: 1, by: 2 } };
-    world.inject(address(1), 0, &write(fleet, &Message::Paxos(other)));
-    world.inject(address(1), 0, &write(fleet ^ 1, &Message::Submit(put(5, "k", 5))));
+    simulation.inject(address(1), 0, &write(fleet, &Message::Paxos(other)));
+    simulation.inject(address(1), 0, &write(fleet ^ 1, &Message::Submit(put(5, "k", 5))));
     let mut older = write(fleet, &Message::Submit(put(5, "k", 5)));
     older[0] = 0;
-    world.inject(address(1), 0, &older);
+    simulation.inject(address(1), 0, &older);
     let mut damaged = write(fleet, &Message::Submit(put(5, "k", 5)));
     *damaged.last_mut().expect("some") ^= 1;
-    world.inject(address(1), 0, &damaged);
-    world.inject(address(1), 0, &[7; 5]);
-    world.inject(address(1), 0, &write(fleet, &Message::Submit(put(6, &"k".repeat(200), 5))));
-    assert_eq!(world.replica(0).expect("runs").state().digest(), before);
+    simulation.inject(address(1), 0, &damaged);
+    simulation.inject(address(1), 0, &[7; 5]);
+    simulation.inject(address(1), 0, &write(fleet, &Message::Submit(put(6, &"k".repeat(200), 5))));
+    assert_eq!(simulation.replica(0).expect("runs").state().digest(), before);
     for why in [
         "cells log with a fork",
         "cells log with a gap",
@@ -288,29 +299,29 @@
         "cells datagrams not to be read",
         "cells changes over a bound",
     ] {
-        assert_eq!(world.refused.get(why), Some(&1), "{why}: {:?}", world.refused);
+        assert_eq!(simulation.refused.get(why), Some(&1), "{why}: {:?}", simulation.refused);
     }
 }
 
 #[test]
 fn who_comes_back_after_days_gets_a_snapshot_and_drops_what_is_not_in_it() {
-    let mut world = World::founded(&[0, 0, 0], CALM, 9).with_horizon(16);
-    world.submit(0, put(1, "gone", 1));
-    world.submit(0, put(2, "stays", 1));
-    world.passes(1000);
-    world.kill(2);
-    world.submit(0, Change { id: 3, action: Action::Delete { key: "gone".into() } });
+    let mut simulation = CellsSimulation::founded(&[0, 0, 0], CALM, 9).with_horizon(16);
+    simulation.submit(0, put(1, "gone", 1));
+    simulation.submit(0, put(2, "stays", 1));
+    simulation.passes(1000);
+    simulation.kill(2);
+    simulation.submit(0, Change { id: 3, action: Action::Delete { key: "gone".into() } });
     for id in 10..60 {
-        world.submit(0, put(id, &format!("k{}", id % 5), id as u8));
-        world.passes(200);
+        simulation.submit(0, put(id, &format!("k{}", id % 5), id as u8));
+        simulation.passes(200);
     }
-    let state = world.replica(0).expect("runs").state();
+    let state = simulation.replica(0).expect("runs").state();
     assert!(
         state.horizon() > Version(0) && state.get(&shelfgrade_cells::Key::Entry("gone".into())).is_none()
     );
     assert!(state.len() < 40, "ids and what is gone are forgotten: {}", state.len());
-    world.start(2);
-    assert!(world.until(5000, 50, agree), "it holds what the others hold");
-    let back = world.replica(2).expect("runs").state();
+    simulation.start(2);
+    assert!(simulation.until(5000, 50, agree), "it holds what the others hold");
+    let back = simulation.replica(2).expect("runs").state();
     assert!(back.entry("gone").is_none() && back.entry("stays").is_some());
 }
--- a/crates/cells/tests/rights.rs
+++ b/crates/cells/tests/rights.rs
@@ -7,7 +7,7 @@
     WHOLE,
 };
 use shelfgrade_testkit::cells::fleet::put;
-use shelfgrade_testkit::cells::{address, World, CALM, FLEET, ROUGH};
+use shelfgrade_testkit::cells::{address, CellsSimulation, CALM, FLEET, ROUGH};
 
 /// The same cases every time.
 fn cases(cases: u32) -> ProptestConfig {
@@ -22,127 +22,133 @@
 const PROCESSES: usize = 10;
 
 /// Two cells that hold the whole between them, with just as many places as members.
-fn full(seed: u64) -> World {
-    let mut world = World::founded(&[0, 0, 1], CALM, seed);
+fn full(seed: u64) -> CellsSimulation {
+    let mut simulation = CellsSimulation::founded(&[0, 0, 1], CALM, seed);
     let mut id = 1_000_000;
-    let mut submit = |world: &mut World, action: Action| {
+    let mut submit = |simulation: &mut CellsSimulation, action: Action| {
         id += 1;
-        world.submit(0, Change { id, action });
+        simulation.submit(0, Change { id, action });
     };
     for cell in 0..2 {
         let quota = WHOLE / 2;
-        submit(&mut world, Action::AddCell { cell: CellId(cell), region: cell as u8, places: 5, quota });
+        submit(&mut simulation, Action::AddCell { cell: CellId(cell), region: cell as u8, places: 5, quota });
     }
     for process in 0..PROCESSES {
         let cell = CellId(process as u16 % 2);
-        let node = world.machine(format!("n{process}"), cell, cell.0 as u8);
-        let action = world.addition(0, node).action;
-        submit(&mut world, action);
+        let node = simulation.machine(format!("n{process}"), cell, cell.0 as u8);
+        let action = simulation.addition(0, node).action;
+        submit(&mut simulation, action);
     }
-    world.passes(20_000);
-    for node in 3..world.nodes.len() {
-        world.start(node);
+    simulation.passes(20_000);
+    for node in 3..simulation.nodes.len() {
+        simulation.start(node);
     }
-    assert!(world.until(60_000, 50, World::agrees), "all have all");
-    world
+    assert!(simulation.until(60_000, 50, CellsSimulation::agrees), "all have all");
+    simulation
 }
 
-fn cell(world: &World, cell: u16) -> (u32, u32, Version) {
-    let state = world.replica(0).expect("runs").state();
+fn cell(simulation: &CellsSimulation, cell: u16) -> (u32, u32, Version) {
+    let state = simulation.replica(0).expect("runs").state();
     let held = state.cell(CellId(cell)).expect("there");
     (held.quota, held.escrow, held.shrunk)
 }
 
-fn submit(world: &mut World, id: u64, action: Action) {
-    world.submit(0, Change { id, action });
+fn submit(simulation: &mut CellsSimulation, id: u64, action: Action) {
+    simulation.submit(0, Change { id, action });
 }
 
 #[test]
 fn quota_goes_from_one_cell_to_another_when_all_have_let_go() {
-    let mut world = full(1);
+    let mut simulation = full(1);
     let whole = u64::from(WHOLE);
-    assert_eq!(world.rights(), whole, "all places are held");
-    submit(&mut world, 1, Action::Shrink { cell: CellId(0), by: WHOLE / 4 });
-    let released = |world: &World| {
-        let (quota, escrow, _) = cell(world, 0);
+    assert_eq!(simulation.rights(), whole, "all places are held");
+    submit(&mut simulation, 1, Action::Shrink { cell: CellId(0), by: WHOLE / 4 });
+    let released = |simulation: &CellsSimulation| {
+        let (quota, escrow, _) = cell(simulation, 0);
         (quota, escrow) == (WHOLE / 4, 0)
     };
-    assert!(world.until(20_000, 50, released), "{:?}", cell(&world, 0));
-    submit(&mut world, 2, Action::Grow { cell: CellId(1), by: WHOLE / 4 });
-    world.passes(5000);
-    assert_eq!(cell(&world, 1).0, WHOLE / 4 * 3);
-    assert_eq!(world.rights(), whole);
+    assert!(simulation.until(20_000, 50, released), "{:?}", cell(&simulation, 0));
+    submit(&mut simulation, 2, Action::Grow { cell: CellId(1), by: WHOLE / 4 });
+    simulation.passes(5000);
+    assert_eq!(cell(&simulation, 1).0, WHOLE / 4 * 3);
+    assert_eq!(simulation.rights(), whole);
 }
 
 #[test]
 fn what_a_cell_gave_up_is_not_given_on_while_one_of_its_members_was_not_heard() {
-    let mut world = full(2);
-    let apart = world.nodes.len() - 2;
-    assert_eq!(world.nodes[apart].site.cell, Some(CellId(0)));
-    world.nodes[apart].group = 1;
-    let right = world.process(apart).map(|process| process.right());
-    submit(&mut world, 1, Action::Shrink { cell: CellId(0), by: WHOLE / 2 });
-    world.passes(300_000);
-    assert_eq!(cell(&world, 0).1, WHOLE / 2, "it may use its part still");
-    submit(&mut world, 2, Action::Grow { cell: CellId(1), by: 1 });
-    world.passes(5000);
-    assert!(world.outcomes[&2].is_err(), "nothing is free");
-    assert_eq!(world.process(apart).map(|process| process.right()), right, "it serves by its floor");
-    assert!(world.rights() <= u64::from(WHOLE));
+    let mut simulation = full(2);
+    let apart = simulation.nodes.len() - 2;
+    assert_eq!(simulation.nodes[apart].site.cell, Some(CellId(0)));
+    simulation.nodes[apart].group = 1;
+    let right = simulation.process(apart).map(|process| process.right());
+    submit(&mut simulation, 1, Action::Shrink { cell: CellId(0), by: WHOLE / 2 });
+    simulation.passes(300_000);
+    assert_eq!(cell(&simulation, 0).1, WHOLE / 2, "it may use its part still");
+    submit(&mut simulation, 2, Action::Grow { cell: CellId(1), by: 1 });
+    simulation.passes(5000);
+    assert!(simulation.outcomes[&2].is_err(), "nothing is free");
+    assert_eq!(simulation.process(apart).map(|process| process.right()), right, "it serves by its floor");
+    assert!(simulation.rights() <= u64::from(WHOLE));
     // Its end is said: nobody is waited for.
-    world.kill(apart);
-    let name = world.nodes[apart].name.clone();
-    submit(&mut world, 3, Action::Ended { cell: CellId(0), name, incarnation: 1 });
-    assert!(world.until(20_000, 50, |world| cell(world, 0).1 == 0));
+    simulation.kill(apart);
+    let name = simulation.nodes[apart].name.clone();
+    submit(&mut simulation, 3, Action::Ended { cell: CellId(0), name, incarnation: 1 });
+    assert!(simulation.until(20_000, 50, |simulation| cell(simulation, 0).1 == 0));
 }
 
 #[test]
 fn a_place_is_not_free_until_the_end_of_who_had_it_is_said() {
-    let mut world = full(3);
-    let (gone, other) = (world.nodes.len() - 2, CellId(0));
-    let name = world.nodes[gone].name.clone();
-    world.nodes[gone].group = 1;
-    submit(&mut world, 1, Action::Remove { cell: other, name: name.clone() });
-    let node = world.machine("new".into(), other, 0);
-    let addition = world.addition(2, node);
-    world.submit(0, addition);
-    world.passes(20_000);
-    assert!(world.outcomes[&2].is_err(), "it runs on, cut off, by its floor");
-    assert!(world.process(gone).is_some_and(|process| process.right() > 0));
-    world.kill(gone);
-    submit(&mut world, 3, Action::Ended { cell: other, name, incarnation: 1 });
-    world.passes(2000);
-    let addition = world.addition(4, node);
-    world.submit(0, addition);
-    world.start(node);
-    assert!(world.until(20_000, 50, |world| world.process(node).is_some_and(|process| process.right() > 0)));
-    assert!(world.rights() <= u64::from(WHOLE));
+    let mut simulation = full(3);
+    let (gone, other) = (simulation.nodes.len() - 2, CellId(0));
+    let name = simulation.nodes[gone].name.clone();
+    simulation.nodes[gone].group = 1;
+    submit(&mut simulation, 1, Action::Remove { cell: other, name: name.clone() });
+    let node = simulation.machine("new".into(), other, 0);
+    let addition = simulation.addition(2, node);
+    simulation.submit(0, addition);
+    simulation.passes(20_000);
+    assert!(simulation.outcomes[&2].is_err(), "it runs on, cut off, by its floor");
+    assert!(simulation.process(gone).is_some_and(|process| process.right() > 0));
+    simulation.kill(gone);
+    submit(&mut simulation, 3, Action::Ended { cell: other, name, incarnation: 1 });
+    simulation.passes(2000);
+    let addition = simulation.addition(4, node);
+    simulation.submit(0, addition);
+    simulation.start(node);
+    assert!(simulation
+        .until(20_000, 50, |simulation| simulation.process(node).is_some_and(|process| process.right() > 0)));
+    assert!(simulation.rights() <= u64::from(WHOLE));
 }
 
 #[test]
 fn who_comes_back_after_days_has_no_right_by_what_it_kept() {
-    let mut world = full(4);
-    let node = world.nodes.len() - 1;
-    world.kill(node);
-    world.nodes[node].group = 1;
-    world.start(node);
-    world.passes(60_000);
-    let process = world.process(node).expect("runs");
+    let mut simulation = full(4);
+    let node = simulation.nodes.len() - 1;
+    simulation.kill(node);
+    simulation.nodes[node].group = 1;
+    simulation.start(node);
+    simulation.passes(60_000);
+    let process = simulation.process(node).expect("runs");
     assert!(!process.state().is_empty(), "it kept what it knew");
     assert_eq!(process.right(), 0, "its cell may have given up what it had, and its place another owner");
 }
 
 #[test]
 fn who_has_its_own_record_but_not_all_before_it_has_no_right_yet() {
-    let mut world = full(7);
-    let node = world.nodes.len() - 1;
-    (0..3).for_each(|replica| world.kill(replica));
-    world.kill(node);
-    world.nodes.iter_mut().enumerate().filter(|(at, _)| *at != node).for_each(|(_, node)| node.group = 1);
-    world.start(node);
+    let mut simulation = full(7);
+    let node = simulation.nodes.len() - 1;
+    (0..3).for_each(|replica| simulation.kill(replica));
+    simulation.kill(node);
+    simulation
+        .nodes
+        .iter_mut()
+        .enumerate()
+        .filter(|(at, _)| *at != node)
+        .for_each(|(_, node)| node.group = 1);
+    simulation.start(node);
     let (to, held) = {
-        let state = world.process(node).expect("runs").state();
-        let key = Key::Member(CellId(1), world.nodes[node].name.clone());
+        let state = simulation.process(node).expect("runs").state();
+        let key = Key::Member(CellId(1), simulation.nodes[node].name.clone());
         (state.to(), state.get(&key).expect("kept").clone())
     };
     let slot = to.slot();
@@ -150,47 +156,47 @@
     let (version, value) =
         (Version::at(slot + 1, 0), Some(Value::Member(Member { incarnation: 2, ..member })));
     let own = Record { key: held.key, version, value };
-    let give = |world: &mut World, after, upto, head, records: Vec<Record>| {
+    let give = |simulation: &mut CellsSimulation, after, upto, head, records: Vec<Record>| {
         let (to, head) = (Version::end_of(upto), Version::end_of(head));
         let delta = Delta { after, to, head, horizon: Version(0), digest: 0, records };
-        world.inject(address(0), node, &write(fleet(FLEET), &Message::Delta(delta)));
+        simulation.inject(address(0), node, &write(fleet(FLEET), &Message::Delta(delta)));
     };
-    give(&mut world, to, slot + 1, slot + 9, vec![own]);
-    let right = |world: &World| world.process(node).map(|process| process.right());
-    assert_eq!(right(&world), Some(0), "its cell may have given up something in what is still to come");
-    give(&mut world, Version::end_of(slot + 1), slot + 9, slot + 9, vec![]);
-    assert_eq!(right(&world), Some(WHOLE / 10));
+    give(&mut simulation, to, slot + 1, slot + 9, vec![own]);
+    let right = |simulation: &CellsSimulation| simulation.process(node).map(|process| process.right());
+    assert_eq!(right(&simulation), Some(0), "its cell may have given up something in what is still to come");
+    give(&mut simulation, Version::end_of(slot + 1), slot + 9, slot + 9, vec![]);
+    assert_eq!(right(&simulation), Some(WHOLE / 10));
 }
 
 /// Two processes of one machine's name, the older one still there, cut off: told to the log as one that ended.
 #[test]
 fn the_sum_catches_an_end_that_was_none() {
-    let mut world = full(5);
-    let alive = world.nodes.len() - 2;
-    let name = world.nodes[alive].name.clone();
-    world.nodes[alive].group = 1;
-    submit(&mut world, 1, Action::Ended { cell: CellId(0), name, incarnation: 1 });
-    let node = world.machine("new".into(), CellId(0), 0);
-    let addition = world.addition(2, node);
-    world.submit(0, addition);
-    world.start(node);
-    let over = |world: &World| world.rights() > u64::from(WHOLE);
-    assert!(world.until(20_000, 50, over), "the check sees nothing: {}", world.rights());
+    let mut simulation = full(5);
+    let alive = simulation.nodes.len() - 2;
+    let name = simulation.nodes[alive].name.clone();
+    simulation.nodes[alive].group = 1;
+    submit(&mut simulation, 1, Action::Ended { cell: CellId(0), name, incarnation: 1 });
+    let node = simulation.machine("new".into(), CellId(0), 0);
+    let addition = simulation.addition(2, node);
+    simulation.submit(0, addition);
+    simulation.start(node);
+    let over = |simulation: &CellsSimulation| simulation.rights() > u64::from(WHOLE);
+    assert!(simulation.until(20_000, 50, over), "the check sees nothing: {}", simulation.rights());
 }
 
 /// A speaker that puts in a release before all were heard.
 #[test]
 fn the_sum_catches_a_release_that_came_too_early() {
-    let mut world = full(6);
-    let apart = world.nodes.len() - 2;
-    world.nodes[apart].group = 1;
-    submit(&mut world, 1, Action::Shrink { cell: CellId(0), by: WHOLE / 2 });
-    world.passes(3000);
-    let (_, _, at) = cell(&world, 0);
-    submit(&mut world, 2, Action::Release { cell: CellId(0), at });
-    submit(&mut world, 3, Action::Grow { cell: CellId(1), by: WHOLE / 2 });
-    let over = |world: &World| world.rights() > u64::from(WHOLE);
-    assert!(world.until(20_000, 50, over), "the check sees nothing: {}", world.rights());
+    let mut simulation = full(6);
+    let apart = simulation.nodes.len() - 2;
+    simulation.nodes[apart].group = 1;
+    submit(&mut simulation, 1, Action::Shrink { cell: CellId(0), by: WHOLE / 2 });
+    simulation.passes(3000);
+    let (_, _, at) = cell(&simulation, 0);
+    submit(&mut simulation, 2, Action::Release { cell: CellId(0), at });
+    submit(&mut simulation, 3, Action::Grow { cell: CellId(1), by: WHOLE / 2 });
+    let over = |simulation: &CellsSimulation| simulation.rights() > u64::from(WHOLE);
+    assert!(simulation.until(20_000, 50, over), "the check sees nothing: {}", simulation.rights());
 }
 
 proptest! {
@@ -202,60 +208,60 @@
         steps in prop::collection::vec((0..12u8, 0..26usize, 1..4000u64), 10..50),
         seed in any::<u64>(),
     ) {
-        let mut world = full(seed).with_horizon(16);
-        world.net = ROUGH;
+        let mut simulation = full(seed).with_horizon(16);
+        simulation.net = ROUGH;
         let mut id = 0;
         for (what, node, ms) in &steps {
             id += 1;
             let (node, of) = (node % 13, CellId((node % 2) as u16));
             let process = 3 + node % PROCESSES;
             match what % 12 {
-                0 => world.kill(node),
-                1 if !world.runs(node) => {
-                    if node < 3 { world.start(node) } else { world.replace(5000 + id, node, 1) }
+                0 => simulation.kill(node),
+                1 if !simulation.runs(node) => {
+                    if node < 3 { simulation.start(node) } else { simulation.replace(5000 + id, node, 1) }
                 }
-                2 | 3 => world.nodes[node].group = 1 + node as u8 % 2,
-                4 => world.nodes.iter_mut().for_each(|node| node.group = 0),
+                2 | 3 => simulation.nodes[node].group = 1 + node as u8 % 2,
+                4 => simulation.nodes.iter_mut().for_each(|node| node.group = 0),
                 5 => {
                     // A process that ends and says so; another comes in its place.
-                    world.kill(process);
-                    let (name, incarnation) = (world.nodes[process].name.clone(), world.nodes[process].incarnation);
-                    let cell = world.nodes[process].site.cell.unwrap_or_default();
-                    world.submit(node % 3, Change { id, action: Action::Ended { cell, name, incarnation } });
-                    let addition = world.addition(7000 + id, process);
-                    world.submit(node % 3, addition);
-                    world.start(process);
+                    simulation.kill(process);
+                    let (name, incarnation) = (simulation.nodes[process].name.clone(), simulation.nodes[process].incarnation);
+                    let cell = simulation.nodes[process].site.cell.unwrap_or_default();
+                    simulation.submit(node % 3, Change { id, action: Action::Ended { cell, name, incarnation } });
+                    let addition = simulation.addition(7000 + id, process);
+                    simulation.submit(node % 3, addition);
+                    simulation.start(process);
                 }
-                6 | 7 => world.submit(node % 3, Change { id, action: Action::Shrink { cell: of, by: 100_000 } }),
-                8 | 9 => world.submit(node % 3, Change { id, action: Action::Grow { cell: of, by: 100_000 } }),
-                10 => world.replace(5000 + id, process, 1),
-                _ => world.submit(node % 3, put(id, &format!("k{}", id % 4), "v")),
+                6 | 7 => simulation.submit(node % 3, Change { id, action: Action::Shrink { cell: of, by: 100_000 } }),
+                8 | 9 => simulation.submit(node % 3, Change { id, action: Action::Grow { cell: of, by: 100_000 } }),
+                10 => simulation.replace(5000 + id, process, 1),
+                _ => simulation.submit(node % 3, put(id, &format!("k{}", id % 4), "v")),
             }
             let mut left = *ms;
             while left > 0 {
                 let step = left.min(250);
-                world.passes(step);
+                simulation.passes(step);
                 left -= step;
-                prop_assert!(world.rights() <= u64::from(WHOLE), "{} of {WHOLE}", world.rights());
+                prop_assert!(simulation.rights() <= u64::from(WHOLE), "{} of {WHOLE}", simulation.rights());
             }
         }
-        prop_assert!(world.one_value.breaches.is_empty());
-        world.net = CALM;
-        for node in 0..world.nodes.len() {
-            world.nodes[node].group = 0;
-            if !world.runs(node) {
-                if node < 3 { world.start(node) } else { world.replace(90_000 + node as u64, node, 1) }
+        prop_assert!(simulation.one_value.breaches.is_empty());
+        simulation.net = CALM;
+        for node in 0..simulation.nodes.len() {
+            simulation.nodes[node].group = 0;
+            if !simulation.runs(node) {
+                if node < 3 { simulation.start(node) } else { simulation.replace(90_000 + node as u64, node, 1) }
             }
         }
-        let agree = |world: &World| {
-            let to: Vec<_> = world.processes().map(|(_, process)| (process.state().whole(), process.state().to())).collect();
-            let first = world.replica(0).map(|replica| replica.state().to());
-            to.iter().all(|(whole, to)| *whole && Some(*to) == first) && world.rights() <= u64::from(WHOLE)
+        let agree = |simulation: &CellsSimulation| {
+            let to: Vec<_> = simulation.processes().map(|(_, process)| (process.state().whole(), process.state().to())).collect();
+            let first = simulation.replica(0).map(|replica| replica.state().to());
+            to.iter().all(|(whole, to)| *whole && Some(*to) == first) && simulation.rights() <= u64::from(WHOLE)
         };
-        world.passes(2000);
-        prop_assert!(world.until(30_000, 250, agree), "they never agreed");
-        let digests: std::collections::BTreeSet<_> = world.processes()
-            .map(|(node, process)| (world.nodes[node].site.cell.map(|cell| cell.0), process.state().digest())).collect();
+        simulation.passes(2000);
+        prop_assert!(simulation.until(30_000, 250, agree), "they never agreed");
+        let digests: std::collections::BTreeSet<_> = simulation.processes()
+            .map(|(node, process)| (simulation.nodes[node].site.cell.map(|cell| cell.0), process.state().digest())).collect();
         prop_assert_eq!(digests.len(), 2, "one for each cell");
     }
 }
@@ -264,12 +270,12 @@
 #[test]
 fn the_log_itself_never_gives_out_more_than_the_whole() {
     use nanorand::{Rng, WyRand};
-    let mut chance = WyRand::new_seed(9);
+    let mut rng = WyRand::new_seed(9);
     let mut state = State::new(Scope::All);
     for slot in 1..=4000u64 {
-        let (cell, by) = (CellId(chance.generate_range(0..4u16)), chance.generate_range(0..400_000u32));
+        let (cell, by) = (CellId(rng.generate_range(0..4u16)), rng.generate_range(0..400_000u32));
         let at = state.cell(cell).map_or(Version(0), |cell| cell.shrunk);
-        let action = match chance.generate_range(0..4u32) {
+        let action = match rng.generate_range(0..4u32) {
             0 => Action::AddCell { cell, region: 0, places: 3, quota: by },
             1 => Action::Grow { cell, by },
             2 => Action::Shrink { cell, by },
--- a/crates/testkit/examples/cells.rs
+++ b/crates/testkit/examples/cells.rs
@@ -3,7 +3,7 @@
 use shelfgrade::time::DurationExt;
 use shelfgrade_cells::WHOLE;
 use shelfgrade_testkit::cells::fleet::{percentile, put};
-use shelfgrade_testkit::cells::{World, CALM};
+use shelfgrade_testkit::cells::{CellsSimulation, CALM};
 use std::time::Duration;
 use std::time::Instant;
 
@@ -14,7 +14,7 @@
 }
 
 struct Trial {
-    world: World,
+    simulation: CellsSimulation,
     size: usize,
     began: Instant,
 }
@@ -23,11 +23,11 @@
     /// What was sent and used while so many milliseconds passed.
     fn point(&mut self, name: &str, ms: u64, also: &str) {
         let span = Duration::from_millis(ms);
-        let (mean, busiest, second) = self.world.bytes(span);
-        let (replicas, replica) = self.world.replica_bytes(span);
+        let (mean, busiest, second) = self.simulation.bytes(span);
+        let (replicas, replica) = self.simulation.replica_bytes(span);
         let seconds = ms as f64 / 1000.0;
         let busy = |node: &shelfgrade_testkit::cells::Node| node.busy.as_secs_f64() / seconds * 100.0;
-        let own = &self.world.nodes[self.world.replicas..];
+        let own = &self.simulation.nodes[self.simulation.replicas..];
         let core = own.iter().map(busy).sum::<f64>() / own.len() as f64;
         let most = own.iter().map(busy).fold(0.0, f64::max);
         println!(
@@ -38,25 +38,25 @@
             self.size,
             self.began.elapsed().as_secs_f64()
         );
-        self.world.measure_anew();
+        self.simulation.measure_anew();
     }
 
     fn changes(&mut self, name: &str, first: u64, count: u64) {
         let (mut all, mut own, mut lost) = (Vec::new(), Vec::new(), 0);
-        let before = self.world.now;
+        let before = self.simulation.now;
         for id in first..first + count {
             let at = (id % 5) as usize;
-            let region = self.world.nodes[at].site.region;
-            for (of, ms) in self.world.change_and_watch(id, at, 30_000) {
+            let region = self.simulation.nodes[at].site.region;
+            for (of, ms) in self.simulation.change_and_watch(id, at, 30_000) {
                 lost += usize::from(ms.is_infinite());
                 all.push(ms);
                 if of == region {
                     own.push(ms);
                 }
             }
-            self.world.passes(1000 + id * 37 % 500);
+            self.simulation.passes(1000 + id * 37 % 500);
         }
-        let ms = self.world.now.since(before).as_ms() as u64;
+        let ms = self.simulation.now.since(before).as_ms() as u64;
         let also = format!(
             ",\"changes\":{count},\"p50_ms\":{:.0},\"p99_ms\":{:.0},\"max_ms\":{:.0},\"own_region_p99_ms\":{:.0},\
              \"never\":{lost}",
@@ -69,43 +69,43 @@
     }
 
     fn state(&self) -> String {
-        let sizes = self.world.processes().map(|(_, process)| process.state().len());
+        let sizes = self.simulation.processes().map(|(_, process)| process.state().len());
         let (least, most) = sizes.fold((usize::MAX, 0), |(a, b), n| (a.min(n), b.max(n)));
-        let replica = self.world.replica(0).map_or(0, |replica| replica.state().len());
-        let unmet = self.world.processes().map(|(_, process)| process.unmet()).max().unwrap_or(0);
+        let replica = self.simulation.replica(0).map_or(0, |replica| replica.state().len());
+        let unmet = self.simulation.processes().map(|(_, process)| process.unmet()).max().unwrap_or(0);
         format!(",\"most_unmet\":{unmet},\"records_least\":{least},\"records_most\":{most},\"replica_records\":{replica}")
     }
 
     /// Processes start in the places of their former selves, one every so often; how long until each holds all, its own
     /// record included.
     fn starts(&mut self, name: &str, first: u64, count: usize, every_ms: u64) {
-        let nodes = self.world.nodes.len() - self.world.replicas;
+        let nodes = self.simulation.nodes.len() - self.simulation.replicas;
         let (mut took, mut waits) = (Vec::new(), Vec::new());
-        let before = self.world.now;
+        let before = self.simulation.now;
         for start in 0..count {
-            let node = self.world.replicas + start * 7919 % nodes;
-            self.world.replace(first + start as u64, node, 300.min(every_ms / 2));
-            waits.push((node, self.world.now));
+            let node = self.simulation.replicas + start * 7919 % nodes;
+            self.simulation.replace(first + start as u64, node, 300.min(every_ms / 2));
+            waits.push((node, self.simulation.now));
             let mut left = every_ms - 300.min(every_ms / 2);
             if start + 1 == count {
                 left += 20_000;
             }
             while left > 0 {
                 let step = left.min(20);
-                self.world.passes(step);
+                self.simulation.passes(step);
                 left -= step;
-                let world = &self.world;
+                let simulation = &self.simulation;
                 waits.retain(|(node, at)| {
-                    let holds = world.process(*node).is_some_and(|process| process.active());
+                    let holds = simulation.process(*node).is_some_and(|process| process.active());
                     if holds {
-                        took.push(world.now.since(*at).as_ms());
+                        took.push(simulation.now.since(*at).as_ms());
                     }
                     !holds
                 });
             }
         }
         took.extend(waits.iter().map(|_| f64::INFINITY));
-        let ms = self.world.now.since(before).as_ms() as u64;
+        let ms = self.simulation.now.since(before).as_ms() as u64;
         let (p50, p99) = (percentile(&mut took, 50.0), percentile(&mut took, 99.0));
         let most = percentile(&mut took, 100.0);
         let state = self.state();
@@ -121,16 +121,16 @@
     let (size, entries) = (number(1, 300), number(2, 1000));
     let empty = resident();
     let began = Instant::now();
-    let world = World::whole_fleet(size, 16, entries, CALM, 7);
-    let mut trial = Trial { world, size, began };
-    trial.world.measure_anew();
-    let begun = trial.world.now;
-    trial.world.until(120_000, 50, World::agrees);
-    let ms = trial.world.now.since(begun).as_ms();
+    let simulation = CellsSimulation::whole_fleet(size, 16, entries, CALM, 7);
+    let mut trial = Trial { simulation, size, began };
+    trial.simulation.measure_anew();
+    let begun = trial.simulation.now;
+    trial.simulation.until(120_000, 50, CellsSimulation::agrees);
+    let ms = trial.simulation.now.since(begun).as_ms();
     trial.point("all start at once", ms.max(1.0) as u64, &format!(",\"all_have_all_ms\":{ms:.0}"));
-    trial.world.passes(20_000);
-    trial.world.measure_anew();
-    trial.world.passes(30_000);
+    trial.simulation.passes(20_000);
+    trial.simulation.measure_anew();
+    trial.simulation.passes(30_000);
     let memory = (resident() - empty) / trial.size as f64 / 1024.0;
     let also = format!(",\"memory_kb_each\":{memory:.0}{}", trial.state());
     trial.point("at rest", 30_000, &also);
@@ -139,42 +139,44 @@
 
     for entry in 0..1000 {
         trial
-            .world
+            .simulation
             .submit(0, put(100_000 + entry, &format!("server/{entry:05}"), "10.0.0.2:8080 cold weight 3"));
     }
-    let before = trial.world.now;
-    let done = |world: &World| world.outcomes.contains_key(&100_999) && world.agrees();
-    trial.world.until(300_000, 100, done);
-    let ms = trial.world.now.since(before).as_ms();
+    let before = trial.simulation.now;
+    let done =
+        |simulation: &CellsSimulation| simulation.outcomes.contains_key(&100_999) && simulation.agrees();
+    trial.simulation.until(300_000, 100, done);
+    let ms = trial.simulation.now.since(before).as_ms();
     trial.point("1,000 entries change", ms as u64, &format!(",\"in_all_after_ms\":{ms:.0}"));
-    trial.world.passes(10_000);
-    trial.world.measure_anew();
+    trial.simulation.passes(10_000);
+    trial.simulation.measure_anew();
 
-    let cut = |world: &mut World, group: u8| {
-        world.nodes.iter_mut().filter(|node| node.site.region == 5).for_each(|node| node.group = group);
+    let cut = |simulation: &mut CellsSimulation, group: u8| {
+        simulation.nodes.iter_mut().filter(|node| node.site.region == 5).for_each(|node| node.group = group);
     };
-    cut(&mut trial.world, 1);
+    cut(&mut trial.simulation, 1);
     let mut over = 0;
     for _ in 0..280 {
-        trial.world.passes(1000);
-        over += usize::from(trial.world.rights() > u64::from(WHOLE));
+        trial.simulation.passes(1000);
+        over += usize::from(trial.simulation.rights() > u64::from(WHOLE));
     }
     trial.point("a region is cut off", 280_000, &format!(",\"times_over_the_whole\":{over}"));
     trial.changes("one change while a region is cut off", 3001, 5);
-    cut(&mut trial.world, 0);
-    let before = trial.world.now;
-    trial.world.until(60_000, 50, World::agrees);
-    let ms = trial.world.now.since(before).as_ms();
-    trial.world.passes(10_000);
+    cut(&mut trial.simulation, 0);
+    let before = trial.simulation.now;
+    trial.simulation.until(60_000, 50, CellsSimulation::agrees);
+    let ms = trial.simulation.now.since(before).as_ms();
+    trial.simulation.passes(10_000);
     trial.point("met again", ms as u64 + 10_000, &format!(",\"all_agree_after_ms\":{ms:.0}"));
 
     let before = resident();
     trial.starts("1,400 replacements in ten minutes", 20_000, 1400, 428);
-    trial.world.passes(20_000);
-    trial.world.measure_anew();
-    trial.world.passes(20_000);
+    trial.simulation.passes(20_000);
+    trial.simulation.measure_anew();
+    trial.simulation.passes(20_000);
     let grown = (resident() - before) / 1024.0 / trial.size as f64;
-    let also = format!(",\"grown_kb_each\":{grown:.1},\"agree\":{}{}", trial.world.agrees(), trial.state());
+    let also =
+        format!(",\"grown_kb_each\":{grown:.1},\"agree\":{}{}", trial.simulation.agrees(), trial.state());
     trial.point("after the replacements", 20_000, &also);
-    println!("{{\"point\":\"refused\",\"processes\":{size},\"counts\":\"{:?}\"}}", trial.world.refused);
+    println!("{{\"point\":\"refused\",\"processes\":{size},\"counts\":\"{:?}\"}}", trial.simulation.refused);
 }
--- a/crates/testkit/examples/faults.rs
+++ b/crates/testkit/examples/faults.rs
@@ -3,14 +3,14 @@
 //! `cargo run --release -p shelfgrade-trials --example faults -- PROCESSES SECONDS [SEED]`
 
 use shelfgrade_testkit::checks;
-use shelfgrade_testkit::relay::ROUGH;
-use shelfgrade_testkit::trial::{Shape, Trial, SMALL};
+use shelfgrade_testkit::fault_proxy::ROUGH;
+use shelfgrade_testkit::trial::{Trial, TrialConfig, SMALL};
 use std::time::Duration;
 use tokio::time::sleep;
 
 /// One fault, and what is said of it; those that were away are back when it is over.
 async fn fault(trial: &mut Trial, down: &mut Vec<usize>) -> String {
-    let size = trial.shape.processes;
+    let size = trial.config.processes;
     let some = trial.draws(size / 2) + 1;
     match trial.draws(8) {
         0 => {
@@ -37,15 +37,15 @@
             format!("process {index} stopped for {ms} ms")
         }
         4 => {
-            trial.relay.halves(|index| index < some);
+            trial.fault_proxy.halves(|index| index < some);
             format!("{some} processes cut off from the others")
         }
         5 => {
-            trial.relay.becomes(ROUGH);
+            trial.fault_proxy.becomes(ROUGH);
             "the way between them is rough".into()
         }
         6 => {
-            trial.relay.heals();
+            trial.fault_proxy.heals();
             "the way between them is whole".into()
         }
         _ => {
@@ -64,7 +64,7 @@
     down.clear();
     sleep(Duration::from_millis(1000)).await;
     trial.servers_start();
-    (0..trial.shape.processes).for_each(|index| trial.start(index));
+    (0..trial.config.processes).for_each(|index| trial.start(index));
 }
 
 #[tokio::main]
@@ -74,9 +74,10 @@
     let seed = numbers.get(2).copied().unwrap_or_else(|| shelfgrade_testkit::server::unix_ms() as u64);
     println!("seed {seed}");
     let servers = processes.div_ceil(3).max(8);
-    let mut trial = Trial::running(Shape { processes, servers, clients: servers * 30, seed, ..SMALL }).await;
-    let (began, mut down, mut faults) = (trial.record.now(), Vec::new(), 0u32);
-    while trial.record.now() - began < Duration::from_secs(seconds) {
+    let mut trial =
+        Trial::running(TrialConfig { processes, servers, clients: servers * 30, seed, ..SMALL }).await;
+    let (began, mut down, mut faults) = (trial.recorder.now(), Vec::new(), 0u32);
+    while trial.recorder.now() - began < Duration::from_secs(seconds) {
         faults += 1;
         let what = if faults.is_multiple_of(12) {
             loss(&mut trial, &mut down).await;
@@ -86,20 +87,21 @@
         };
         let pause = 500 + trial.draws(4000) as u64;
         sleep(Duration::from_millis(pause)).await;
-        let (stand, breaches) = (trial.standing(), checks::rules(&trial.record));
+        let (stand, breaches) = (trial.standing(), checks::rules(&trial.recorder));
         println!(
             "{:5.1} s: {what}; {stand} stand, {} breaches",
-            trial.record.now().as_secs_f64(),
+            trial.recorder.now().as_secs_f64(),
             breaches.len()
         );
         breaches.iter().take(3).for_each(|breach| println!("    {breach}"));
     }
-    trial.relay.heals();
+    trial.fault_proxy.heals();
     down.iter().for_each(|index| trial.start(*index));
-    let wanted = trial.shape.clients * 98 / 100;
+    let wanted = trial.config.clients * 98 / 100;
     trial.until(Duration::from_secs(60), "service is back", |trial| trial.standing() >= wanted).await;
-    let nearest = trial.record.seen().coldest.iter().map(|(n, bound)| *n as f64 / bound).fold(0.0, f64::max);
-    let tries = trial.record.seen().tries.len();
+    let nearest =
+        trial.recorder.observations().coldest.iter().map(|(n, bound)| *n as f64 / bound).fold(0.0, f64::max);
+    let tries = trial.recorder.observations().requests.len();
     trial.ends().await;
     println!("{faults} faults, {tries} tries, no rule broken; the fullest cold server came to {nearest:.2} of its bound");
 }
--- a/crates/testkit/examples/hollow.rs
+++ b/crates/testkit/examples/hollow.rs
@@ -5,13 +5,13 @@
 //! `100,300,1000,3800`, on four threads unless another number is named.
 
 use shelfgrade::time::DurationExt;
-use shelfgrade_testkit::hollow::{name, roster, Hollow};
+use shelfgrade_testkit::hollow_node::{name, roster, HollowNode};
 use shelfgrade_testkit::simulation::{Simulation, Usage};
-use shelfgrade_testkit::topology::{Topology, Weather, SIX_REGIONS};
+use shelfgrade_testkit::topology::{NetworkConditions, Topology, SIX_REGIONS};
 use std::time::Duration;
 use std::time::Instant;
 
-const USUAL: Weather = Weather { lost: 2, doubled: 1 };
+const USUAL: NetworkConditions = NetworkConditions { lost: 2, doubled: 1 };
 /// How closely it is looked when who knows what.
 const STEP: Duration = Duration::from_millis(200);
 
@@ -26,7 +26,7 @@
 }
 
 struct Trial {
-    all: Simulation<Hollow>,
+    all: Simulation<HollowNode>,
     size: usize,
     seed: u64,
     began: Instant,
@@ -45,7 +45,7 @@
         let topology = Topology::of(&SIX_REGIONS, size, seed);
         let mut all = Simulation::begin(topology, USUAL, threads, seed);
         let roster = roster(size);
-        all.start(0..size, move |process, now| Hollow::new(&roster, &name(process), seed, now));
+        all.start(0..size, move |process, now| HollowNode::new(&roster, &name(process), seed, now));
         Trial { all, size, seed, began: Instant::now(), resident_before }
     }
 
--- a/crates/testkit/examples/sockets.rs
+++ b/crates/testkit/examples/sockets.rs
@@ -1,4 +1,4 @@
-//! Hollow processes on real sockets: some hundreds of cores in this process, each with a UDP socket of its own on
+//! HollowNode processes on real sockets: some hundreds of cores in this process, each with a UDP socket of its own on
 //! loopback, and some real processes of the program in one fleet with them. A JSON line for each point.
 //!
 //! `cargo run --release --locked -p shelfgrade-trials --example sockets -- [HOLLOW] [REAL]`, 297 and 3 unless others are
@@ -6,11 +6,11 @@
 
 use rustix::time::{clock_gettime, ClockId};
 use shelfgrade_testkit::discovery::Discovery;
-use shelfgrade_testkit::hollow::name;
+use shelfgrade_testkit::hollow_node::name;
 use shelfgrade_testkit::own_address;
-use shelfgrade_testkit::process::{known, Given, Process, LIMITS};
-use shelfgrade_testkit::record::Record;
-use shelfgrade_testkit::server::{Server, MAKE};
+use shelfgrade_testkit::process::{known, Process, ProcessConfig, LIMITS};
+use shelfgrade_testkit::recorder::Recorder;
+use shelfgrade_testkit::server::{Server, DEFAULT_SERVER};
 use shelfgrade_testkit::sockets::{Counts, Sockets};
 use std::net::{SocketAddr, UdpSocket};
 use std::time::{Duration, Instant};
@@ -19,18 +19,18 @@
 async fn main() {
     let mut given = std::env::args().skip(1).filter_map(|number| number.parse().ok());
     let (hollow, real) = (given.next().unwrap_or(297), given.next().unwrap_or(3));
-    let record = Record::default();
+    let recorder = Recorder::default();
     let mut servers = Vec::new();
     for index in 0..8 {
-        servers.push(Server::begin(index, MAKE, record.clone()).await);
+        servers.push(Server::begin(index, DEFAULT_SERVER, recorder.clone()).await);
     }
-    let discovery = Discovery::begin(record).await;
+    let discovery = Discovery::begin(recorder).await;
     discovery.says(&servers.iter().map(|server| &**server).collect::<Vec<_>>(), "in_service");
     let folder = tempfile::TempDir::new().expect("a folder");
-    let given = Given {
+    let given = ProcessConfig {
         folder: folder.path().to_owned(),
         discovery: discovery.address,
-        make: MAKE,
+        server_spec: DEFAULT_SERVER,
         fleet: true,
         known: known(&servers),
         limits: LIMITS,
@@ -44,7 +44,7 @@
     trial.join().expect("a trial that ends");
 }
 
-fn runs(hollow: usize, real: usize, given: &Given) {
+fn runs(hollow: usize, real: usize, given: &ProcessConfig) {
     let processes: Vec<_> = (0..real).map(|index| Process::new(index, given)).collect();
     let sockets: Vec<_> = (0..hollow).map(|_| UdpSocket::bind(own_address()).expect("a socket")).collect();
     let mut all: Vec<(String, SocketAddr)> =
@@ -149,7 +149,7 @@
             (mark.from_real.datagrams - since.from_real.datagrams) as f64 * unheard / of_real,
             spent.sum::<f64>() * 100.0 / of_real,
             self.all.mean_alive(),
-            self.all.cores.iter().map(|core| core.told.went).sum::<u64>(),
+            self.all.cores.iter().map(|core| core.events.went).sum::<u64>(),
             if more.is_empty() { "" } else { "," },
         );
     }
--- a/crates/testkit/src/cells.rs
+++ b/crates/testkit/src/cells.rs
@@ -10,16 +10,16 @@
 
 pub mod fleet;
 mod parts;
-pub use parts::{address, Net, Node, OneValue, Site, CALM, ROUGH};
-use parts::{node_at, Core, Event, Out, What};
+pub use parts::{address, NetworkConditions, Node, OneValue, Site, CALM, ROUGH};
+use parts::{node_at, Core, Event, EventKind, RecordedCalls};
 
 pub const FLEET: &str = "drawn";
 
-pub struct World {
+pub struct CellsSimulation {
     pub now: Timestamp,
     pub nodes: Vec<Node>,
     pub replicas: usize,
-    pub net: Net,
+    pub net: NetworkConditions,
     pub horizon: u64,
     pub one_value: OneValue,
     pub refused: BTreeMap<&'static str, u64>,
@@ -31,15 +31,15 @@
     events: BinaryHeap<Reverse<Event>>,
     number: u64,
     seeds: u64,
-    chance: WyRand,
+    rng: WyRand,
 }
 
-impl World {
+impl CellsSimulation {
     /// A fleet that was just founded, with one replica for each entry, in those regions.
-    pub fn founded(replicas: &[u8], net: Net, seed: u64) -> Self {
+    pub fn founded(replicas: &[u8], net: NetworkConditions, seed: u64) -> Self {
         let peers = replicas.iter().enumerate();
         let peers = peers.map(|(id, region)| Peer { address: address(id), region: *region }).collect();
-        let mut world = World {
+        let mut simulation = CellsSimulation {
             now: Timestamp::from_ms(1000.0),
             nodes: Vec::new(),
             replicas: replicas.len(),
@@ -54,17 +54,17 @@
             events: BinaryHeap::new(),
             number: 0,
             seeds: seed,
-            chance: WyRand::new_seed(seed),
+            rng: WyRand::new_seed(seed),
         };
         for (id, region) in replicas.iter().enumerate() {
-            world.place(format!("replica-{id}"), Site { region: *region, cell: None });
-            let (peers, seed) = (world.peers.clone(), world.seed());
-            let mut out = Out::default();
-            let core = Replica::found(FLEET, peers, id as u8, seed, world.now, &mut out);
-            world.nodes[id].core = Some(Core::Replica(Box::new(core)));
-            world.settle(id, out);
+            simulation.place(format!("replica-{id}"), Site { region: *region, cell: None });
+            let (peers, seed) = (simulation.peers.clone(), simulation.seed());
+            let mut out = RecordedCalls::default();
+            let core = Replica::found(FLEET, peers, id as u8, seed, simulation.now, &mut out);
+            simulation.nodes[id].core = Some(Core::Replica(Box::new(core)));
+            simulation.settle(id, out);
         }
-        world
+        simulation
     }
 
     /// With this horizon at all replicas, those that start later too.
@@ -111,7 +111,7 @@
     /// Starts what belongs on a machine, with what is on its disk.
     pub fn start(&mut self, node: usize) {
         let (seed, now, peers) = (self.seed(), self.now, self.peers.clone());
-        let mut out = Out::default();
+        let mut out = RecordedCalls::default();
         let of = &mut self.nodes[node];
         of.incarnation += 1;
         of.armed = Timestamp::NEVER;
@@ -163,7 +163,7 @@
         (self.replicas..self.nodes.len()).filter_map(|node| Some((node, self.process(node)?)))
     }
 
-    /// What all that run may do together.
+    /// EventKind all that run may do together.
     pub fn rights(&self) -> u64 {
         self.processes().map(|(_, process)| u64::from(process.right())).sum()
     }
@@ -186,8 +186,8 @@
         });
     }
 
-    fn call(&mut self, node: usize, with: impl FnOnce(&mut Core, &mut Out)) {
-        let mut out = Out::default();
+    fn call(&mut self, node: usize, with: impl FnOnce(&mut Core, &mut RecordedCalls)) {
+        let mut out = RecordedCalls::default();
         let Some(core) = &mut self.nodes[node].core else { return };
         let began = Instant::now();
         with(core, &mut out);
@@ -195,7 +195,7 @@
         self.settle(node, out);
     }
 
-    fn settle(&mut self, node: usize, out: Out) {
+    fn settle(&mut self, node: usize, out: RecordedCalls) {
         for stored in out.stored {
             if let Stored::Chosen { slot, batch } = &stored {
                 self.one_value.chosen(*slot, batch);
@@ -226,17 +226,17 @@
         let next = next.max(self.now + Duration::from_ms(0.1));
         if next < self.nodes[node].armed {
             self.nodes[node].armed = next;
-            self.push(next, node, What::Wake);
+            self.push(next, node, EventKind::Timer);
         }
     }
 
-    fn push(&mut self, at: Timestamp, to: usize, what: What) {
+    fn push(&mut self, at: Timestamp, to: usize, what: EventKind) {
         self.number += 1;
         self.events.push(Reverse(Event { at, number: self.number, to, what }));
     }
 
     fn one_in(&mut self, thousand: u32) -> bool {
-        thousand > 0 && self.chance.generate_range(0..1000u32) < thousand
+        thousand > 0 && self.rng.generate_range(0..1000u32) < thousand
     }
 
     fn send(&mut self, from: usize, to: SocketAddr, bytes: Vec<u8>) {
@@ -256,13 +256,12 @@
         }
         let copies = if self.one_in(self.net.twice) { 2 } else { 1 };
         for _ in 0..copies {
-            let mut ms =
-                self.delay(from, to) * (1.0 + f64::from(self.chance.generate_range(0..100u32)) / 500.0);
+            let mut ms = self.delay(from, to) * (1.0 + f64::from(self.rng.generate_range(0..100u32)) / 500.0);
             if self.one_in(self.net.late) {
-                ms += f64::from(self.chance.generate_range(0..3000u32));
+                ms += f64::from(self.rng.generate_range(0..3000u32));
             }
             let at = self.now + Duration::from_ms(ms);
-            self.push(at, to, What::Datagram { from, bytes: bytes.clone() });
+            self.push(at, to, EventKind::Datagram { from, bytes: bytes.clone() });
         }
     }
 
@@ -286,22 +285,22 @@
             self.now = self.now.max(event.at);
             let now = self.now;
             match event.what {
-                What::Datagram { from, bytes } => self.inject(address(from), event.to, &bytes),
-                What::Wake if self.nodes[event.to].armed == event.at => {
+                EventKind::Datagram { from, bytes } => self.inject(address(from), event.to, &bytes),
+                EventKind::Timer if self.nodes[event.to].armed == event.at => {
                     self.nodes[event.to].armed = Timestamp::NEVER;
                     self.call(event.to, |core, out| match core {
                         Core::Replica(core) => core.on_timer(now, out),
                         Core::Process(core) => core.on_timer(now, out),
                     });
                 }
-                What::Wake => {}
+                EventKind::Timer => {}
             }
         }
         self.now = until;
     }
 
     /// Passes until it holds, looked at so often; false where it never did.
-    pub fn until(&mut self, most_ms: u64, every_ms: u64, holds: impl Fn(&World) -> bool) -> bool {
+    pub fn until(&mut self, most_ms: u64, every_ms: u64, holds: impl Fn(&CellsSimulation) -> bool) -> bool {
         let mut left = most_ms;
         while !holds(self) {
             if left == 0 {
--- a/crates/testkit/src/cells/fleet.rs
+++ b/crates/testkit/src/cells/fleet.rs
@@ -1,6 +1,6 @@
 //! Whole fleets: founding one, replacing processes, and what is measured of it.
 
-use super::{address, Net, World};
+use super::{address, CellsSimulation, NetworkConditions};
 use shelfgrade::time::{DurationExt, Timestamp};
 use shelfgrade_cells::{Action, CellId, Change, WHOLE};
 use std::time::Duration;
@@ -19,10 +19,16 @@
     Change { id, action: Action::Put { key: key.to_owned(), value: value.as_bytes().to_vec() } }
 }
 
-impl World {
+impl CellsSimulation {
     /// Ten replicas, and processes dealt out to cells in six regions, all in the log and started.
-    pub fn whole_fleet(processes: usize, cells: u16, entries: usize, net: Net, seed: u64) -> Self {
-        let mut world = World::founded(&TEN, net, seed);
+    pub fn whole_fleet(
+        processes: usize,
+        cells: u16,
+        entries: usize,
+        net: NetworkConditions,
+        seed: u64,
+    ) -> Self {
+        let mut simulation = CellsSimulation::founded(&TEN, net, seed);
         let mut id = 1_000_000;
         let mut next = || {
             id += 1;
@@ -33,24 +39,24 @@
             let places = places(processes, cells);
             let quota = WHOLE / u32::from(cells);
             let action = Action::AddCell { cell: CellId(cell), region, places, quota };
-            world.submit(0, Change { id: next(), action });
+            simulation.submit(0, Change { id: next(), action });
         }
         for entry in 0..entries {
-            world.submit(0, put(next(), &format!("server/{entry:05}"), "10.0.0.1:8080 warm weight 1"));
+            simulation.submit(0, put(next(), &format!("server/{entry:05}"), "10.0.0.1:8080 warm weight 1"));
         }
         for process in 0..processes {
             let cell = CellId(process as u16 % cells);
-            let node = world.machine(format!("n{process:05}"), cell, (cell.0 % REGIONS) as u8);
-            let change = world.addition(next(), node);
-            world.submit(0, change);
+            let node = simulation.machine(format!("n{process:05}"), cell, (cell.0 % REGIONS) as u8);
+            let change = simulation.addition(next(), node);
+            simulation.submit(0, change);
         }
         let last = next() - 1;
-        let chosen = world.until(900_000, 1000, |world| world.outcomes.contains_key(&last));
+        let chosen = simulation.until(900_000, 1000, |simulation| simulation.outcomes.contains_key(&last));
         assert!(chosen, "the log takes {processes} processes");
-        for node in TEN.len()..world.nodes.len() {
-            world.start(node);
+        for node in TEN.len()..simulation.nodes.len() {
+            simulation.start(node);
         }
-        world
+        simulation
     }
 
     fn cell_of(&self, node: usize) -> CellId {
@@ -97,9 +103,9 @@
         self.arrivals.clear();
         let began: Timestamp = self.now;
         self.submit(at, put(id, &key, &format!("{id}")));
-        let waits = |world: &World| {
-            let here = world.arrivals.keys().filter(|node| **node >= world.replicas).count();
-            here >= world.processes().filter(|(node, _)| world.hears(at, *node)).count()
+        let waits = |simulation: &CellsSimulation| {
+            let here = simulation.arrivals.keys().filter(|node| **node >= simulation.replicas).count();
+            here >= simulation.processes().filter(|(node, _)| simulation.hears(at, *node)).count()
         };
         self.until(most_ms, 20, waits);
         self.watched = None;
--- a/crates/testkit/src/cells/parts.rs
+++ b/crates/testkit/src/cells/parts.rs
@@ -1,4 +1,4 @@
-//! What a world of cells is made of.
+//! EventKind a world of cells is made of.
 
 use shelfgrade::time::Timestamp;
 use shelfgrade_cells::{
@@ -10,14 +10,14 @@
 
 /// The network, in parts of a thousand.
 #[derive(Clone, Copy, Debug)]
-pub struct Net {
+pub struct NetworkConditions {
     pub loss: u32,
     pub twice: u32,
     pub late: u32,
 }
 
-pub const CALM: Net = Net { loss: 10, twice: 0, late: 0 };
-pub const ROUGH: Net = Net { loss: 100, twice: 100, late: 100 };
+pub const CALM: NetworkConditions = NetworkConditions { loss: 10, twice: 0, late: 0 };
+pub const ROUGH: NetworkConditions = NetworkConditions { loss: 100, twice: 100, late: 100 };
 
 /// Where a node is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -51,16 +51,16 @@
     pub busy: Duration,
 }
 
-pub(super) enum What {
+pub(super) enum EventKind {
     Datagram { from: usize, bytes: Vec<u8> },
-    Wake,
+    Timer,
 }
 
 pub(super) struct Event {
     pub(super) at: Timestamp,
     pub(super) number: u64,
     pub(super) to: usize,
-    pub(super) what: What,
+    pub(super) what: EventKind,
 }
 
 impl PartialEq for Event {
@@ -100,7 +100,7 @@
 }
 
 #[derive(Default)]
-pub(super) struct Out {
+pub(super) struct RecordedCalls {
     pub(super) sends: Vec<(SocketAddr, Vec<u8>)>,
     pub(super) stored: Vec<Stored>,
     pub(super) news: Vec<Key>,
@@ -108,7 +108,7 @@
     pub(super) refused: Vec<&'static str>,
 }
 
-impl Environment for Out {
+impl Environment for RecordedCalls {
     fn send(&mut self, to: SocketAddr, datagram: Vec<u8>) {
         self.sends.push((to, datagram));
     }
--- a/crates/testkit/src/checks.rs
+++ b/crates/testkit/src/checks.rs
@@ -1,7 +1,7 @@
 //! What must hold of all processes together, by what the stand-ins saw.
 
 use crate::clients::{ALARM, ONCE};
-use crate::record::{Record, Seen};
+use crate::recorder::{Observations, Recorder};
 use std::collections::BTreeMap;
 use std::fmt;
 use std::time::Duration;
@@ -49,27 +49,27 @@
 pub const DRAIN_SLACK: Duration = Duration::from_millis(2500);
 
 /// All breaches of the four rules.
-pub fn rules(record: &Record) -> Vec<Breach> {
-    let seen = record.seen();
+pub fn rules(recorder: &Recorder) -> Vec<Breach> {
+    let observations = recorder.observations();
     let mut breaches = Vec::new();
-    breaches.extend(answers(&seen, record.now()));
-    breaches.extend(effects(&seen));
-    breaches.extend(drains(&seen));
-    breaches.extend(seen.falls.iter().map(|fall| Breach::PushedOver {
-        server: fall.server,
-        at: fall.at,
-        sent: fall.sent,
-        bound: fall.bound as u32,
+    breaches.extend(answers(&observations, recorder.now()));
+    breaches.extend(effects(&observations));
+    breaches.extend(drains(&observations));
+    breaches.extend(observations.overloads.iter().map(|overload| Breach::PushedOver {
+        server: overload.server,
+        at: overload.at,
+        sent: overload.sent,
+        bound: overload.bound as u32,
     }));
     breaches
 }
 
-fn answers(seen: &Seen, now: Duration) -> Vec<Breach> {
+fn answers(observations: &Observations, now: Duration) -> Vec<Breach> {
     let away = |process: usize, from: Duration, to: Duration| {
-        seen.away.iter().any(|(gone, left, back)| *gone == process && *left <= to && from <= *back)
+        observations.away.iter().any(|(gone, left, back)| *gone == process && *left <= to && from <= *back)
     };
     let mut breaches = Vec::new();
-    for (id, asked) in &seen.tries {
+    for (id, asked) in &observations.requests {
         let until = asked.at + asked.request_timeout + ANSWER_SLACK;
         if until > now || away(asked.process, asked.at, until) {
             continue;
@@ -84,20 +84,20 @@
     breaches
 }
 
-fn effects(seen: &Seen) -> Vec<Breach> {
+fn effects(observations: &Observations) -> Vec<Breach> {
     let mut ran: BTreeMap<u64, Vec<usize>> = BTreeMap::new();
-    for sent in seen.sent.iter().filter(|sent| sent.class == ONCE && sent.ran) {
+    for sent in observations.sent.iter().filter(|sent| sent.class == ONCE && sent.ran) {
         ran.entry(sent.id).or_default().push(sent.server);
     }
     let twice = ran.into_iter().filter(|(_, servers)| servers.len() > 1);
     twice.map(|(id, servers)| Breach::TwoEffects { id, servers }).collect()
 }
 
-fn drains(seen: &Seen) -> Vec<Breach> {
+fn drains(observations: &Observations) -> Vec<Breach> {
     let mut breaches = Vec::new();
-    for (server, since, until) in &seen.drains {
+    for (server, since, until) in &observations.drains {
         let late = |at: Duration| at > *since + DRAIN_SLACK && until.is_none_or(|until| at < until);
-        let sent = seen.sent.iter().filter(|sent| sent.server == *server && late(sent.at));
+        let sent = observations.sent.iter().filter(|sent| sent.server == *server && late(sent.at));
         breaches.extend(sent.map(|sent| Breach::Drain {
             server: *server,
             at: sent.at,
@@ -108,9 +108,9 @@
 }
 
 /// How many stood on the mean between two moments.
-pub fn standing(seen: &Seen, from: Duration, to: Duration) -> f64 {
+pub fn standing(observations: &Observations, from: Duration, to: Duration) -> f64 {
     let (mut sum, mut last, mut stand) = (0.0, from, 0);
-    for (at, number) in &seen.standing {
+    for (at, number) in &observations.standing {
         if *at > to {
             break;
         }
@@ -125,17 +125,20 @@
 }
 
 /// How long after `from` so many stood again.
-pub fn back_after(seen: &Seen, from: Duration, wanted: f64) -> Option<Duration> {
-    let back = seen.standing.iter().find(|(at, number)| *at > from && *number as f64 >= wanted);
+pub fn back_after(observations: &Observations, from: Duration, wanted: f64) -> Option<Duration> {
+    let back = observations.standing.iter().find(|(at, number)| *at > from && *number as f64 >= wanted);
     back.map(|(at, _)| *at - from)
 }
 
 /// Of the alarms' tries from a moment on, how many stood, how many of these within 300 ms, and how many were pushed back.
-pub fn alarms(seen: &Seen, from: Duration, to: Duration) -> (usize, usize, usize) {
+pub fn alarms(observations: &Observations, from: Duration, to: Duration) -> (usize, usize, usize) {
     const CONNECT_LATENCY_OBJECTIVE: Duration = Duration::from_millis(300);
-    let tries = seen.tries.values().filter(|asked| asked.class == ALARM && asked.at >= from && asked.at < to);
+    let requests = observations
+        .requests
+        .values()
+        .filter(|asked| asked.class == ALARM && asked.at >= from && asked.at < to);
     let (mut stood, mut in_time, mut pushed) = (0, 0, 0);
-    for asked in tries {
+    for asked in requests {
         match asked.answers.first() {
             Some((at, answer)) if answer.starts_with("UP") => {
                 stood += 1;
--- a/crates/testkit/src/clients.rs
+++ b/crates/testkit/src/clients.rs
@@ -1,7 +1,7 @@
 //! Clients' stand-ins, behind a front that deals them out among the processes that are ready.
 
-use crate::process::Front;
-use crate::record::{Record, Try};
+use crate::process::FrontEnd;
+use crate::recorder::{Recorder, RequestRecord};
 use nanorand::{Rng, WyRand};
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
 use std::sync::Arc;
@@ -72,10 +72,10 @@
     class: usize,
     customer: usize,
     group: usize,
-    front: Arc<Front>,
-    record: Record,
+    front_end: Arc<FrontEnd>,
+    recorder: Recorder,
     stop: Arc<AtomicBool>,
-    chance: WyRand,
+    rng: WyRand,
 }
 
 impl Clients {
@@ -83,14 +83,14 @@
     pub fn come(
         number: usize,
         within: Duration,
-        (front, record): (&Arc<Front>, &Record),
+        (front_end, recorder): (&Arc<FrontEnd>, &Recorder),
         seed: u64,
         of: Option<usize>,
     ) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
-        let mut chance = WyRand::new_seed(seed);
+        let mut rng = WyRand::new_seed(seed);
         for i in 0..number {
-            let mut draw = chance.generate_range(0..100usize);
+            let mut draw = rng.generate_range(0..100usize);
             let class = CLASSES.iter().position(|class| match draw.checked_sub(class.part) {
                 Some(left) => {
                     draw = left;
@@ -98,7 +98,7 @@
                 }
                 None => true,
             });
-            let mut customer = chance.generate_range(0..10usize) as f64 / 10.0;
+            let mut customer = rng.generate_range(0..10usize) as f64 / 10.0;
             let whose = CUSTOMERS.iter().position(|(_, share)| {
                 customer -= share;
                 customer < -1e-9
@@ -107,13 +107,13 @@
                 key: format!("lift-{seed:x}-{i}"),
                 class: class.unwrap_or(2),
                 customer: of.or(whose).unwrap_or(0),
-                group: chance.generate_range(0..number.div_ceil(8)),
-                front: front.clone(),
-                record: record.clone(),
+                group: rng.generate_range(0..number.div_ceil(8)),
+                front_end: front_end.clone(),
+                recorder: recorder.clone(),
                 stop: stop.clone(),
-                chance: WyRand::new_seed(chance.generate()),
+                rng: WyRand::new_seed(rng.generate()),
             };
-            let first = within.mul_f64(f64::from(chance.generate::<f32>()));
+            let first = within.mul_f64(f64::from(rng.generate::<f32>()));
             tokio::spawn(client.lives(first));
         }
         Clients { stop }
@@ -132,14 +132,14 @@
             let (stood, pause) = self.tries(again, fresh).await;
             again |= stood;
             fresh = stood;
-            let spread = Duration::from_millis(self.chance.generate_range(50..400u64));
+            let spread = Duration::from_millis(self.rng.generate_range(50..400u64));
             sleep(pause.unwrap_or(spread)).await;
         }
     }
 
     /// One try: whether it stood, and how long to stay away where that was told.
     async fn tries(&mut self, again: bool, first: bool) -> (bool, Option<Duration>) {
-        let Some((process, address)) = self.front.deals(&mut self.chance) else { return (false, None) };
+        let Some((process, address)) = self.front_end.deals(&mut self.rng) else { return (false, None) };
         let Ok(Ok(stream)) = timeout(Duration::from_millis(500), TcpStream::connect(address)).await else {
             return (false, None);
         };
@@ -158,8 +158,8 @@
             u8::from(again)
         );
         let request_timeout = Duration::from_millis(class.request_timeout_ms);
-        let asked = Try {
-            at: self.record.now(),
+        let asked = RequestRecord {
+            at: self.recorder.now(),
             process,
             class: self.class,
             customer: self.customer,
@@ -168,7 +168,7 @@
             answers: Vec::new(),
             over: None,
         };
-        self.record.seen().tries.insert(id, asked);
+        self.recorder.observations().requests.insert(id, asked);
         if write.write_all(line.as_bytes()).await.is_err() {
             self.over(id);
             return (false, None);
@@ -186,9 +186,9 @@
                 answer.strip_prefix("BUSY ").and_then(|ms| ms.parse().ok()).map(Duration::from_millis);
             return (false, pause);
         }
-        self.record.stands(true);
+        self.recorder.stands(true);
         self.stays(&mut lines, &mut write).await;
-        self.record.stands(false);
+        self.recorder.stands(false);
         self.over(id);
         (true, None)
     }
@@ -207,7 +207,7 @@
             if self.stop.load(Ordering::Relaxed) {
                 return;
             }
-            let pause = Duration::from_millis(self.chance.generate_range(500..1500u64));
+            let pause = Duration::from_millis(self.rng.generate_range(500..1500u64));
             tokio::select! {
                 read = lines.next_line() => match read {
                     Ok(Some(line)) if line != "MOVE" => {}
@@ -223,14 +223,14 @@
     }
 
     fn answered(&self, id: u64, answer: &str) {
-        let now = self.record.now();
-        let mut seen = self.record.seen();
-        let asked = seen.tries.get_mut(&id).expect("its try");
+        let now = self.recorder.now();
+        let mut observations = self.recorder.observations();
+        let asked = observations.requests.get_mut(&id).expect("its try");
         asked.answers.push((now, answer.to_owned()));
     }
 
     fn over(&self, id: u64) {
-        let now = self.record.now();
-        self.record.seen().tries.get_mut(&id).expect("its try").over = Some(now);
+        let now = self.recorder.now();
+        self.recorder.observations().requests.get_mut(&id).expect("its try").over = Some(now);
     }
 }
--- a/crates/testkit/src/decisions.rs
+++ b/crates/testkit/src/decisions.rs
@@ -43,9 +43,9 @@
 
 /// Nanoseconds of each kind of event.
 #[derive(Default)]
-pub struct Took(BTreeMap<&'static str, Option<Histogram<u64>>>);
+pub struct Timings(BTreeMap<&'static str, Option<Histogram<u64>>>);
 
-impl Took {
+impl Timings {
     fn takes<T>(&mut self, what: &'static str, event: impl FnOnce() -> T) -> T {
         const MINUTE_NS: u64 = 60_000_000_000;
         let began = Instant::now();
@@ -85,7 +85,7 @@
     now: Timestamp,
     last_id: u64,
     standing: VecDeque<u64>,
-    pub took: Took,
+    pub took: Timings,
     /// Bytes that each server and each session has added.
     pub bytes: (f64, f64),
 }
@@ -118,7 +118,7 @@
             now: Timestamp::from_ms(60_000.0),
             last_id: 0,
             standing: VecDeque::with_capacity(size.sessions),
-            took: Took::default(),
+            took: Timings::default(),
             bytes: (0.0, 0.0),
         };
         let empty = allocated();
--- a/crates/testkit/src/discovery.rs
+++ b/crates/testkit/src/discovery.rs
@@ -1,6 +1,6 @@
 //! Discovery's stand-in: a list with versions over HTTP, watches that wait, and everything that can go wrong with it.
 
-use crate::record::Record;
+use crate::recorder::Recorder;
 use crate::server::Server;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -16,19 +16,19 @@
 
 pub struct Discovery {
     pub address: SocketAddr,
-    record: Record,
+    recorder: Recorder,
     lines: Mutex<(u64, Lines)>,
     /// The version, and whether it is there at all.
     at: watch::Sender<(u64, bool)>,
 }
 
 impl Discovery {
-    pub async fn begin(record: Record) -> Arc<Self> {
+    pub async fn begin(recorder: Recorder) -> Arc<Self> {
         let listener = TcpListener::bind(crate::own_address()).await.expect("an address on loopback");
         let address = listener.local_addr().expect("the address");
         let discovery = Arc::new(Discovery {
             address,
-            record,
+            recorder,
             lines: Mutex::new((0, BTreeMap::new())),
             at: watch::Sender::new((0, true)),
         });
@@ -107,7 +107,7 @@
             while lines.read_line(&mut header).await.unwrap_or(0) > 2 {
                 header.clear();
             }
-            self.record.seen().calls.push((self.record.now(), std::mem::take(&mut first)));
+            self.recorder.observations().calls.push((self.recorder.now(), std::mem::take(&mut first)));
             let number = |name: &str| {
                 let rest = path.split(name).nth(1)?;
                 rest.split(['&', ' ']).next()?.parse::<f64>().ok().map(|value| value as u64)
--- a/crates/testkit/src/relay.rs
+++ b/crates/testkit/src/fault_proxy.rs
@@ -10,23 +10,23 @@
 use tokio::time::sleep;
 
 #[derive(Clone, Copy, Debug)]
-pub struct Way {
+pub struct Link {
     pub delay_ms: (u64, u64),
     /// Of a hundred.
     pub lost: u32,
     pub doubled: u32,
 }
 
-pub const CALM: Way = Way { delay_ms: (0, 1), lost: 0, doubled: 0 };
-pub const ROUGH: Way = Way { delay_ms: (0, 80), lost: 33, doubled: 20 };
+pub const CALM: Link = Link { delay_ms: (0, 1), lost: 0, doubled: 0 };
+pub const ROUGH: Link = Link { delay_ms: (0, 80), lost: 33, doubled: 20 };
 
 struct State {
-    way: Way,
+    link: Link,
     cut: BTreeSet<(usize, usize)>,
-    chance: WyRand,
+    rng: WyRand,
 }
 
-pub struct Relay {
+pub struct FaultProxy {
     /// Where the processes themselves listen.
     pub own: Vec<SocketAddr>,
     /// By who sends and to whom: where the first one finds the second.
@@ -34,7 +34,7 @@
     state: Arc<Mutex<State>>,
 }
 
-impl Relay {
+impl FaultProxy {
     pub async fn begin(size: usize, seed: u64) -> Self {
         // Processes bind their own addresses: found by asking the system for free ones.
         let mut kept = Vec::new();
@@ -53,7 +53,7 @@
             sockets.push(row);
         }
         drop(kept);
-        let state = State { way: CALM, cut: BTreeSet::new(), chance: WyRand::new_seed(seed) };
+        let state = State { link: CALM, cut: BTreeSet::new(), rng: WyRand::new_seed(seed) };
         let state = Arc::new(Mutex::new(state));
         for (from, row) in sockets.iter().enumerate() {
             for (to, socket) in row.iter().enumerate().filter(|(to, _)| *to != from) {
@@ -64,7 +64,7 @@
         }
         let found =
             |row: &Vec<Arc<UdpSocket>>| row.iter().map(|s| s.local_addr().expect("the address")).collect();
-        Relay { own, found_at: sockets.iter().map(found).collect(), state }
+        FaultProxy { own, found_at: sockets.iter().map(found).collect(), state }
     }
 
     /// The addresses of all as one of them has them.
@@ -78,8 +78,8 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub fn becomes(&self, way: Way) {
-        self.state().way = way;
+    pub fn becomes(&self, link: Link) {
+        self.state().link = link;
     }
 
     /// Nothing passes from the first to the second of these.
@@ -96,7 +96,7 @@
     pub fn heals(&self) {
         let mut state = self.state();
         state.cut.clear();
-        state.way = CALM;
+        state.link = CALM;
     }
 }
 
@@ -113,14 +113,14 @@
         let Ok((length, _)) = socket.recv_from(&mut datagram).await else { continue };
         let delays: Vec<u64> = {
             let mut state = state.lock().unwrap_or_else(PoisonError::into_inner);
-            let way = state.way;
-            let times = match state.chance.generate_range(0..100u32) {
+            let link = state.link;
+            let times = match state.rng.generate_range(0..100u32) {
                 _ if state.cut.contains(&pair) => 0,
-                draw if draw < way.lost => 0,
-                draw if draw < way.lost + way.doubled => 2,
+                draw if draw < link.lost => 0,
+                draw if draw < link.lost + link.doubled => 2,
                 _ => 1,
             };
-            (0..times).map(|_| state.chance.generate_range(way.delay_ms.0..=way.delay_ms.1)).collect()
+            (0..times).map(|_| state.rng.generate_range(link.delay_ms.0..=link.delay_ms.1)).collect()
         };
         for delay in delays {
             let (bytes, back) = (datagram[..length].to_vec(), back.clone());
--- a/crates/testkit/src/hollow.rs
+++ b/crates/testkit/src/hollow_node.rs
@@ -1,4 +1,4 @@
-//! Hollow processes: a fleet's core each, and nothing of the program round it.
+//! HollowNode processes: a fleet's core each, and nothing of the program round it.
 
 use crate::simulation::{Core, Outbox};
 use shelfgrade::time::Timestamp;
@@ -14,39 +14,39 @@
 }
 
 /// A fleet's core as a process of a simulation. Its wall clock is the simulation's.
-pub struct Hollow {
+pub struct HollowNode {
     pub fleet: Fleet,
-    pub told: Told,
+    pub events: EventCounts,
 }
 
 /// What a core told of itself, counted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Told {
+pub struct EventCounts {
     pub entries: u64,
     pub came: u64,
     pub went: u64,
     pub refused: u64,
 }
 
-impl Hollow {
+impl HollowNode {
     /// `life` tells apart what is started in one seat.
     pub fn new(roster: &Roster, name: &str, incarnation: u64, now: Timestamp) -> Self {
         let roster = roster.with_local_member(name).expect("one of the roster");
         let process = roster.me().0;
         let started_at = now.as_ms() as u64 * 1000 + incarnation;
         let seed = u64::from(process).wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ incarnation;
-        Hollow { fleet: Fleet::new(roster, started_at, seed, now), told: Told::default() }
+        HollowNode { fleet: Fleet::new(roster, started_at, seed, now), events: EventCounts::default() }
     }
 
     /// Has the core do something that it may send for.
     pub fn act<T>(&mut self, out: &mut Outbox, act: impl FnOnce(&mut Fleet, &mut dyn Environment) -> T) -> T {
-        act(&mut self.fleet, &mut HollowEnvironment { out, told: &mut self.told })
+        act(&mut self.fleet, &mut HollowEnvironment { out, events: &mut self.events })
     }
 }
 
 struct HollowEnvironment<'a> {
     out: &'a mut Outbox,
-    told: &'a mut Told,
+    events: &'a mut EventCounts,
 }
 
 impl Environment for HollowEnvironment<'_> {
@@ -59,20 +59,20 @@
         self.out.push((usize::from(to.0), datagram));
     }
     fn entry_changed(&mut self, _: &Entry) {
-        self.told.entries += 1;
+        self.events.entries += 1;
     }
     fn member_joined(&mut self, _: MemberId) {
-        self.told.came += 1;
+        self.events.came += 1;
     }
     fn member_left(&mut self, _: MemberId) {
-        self.told.went += 1;
+        self.events.went += 1;
     }
     fn datagram_rejected(&mut self, _: &'static str) {
-        self.told.refused += 1;
+        self.events.refused += 1;
     }
 }
 
-impl Core for Hollow {
+impl Core for HollowNode {
     fn on_datagram(&mut self, _: usize, datagram: &[u8], now: Timestamp, out: &mut Outbox) {
         self.act(out, |fleet, environment| fleet.on_datagram(datagram, now, now.as_ms() as u64, environment));
     }
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -1,10 +1,10 @@
 //! What the fleet is tried with. Nothing here is part of the program.
 //!
-//! [`drawn`] has many cores in virtual time over a drawn network, in one thread and the same for the same seed,
+//! [`simulated_fleet`] has many cores in virtual time over a drawn network, in one thread and the same for the same seed,
 //! [`simulation`] thousands of them over regions and zones ([`topology`]), on some threads, and [`cells`] a fleet in
 //! cells with the replicas of its log. The rest
 //! starts real processes on loopback: [`process`] the program itself, [`server`], [`discovery`], [`clients`] and
-//! [`relay`] stand-ins for what is round it, [`record`] what they saw, [`checks`] what must hold of that, [`rogue`] a
+//! [`fault_proxy`] stand-ins for what is round it, [`recorder`] what they saw, [`checks`] what must hold of that, [`misbehaving_proxy`] a
 //! proxy that is wrong on purpose, and [`trial`] all of it together. What a size costs is measured by [`standing`], one
 //! real process with many sessions, and [`decisions`], the decisions alone.
 
@@ -13,14 +13,14 @@
 pub mod clients;
 pub mod decisions;
 pub mod discovery;
-pub mod drawn;
-pub mod hollow;
+pub mod fault_proxy;
+pub mod hollow_node;
+pub mod misbehaving_proxy;
 pub mod process;
-pub mod record;
+pub mod recorder;
 mod region;
-pub mod relay;
-pub mod rogue;
 pub mod server;
+pub mod simulated_fleet;
 pub mod simulation;
 pub mod sockets;
 pub mod standing;
--- a/crates/testkit/src/rogue.rs
+++ b/crates/testkit/src/misbehaving_proxy.rs
@@ -7,7 +7,7 @@
 use tokio::time::sleep;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Wrong {
+pub enum Misbehaviour {
     /// Clients are left without an answer.
     Silent,
     /// Each gets two.
@@ -19,18 +19,18 @@
 }
 
 /// Begins such a proxy before these servers; gives its address.
-pub async fn begin(wrong: Wrong, servers: Vec<SocketAddr>) -> SocketAddr {
+pub async fn begin(misbehaviour: Misbehaviour, servers: Vec<SocketAddr>) -> SocketAddr {
     let listener = TcpListener::bind(crate::own_address()).await.expect("an address on loopback");
     let address = listener.local_addr().expect("the address");
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            tokio::spawn(serve(wrong, stream, servers.clone()));
+            tokio::spawn(serve(misbehaviour, stream, servers.clone()));
         }
     });
     address
 }
 
-async fn serve(wrong: Wrong, stream: TcpStream, servers: Vec<SocketAddr>) -> Option<()> {
+async fn serve(misbehaviour: Misbehaviour, stream: TcpStream, servers: Vec<SocketAddr>) -> Option<()> {
     let mut client = BufReader::new(stream);
     let mut line = String::new();
     client.read_line(&mut line).await.ok()?;
@@ -38,10 +38,10 @@
         client.write_all(b"PONG\r\n").await.ok()?;
         return Some(());
     }
-    match wrong {
-        Wrong::Silent => sleep(Duration::from_secs(60)).await,
-        Wrong::AnswersTwice => client.write_all(b"BUSY 50\r\nERR\r\n").await.ok()?,
-        Wrong::SendsTwice => {
+    match misbehaviour {
+        Misbehaviour::Silent => sleep(Duration::from_secs(60)).await,
+        Misbehaviour::AnswersTwice => client.write_all(b"BUSY 50\r\nERR\r\n").await.ok()?,
+        Misbehaviour::SendsTwice => {
             let mut first = TcpStream::connect(servers[0]).await.ok()?;
             first.write_all(line.as_bytes()).await.ok()?;
             first.read_u8().await.ok()?;
@@ -49,7 +49,7 @@
             next.write_all(line.as_bytes()).await.ok()?;
             copy_bidirectional(&mut client, &mut next).await.ok()?;
         }
-        Wrong::First => {
+        Misbehaviour::First => {
             let mut server = TcpStream::connect(servers[0]).await.ok()?;
             server.write_all(line.as_bytes()).await.ok()?;
             copy_bidirectional(&mut client, &mut server).await.ok()?;
--- a/crates/testkit/src/process.rs
+++ b/crates/testkit/src/process.rs
@@ -1,7 +1,7 @@
 //! The program itself: real processes, each with files of its own, that are killed, stopped, woken and started again.
 
 use crate::clients::{CLASSES, CUSTOMERS};
-use crate::server::{Make, Server};
+use crate::server::{Server, ServerSpec};
 use nanorand::{Rng, WyRand};
 use rustix::param::{clock_ticks_per_second, page_size};
 use rustix::process::{kill_process, Pid, Signal};
@@ -38,10 +38,10 @@
 }
 
 /// What the processes of a trial are given.
-pub struct Given {
+pub struct ProcessConfig {
     pub folder: PathBuf,
     pub discovery: SocketAddr,
-    pub make: Make,
+    pub server_spec: ServerSpec,
     /// Whether they are told of each other.
     pub fleet: bool,
     /// The list that they are started with.
@@ -71,9 +71,9 @@
 }
 
 impl Process {
-    pub fn new(index: usize, given: &Given) -> Self {
+    pub fn new(index: usize, config: &ProcessConfig) -> Self {
         let name = format!("n{index:03}");
-        let folder = given.folder.join(&name);
+        let folder = config.folder.join(&name);
         fs::create_dir_all(folder.join("state")).expect("a folder of its own");
         let listener = std::net::TcpListener::bind(crate::own_address()).expect("an address on loopback");
         let listen = listener.local_addr().expect("the address");
@@ -97,7 +97,7 @@
     }
 
     /// `all`: every process of the fleet, with the address where this one sends to it.
-    pub fn write_files(&self, given: &Given, all: &[(String, SocketAddr)]) {
+    pub fn write_files(&self, config: &ProcessConfig, all: &[(String, SocketAddr)]) {
         let mut fellows = String::new();
         for (name, address) in all {
             writeln!(fellows, "{name} = \"{address}\"").expect("text");
@@ -108,12 +108,12 @@
             state.display()
         );
         fs::write(self.fleet_file(), fleet).expect("its fleet file");
-        self.write_start_file(given, all.len());
+        self.write_start_file(config, all.len());
     }
 
     /// For one of so many processes.
-    pub fn write_start_file(&self, given: &Given, size: usize) {
-        fs::write(self.start_file(), start_file(self, given, size)).expect("its start-up file");
+    pub fn write_start_file(&self, config: &ProcessConfig, size: usize) {
+        fs::write(self.start_file(), start_file(self, config, size)).expect("its start-up file");
     }
 
     /// The system's number of it, while it runs.
@@ -121,12 +121,12 @@
         self.child.as_ref().map(Child::id)
     }
 
-    pub fn starts(&mut self, given: &Given) {
+    pub fn starts(&mut self, config: &ProcessConfig) {
         let log = File::options().create(true).append(true).open(self.folder.join("log")).expect("its log");
         let mut command = Command::new(program());
         command.env("RELAY_CONFIG", self.start_file()).env("RUST_LOG", "info,calloop=error");
         command.env("SHELFGRADE_CLOCK_AHEAD_MS", self.ahead_ms.to_string());
-        if given.fleet {
+        if config.fleet {
             command.env("SHELFGRADE_FLEET", self.fleet_file());
         }
         command.stdin(Stdio::null()).stdout(Stdio::null()).stderr(log);
@@ -176,7 +176,7 @@
     }
 }
 
-fn start_file(process: &Process, given: &Given, size: usize) -> String {
+fn start_file(process: &Process, config: &ProcessConfig, size: usize) -> String {
     let classes = CLASSES.iter().map(|class| {
         let (name, idempotency, limit, priority_weight) =
             (class.name, class.idempotency, class.connect_latency_objective_ms, class.priority_weight);
@@ -187,9 +187,9 @@
     let customers = CUSTOMERS.iter().map(|(name, share)| format!(r#"{{"name":"{name}","share":{share}}}"#));
     let (classes, customers) =
         (classes.collect::<Vec<_>>().join(","), customers.collect::<Vec<_>>().join(","));
-    let Make { room, cold_from, cold, factor, window, .. } = given.make;
-    let (Limits { memory_mb, sockets }, probes) = (given.limits, given.probes);
-    let (name, listen, discovery) = (&process.name, process.listen, given.discovery);
+    let ServerSpec { room, cold_from, cold, factor, window, .. } = config.server_spec;
+    let (Limits { memory_mb, sockets }, probes) = (config.limits, config.probes);
+    let (name, listen, discovery) = (&process.name, process.listen, config.discovery);
     let seed = 0x8c1f_30d2_7a5b_e964_u64.wrapping_add(process.index as u64 * 0x9e37_79b9);
     format!(
         r#"{{"name":"{name}","listen":"{listen}","discovery":"{discovery}","seed":"{seed:x}",
@@ -199,7 +199,7 @@
 "invariants":{{"overload_factor":{factor},"overload_for_ms":{},"cold_from":{cold_from},"cold_ms":{},
 "must_ask_in_ms":10000,"stop_sending_within_ms":400}},
 "extra":{{"message_aim_ms":[250,250,250,250],"server_connections":{room}}}}}}}"#,
-        given.known,
+        config.known,
         window.as_millis(),
         cold.as_millis(),
     )
@@ -217,19 +217,19 @@
 }
 
 /// Deals clients out among the processes that are ready: those that have answered `PING` with `PONG` since their start.
-pub struct Front {
+pub struct FrontEnd {
     addresses: Vec<SocketAddr>,
     ready: Mutex<Vec<bool>>,
 }
 
-impl Front {
+impl FrontEnd {
     pub fn begin(addresses: Vec<SocketAddr>) -> Arc<Self> {
         let ready = Mutex::new(vec![false; addresses.len()]);
-        let front = Arc::new(Front { addresses, ready });
-        for index in 0..front.addresses.len() {
-            tokio::spawn(front.clone().looks_after(index));
+        let front_end = Arc::new(FrontEnd { addresses, ready });
+        for index in 0..front_end.addresses.len() {
+            tokio::spawn(front_end.clone().looks_after(index));
         }
-        front
+        front_end
     }
 
     fn ready(&self) -> std::sync::MutexGuard<'_, Vec<bool>> {
@@ -240,10 +240,10 @@
         self.ready().iter().filter(|ready| **ready).count()
     }
 
-    pub fn deals(&self, chance: &mut WyRand) -> Option<(usize, SocketAddr)> {
+    pub fn deals(&self, rng: &mut WyRand) -> Option<(usize, SocketAddr)> {
         let ready: Vec<usize> =
             self.ready().iter().enumerate().filter(|(_, ready)| **ready).map(|(i, _)| i).collect();
-        let index = *ready.get(chance.generate_range(0..ready.len().max(1)))?;
+        let index = *ready.get(rng.generate_range(0..ready.len().max(1)))?;
         Some((index, self.addresses[index]))
     }
 
--- a/crates/testkit/src/record.rs
+++ b/crates/testkit/src/recorder.rs
@@ -6,7 +6,7 @@
 
 /// One try of a client: a connection with its first line.
 #[derive(Clone, Debug)]
-pub struct Try {
+pub struct RequestRecord {
     pub at: Duration,
     pub process: usize,
     pub class: usize,
@@ -22,7 +22,7 @@
 
 /// A first line that came to a server, and what it did with it.
 #[derive(Clone, Debug)]
-pub struct Sent {
+pub struct ForwardedRequest {
     pub at: Duration,
     pub server: usize,
     pub id: u64,
@@ -32,7 +32,7 @@
 
 /// A server that was sent more than it could bear while it was cold.
 #[derive(Clone, Debug)]
-pub struct Fall {
+pub struct ServerOverload {
     pub at: Duration,
     pub server: usize,
     pub sent: usize,
@@ -40,10 +40,10 @@
 }
 
 #[derive(Default)]
-pub struct Seen {
-    pub tries: BTreeMap<u64, Try>,
-    pub sent: Vec<Sent>,
-    pub falls: Vec<Fall>,
+pub struct Observations {
+    pub requests: BTreeMap<u64, RequestRecord>,
+    pub sent: Vec<ForwardedRequest>,
+    pub overloads: Vec<ServerOverload>,
     /// Calls to discovery, each with whether it began a new watch.
     pub calls: Vec<(Duration, bool)>,
     /// Servers that drain, from when discovery has it; and until when that held.
@@ -58,32 +58,33 @@
 }
 
 #[derive(Clone)]
-pub struct Record {
+pub struct Recorder {
     began: Instant,
-    seen: Arc<Mutex<Seen>>,
+    observations: Arc<Mutex<Observations>>,
 }
 
-impl Default for Record {
+impl Default for Recorder {
     fn default() -> Self {
-        Record { began: Instant::now(), seen: Arc::default() }
+        Recorder { began: Instant::now(), observations: Arc::default() }
     }
 }
 
-impl Record {
+impl Recorder {
     /// Time since the trial began.
     pub fn now(&self) -> Duration {
         self.began.elapsed()
     }
 
-    pub fn seen(&self) -> MutexGuard<'_, Seen> {
-        self.seen.lock().unwrap_or_else(PoisonError::into_inner)
+    pub fn observations(&self) -> MutexGuard<'_, Observations> {
+        self.observations.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
     pub fn stands(&self, more: bool) {
         let now = self.now();
-        let mut seen = self.seen();
-        seen.stand_now = if more { seen.stand_now + 1 } else { seen.stand_now.saturating_sub(1) };
-        let stand = seen.stand_now;
-        seen.standing.push((now, stand));
+        let mut observations = self.observations();
+        observations.stand_now =
+            if more { observations.stand_now + 1 } else { observations.stand_now.saturating_sub(1) };
+        let stand = observations.stand_now;
+        observations.standing.push((now, stand));
     }
 }
--- a/crates/testkit/src/region.rs
+++ b/crates/testkit/src/region.rs
@@ -1,7 +1,7 @@
 //! One region of a simulation: its processes, their events in the order of their time, and what it sends elsewhere.
 
 use crate::simulation::{Core, Outbox, Usage, BEGINS_MS};
-use crate::topology::{Topology, Weather};
+use crate::topology::{NetworkConditions, Topology};
 use nanorand::{Rng, WyRand};
 use rustix::time::{clock_gettime, ClockId};
 use shelfgrade::time::Timestamp;
@@ -47,7 +47,7 @@
     pub index: usize,
     pub first: usize,
     pub topology: Arc<Topology>,
-    pub weather: Weather,
+    pub conditions: NetworkConditions,
     /// Pairs of zones whose first one cannot reach the second.
     pub cut: Arc<BTreeSet<(usize, usize)>>,
     pub now: Timestamp,
@@ -59,7 +59,7 @@
     number: u64,
     /// What goes to other regions.
     pub leaves: Vec<Datagram>,
-    chance: WyRand,
+    rng: WyRand,
 }
 
 impl<C: Core> Region<C> {
@@ -99,16 +99,16 @@
         self.usage[at].datagrams += 1;
         self.usage[at].bytes += bytes.len() as u64;
         let from = self.first + at;
-        let times = match self.chance.generate_range(0..100u32) {
-            draw if draw < self.weather.lost => 0,
-            draw if draw < self.weather.lost + self.weather.doubled => 2,
+        let times = match self.rng.generate_range(0..100u32) {
+            draw if draw < self.conditions.lost => 0,
+            draw if draw < self.conditions.lost + self.conditions.doubled => 2,
             _ => 1,
         };
         if self.cut.contains(&(self.topology.zone(from), self.topology.zone(to))) {
             return;
         }
         for _ in 0..times {
-            let at = self.now + self.topology.delay(from, to, &mut self.chance);
+            let at = self.now + self.topology.delay(from, to, &mut self.rng);
             let datagram = Datagram { at, from, to, bytes: bytes.clone() };
             if self.topology.region(to) == self.index {
                 self.arrives(datagram);
@@ -157,7 +157,7 @@
 pub struct RegionSeed {
     pub index: usize,
     pub topology: Arc<Topology>,
-    pub weather: Weather,
+    pub conditions: NetworkConditions,
     pub seed: u64,
 }
 
@@ -168,7 +168,7 @@
         Region {
             index: self.index,
             first: processes.start,
-            weather: self.weather,
+            conditions: self.conditions,
             cut: Arc::default(),
             now: Timestamp::from_ms(BEGINS_MS),
             cores: (0..size).map(|_| None).collect(),
@@ -178,7 +178,7 @@
             under_way: BinaryHeap::new(),
             number: 0,
             leaves: Vec::new(),
-            chance: WyRand::new_seed(self.seed ^ (0x9e37_79b9 * (self.index as u64 + 1))),
+            rng: WyRand::new_seed(self.seed ^ (0x9e37_79b9 * (self.index as u64 + 1))),
             topology: self.topology,
         }
     }
--- a/crates/testkit/src/server.rs
+++ b/crates/testkit/src/server.rs
@@ -1,7 +1,7 @@
 //! A server's stand-in: it starts cold, has room for so many, takes its time for each, falls over where it is sent too
 //! much while it is cold, drains when it is told to, and can be without power.
 
-use crate::record::{Fall, Record, Sent};
+use crate::recorder::{ForwardedRequest, Recorder, ServerOverload};
 use std::collections::VecDeque;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, PoisonError};
@@ -15,7 +15,7 @@
 /// What all servers of a trial are like; the settings that proxies get say the same. The figures of a cold start are those
 /// of the first deployment.
 #[derive(Clone, Copy, Debug)]
-pub struct Make {
+pub struct ServerSpec {
     /// Connections that one holds.
     pub room: usize,
     pub cold_from: f64,
@@ -27,7 +27,7 @@
     pub work: Duration,
 }
 
-pub const MAKE: Make = Make {
+pub const DEFAULT_SERVER: ServerSpec = ServerSpec {
     room: 40,
     cold_from: 0.3,
     cold: Duration::from_millis(8600),
@@ -53,8 +53,8 @@
     pub index: usize,
     pub name: String,
     pub address: SocketAddr,
-    make: Make,
-    record: Record,
+    server_spec: ServerSpec,
+    recorder: Recorder,
     state: Mutex<State>,
     /// The number of its life; none while it has no power.
     power: watch::Sender<Option<u64>>,
@@ -67,7 +67,7 @@
 
 impl Server {
     /// One that has been warm for long.
-    pub async fn begin(index: usize, make: Make, record: Record) -> Arc<Self> {
+    pub async fn begin(index: usize, server_spec: ServerSpec, recorder: Recorder) -> Arc<Self> {
         let listener = TcpListener::bind(crate::own_address()).await.expect("an address on loopback");
         let address = listener.local_addr().expect("the address");
         let state = State {
@@ -81,8 +81,8 @@
             index,
             name: format!("s-{index:03}"),
             address,
-            make,
-            record,
+            server_spec,
+            recorder,
             state: Mutex::new(state),
             power: watch::Sender::new(Some(0)),
             born_ms: Mutex::new(0.0),
@@ -124,12 +124,12 @@
         *state = State {
             held: 0,
             came: VecDeque::new(),
-            started: Some(self.record.now()),
+            started: Some(self.recorder.now()),
             fallen: false,
             busy_until: Duration::ZERO,
         };
         *self.born_ms.lock().unwrap_or_else(PoisonError::into_inner) = unix_ms();
-        let lives = self.record.now().as_micros() as u64;
+        let lives = self.recorder.now().as_micros() as u64;
         self.power.send_replace(Some(lives));
     }
 
@@ -146,9 +146,9 @@
     /// How strong it is now, from what it starts with to 1.
     fn strength(&self, state: &State) -> f64 {
         let warm_fraction = state.started.map_or(1.0, |at| {
-            ((self.record.now() - at).as_secs_f64() / self.make.cold.as_secs_f64()).min(1.0)
+            ((self.recorder.now() - at).as_secs_f64() / self.server_spec.cold.as_secs_f64()).min(1.0)
         });
-        self.make.cold_from + (1.0 - self.make.cold_from) * warm_fraction
+        self.server_spec.cold_from + (1.0 - self.server_spec.cold_from) * warm_fraction
     }
 
     async fn serve(self: Arc<Self>, stream: TcpStream) {
@@ -168,19 +168,19 @@
                 break line;
             }
             // A sign of life waits its turn behind what is to be done.
-            let waits = self.state().busy_until.saturating_sub(self.record.now());
+            let waits = self.state().busy_until.saturating_sub(self.recorder.now());
             sleep(waits + SIGN).await;
             let _ = write.write_all(b"PONG\r\n").await;
         };
         let Some((id, class)) = first_line(&line) else { return };
-        let now = self.record.now();
+        let now = self.recorder.now();
         let waits = {
             let mut state = self.state();
             self.count(&mut state, now);
-            let taken = !state.fallen && state.held < self.make.room;
-            let work = self.make.work.div_f64(self.strength(&state));
-            let sent = Sent { at: now, server: self.index, id, class, ran: taken };
-            self.record.seen().sent.push(sent);
+            let taken = !state.fallen && state.held < self.server_spec.room;
+            let work = self.server_spec.work.div_f64(self.strength(&state));
+            let sent = ForwardedRequest { at: now, server: self.index, id, class, ran: taken };
+            self.recorder.observations().sent.push(sent);
             taken.then(|| {
                 state.held += 1;
                 state.busy_until = state.busy_until.max(now) + work;
@@ -218,21 +218,22 @@
     /// of N + 3, N being what fills it over its warm-up at its present strength, times the factor.
     fn count(&self, state: &mut State, now: Duration) {
         state.came.push_back(now);
-        while state.came.front().is_some_and(|at| now - *at > self.make.window) {
+        while state.came.front().is_some_and(|at| now - *at > self.server_spec.window) {
             state.came.pop_front();
         }
         let strength = self.strength(state);
         if strength >= 1.0 || state.fallen {
             return;
         }
-        let fills = self.make.room as f64 * self.make.window.as_secs_f64() / self.make.cold.as_secs_f64();
-        let allowed = self.make.factor * strength * fills;
+        let fills = self.server_spec.room as f64 * self.server_spec.window.as_secs_f64()
+            / self.server_spec.cold.as_secs_f64();
+        let allowed = self.server_spec.factor * strength * fills;
         let bound = allowed + 3.0 * allowed.sqrt() + 3.0;
-        self.record.seen().coldest.push((state.came.len(), bound));
+        self.recorder.observations().coldest.push((state.came.len(), bound));
         if state.came.len() as f64 > bound {
             state.fallen = true;
-            let fall = Fall { at: now, server: self.index, sent: state.came.len(), bound };
-            self.record.seen().falls.push(fall);
+            let overload = ServerOverload { at: now, server: self.index, sent: state.came.len(), bound };
+            self.recorder.observations().overloads.push(overload);
         }
     }
 }
--- a/crates/testkit/src/drawn.rs
+++ b/crates/testkit/src/simulated_fleet.rs
@@ -27,8 +27,8 @@
     fn begin(roster: Roster, started_at: u64, seed: u64, now: Timestamp, wall_ms: u64) -> Self;
     fn fleet(&self) -> &Fleet;
     fn next_wakeup(&self) -> Timestamp;
-    fn on_timer(&mut self, now: Timestamp, wall_ms: u64, asked: &mut Asked);
-    fn on_datagram(&mut self, datagram: &[u8], now: Timestamp, wall_ms: u64, asked: &mut Asked);
+    fn on_timer(&mut self, now: Timestamp, wall_ms: u64, calls: &mut RecordedCalls);
+    fn on_datagram(&mut self, datagram: &[u8], now: Timestamp, wall_ms: u64, calls: &mut RecordedCalls);
 }
 
 impl Core for Fleet {
@@ -41,11 +41,11 @@
     fn next_wakeup(&self) -> Timestamp {
         Fleet::next_wakeup(self)
     }
-    fn on_timer(&mut self, now: Timestamp, wall_ms: u64, asked: &mut Asked) {
-        Fleet::on_timer(self, now, wall_ms, asked);
+    fn on_timer(&mut self, now: Timestamp, wall_ms: u64, calls: &mut RecordedCalls) {
+        Fleet::on_timer(self, now, wall_ms, calls);
     }
-    fn on_datagram(&mut self, datagram: &[u8], now: Timestamp, wall_ms: u64, asked: &mut Asked) {
-        Fleet::on_datagram(self, datagram, now, wall_ms, asked);
+    fn on_datagram(&mut self, datagram: &[u8], now: Timestamp, wall_ms: u64, calls: &mut RecordedCalls) {
+        Fleet::on_datagram(self, datagram, now, wall_ms, calls);
     }
 }
 
@@ -70,11 +70,11 @@
     fn next_wakeup(&self) -> Timestamp {
         Node::next_wakeup(self)
     }
-    fn on_timer(&mut self, now: Timestamp, wall_ms: u64, asked: &mut Asked) {
-        Node::on_timer(self, ClockReading { now, wall_ms }, asked);
+    fn on_timer(&mut self, now: Timestamp, wall_ms: u64, calls: &mut RecordedCalls) {
+        Node::on_timer(self, ClockReading { now, wall_ms }, calls);
     }
-    fn on_datagram(&mut self, datagram: &[u8], now: Timestamp, wall_ms: u64, asked: &mut Asked) {
-        Node::on_datagram(self, datagram, ClockReading { now, wall_ms }, asked);
+    fn on_datagram(&mut self, datagram: &[u8], now: Timestamp, wall_ms: u64, calls: &mut RecordedCalls) {
+        Node::on_datagram(self, datagram, ClockReading { now, wall_ms }, calls);
     }
 }
 
@@ -96,7 +96,7 @@
 
 /// What a core asked for in one call.
 #[derive(Default)]
-pub struct Asked {
+pub struct RecordedCalls {
     sent: Vec<(MemberId, Vec<u8>)>,
     entries: Vec<Entry>,
     refused: Vec<&'static str>,
@@ -104,7 +104,7 @@
     state: Option<RecoveryState>,
 }
 
-impl RecoveryEnvironment for Asked {
+impl RecoveryEnvironment for RecordedCalls {
     fn apply_endpoints(&mut self, _: Vec<EndpointAddress>, _: bool) {}
     fn set_polling(&mut self, watches: bool) {
         self.watches = Some(watches);
@@ -116,7 +116,7 @@
     fn list_rejected(&mut self, _: &str) {}
 }
 
-impl Environment for Asked {
+impl Environment for RecordedCalls {
     fn send(&mut self, to: MemberId, datagram: Vec<u8>) {
         assert!(
             datagram.len() <= shelfgrade_fleet::MAX_DATAGRAM_BYTES,
@@ -136,7 +136,7 @@
 }
 
 /// A whole fleet. Time begins at an hour, so that clocks can be an hour back.
-pub struct Drawn<C = Fleet> {
+pub struct SimulatedFleet<C = Fleet> {
     pub now: Timestamp,
     pub processes: Vec<Process<C>>,
     pub network: Network,
@@ -149,14 +149,14 @@
     /// What is under way, in the order of arrival; a number tells apart what comes at once.
     under_way: BTreeMap<(Timestamp, u64), (MemberId, Vec<u8>)>,
     number: u64,
-    chance: WyRand,
+    rng: WyRand,
     seed: u64,
     lives: u64,
 }
 
 const HOUR_MS: f64 = 3_600_000.0;
 
-impl<C: Core> Drawn<C> {
+impl<C: Core> SimulatedFleet<C> {
     /// A fleet of so many seats, none of which runs.
     pub fn new(size: usize, network: Network, seed: u64) -> Self {
         let process = || Process {
@@ -169,7 +169,7 @@
             refused: BTreeMap::new(),
             sent: (0, 0),
         };
-        Drawn {
+        SimulatedFleet {
             now: Timestamp::from_ms(HOUR_MS),
             processes: (0..size).map(|_| process()).collect(),
             network,
@@ -179,7 +179,7 @@
             wakes: vec![Timestamp::NEVER; size],
             under_way: BTreeMap::new(),
             number: 0,
-            chance: WyRand::new_seed(seed),
+            rng: WyRand::new_seed(seed),
             seed,
             lives: 0,
         }
@@ -255,25 +255,25 @@
     }
 
     /// Has a process's core do something.
-    pub fn with<T>(&mut self, member: usize, act: impl FnOnce(&mut C, &mut Asked) -> T) -> T {
-        let mut asked = Asked::default();
+    pub fn with<T>(&mut self, member: usize, act: impl FnOnce(&mut C, &mut RecordedCalls) -> T) -> T {
+        let mut calls = RecordedCalls::default();
         let core = self.processes[member].core.as_mut().expect("a process that runs");
-        let done = act(core, &mut asked);
-        self.carry_out(member, asked);
+        let done = act(core, &mut calls);
+        self.carry_out(member, calls);
         self.set_alarm(member);
         done
     }
 
-    fn carry_out(&mut self, member: usize, asked: Asked) {
+    fn carry_out(&mut self, member: usize, calls: RecordedCalls) {
         let process = &mut self.processes[member];
-        process.watches = asked.watches.unwrap_or(process.watches);
-        process.states.extend(asked.state.map(|state| (self.now, state)));
-        process.heard.extend(asked.entries);
-        asked.refused.into_iter().for_each(|why| *process.refused.entry(why).or_default() += 1);
-        process.sent.0 += asked.sent.len() as u64;
-        process.sent.1 += asked.sent.iter().map(|(_, datagram)| datagram.len() as u64).sum::<u64>();
-        for (to, datagram) in asked.sent {
-            let times = match self.chance.generate_range(0..100u32) {
+        process.watches = calls.watches.unwrap_or(process.watches);
+        process.states.extend(calls.state.map(|state| (self.now, state)));
+        process.heard.extend(calls.entries);
+        calls.refused.into_iter().for_each(|why| *process.refused.entry(why).or_default() += 1);
+        process.sent.0 += calls.sent.len() as u64;
+        process.sent.1 += calls.sent.iter().map(|(_, datagram)| datagram.len() as u64).sum::<u64>();
+        for (to, datagram) in calls.sent {
+            let times = match self.rng.generate_range(0..100u32) {
                 draw if draw < self.network.lost => 0,
                 draw if draw < self.network.lost + self.network.doubled => 2,
                 _ => 1,
@@ -283,7 +283,7 @@
             }
             for _ in 0..times {
                 let (least, most) = self.network.delay_ms;
-                let at = self.now + Duration::from_millis(self.chance.generate_range(least..=most));
+                let at = self.now + Duration::from_millis(self.rng.generate_range(least..=most));
                 self.number += 1;
                 self.under_way.insert((at, self.number), (to, datagram.clone()));
             }
--- a/crates/testkit/src/simulation.rs
+++ b/crates/testkit/src/simulation.rs
@@ -10,8 +10,8 @@
 //!
 //! ```ignore
 //! let topology = Topology::of(&SIX_REGIONS, 3800, seed);
-//! let mut all = Simulation::begin(topology, Weather { lost: 2, doubled: 1 }, 4, seed);
-//! all.start(0..3800, |process, now| Hollow::new(process, now));
+//! let mut all = Simulation::begin(topology, NetworkConditions { lost: 2, doubled: 1 }, 4, seed);
+//! all.start(0..3800, |process, now| HollowNode::new(process, now));
 //! all.passes(Duration::from_millis(20_000));
 //! all.with(7, |core, now, out| core.put("a key", now, out));
 //! all.cut_region(2);
@@ -19,7 +19,7 @@
 //! ```
 
 use crate::region::{Datagram, Region, RegionSeed};
-use crate::topology::{Topology, Weather};
+use crate::topology::{NetworkConditions, Topology};
 use shelfgrade::time::Timestamp;
 use std::collections::BTreeSet;
 use std::sync::mpsc::{channel, Receiver, Sender};
@@ -95,14 +95,14 @@
 }
 
 impl<C: Core> Simulation<C> {
-    pub fn begin(topology: Topology, weather: Weather, threads: usize, seed: u64) -> Self {
+    pub fn begin(topology: Topology, conditions: NetworkConditions, threads: usize, seed: u64) -> Self {
         let topology = Arc::new(topology);
         let worker_of = topology.dealt_out(threads.max(1));
         let threads = worker_of.iter().max().map_or(1, |last| last + 1);
         let workers = (0..threads).map(|worker| {
             let its = (0..topology.regions()).filter(|region| worker_of[*region] == worker);
             Worker::begin(
-                its.map(|index| RegionSeed { index, topology: topology.clone(), weather, seed }).collect(),
+                its.map(|index| RegionSeed { index, topology: topology.clone(), conditions, seed }).collect(),
             )
         });
         Simulation {
--- a/crates/testkit/src/sockets.rs
+++ b/crates/testkit/src/sockets.rs
@@ -1,6 +1,6 @@
-//! Hollow processes on real sockets: each core has a UDP socket of its own on loopback, and all share one thread.
+//! HollowNode processes on real sockets: each core has a UDP socket of its own on loopback, and all share one thread.
 
-use crate::hollow::Hollow;
+use crate::hollow_node::HollowNode;
 use crate::server::unix_ms;
 use crate::simulation::{Core, Outbox};
 use rustix::event::{epoll, Timespec};
@@ -17,7 +17,7 @@
 }
 
 pub struct Sockets {
-    pub cores: Vec<Hollow>,
+    pub cores: Vec<HollowNode>,
     sockets: Vec<UdpSocket>,
     /// By the order of the roster.
     pub addresses: Vec<SocketAddr>,
@@ -49,7 +49,7 @@
             epoll::add(&ready, socket, data, epoll::EventFlags::IN).expect("watched");
         }
         let names = &all[all.len() - sockets.len()..];
-        let cores: Vec<_> = names.iter().map(|(name, _)| Hollow::new(&roster, name, 1, now)).collect();
+        let cores: Vec<_> = names.iter().map(|(name, _)| HollowNode::new(&roster, name, 1, now)).collect();
         let addresses: Vec<_> = by_name.values().copied().collect();
         let members = addresses.iter().enumerate().map(|(member, address)| (*address, member)).collect();
         let mut trial = Sockets {
@@ -79,7 +79,7 @@
         self.alarms.insert((next, at));
     }
 
-    fn act(&mut self, at: usize, act: impl FnOnce(&mut Hollow, Timestamp, &mut Outbox)) {
+    fn act(&mut self, at: usize, act: impl FnOnce(&mut HollowNode, Timestamp, &mut Outbox)) {
         let (now, mut out) = (self.now(), Outbox::new());
         act(&mut self.cores[at], now, &mut out);
         for (to, datagram) in out {
--- a/crates/testkit/src/standing.rs
+++ b/crates/testkit/src/standing.rs
@@ -3,9 +3,9 @@
 
 use crate::clients::{CLASSES, CUSTOMERS};
 use crate::discovery::Discovery;
-use crate::process::{known, Given, Limits, Process};
-use crate::record::Record;
-use crate::server::{Make, Server, MAKE};
+use crate::process::{known, Limits, Process, ProcessConfig};
+use crate::recorder::Recorder;
+use crate::server::{Server, ServerSpec, DEFAULT_SERVER};
 use hdrhistogram::Histogram;
 use rustix::process::{getrlimit, Resource, Signal};
 use serde_json::{json, Value};
@@ -115,28 +115,28 @@
 
 impl Standing {
     pub async fn begin(size: Size) -> Self {
-        let record = Record::default();
-        let make = Make { room: size.sessions, work: Duration::ZERO, ..MAKE };
+        let recorder = Recorder::default();
+        let server_spec = ServerSpec { room: size.sessions, work: Duration::ZERO, ..DEFAULT_SERVER };
         let mut servers = Vec::new();
         for index in 0..size.servers {
-            servers.push(Server::begin(index, make, record.clone()).await);
+            servers.push(Server::begin(index, server_spec, recorder.clone()).await);
         }
-        let discovery = Discovery::begin(record.clone()).await;
+        let discovery = Discovery::begin(recorder.clone()).await;
         discovery.says(&servers.iter().map(|server| &**server).collect::<Vec<_>>(), "in_service");
         let folder = TempDir::new().expect("a folder");
-        let given = Given {
+        let config = ProcessConfig {
             folder: folder.path().to_owned(),
             discovery: discovery.address,
-            make,
+            server_spec,
             fleet: false,
             known: known(&servers),
             limits: size.limits,
             // A sign of life that is late on a busy machine would have sessions sent away.
             probes: false,
         };
-        let mut process = Process::new(0, &given);
-        process.write_start_file(&given, 1);
-        process.starts(&given);
+        let mut process = Process::new(0, &config);
+        process.write_start_file(&config, 1);
+        process.starts(&config);
         while TcpStream::connect(process.listen).await.is_err() {
             sleep(Duration::from_millis(20)).await;
         }
--- a/crates/testkit/src/topology.rs
+++ b/crates/testkit/src/topology.rs
@@ -10,7 +10,7 @@
 
 /// What the network does to datagrams, of a hundred: how many are lost, and how many come twice.
 #[derive(Clone, Copy, Debug)]
-pub struct Weather {
+pub struct NetworkConditions {
     pub lost: u32,
     pub doubled: u32,
 }
@@ -40,10 +40,10 @@
         for zones in zones_of_regions {
             first_zone.push(first_zone.last().copied().unwrap_or(0) + zones);
         }
-        let mut chance = WyRand::new_seed(seed ^ 0x70b0);
+        let mut rng = WyRand::new_seed(seed ^ 0x70b0);
         let mut ways_ms = vec![vec![0.0; regions]; regions];
         for (from, to) in (0..regions).flat_map(|from| (0..from).map(move |to| (from, to))) {
-            let way = chance.generate_range(BETWEEN_REGIONS_MS) as f64;
+            let way = rng.generate_range(BETWEEN_REGIONS_MS) as f64;
             (ways_ms[from][to], ways_ms[to][from]) = (way, way);
         }
         Topology { size, region_of, first_zone, ways_ms }
@@ -81,14 +81,14 @@
         first(zones.start)..first(zones.end)
     }
 
-    pub fn delay(&self, from: usize, to: usize, chance: &mut WyRand) -> Duration {
+    pub fn delay(&self, from: usize, to: usize, rng: &mut WyRand) -> Duration {
         let (from_region, to_region) = (self.region(from), self.region(to));
         let way = match (from_region == to_region, self.zone(from) == self.zone(to)) {
             (true, true) => WITHIN_A_ZONE_MS,
             (true, false) => WITHIN_A_REGION_MS,
             _ => self.ways_ms[from_region][to_region],
         };
-        Duration::from_ms(way * (1.0 + JITTER * chance.generate::<f64>()))
+        Duration::from_ms(way * (1.0 + JITTER * rng.generate::<f64>()))
     }
 
     /// The shortest way between two regions: what one sends now, no other has before.
--- a/crates/testkit/tests/customers.rs
+++ b/crates/testkit/tests/customers.rs
@@ -2,7 +2,7 @@
 
 use rustix::process::Signal;
 use shelfgrade_testkit::clients::{ALARM, CUSTOMERS};
-use shelfgrade_testkit::trial::{Shape, Trial, SMALL};
+use shelfgrade_testkit::trial::{Trial, TrialConfig, SMALL};
 use std::collections::BTreeSet;
 use std::time::Duration;
 use tokio::time::sleep;
@@ -44,9 +44,9 @@
 
 /// The servers that a customer's sessions of some request classes were sent to since a moment.
 fn servers(trial: &Trial, customer: usize, class: Option<usize>, since: Duration) -> BTreeSet<usize> {
-    let seen = trial.record.seen();
+    let seen = trial.recorder.observations();
     let its = |id: &u64| {
-        seen.tries.get(id).is_some_and(|t| {
+        seen.requests.get(id).is_some_and(|t| {
             t.customer == customer && class.is_none_or(|class| t.class == class) && t.at >= since
         })
     };
@@ -55,9 +55,9 @@
 
 /// Tries of a customer's since a moment: how many stood, and how many did not.
 fn fared(trial: &Trial, customer: usize, since: Duration) -> (usize, usize) {
-    let seen = trial.record.seen();
+    let seen = trial.recorder.observations();
     let its =
-        seen.tries.values().filter(|t| t.customer == customer && t.at >= since && !t.answers.is_empty());
+        seen.requests.values().filter(|t| t.customer == customer && t.at >= since && !t.answers.is_empty());
     let up =
         |answers: &[(Duration, String)]| answers.first().is_some_and(|(_, answer)| answer.starts_with("UP"));
     its.fold((0, 0), |(stood, not), t| if up(&t.answers) { (stood + 1, not) } else { (stood, not + 1) })
@@ -67,7 +67,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn one_customers_rules_and_storm_leave_all_others_as_they_were() {
     let _cores = CORES.lock().await;
-    let mut trial = Trial::begin(Shape { seed: 6, clients: 160, ..SMALL }).await;
+    let mut trial = Trial::begin(TrialConfig { seed: 6, clients: 160, ..SMALL }).await;
     trial.namespaces(2, &[("grants.toml", GRANTS), ("msasani.toml", MSASANI), ("upanga.toml", UPANGA)]);
     (0..SMALL.processes).for_each(|index| trial.start(index));
     trial.until_ready(SMALL.processes).await;
@@ -80,7 +80,7 @@
     };
     trial.until(Duration::from_secs(10), "namespaces are in force everywhere", in_force).await;
     trial.clients_come(Duration::from_millis(1500));
-    let most = trial.shape.clients * 98 / 100;
+    let most = trial.config.clients * 98 / 100;
     trial.until(Duration::from_secs(20), "all clients stand", |trial| trial.standing() >= most).await;
     let began = Duration::ZERO;
     assert_eq!(servers(&trial, 0, Some(ALARM), began), BTreeSet::from([0]), "msasani's alarms");
@@ -92,7 +92,7 @@
     let bad = UPANGA.replace("version = 1", "version = 2").replace("\"all\"", "\"all\"\nroom = 900");
     trial.namespaces(2, &[("upanga.toml", &bad)]);
     trial.processes[2].signal(Signal::HUP);
-    let storm = trial.record.now();
+    let storm = trial.recorder.now();
     let crowd = trial.storms(2, 400);
     sleep(Duration::from_millis(6000)).await;
     let held = trial.servers[6].holds() + trial.servers[7].holds();
@@ -119,7 +119,7 @@
             .all(|process| process.log().contains("namespace of msasani: version 2 is in force"))
     };
     trial.until(Duration::from_secs(10), "the new version is in force everywhere", in_force).await;
-    let since = trial.record.now();
+    let since = trial.recorder.now();
     assert!(trial.servers[0].holds() >= stood.saturating_sub(2), "nobody is moved for it");
     let more = trial.storms(0, 30);
     sleep(Duration::from_millis(2500)).await;
@@ -132,7 +132,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn after_a_loss_of_power_customers_that_share_servers_do_not_push_them_over() {
     let _cores = CORES.lock().await;
-    let mut trial = Trial::begin(Shape { seed: 8, clients: 220, ..SMALL }).await;
+    let mut trial = Trial::begin(TrialConfig { seed: 8, clients: 220, ..SMALL }).await;
     let shared = r#"
 version = 1
 others = 70
@@ -148,7 +148,7 @@
     (0..SMALL.processes).for_each(|index| trial.start(index));
     trial.until_ready(SMALL.processes).await;
     trial.clients_come(Duration::from_millis(1500));
-    let most = trial.shape.clients * 95 / 100;
+    let most = trial.config.clients * 95 / 100;
     trial.until(Duration::from_secs(25), "clients stand", |trial| trial.standing() >= most).await;
     sleep(Duration::from_millis(1500)).await;
     trial.power_goes();
--- a/crates/testkit/tests/processes.rs
+++ b/crates/testkit/tests/processes.rs
@@ -1,8 +1,8 @@
 //! Real processes on loopback, and what goes wrong round them.
 
 use shelfgrade_testkit::checks::{self, Breach};
-use shelfgrade_testkit::rogue::{self, Wrong};
-use shelfgrade_testkit::trial::{Shape, Trial, SMALL};
+use shelfgrade_testkit::misbehaving_proxy::{self, Misbehaviour};
+use shelfgrade_testkit::trial::{Trial, TrialConfig, SMALL};
 use std::fs;
 use std::time::Duration;
 use tokio::time::sleep;
@@ -12,7 +12,7 @@
 
 /// Nearly all clients of a trial.
 fn most(trial: &Trial) -> usize {
-    trial.shape.clients * 98 / 100
+    trial.config.clients * 98 / 100
 }
 
 /// Waits until service is back, for so long at most.
@@ -25,29 +25,33 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn each_rules_check_catches_a_proxy_that_breaks_it() {
     let _cores = CORES.lock().await;
-    for wrong in [Wrong::Silent, Wrong::AnswersTwice, Wrong::SendsTwice, Wrong::First] {
-        let mut trial = Trial::begin(Shape { processes: 0, servers: 3, clients: 120, ..SMALL }).await;
-        let address = rogue::begin(wrong, trial.servers.iter().map(|server| server.address).collect()).await;
+    for wrong in
+        [Misbehaviour::Silent, Misbehaviour::AnswersTwice, Misbehaviour::SendsTwice, Misbehaviour::First]
+    {
+        let mut trial = Trial::begin(TrialConfig { processes: 0, servers: 3, clients: 120, ..SMALL }).await;
+        let address =
+            misbehaving_proxy::begin(wrong, trial.servers.iter().map(|server| server.address).collect())
+                .await;
         trial.before(address);
         trial.until_ready(1).await;
-        if wrong == Wrong::First {
+        if wrong == Misbehaviour::First {
             trial.servers[0].loses_power();
             trial.servers[0].starts();
             trial.drains(0);
         }
         trial.clients_come(Duration::from_millis(200));
-        let found = |wrong: Wrong, breaches: &[Breach]| match wrong {
-            Wrong::Silent => breaches.iter().any(|b| matches!(b, Breach::Unanswered { .. })),
-            Wrong::AnswersTwice => breaches.iter().any(|b| matches!(b, Breach::AnsweredTwice { .. })),
-            Wrong::SendsTwice => breaches.iter().any(|b| matches!(b, Breach::TwoEffects { .. })),
-            Wrong::First => {
+        let found = |wrong: Misbehaviour, breaches: &[Breach]| match wrong {
+            Misbehaviour::Silent => breaches.iter().any(|b| matches!(b, Breach::Unanswered { .. })),
+            Misbehaviour::AnswersTwice => breaches.iter().any(|b| matches!(b, Breach::AnsweredTwice { .. })),
+            Misbehaviour::SendsTwice => breaches.iter().any(|b| matches!(b, Breach::TwoEffects { .. })),
+            Misbehaviour::First => {
                 breaches.iter().any(|b| matches!(b, Breach::Drain { .. }))
                     && breaches.iter().any(|b| matches!(b, Breach::PushedOver { .. }))
             }
         };
         let what = format!("{wrong:?} is found out");
         trial
-            .until(Duration::from_secs(10), &what, |trial| found(wrong, &checks::rules(&trial.record)))
+            .until(Duration::from_secs(10), &what, |trial| found(wrong, &checks::rules(&trial.recorder)))
             .await;
     }
 }
@@ -75,11 +79,11 @@
     fs::remove_dir_all(trial.processes[5].state_dir()).unwrap();
     fs::write(trial.processes[5].state_dir(), "no folder").unwrap();
     sleep(Duration::from_millis(800)).await;
-    let back = trial.record.now();
+    let back = trial.recorder.now();
     trial.servers_start();
     (0..SMALL.processes).for_each(|index| trial.start(index));
     comes_back(&mut trial, 30).await;
-    let (took, calls) = (trial.record.now() - back, trial.calls(back, trial.record.now()));
+    let (took, calls) = (trial.recorder.now() - back, trial.calls(back, trial.recorder.now()));
     println!("back after {took:?} with {calls} calls to discovery");
     assert!(calls <= 6, "a few ask for all: {calls}");
     let words =
@@ -94,7 +98,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn processes_back_one_by_one_serve_what_they_may_and_a_second_loss_of_power_is_as_the_first() {
     let _cores = CORES.lock().await;
-    let mut trial = Trial::running(Shape { seed: 2, ..SMALL }).await;
+    let mut trial = Trial::running(TrialConfig { seed: 2, ..SMALL }).await;
     trial.power_goes();
     trial.servers_start();
     trial.start(0);
@@ -116,7 +120,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn a_draining_server_that_discovery_has_forgotten_gets_nothing_new() {
     let _cores = CORES.lock().await;
-    let mut trial = Trial::running(Shape { seed: 3, clients: 200, ..SMALL }).await;
+    let mut trial = Trial::running(TrialConfig { seed: 3, clients: 200, ..SMALL }).await;
     trial.drains(0);
     trial.until(Duration::from_secs(20), "it is empty", |trial| trial.servers[0].holds() == 0).await;
     trial.until(Duration::from_secs(5), "all clients stand", |trial| trial.standing() >= most(trial)).await;
@@ -142,27 +146,27 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn whatever_the_way_between_them_does_the_rules_hold_and_all_hear_of_a_drain() {
     let _cores = CORES.lock().await;
-    let mut trial = Trial::begin(Shape { seed: 4, clients: 200, ..SMALL }).await;
+    let mut trial = Trial::begin(TrialConfig { seed: 4, clients: 200, ..SMALL }).await;
     trial.processes[1].ahead_ms = 3_600_000;
     trial.processes[2].ahead_ms = -3_600_000;
     (0..SMALL.processes).for_each(|index| trial.start(index));
     trial.until_ready(SMALL.processes).await;
     trial.clients_come(Duration::from_millis(1500));
     comes_back(&mut trial, 20).await;
-    trial.relay.becomes(shelfgrade_testkit::relay::ROUGH);
-    trial.relay.halves(|index| index < 3);
+    trial.fault_proxy.becomes(shelfgrade_testkit::fault_proxy::ROUGH);
+    trial.fault_proxy.halves(|index| index < 3);
     sleep(Duration::from_millis(5000)).await;
     trial.drains(7);
     trial.stop(5);
     sleep(Duration::from_millis(4000)).await;
     trial.wake(5);
     sleep(Duration::from_millis(1000)).await;
-    trial.relay.heals();
+    trial.fault_proxy.heals();
     // The last one hears all, and nobody hears it.
-    trial.relay.cuts((0..5).map(|to| (5, to)));
+    trial.fault_proxy.cuts((0..5).map(|to| (5, to)));
     trial.drains(6);
     sleep(Duration::from_millis(4000)).await;
-    trial.relay.heals();
+    trial.fault_proxy.heals();
     trial
         .until(Duration::from_secs(20), "both are empty", |t| {
             t.servers[7].holds() + t.servers[6].holds() == 0
@@ -176,7 +180,7 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn two_processes_under_one_name_are_found_out_and_break_nothing() {
     let _cores = CORES.lock().await;
-    let mut trial = Trial::running(Shape { seed: 5, clients: 120, ..SMALL }).await;
+    let mut trial = Trial::running(TrialConfig { seed: 5, clients: 120, ..SMALL }).await;
     // The last one takes the first one's name: its fellows find either at its own address.
     trial.kill(5);
     let taken = trial.processes[0].name.clone();
--- a/crates/testkit/tests/returns.rs
+++ b/crates/testkit/tests/returns.rs
@@ -2,7 +2,7 @@
 
 use shelfgrade::time::{DurationExt, Timestamp};
 use shelfgrade_recovery::{Node, RecoveryState, ServerHealth, ServerRecord};
-use shelfgrade_testkit::drawn::{Drawn, Network};
+use shelfgrade_testkit::simulated_fleet::{Network, SimulatedFleet};
 use std::collections::BTreeSet;
 use std::time::Duration;
 
@@ -24,8 +24,8 @@
 
 /// A whole fleet that has just started, with discovery there from `there_ms` on; whoever watches it asks once a second until
 /// it is answered. Gives the fleet after eight seconds and who has asked.
-fn comes_back(seed: u64, there_ms: u64, dead: &[usize]) -> (Drawn<Node>, Vec<(Timestamp, usize)>) {
-    let mut fleet: Drawn<Node> = Drawn::running(SIZE, USUAL, seed);
+fn comes_back(seed: u64, there_ms: u64, dead: &[usize]) -> (SimulatedFleet<Node>, Vec<(Timestamp, usize)>) {
+    let mut fleet: SimulatedFleet<Node> = SimulatedFleet::running(SIZE, USUAL, seed);
     dead.iter().for_each(|member| fleet.kill(*member));
     let began = fleet.now;
     let facts = list(began);
@@ -51,7 +51,7 @@
     (fleet, calls)
 }
 
-fn states(fleet: &Drawn<Node>, member: usize) -> Vec<RecoveryState> {
+fn states(fleet: &SimulatedFleet<Node>, member: usize) -> Vec<RecoveryState> {
     fleet.processes[member].states.iter().map(|(_, state)| *state).collect()
 }
 
--- a/crates/testkit/tests/shared.rs
+++ b/crates/testkit/tests/shared.rs
@@ -4,7 +4,7 @@
 use proptest::test_runner::RngSeed;
 use shelfgrade::time::DurationExt;
 use shelfgrade_fleet::{Entry, Fleet, MemberId, MergeOutcome, ReplicatedMap, Version, LEASE_DURATION};
-use shelfgrade_testkit::drawn::{Drawn, CALM, ROUGH};
+use shelfgrade_testkit::simulated_fleet::{SimulatedFleet, CALM, ROUGH};
 
 fn entry() -> impl Strategy<Value = Entry> {
     let value = prop_oneof![Just(None), prop::collection::vec(0..3u8, 0..3).prop_map(Some)];
@@ -73,7 +73,8 @@
 
 /// Has them draw the network, kill, stop and cut, and looks all the while at what they may do together.
 fn never_more_than_the_whole(size: usize, seed: u64, steps: &[(u8, usize, u64)]) {
-    let mut fleet = Drawn::<Fleet>::running(size, if seed.is_multiple_of(2) { ROUGH } else { CALM }, seed);
+    let mut fleet =
+        SimulatedFleet::<Fleet>::running(size, if seed.is_multiple_of(2) { ROUGH } else { CALM }, seed);
     fleet.passes(12_000);
     for (what, member, ms) in steps {
         let member = member % size;
@@ -112,8 +113,8 @@
 
 #[test]
 fn a_whole_fleet_has_all_of_it_one_alone_its_floor_and_either_half_about_half() {
-    let whole = |fleet: &Drawn| (fleet.sum_of_parts() * 1000.0).round() / 1000.0;
-    let mut fleet = Drawn::<Fleet>::running(20, CALM, 7);
+    let whole = |fleet: &SimulatedFleet| (fleet.sum_of_parts() * 1000.0).round() / 1000.0;
+    let mut fleet = SimulatedFleet::<Fleet>::running(20, CALM, 7);
     fleet.passes(500);
     assert_eq!(whole(&fleet), 0.5, "the floors, at once: nobody knows yet what was granted before");
     fleet.passes(15_000);
@@ -129,7 +130,7 @@
     fleet.passes(30_000);
     let half: f64 = (0..10).map(|member| fleet.core(member).quota_fraction(fleet.now)).sum();
     assert!((0.3..=0.7).contains(&half) && fleet.sum_of_parts() > 0.8, "{half} {}", fleet.sum_of_parts());
-    let mut alone = Drawn::<Fleet>::new(20, CALM, 7);
+    let mut alone = SimulatedFleet::<Fleet>::new(20, CALM, 7);
     alone.start(3);
     alone.passes(20_000);
     assert_eq!(
@@ -137,7 +138,7 @@
         1.0 / 40.0,
         "able to serve, and no more than is surely its own"
     );
-    let mut single = Drawn::<Fleet>::running(1, CALM, 7);
+    let mut single = SimulatedFleet::<Fleet>::running(1, CALM, 7);
     single.passes(2 * LEASE_DURATION.as_ms() as u64);
     assert_eq!(single.core(0).quota_fraction(single.now), 1.0);
 }
--- a/crates/testkit/tests/simulation.rs
+++ b/crates/testkit/tests/simulation.rs
@@ -2,10 +2,10 @@
 
 use shelfgrade::time::Timestamp;
 use shelfgrade_testkit::simulation::{Core, Outbox, Simulation};
-use shelfgrade_testkit::topology::{Topology, Weather, SIX_REGIONS};
+use shelfgrade_testkit::topology::{NetworkConditions, Topology, SIX_REGIONS};
 use std::time::Duration;
 
-const FAIR: Weather = Weather { lost: 0, doubled: 0 };
+const FAIR: NetworkConditions = NetworkConditions { lost: 0, doubled: 0 };
 
 /// Sends a word to some others every 100 ms, and remembers who was heard, and how many milliseconds after it spoke.
 struct Speaker {
@@ -30,8 +30,8 @@
     }
 }
 
-fn speakers(size: usize, weather: Weather, threads: usize) -> Simulation<Speaker> {
-    let mut all = Simulation::begin(Topology::of(&SIX_REGIONS, size, 3), weather, threads, 3);
+fn speakers(size: usize, conditions: NetworkConditions, threads: usize) -> Simulation<Speaker> {
+    let mut all = Simulation::begin(Topology::of(&SIX_REGIONS, size, 3), conditions, threads, 3);
     all.start(0..size, move |process, now| Speaker { process, size, next: now, heard: Vec::new() });
     all
 }
@@ -46,7 +46,7 @@
 #[test]
 fn a_run_is_the_same_on_one_thread_and_on_four() {
     let run = |threads| {
-        let mut all = speakers(64, Weather { lost: 10, doubled: 10 }, threads);
+        let mut all = speakers(64, NetworkConditions { lost: 10, doubled: 10 }, threads);
         all.passes(Duration::from_millis(777));
         all.cut_zones(|zone| zone == 4);
         all.kill([3, 40]);
--- a/crates/testkit/tests/size.rs
+++ b/crates/testkit/tests/size.rs
@@ -2,7 +2,7 @@
 
 use shelfgrade::time::DurationExt;
 use shelfgrade_fleet::{Fleet, MemberId};
-use shelfgrade_testkit::drawn::{Drawn, Network, CALM};
+use shelfgrade_testkit::simulated_fleet::{Network, SimulatedFleet, CALM};
 
 /// A network as between machines of one site: some loss, and now and then one comes late.
 const USUAL: Network = Network { delay_ms: (1, 20), lost: 2, doubled: 1 };
@@ -11,7 +11,7 @@
 /// a second.
 fn traffic(size: usize) -> (f64, f64) {
     const SECONDS: u64 = 20;
-    let mut fleet = Drawn::<Fleet>::running(size, USUAL, 11);
+    let mut fleet = SimulatedFleet::<Fleet>::running(size, USUAL, 11);
     fleet.passes(20_000);
     let before: Vec<_> = fleet.processes.iter().map(|p| p.sent).collect();
     for second in 0..SECONDS {
@@ -40,7 +40,7 @@
 }
 
 /// Milliseconds until all know the same.
-fn agrees_within(fleet: &mut Drawn, most_ms: u64) -> u64 {
+fn agrees_within(fleet: &mut SimulatedFleet, most_ms: u64) -> u64 {
     const STEP: u64 = 100;
     let began = fleet.now;
     while !fleet.agree() {
@@ -52,7 +52,7 @@
 
 #[test]
 fn three_hundred_come_to_know_a_release_of_servers_within_seconds_also_after_two_halves_were_apart() {
-    let mut fleet = Drawn::<Fleet>::running(300, USUAL, 5);
+    let mut fleet = SimulatedFleet::<Fleet>::running(300, USUAL, 5);
     fleet.passes(15_000);
     let meets =
         fleet.running_members().iter().filter(|member| fleet.core(**member).alive().len() == 300).count();
@@ -88,7 +88,7 @@
 #[test]
 fn the_same_seed_gives_the_same_fleet_to_the_byte() {
     let run = |seed| {
-        let mut fleet = Drawn::<Fleet>::running(40, USUAL, seed);
+        let mut fleet = SimulatedFleet::<Fleet>::running(40, USUAL, seed);
         fleet.passes(3000);
         fleet.kill(4);
         fleet.with(2, |core, environment| core.put("server/s-1", &1, environment)).expect("put");
@@ -110,10 +110,10 @@
 
 #[test]
 fn nothing_that_cannot_be_read_or_is_not_this_fleets_changes_anything_and_it_is_counted() {
-    let mut fleet = Drawn::<Fleet>::running(3, CALM, 5);
+    let mut fleet = SimulatedFleet::<Fleet>::running(3, CALM, 5);
     fleet.passes(5000);
     let state = fleet.core(0).state_digest();
-    let mut others = Drawn::<Fleet>::running(4, CALM, 5);
+    let mut others = SimulatedFleet::<Fleet>::running(4, CALM, 5);
     others.passes(300);
     // What the other fleet's first process would send to its second.
     let mut caught = Vec::new();
--- a/crates/testkit/tests/slopes.rs
+++ b/crates/testkit/tests/slopes.rs
@@ -2,26 +2,30 @@
 //! enough for every change. The shape is looked at, and no time of the machine's. `examples/hollow.rs` has the sizes.
 
 use shelfgrade::time::DurationExt;
-use shelfgrade_testkit::hollow::{name, roster, Hollow};
+use shelfgrade_testkit::hollow_node::{name, roster, HollowNode};
 use shelfgrade_testkit::own_address;
 use shelfgrade_testkit::simulation::Simulation;
 use shelfgrade_testkit::sockets::Sockets;
-use shelfgrade_testkit::topology::{Topology, Weather, SIX_REGIONS};
+use shelfgrade_testkit::topology::{NetworkConditions, Topology, SIX_REGIONS};
 use std::collections::BTreeSet;
 use std::net::UdpSocket;
 use std::time::{Duration, Instant};
 
-const USUAL: Weather = Weather { lost: 2, doubled: 1 };
+const USUAL: NetworkConditions = NetworkConditions { lost: 2, doubled: 1 };
 const STEP: Duration = Duration::from_millis(100);
 
-fn started(size: usize) -> Simulation<Hollow> {
+fn started(size: usize) -> Simulation<HollowNode> {
     let mut all = Simulation::begin(Topology::of(&SIX_REGIONS, size, 7), USUAL, 2, 7);
     let roster = roster(size);
-    all.start(0..size, move |process, now| Hollow::new(&roster, &name(process), 1, now));
+    all.start(0..size, move |process, now| HollowNode::new(&roster, &name(process), 1, now));
     all
 }
 
-fn until(all: &mut Simulation<Hollow>, most_ms: f64, holds: impl Fn(&Simulation<Hollow>) -> bool) -> f64 {
+fn until(
+    all: &mut Simulation<HollowNode>,
+    most_ms: f64,
+    holds: impl Fn(&Simulation<HollowNode>) -> bool,
+) -> f64 {
     let began = all.now();
     while !holds(all) {
         all.passes(STEP);
@@ -31,14 +35,14 @@
 }
 
 /// Bytes and datagrams that one process sends on the mean, since the beginning.
-fn sent(all: &Simulation<Hollow>) -> (f64, f64) {
+fn sent(all: &Simulation<HollowNode>) -> (f64, f64) {
     let usage = all.usage();
     let sum =
         |of: fn(&shelfgrade_testkit::simulation::Usage) -> u64| usage.iter().map(of).sum::<u64>() as f64;
     (sum(|usage| usage.bytes) / usage.len() as f64, sum(|usage| usage.datagrams) / usage.len() as f64)
 }
 
-fn put(all: &mut Simulation<Hollow>, process: usize, number: usize, kind: &'static str) {
+fn put(all: &mut Simulation<HollowNode>, process: usize, number: usize, kind: &'static str) {
     all.with(process, move |hollow, _, out| {
         for i in 0..number {
             hollow
@@ -48,7 +52,7 @@
     });
 }
 
-fn agree(all: &Simulation<Hollow>) -> bool {
+fn agree(all: &Simulation<HollowNode>) -> bool {
     all.each(|_, hollow| hollow.fleet.state_digest())
         .into_iter()
         .map(|(_, state)| state)
@@ -107,7 +111,7 @@
     let mut all = started(96);
     all.passes(Duration::from_millis(15_000));
     all.cut_region(2);
-    let whole = |all: &Simulation<Hollow>| {
+    let whole = |all: &Simulation<HollowNode>| {
         let now = all.now();
         all.each(move |_, hollow| hollow.fleet.quota_fraction(now))
             .into_iter()
--- a/crates/testkit/tests/windows.rs
+++ b/crates/testkit/tests/windows.rs
@@ -2,7 +2,7 @@
 
 use rustix::process::Signal;
 use shelfgrade_testkit::server::unix_ms;
-use shelfgrade_testkit::trial::{Shape, Trial, SMALL};
+use shelfgrade_testkit::trial::{Trial, TrialConfig, SMALL};
 use std::time::Duration;
 use tokio::time::sleep;
 
@@ -34,35 +34,35 @@
 async fn a_site_is_empty_as_its_window_begins_stays_so_through_a_loss_of_power_and_comes_back() {
     const LEAD: f64 = 14.0;
     const LASTS: f64 = 14.0;
-    let mut trial = Trial::running(Shape { seed: 9, clients: 110, ..SMALL }).await;
+    let mut trial = Trial::running(TrialConfig { seed: 9, clients: 110, ..SMALL }).await;
     assert!(held(&trial, "b") > 20, "it has its share");
     trial.maintenance(1, &schedule(1, LEAD + 1.0, LEAD as u32, LASTS as u32));
-    let begins = trial.record.now() + Duration::from_secs_f64(LEAD + 1.0);
+    let begins = trial.recorder.now() + Duration::from_secs_f64(LEAD + 1.0);
     trial.processes[1].signal(Signal::HUP);
     let says =
         |trial: &mut Trial, word: &str| trial.processes.iter().all(|process| process.log().contains(word));
     trial.until(Duration::from_secs(6), "all empty it", |trial| says(trial, "site b: emptying")).await;
-    sleep(begins.saturating_sub(trial.record.now() + Duration::from_millis(300))).await;
+    sleep(begins.saturating_sub(trial.recorder.now() + Duration::from_millis(300))).await;
     let left = held(&trial, "b");
     assert!(left <= 2, "{left} are left as it begins");
     trial.until(Duration::from_secs(4), "it is closed", |trial| says(trial, "site b: without traffic")).await;
     trial.until(Duration::from_secs(2), "nobody is left", |trial| held(trial, "b") == 0).await;
-    let closed = trial.record.now();
+    let closed = trial.recorder.now();
     let until = begins + Duration::from_secs_f64(LASTS);
     let of_site: Vec<usize> = trial.servers.iter().filter(|s| s.site() == "b").map(|s| s.index).collect();
     // Nothing new comes there until it is over, whatever happens to the processes.
     let drains =
         of_site.iter().map(|server| (*server, closed.saturating_sub(Duration::from_secs(2)), Some(until)));
     let drains: Vec<_> = drains.collect();
-    trial.record.seen().drains.extend(drains);
+    trial.recorder.observations().drains.extend(drains);
     (0..SMALL.processes).for_each(|index| trial.kill(index));
     sleep(Duration::from_millis(300)).await;
     (0..SMALL.processes).for_each(|index| trial.start(index));
-    let most = trial.shape.clients * 95 / 100;
-    let in_time = until.saturating_sub(trial.record.now());
+    let most = trial.config.clients * 95 / 100;
+    let in_time = until.saturating_sub(trial.recorder.now());
     trial.until(in_time, "service is back without the site", |trial| trial.standing() >= most).await;
     assert_eq!(held(&trial, "b"), 0);
-    sleep(until.saturating_sub(trial.record.now()) + Duration::from_millis(1500)).await;
+    sleep(until.saturating_sub(trial.recorder.now()) + Duration::from_millis(1500)).await;
     trial
         .until(Duration::from_secs(5), "it is open again", |trial| {
             trial.processes.iter().all(|process| process.log().contains("site b: open again"))
