--- a/crates/recovery/src/admission.rs
+++ b/crates/recovery/src/admission.rs
@@ -1,44 +1,37 @@
-//! In which order service comes back: the list, then rooms at cold servers, then sessions by what is owed first.
+//! The recovery ramp: the order in which requests are admitted while servers warm up.
 //!
-//! The decision module goes on saying which server, whether to try again and what is turned away. It is handed, for each
-//! session, the part of the crowd that goes before it and a time to come again, and lets a cold server have those that
-//! come before its share of the crowd is used up.
+//! The balancer still selects servers, decides on retries and rejects. For each request the ramp hands it a turn: the
+//! fraction of the recent arrivals that precede it, and a `retry_after` in case it is rejected. A warming server
+//! admits the requests whose turn lies within the fraction that it has capacity for.
 
+use crate::recent_arrivals::{RecentArrivals, ARRIVAL_WINDOW};
+use crate::settings::RecoverySettings;
 use shelfgrade::host::Turn;
 use shelfgrade::time::{DurationExt, Timestamp};
-use std::collections::VecDeque;
 use std::time::Duration;
 
-/// The states of a return, in their order.
+/// The stages of a recovery, in their order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RecoveryState {
-    /// The list has yet to be agreed, and a bound on the wait for it to pass.
+    /// The members have yet to agree on the endpoint list; nothing is admitted.
     AwaitingList,
-    /// Servers are cold: sessions are let in as rooms come up.
+    /// Some servers are warming up: requests are admitted as capacity becomes available.
     RampingUp,
-    /// All as ever.
+    /// Normal operation.
     Serving,
 }
 
 impl RecoveryState {
-    /// As the log has it.
+    /// The state's name for the log.
     pub fn name(self) -> &'static str {
         match self {
-            RecoveryState::AwaitingList => "waiting for the list",
-            RecoveryState::RampingUp => "letting clients in as servers warm up",
+            RecoveryState::AwaitingList => "waiting for the endpoint list",
+            RecoveryState::RampingUp => "admitting clients as servers warm up",
             RecoveryState::Serving => "serving",
         }
     }
 }
 
-/// What a request class is owed.
-#[derive(Debug, Clone, Copy)]
-pub struct ClassPriority {
-    pub connect_latency_objective: Option<Duration>,
-    /// priority weight of a connection's second; any unit, the same for all.
-    pub priority_weight: f64,
-}
-
 /// Who sends a request, as far as admission distinguishes.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Requester {
@@ -48,164 +41,159 @@
     pub customer: Option<usize>,
 }
 
-/// How long what came counts as the crowd: as long as the module's own.
-const CROWD: Duration = Duration::from_millis(2000);
-/// The most arrivals that are remembered.
-const SAMPLES: usize = 4096;
-/// A customer that has had less than this part of its share of what was let in goes first. Guards against one whose
-/// request classes are all owed later getting nothing at all; half leaves room for what is owed first.
-const SURE: f64 = 0.5;
-
-struct Came {
-    at: Timestamp,
-    class: Option<usize>,
-    customer: Option<usize>,
-    let_in: bool,
+/// Requests with a lower rank are admitted first: the tightest latency objective, then the highest priority weight.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct Rank {
+    latency_objective_us: u64,
+    negative_weight_thousandths: i64,
 }
 
-pub struct RecoveryRamp {
+/// A customer with less than this fraction of its share of what was admitted precedes all others, so that one whose
+/// request classes all rank last is not starved.
+const GUARANTEED_FRACTION: f64 = 0.5;
+/// The turn of a request that is not to be admitted yet: any above 1.
+const NOT_ADMITTED: f64 = 2.0;
+/// The least time that the arrivals are extrapolated from.
+const MIN_OBSERVED: Duration = Duration::from_millis(50);
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
+/// Keeps `retry_after` below the longest that clients comply with.
+const RETRY_AFTER_MARGIN: f64 = 0.95;
+
+/// The state machine of a recovery.
+pub(crate) struct RecoveryRamp {
+    settings: RecoverySettings,
     state: RecoveryState,
-    until: Timestamp,
-    classes: Vec<ClassPriority>,
-    /// Shares of the customers, by their places in the settings.
-    shares: Vec<f64>,
-    slow_start: Duration,
-    max_retry_after: Duration,
+    list_wait_ends: Timestamp,
+    /// When the last server is warm.
     warm_at: Option<Timestamp>,
-    /// When the first session came that might be let in.
-    opened: Option<Timestamp>,
-    came: VecDeque<Came>,
+    /// When the first request came that could be admitted.
+    first_arrival: Option<Timestamp>,
+    arrivals: RecentArrivals,
 }
 
 impl RecoveryRamp {
-    /// `wait`: how long the list is waited for. `slow_start`: how long a server takes to be warm. `max_retry_after`: the longest
-    /// that a client stays away when told to.
-    pub fn new(
-        classes: Vec<ClassPriority>,
-        shares: Vec<f64>,
-        (wait, slow_start, max_retry_after): (Duration, Duration, Duration),
-        now: Timestamp,
-    ) -> Self {
+    pub(crate) fn new(settings: RecoverySettings, now: Timestamp) -> Self {
         RecoveryRamp {
             state: RecoveryState::AwaitingList,
-            until: now + wait,
-            classes,
-            shares,
-            slow_start,
-            max_retry_after,
+            list_wait_ends: now + settings.list_wait,
+            settings,
             warm_at: None,
-            opened: None,
-            came: VecDeque::new(),
+            first_arrival: None,
+            arrivals: RecentArrivals::default(),
         }
     }
 
-    pub fn state(&self) -> RecoveryState {
+    pub(crate) fn state(&self) -> RecoveryState {
         self.state
     }
 
-    /// The list is agreed, or the bound on the wait has passed: `starts` are those of the servers that may be sent to.
-    pub fn list_is_here(&mut self, starts: impl Iterator<Item = Option<Timestamp>>, now: Timestamp) {
-        let warm = starts.flatten().map(|start| start + self.slow_start).filter(|warm| *warm > now);
-        self.warm_at = warm.max();
+    /// The endpoint list is agreed, or the wait for it has ended. `starts` are those of its servers.
+    pub(crate) fn on_endpoint_list(
+        &mut self,
+        starts: impl Iterator<Item = Option<Timestamp>>,
+        now: Timestamp,
+    ) {
+        let warm_times = starts.flatten().map(|start| start + self.settings.slow_start);
+        self.warm_at = warm_times.filter(|warm_at| *warm_at > now).max();
         self.state = if self.warm_at.is_some() { RecoveryState::RampingUp } else { RecoveryState::Serving };
     }
 
-    /// True where the bound on the wait for the list has passed just now, and what is known has to do.
-    pub fn waited(&self, now: Timestamp) -> bool {
-        self.state == RecoveryState::AwaitingList && now >= self.until
+    /// Whether the wait for the list has ended without one.
+    pub(crate) fn is_list_overdue(&self, now: Timestamp) -> bool {
+        self.state == RecoveryState::AwaitingList && now >= self.list_wait_ends
     }
 
-    /// Looks at the clock; true where the state has changed.
-    pub fn on_timer(&mut self, now: Timestamp) -> bool {
-        let over = self.state == RecoveryState::RampingUp && self.warm_at.is_none_or(|warm| now >= warm);
-        if over {
+    /// Ends the ramp once all servers are warm; whether it has ended with this call.
+    pub(crate) fn on_timer(&mut self, now: Timestamp) -> bool {
+        let is_over = self.state == RecoveryState::RampingUp && self.warm_at.is_none_or(|warm| now >= warm);
+        if is_over {
             self.state = RecoveryState::Serving;
-            self.came.clear();
+            self.arrivals.clear();
         }
-        over
+        is_over
     }
 
-    /// A session has come: its turn, or none where all is as ever. `key` is any number of the client's, by which those
-    /// that are owed alike take turns; `luck` is from 0 to 1.
-    pub fn admission_turn(
+    /// The turn of a request that has arrived; none in normal operation. `key` is a hash of the client's key, which
+    /// orders requests of equal rank; `random_unit` lies between 0 and 1.
+    pub(crate) fn admission_turn(
         &mut self,
-        Requester { class, customer }: Requester,
+        requester: Requester,
         key: u64,
-        luck: f64,
+        random_unit: f64,
         now: Timestamp,
     ) -> Option<Turn> {
-        let past = self.came.iter().take_while(|came| now.since(came.at) > CROWD).count();
-        self.came.drain(..past);
-        if self.state == RecoveryState::Serving {
-            return None;
-        }
+        self.arrivals.expire(now);
         let before = match self.state {
-            // Beyond the whole crowd: nobody is let in.
-            RecoveryState::AwaitingList => 2.0,
-            _ => {
-                // Guards against the first of a crowd being taken for all of it: what comes in the first moments stands
-                // for what comes in the whole of its time, and only as much of the room is given as of that has passed.
-                const LEAST: Duration = Duration::from_millis(50);
-                let past = now.since(*self.opened.get_or_insert(now)).max(LEAST);
-                let whole = past >= CROWD;
-                self.before((class, customer), whole, key) * CROWD.ratio_to(past).max(1.0)
-            }
+            RecoveryState::Serving => return None,
+            RecoveryState::AwaitingList => NOT_ADMITTED,
+            RecoveryState::RampingUp => self.turn_among_expected(requester, key, now),
         };
-        self.came.push_back(Came { at: now, class, customer, let_in: false });
-        self.came.drain(..self.came.len().saturating_sub(SAMPLES));
-        Some(Turn { before, again: self.again(luck, now) })
+        self.arrivals.push(requester, now);
+        Some(Turn { before, again: self.retry_after(random_unit, now) })
     }
 
-    /// The session that came last was let in.
-    pub fn record_admission(&mut self) {
-        self.came.back_mut().into_iter().for_each(|came| came.let_in = true);
+    /// The last request for which a turn was given has been admitted.
+    pub(crate) fn record_admission(&mut self) {
+        self.arrivals.mark_last_admitted();
     }
 
-    /// The part of the crowd that goes before such a session, from 0 to 1; `whole` where that is a whole crowd's time.
-    fn before(&self, (class, customer): (Option<usize>, Option<usize>), whole: bool, key: u64) -> f64 {
-        if whole && self.is_sure(customer) {
+    /// The turn among the arrivals of a full window. Until one has passed, the arrivals so far are extrapolated to it;
+    /// otherwise the first arrivals would take up all capacity.
+    fn turn_among_expected(&mut self, requester: Requester, key: u64, now: Timestamp) -> f64 {
+        let observed = now.since(*self.first_arrival.get_or_insert(now)).max(MIN_OBSERVED);
+        let is_full_window = observed >= ARRIVAL_WINDOW;
+        self.turn_among_recent(requester, is_full_window, key) * ARRIVAL_WINDOW.ratio_to(observed).max(1.0)
+    }
+
+    /// The fraction of the recent arrivals that precede such a request, from 0 to 1.
+    fn turn_among_recent(&self, requester: Requester, is_full_window: bool, key: u64) -> f64 {
+        if is_full_window && self.is_below_guarantee(requester.customer) {
             return 0.0;
         }
-        let mine = self.rank(class);
-        let earlier = self.came.iter().filter(|came| self.rank(came.class) < mine).count() as f64;
-        let alike = self.came.iter().filter(|came| self.rank(came.class) == mine).count() as f64 + 1.0;
-        // Who is owed alike takes turns by key, so that no client gets in by asking often.
-        let place = (key >> 11) as f64 / (1u64 << 53) as f64;
-        (earlier + alike * place) / (self.came.len() as f64 + 1.0)
+        let rank = self.rank(requester.class);
+        let ranks = || self.arrivals.requesters().map(|other| self.rank(other.class));
+        let preceding = ranks().filter(|other| *other < rank).count() as f64;
+        let equal = ranks().filter(|other| *other == rank).count() as f64 + 1.0;
+        // By key, so that a client gains nothing by retrying often.
+        let position = unit_interval(key);
+        (preceding + equal * position) / (self.arrivals.len() as f64 + 1.0)
     }
 
-    /// The tightest connect latency objective first, then the highest priority weight; what is not known comes last.
-    fn rank(&self, class: Option<usize>) -> (u64, i64) {
-        let owed = class.and_then(|o| self.classes.get(o));
-        let limit = owed
-            .and_then(|o| o.connect_latency_objective)
-            .map_or(u64::MAX, |limit| (limit.as_ms() * 1000.0) as u64);
-        (limit, owed.map_or(0, |o| -(o.priority_weight * 1000.0) as i64))
+    /// Unknown request classes rank last.
+    fn rank(&self, class: Option<usize>) -> Rank {
+        let priority = class.and_then(|class| self.settings.classes.get(class));
+        let objective = priority.and_then(|priority| priority.connect_latency_objective);
+        Rank {
+            latency_objective_us: objective.map_or(u64::MAX, |time| (time.as_ms() * 1000.0) as u64),
+            negative_weight_thousandths: priority
+                .map_or(0, |priority| -(priority.priority_weight * 1000.0) as i64),
+        }
     }
 
-    fn is_sure(&self, customer: Option<usize>) -> bool {
-        let Some((customer, share)) = customer.and_then(|c| Some((c, *self.shares.get(c)?))) else {
-            return false;
-        };
-        let let_in = self.came.iter().filter(|came| came.let_in);
-        let (all, its) = let_in.fold((0.0, 0.0), |(all, its), came| {
-            (all + 1.0, its + f64::from(u8::from(came.customer == Some(customer))))
-        });
-        // Before anybody was let in nobody has had less than its share.
-        all > 0.0 && its < SURE * share * all
+    fn is_below_guarantee(&self, customer: Option<usize>) -> bool {
+        let Some(customer) = customer else { return false };
+        let Some(share) = self.settings.customer_shares.get(customer) else { return false };
+        let admitted = self.arrivals.admitted(customer);
+        // Before anybody was admitted nobody has had less than its share.
+        admitted.of_all > 0.0 && admitted.of_customer < GUARANTEED_FRACTION * share * admitted.of_all
     }
 
-    /// When to come again: some time while the servers warm up, so that the crowd is spread over that.
-    fn again(&self, luck: f64, now: Timestamp) -> Duration {
-        const LEAST: Duration = Duration::from_millis(100);
-        let left = match self.state {
-            RecoveryState::AwaitingList => self.until.since(now) + self.slow_start,
-            _ => self.warm_at.map_or(Duration::ZERO, |warm| warm.since(now)),
+    /// A random time within the rest of the warm-up, which spreads the retries over it.
+    fn retry_after(&self, random_unit: f64, now: Timestamp) -> Duration {
+        let remaining = match self.state {
+            RecoveryState::AwaitingList => self.list_wait_ends.since(now) + self.settings.slow_start,
+            _ => self.warm_at.map_or(Duration::ZERO, |warm_at| warm_at.since(now)),
         };
-        LEAST + left.min(self.max_retry_after.scaled(0.95)).scaled(luck)
+        let longest = self.settings.max_retry_after.scaled(RETRY_AFTER_MARGIN);
+        MIN_RETRY_AFTER + remaining.min(longest).scaled(random_unit)
     }
 }
 
+/// Maps the high 53 bits of a hash to a number from 0 to 1.
+fn unit_interval(hash: u64) -> f64 {
+    (hash >> 11) as f64 / (1u64 << 53) as f64
+}
+
 #[cfg(test)]
 #[path = "../tests/unit/admission.rs"]
 mod tests;
--- a/crates/recovery/src/environment.rs
+++ b/crates/recovery/src/environment.rs
@@ -1,56 +1,55 @@
-//! What a comeback is told at its start, and what it asks of the process round it.
+//! The interface between [`Node`](crate::Node) and the process that runs it.
 
-use crate::admission::{ClassPriority, RecoveryState};
+use crate::admission::RecoveryState;
 use shelfgrade::host::Endpoint;
 use shelfgrade::time::Timestamp;
 use shelfgrade_fleet::{Entry, Environment, MemberId};
 use std::net::SocketAddr;
-use std::time::Duration;
 
-/// The two clocks of a process at one moment.
+/// The two clocks of a process, read at the same moment.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClockReading {
-    /// The event loop's clock, which timeouts go by.
+    /// The clock of the event loop, which timers go by.
     pub now: Timestamp,
     /// This machine's Unix time in milliseconds, uncorrected.
     pub wall_ms: u64,
 }
 
-/// A line of the list to go by.
+/// An endpoint with the address to connect to.
+#[derive(Clone, Debug)]
 pub struct EndpointAddress {
+    /// The endpoint as the balancer takes it.
     pub endpoint: Endpoint,
+    /// None where the endpoint list does not state it.
     pub address: Option<SocketAddr>,
 }
 
-/// What the comeback asks of the process, beside what the fleet does.
+/// Effects of [`Node`](crate::Node), in addition to those of the fleet below it.
 pub trait RecoveryEnvironment: Environment {
-    /// Goes by these lines of the list from now on.
-    fn apply_endpoints(&mut self, lines: Vec<EndpointAddress>, whole: bool);
-    /// Watches discovery for all, or does not any longer.
-    fn set_polling(&mut self, watches: bool);
-    /// Another state of the return, and why.
-    fn state_changed(&mut self, state: RecoveryState, why: &str);
-    /// A client key's connection was at this server, which started then, in Unix milliseconds; it may be remembered.
+    /// Balances over these endpoints from now on. A complete list replaces the previous one, otherwise the endpoints
+    /// are an update to it.
+    fn apply_endpoints(&mut self, endpoints: Vec<EndpointAddress>, is_complete: bool);
+    /// Starts or stops polling discovery on behalf of all members.
+    fn set_polling(&mut self, is_poller: bool);
+    /// The recovery state has changed or been confirmed; `reason` is for the log.
+    fn state_changed(&mut self, state: RecoveryState, reason: &str);
+    /// The flow with this key hash was on `server`, which started at `started_ms` (Unix time in milliseconds) and has
+    /// not been restarted since: its entry in the flow table may be restored.
     fn restore_flow(&mut self, key: u64, server: &str, started_ms: f64);
-    /// A list was not taken, and why.
-    fn list_rejected(&mut self, why: &str);
+    /// An endpoint list was not accepted, or part of it could not be shared; `reason` is for the log.
+    fn list_rejected(&mut self, reason: &str);
 }
 
-/// What the settings say of a return.
-pub struct RecoverySettings {
-    pub classes: Vec<ClassPriority>,
-    /// Shares of the customers, by their places in the settings.
-    pub customer_shares: Vec<f64>,
-    /// How long the list is waited for, how long a server warms up, and how long a client stays away at most.
-    pub list_wait: Duration,
-    pub slow_start: Duration,
-    pub max_retry_after: Duration,
-}
-
-/// What the fleet told in one call.
+/// Passes the effects of one call of the fleet on, and records the entries that it changed.
 pub(crate) struct EnvironmentRecorder<'a> {
     pub(crate) environment: &'a mut dyn RecoveryEnvironment,
-    pub(crate) entries: Vec<Entry>,
+    pub(crate) changed_entries: Vec<Entry>,
+}
+
+impl<'a> EnvironmentRecorder<'a> {
+    pub(crate) fn new(environment: &'a mut dyn RecoveryEnvironment) -> Self {
+        EnvironmentRecorder { environment, changed_entries: Vec::new() }
+    }
 }
 
 impl Environment for EnvironmentRecorder<'_> {
@@ -59,7 +58,7 @@
     }
     fn entry_changed(&mut self, entry: &Entry) {
         self.environment.entry_changed(entry);
-        self.entries.push(entry.clone());
+        self.changed_entries.push(entry.clone());
     }
     fn member_joined(&mut self, member: MemberId) {
         self.environment.member_joined(member);
@@ -67,7 +66,7 @@
     fn member_left(&mut self, member: MemberId) {
         self.environment.member_left(member);
     }
-    fn datagram_rejected(&mut self, why: &'static str) {
-        self.environment.datagram_rejected(why);
+    fn datagram_rejected(&mut self, reason: &'static str) {
+        self.environment.datagram_rejected(reason);
     }
 }
--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -1,21 +1,35 @@
-//! The return of a process, or of a whole fleet: what is trusted from before ([`snapshot`], [`restore`]), whom to ask for
-//! the list ([`poller_election`]), what a list says of those before it ([`agreement`]), and in which order service comes back
-//! ([`admission`]); [`node`] puts them together over what the fleet shares. No I/O: time, datagrams, bytes of a disk and
-//! lists come in as arguments.
+//! Recovery of a fleet member: what it restores after a restart, how it agrees with its peers on the endpoint list, and
+//! when it admits traffic.
 //!
-//! `docs/recovery.md` has the table of every item and why it is trusted or not.
+//! [`Node`] is the state machine. It runs on top of [`shelfgrade_fleet::Fleet`] and combines the parts:
+//!
+//! - [`snapshot`]: the file format of the state that survives a restart;
+//! - restore: how much of a snapshot is trusted;
+//! - poller election: which members poll discovery on behalf of all;
+//! - list history: whether a received endpoint list is newer than the current one;
+//! - admission: the recovery ramp, which admits requests in order of priority while servers warm up.
+//!
+//! The crate does no I/O: time, datagrams, snapshots and endpoint lists are arguments, and effects go through
+//! [`RecoveryEnvironment`]. `docs/recovery.md` lists every restored item and why it is trusted or not.
+
+#![deny(unsafe_code)]
+#![warn(missing_docs)]
 
 mod admission;
-mod agreement;
 mod environment;
+mod list_history;
 mod node;
 mod poller_election;
+mod recent_arrivals;
 mod restore;
+mod server_record;
+mod settings;
 pub mod snapshot;
 
-pub use admission::{ClassPriority, RecoveryState, Requester};
-pub use agreement::{ListHistory, ListVersion};
-pub use environment::{ClockReading, EndpointAddress, RecoveryEnvironment, RecoverySettings};
+pub use admission::{RecoveryState, Requester};
+pub use environment::{ClockReading, EndpointAddress, RecoveryEnvironment};
+pub use list_history::{ListHistory, ListVersion, LIST_KEY};
 pub use node::Node;
-pub use poller_election::Heartbeat;
-pub use restore::{list_digest, ServerHealth, ServerRecord, HEARTBEAT_PREFIX, LIST_KEY, SERVER_PREFIX};
+pub use poller_election::{Heartbeat, HEARTBEAT_PREFIX};
+pub use server_record::{list_digest, ServerHealth, ServerRecord, SERVER_PREFIX};
+pub use settings::{ClassPriority, RecoverySettings};
--- /dev/null
+++ b/crates/recovery/src/node/discovery.rs
@@ -0,0 +1,93 @@
+//! Endpoint lists received from discovery, by members that poll it.
+
+use super::Node;
+use crate::environment::{EnvironmentRecorder, RecoveryEnvironment};
+use crate::list_history::{ListHistory, ListVerdict, LIST_KEY};
+use crate::server_record::{list_digest, ServerHealth, ServerRecord, SERVER_PREFIX};
+use shelfgrade::time::Timestamp;
+use shelfgrade_fleet::{Entry, Version};
+use std::collections::BTreeMap;
+
+impl Node {
+    /// A list with version number `seq` was received from discovery: a complete one, or the records that have changed.
+    /// Shares it with the peers, and returns whether it was accepted; if not, a complete list is to be requested.
+    pub fn on_endpoint_list(
+        &mut self,
+        records: Vec<(String, ServerRecord)>,
+        is_complete: bool,
+        seq: u64,
+        now: Timestamp,
+        environment: &mut dyn RecoveryEnvironment,
+    ) -> bool {
+        if !is_complete && (!self.is_list_agreed || seq < self.list_history.seq) {
+            let reason =
+                format!("version {seq} is a change to a list that is not held; a complete one is requested");
+            environment.list_rejected(&reason);
+            return false;
+        }
+        let mut next = if is_complete { BTreeMap::new() } else { self.records.clone() };
+        next.extend(records);
+        let digest = list_digest(next.iter().map(|(server, record)| (server.as_str(), record)));
+        let verdict = if is_complete { self.list_history.judge(seq, digest) } else { ListVerdict::Current };
+        if verdict == ListVerdict::Outdated {
+            let current = self.list_history.seq;
+            environment.list_rejected(&format!("version {seq} is outdated, {current} is held"));
+            return false;
+        }
+        // Only an accepted list counts as an answer: otherwise a poller without a list would report an empty one.
+        self.last_discovery_answer = Some(now);
+        let mut list_history = self.list_history.clone();
+        list_history.record(verdict, seq, digest);
+        if is_complete {
+            self.add_terminated(&mut next);
+        }
+        if verdict == ListVerdict::NewEpoch {
+            self.keep_known_health(&mut next);
+        }
+        let changed_entries = self.share_list(&next, &list_history, environment);
+        self.list_history = list_history;
+        self.apply_entries(changed_entries, now, environment);
+        self.on_list_agreed("list received from discovery", now, environment);
+        true
+    }
+
+    /// Adds the servers that are absent from a complete list, as terminated.
+    fn add_terminated(&self, next: &mut BTreeMap<String, ServerRecord>) {
+        for (server, known) in &self.records {
+            let terminated = || ServerRecord { health: ServerHealth::Terminated, ..known.clone() };
+            next.entry(server.clone()).or_insert_with(terminated);
+        }
+    }
+
+    fn keep_known_health(&self, next: &mut BTreeMap<String, ServerRecord>) {
+        for (server, record) in next {
+            *record = record.clone().with_known_health(self.records.get(server));
+        }
+    }
+
+    /// Writes what has changed to the replicated map; the entries that were written.
+    fn share_list(
+        &mut self,
+        next: &BTreeMap<String, ServerRecord>,
+        list_history: &ListHistory,
+        environment: &mut dyn RecoveryEnvironment,
+    ) -> Vec<Entry> {
+        let count = list_history.entry_version(list_history.seq);
+        let version = Version { count, by: self.fleet.me().started_at };
+        let mut recorder = EnvironmentRecorder::new(environment);
+        for (server, record) in next {
+            let key = format!("{SERVER_PREFIX}{server}");
+            if self.fleet.get::<ServerRecord>(&key).as_ref() == Some(record) {
+                continue;
+            }
+            if let Err(error) = self.fleet.put_version(&key, record, version, &mut recorder) {
+                recorder.environment.list_rejected(&error.to_string());
+            }
+        }
+        if *list_history != self.list_history {
+            // A full map rejects it; the peers then go by the previous history, and the records still count.
+            let _ = self.fleet.put_version(LIST_KEY, list_history, version, &mut recorder);
+        }
+        recorder.changed_entries
+    }
+}
--- /dev/null
+++ b/crates/recovery/src/node/polling.rs
@@ -0,0 +1,43 @@
+//! Polling of discovery on behalf of all members, and the heartbeats of who does it.
+
+use super::Node;
+use crate::environment::RecoveryEnvironment;
+use crate::poller_election::{Heartbeat, HEARTBEAT_PREFIX};
+use shelfgrade::time::Timestamp;
+use std::time::Duration;
+
+/// Discovery counts as reachable for this long after an answer: longer than one watch lasts, which is four seconds.
+const ANSWER_VALIDITY: Duration = Duration::from_millis(6000);
+
+impl Node {
+    /// Starts or stops polling as the election says, and shares a heartbeat while polling.
+    pub(super) fn update_polling(&mut self, now: Timestamp, environment: &mut dyn RecoveryEnvironment) {
+        let is_poller = self.election.is_poller(self.fleet.alive(), now);
+        if is_poller != self.is_poller {
+            self.is_poller = is_poller;
+            self.last_discovery_answer = None;
+            environment.set_polling(is_poller);
+        }
+        if is_poller {
+            self.share_heartbeat(now, environment);
+        }
+    }
+
+    fn share_heartbeat(&mut self, now: Timestamp, environment: &mut dyn RecoveryEnvironment) {
+        let me = self.fleet.me().member;
+        let heartbeat = self.heartbeat(now);
+        let put = self.fleet.put(&format!("{HEARTBEAT_PREFIX}{}", me.0), &heartbeat, environment);
+        debug_assert!(put.is_ok(), "{put:?}");
+        let number = put.map_or(0, |version| version.count);
+        self.election.on_heartbeat(me, number, heartbeat, true, now);
+    }
+
+    fn heartbeat(&self, now: Timestamp) -> Heartbeat {
+        Heartbeat {
+            epoch: self.list_history.epoch,
+            seq: self.list_history.seq,
+            digest: self.list_digest(),
+            answered: self.last_discovery_answer.is_some_and(|at| now.since(at) < ANSWER_VALIDITY),
+        }
+    }
+}
--- /dev/null
+++ b/crates/recovery/src/node/shared_entries.rs
@@ -0,0 +1,79 @@
+//! Changes of the replicated map that other members have made.
+
+use super::Node;
+use crate::environment::RecoveryEnvironment;
+use crate::list_history::{ListHistory, LIST_KEY};
+use crate::poller_election::{Heartbeat, HEARTBEAT_PREFIX};
+use crate::server_record::decode_server;
+use shelfgrade::time::Timestamp;
+use shelfgrade_fleet::{Entry, MemberId, Version};
+
+impl Node {
+    /// Takes in changed entries of the replicated map.
+    pub(super) fn apply_entries(
+        &mut self,
+        entries: Vec<Entry>,
+        now: Timestamp,
+        environment: &mut dyn RecoveryEnvironment,
+    ) {
+        let mut changed_servers = Vec::new();
+        for entry in &entries {
+            changed_servers.extend(self.apply_entry(entry, now));
+            self.reassert_restored_health(entry, environment);
+        }
+        if self.is_list_agreed && !changed_servers.is_empty() {
+            let endpoints = changed_servers.iter().filter_map(|server| self.endpoint(server, now)).collect();
+            environment.apply_endpoints(endpoints, false);
+        }
+        self.check_agreement(now, environment);
+    }
+
+    /// Takes in one entry; the server whose record it has changed, if any.
+    pub(super) fn apply_entry(&mut self, entry: &Entry, now: Timestamp) -> Option<String> {
+        let value = entry.value.as_deref()?;
+        if let Some((server, record)) = decode_server(entry) {
+            self.records.insert(server.clone(), record);
+            return Some(server);
+        }
+        if let Some(poller) = heartbeat_sender(&entry.key) {
+            self.apply_heartbeat(poller, entry.version, postcard::from_bytes(value).ok()?, now);
+        } else if entry.key == LIST_KEY {
+            let list_history: ListHistory = postcard::from_bytes(value).ok()?;
+            if list_history.is_at_least(&self.list_history) {
+                self.list_history = list_history;
+            }
+        }
+        None
+    }
+
+    fn apply_heartbeat(&mut self, poller: MemberId, version: Version, heartbeat: Heartbeat, now: Timestamp) {
+        if poller == self.fleet.me().member {
+            return;
+        }
+        let incarnation = self.fleet.incarnation(poller);
+        let is_current = incarnation.is_some_and(|incarnation| incarnation.started_at == version.by);
+        self.election.on_heartbeat(poller, version.count, heartbeat, is_current, now);
+    }
+
+    /// Corrects a record of a new epoch that reports a server in service although the snapshot has it as draining or
+    /// gone: discovery and its pollers have lost that. The correction goes out under the record's own version, so that
+    /// any later news from discovery replaces it.
+    fn reassert_restored_health(&mut self, entry: &Entry, environment: &mut dyn RecoveryEnvironment) {
+        let Some((server, received)) = decode_server(entry) else { return };
+        let Some(known) = self.restored.records.remove(&server) else { return };
+        let corrected = received.clone().with_known_health(Some(&known));
+        let is_of_newer_epoch = ListHistory::epoch_of(entry.version.count) > self.restored.epoch;
+        if is_of_newer_epoch && corrected != received {
+            let version = Version { count: entry.version.count, by: u64::MAX };
+            let put = self.fleet.put_version(&entry.key, &corrected, version, environment);
+            debug_assert!(put.is_ok(), "{put:?}");
+            self.records.insert(server, corrected);
+        }
+    }
+}
+
+/// The member whose heartbeats are under this key.
+fn heartbeat_sender(key: &str) -> Option<MemberId> {
+    let number = key.strip_prefix(HEARTBEAT_PREFIX)?;
+    number.parse().ok().map(MemberId)
+}
--- /dev/null
+++ b/crates/recovery/src/node/startup.rs
@@ -0,0 +1,106 @@
+//! Start of a node: what it restores, and what it falls back to when no endpoint list is received in time.
+
+use super::{Node, RestoredRecords};
+use crate::admission::RecoveryRamp;
+use crate::environment::{ClockReading, EndpointAddress, RecoveryEnvironment};
+use crate::list_history::ListHistory;
+use crate::poller_election::PollerElection;
+use crate::restore::RestoredState;
+use crate::server_record::{decode_server, SERVER_PREFIX};
+use crate::settings::RecoverySettings;
+use crate::snapshot::Snapshot;
+use nanorand::WyRand;
+use shelfgrade::host::Endpoint;
+use shelfgrade::time::Timestamp;
+use shelfgrade_fleet::{Entry, Fleet, Roster};
+use std::collections::{BTreeMap, BTreeSet};
+use std::net::SocketAddr;
+
+/// Tells the generator of this crate from those that others make of the same seed.
+const SEED_SALT: u64 = 0xc0;
+
+impl Node {
+    /// Starts a node from the snapshot of its previous incarnation, if there is one.
+    pub fn new(
+        roster: Roster,
+        settings: RecoverySettings,
+        snapshot: Option<Snapshot>,
+        seed: u64,
+        clock: ClockReading,
+    ) -> Self {
+        let now = clock.now;
+        let snapshot_sequence = snapshot.as_ref().map_or(0, |snapshot| snapshot.sequence);
+        let restored = snapshot.map(|snapshot| RestoredState::from_snapshot(snapshot, now));
+        let min_started_at = restored.as_ref().map_or(0, |restored| restored.min_started_at);
+        let started_at_us = min_started_at.max(clock.wall_ms * 1000);
+        let mut node = Node {
+            election: PollerElection::new(roster.me(), roster.members(), roster.tag(), now),
+            fleet: Fleet::new(roster, started_at_us, seed, now),
+            list_history: ListHistory::default(),
+            ramp: RecoveryRamp::new(settings, now),
+            records: BTreeMap::new(),
+            restored: RestoredRecords::default(),
+            candidates: Vec::new(),
+            startup_addresses: BTreeMap::new(),
+            held_sessions: Vec::new(),
+            is_list_agreed: false,
+            is_poller: false,
+            last_discovery_answer: None,
+            next_heartbeat: now,
+            applied_correction_ms: 0,
+            snapshot_sequence,
+            rng: WyRand::new_seed(seed ^ SEED_SALT),
+        };
+        if let Some(restored) = restored {
+            node.restore(restored, now);
+        }
+        node
+    }
+
+    /// Server records are kept aside: in the replicated map they would spread as if discovery had just confirmed them.
+    fn restore(&mut self, restored: RestoredState, now: Timestamp) {
+        let is_server = |entry: &Entry| entry.key.starts_with(SERVER_PREFIX);
+        let (servers, others): (Vec<_>, Vec<_>) = restored.entries.into_iter().partition(is_server);
+        for entry in &others {
+            self.apply_entry(entry, now);
+        }
+        self.restored.epoch = self.list_history.epoch;
+        self.restored.records.extend(servers.iter().filter_map(decode_server));
+        self.fleet.restore(others);
+        self.candidates = restored.candidates;
+        self.held_sessions = restored.held_sessions;
+    }
+
+    /// Adds the servers of the start-up file to the candidates where the snapshot does not have them.
+    pub fn add_known_endpoints(&mut self, known: impl Iterator<Item = EndpointAddress>, now: Timestamp) {
+        let restored: BTreeSet<_> =
+            self.candidates.iter().map(|candidate| candidate.server.clone()).collect();
+        for EndpointAddress { endpoint, address } in known {
+            if let Some(address) = address {
+                self.startup_addresses.insert(endpoint.server.clone(), address);
+            }
+            if !restored.contains(&endpoint.server) {
+                self.candidates.push(Endpoint { started: Some(now), ..endpoint });
+            }
+        }
+    }
+
+    /// Uses the candidates, since no endpoint list was received in time. All of them count as warming up.
+    pub(super) fn serve_candidates(&mut self, now: Timestamp, environment: &mut dyn RecoveryEnvironment) {
+        let with_address = |candidate: &Endpoint| EndpointAddress {
+            address: self.known_address(candidate),
+            endpoint: candidate.clone(),
+        };
+        let endpoints: Vec<_> = self.candidates.iter().map(with_address).collect();
+        let reason = format!("no list in time; {} restored servers are used, as warming up", endpoints.len());
+        self.ramp.on_endpoint_list(endpoints.iter().map(|known| known.endpoint.started), now);
+        environment.apply_endpoints(endpoints, true);
+        environment.state_changed(self.ramp.state(), &reason);
+    }
+
+    /// The address of a candidate in the snapshot, or else in the start-up file.
+    fn known_address(&self, candidate: &Endpoint) -> Option<SocketAddr> {
+        let restored = self.restored.records.get(&*candidate.server).and_then(|record| record.address);
+        restored.or(self.startup_addresses.get(&candidate.server).copied())
+    }
+}
--- a/crates/recovery/src/poller_election.rs
+++ b/crates/recovery/src/poller_election.rs
@@ -1,90 +1,109 @@
-//! Who asks discovery: a few for all. The others have the list from them, and step in where they are gone.
+//! Elects the members that poll discovery on behalf of all.
 //!
-//! The order of the members is the same at every process. After a loss of power nobody knows who is there, so at first
-//! the first few of all members ask; once the fellows had time to be heard, the first few of those that are there do. The
-//! number of calls is so many for each of these moments, whatever the number of processes.
+//! All members rank the roster in the same order, and the first few of those alive poll. After a loss of power nobody
+//! knows yet who is alive, so until the membership has settled the first few of the whole roster poll. The number of
+//! polls therefore does not depend on the size of the fleet. The other members receive the list from the pollers.
 
 use shelfgrade::time::Timestamp;
 use shelfgrade_fleet::{rank, MemberId};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// How many ask: one may die as another is stopped, and there is still the list.
-pub const POLLERS: usize = 3;
-/// How long fellows have to be heard before a process goes by whom it sees: membership invites three of them three times
-/// a second.
-pub const HEARD_BY: Duration = Duration::from_millis(2000);
-/// A heartbeat that has not gone on for this long is of one that asks no more: they come once a second, and rumours take some
-/// seconds in a large fleet.
-pub const FRESH: Duration = Duration::from_millis(5000);
+/// The prefix of the keys of heartbeats in the replicated map; the number of the member follows.
+pub const HEARTBEAT_PREFIX: &str = "beat/";
 
-/// What an poller tells all once a second.
+/// How many members poll, so that one may fail while another is being stopped.
+pub(crate) const POLLERS: usize = 3;
+/// How many members poll where the first ones get no answer: the network path or discovery itself may be down.
+const MAX_POLLERS: usize = 3 * POLLERS;
+/// How long the membership takes to settle after a start; three members are invited three times a second.
+const MEMBERSHIP_SETTLE_TIME: Duration = Duration::from_millis(2000);
+/// After this long without a new heartbeat a poller counts as gone. Heartbeats come once a second, and gossip takes
+/// some seconds in a large fleet.
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(5000);
+
+/// What a poller shares with all members once a second. Stored by the position of the fields.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Heartbeat {
-    /// What the list came to there: the count, the version and a digest of all lines.
+    /// The epoch of the poller's endpoint list.
     pub epoch: u64,
+    /// The version number of its list.
     pub seq: u64,
+    /// [`list_digest`](crate::list_digest) of its list.
     pub digest: u32,
     /// Discovery has answered it within the last few seconds.
     pub answered: bool,
 }
 
-/// How many may ask where the first ones have no answer, which may be the way there or discovery itself.
-const AT_MOST: usize = 3 * POLLERS;
+/// The newest heartbeat of a poller.
+struct ReceivedHeartbeat {
+    /// Goes up from one heartbeat of a poller to the next.
+    number: u64,
+    heartbeat: Heartbeat,
+    /// When it was received; none where it may be from before the poller's restart.
+    live_at: Option<Timestamp>,
+}
 
-pub struct PollerElection {
+/// The election as one member sees it.
+pub(crate) struct PollerElection {
     me: MemberId,
-    /// The members in the order in which they ask.
-    order: Vec<MemberId>,
-    began: Timestamp,
-    heartbeats: BTreeMap<MemberId, (u64, Heartbeat, Option<Timestamp>)>,
+    /// All members, the most preferred poller first.
+    ranking: Vec<MemberId>,
+    started: Timestamp,
+    heartbeats: BTreeMap<MemberId, ReceivedHeartbeat>,
     unanswered_since: BTreeMap<MemberId, Timestamp>,
 }
 
 impl PollerElection {
-    /// `fleet`: the roster's tag, so that fleets have orders of their own.
-    pub fn new(me: MemberId, members: impl Iterator<Item = MemberId>, fleet: u64, now: Timestamp) -> Self {
-        let mut order: Vec<_> = members.collect();
-        order.sort_by_key(|member| rank(fleet, *member));
+    /// `fleet_tag`: the roster's tag, so that each fleet has a ranking of its own.
+    pub(crate) fn new(
+        me: MemberId,
+        members: impl Iterator<Item = MemberId>,
+        fleet_tag: u64,
+        now: Timestamp,
+    ) -> Self {
+        let mut ranking: Vec<_> = members.collect();
+        ranking.sort_by_key(|member| rank(fleet_tag, *member));
         PollerElection {
             me,
-            order,
-            began: now,
+            ranking,
+            started: now,
             heartbeats: BTreeMap::new(),
             unanswered_since: BTreeMap::new(),
         }
     }
 
-    /// Whether this process is to ask discovery, by those that it sees.
-    pub fn is_poller(&self, alive: &[MemberId], now: Timestamp) -> bool {
-        let early = now.since(self.began) < HEARD_BY;
-        let there = |member: &MemberId| early || *member == self.me || alive.binary_search(member).is_ok();
-        let mut first = self.order.iter().copied().filter(there).take(AT_MOST);
-        let mut asks = first.by_ref().take(POLLERS);
-        asks.any(|member| member == self.me)
-            || self.unanswered(alive, now) && first.any(|member| member == self.me)
+    /// Whether this member polls discovery, given the members that it sees `alive`, in order.
+    pub(crate) fn is_poller(&self, alive: &[MemberId], now: Timestamp) -> bool {
+        let is_settling = now.since(self.started) < MEMBERSHIP_SETTLE_TIME;
+        let is_candidate =
+            |member: &MemberId| is_settling || *member == self.me || alive.binary_search(member).is_ok();
+        let mut candidates = self.ranking.iter().copied().filter(is_candidate).take(MAX_POLLERS);
+        let is_first_choice = candidates.by_ref().take(POLLERS).any(|member| member == self.me);
+        is_first_choice || self.pollers_unanswered(alive, now) && candidates.any(|member| member == self.me)
     }
 
-    /// Whether all that ask for this one have said for a while that they get no answer.
-    fn unanswered(&self, alive: &[MemberId], now: Timestamp) -> bool {
-        let there = |member: &&MemberId| alive.binary_search(member).is_ok();
-        let since = |member: &MemberId| self.unanswered_since.get(member).copied();
-        let mut first = self.order.iter().filter(there).take(POLLERS);
-        first.all(|member| since(member).is_some_and(|at| now.since(at) > FRESH))
+    /// Whether all first-choice pollers have reported for some time that discovery does not answer them.
+    fn pollers_unanswered(&self, alive: &[MemberId], now: Timestamp) -> bool {
+        let is_alive = |member: &&MemberId| alive.binary_search(member).is_ok();
+        let mut pollers = self.ranking.iter().filter(is_alive).take(POLLERS);
+        pollers.all(|member| {
+            self.unanswered_since.get(member).is_some_and(|since| now.since(*since) > HEARTBEAT_TIMEOUT)
+        })
     }
 
-    /// A heartbeat was heard, by its number, which goes up from one to the next. Guards against taking one that was kept from
-    /// before for a sign of life: it counts where it goes on, or is of the life that its poller has now.
-    pub fn on_heartbeat(
+    /// Takes in a heartbeat. One restored from a snapshot or forwarded by a peer is no sign that its poller is alive:
+    /// it counts only if it follows another one, or was written by the poller's current incarnation.
+    pub(crate) fn on_heartbeat(
         &mut self,
         from: MemberId,
         number: u64,
         heartbeat: Heartbeat,
-        of_this_incarnation: bool,
+        is_of_current_incarnation: bool,
         now: Timestamp,
     ) {
-        let held = self.heartbeats.get(&from);
-        if held.is_some_and(|held| number <= held.0) {
+        let previous = self.heartbeats.get(&from);
+        if previous.is_some_and(|previous| number <= previous.number) {
             return;
         }
         if heartbeat.answered {
@@ -92,17 +111,20 @@
         } else {
             self.unanswered_since.entry(from).or_insert(now);
         }
-        let goes_on = (held.is_some() || of_this_incarnation).then_some(now);
-        self.heartbeats.insert(from, (number, heartbeat, goes_on));
+        let live_at = (previous.is_some() || is_of_current_incarnation).then_some(now);
+        self.heartbeats.insert(from, ReceivedHeartbeat { number, heartbeat, live_at });
     }
 
-    /// The newest heartbeat of an poller that discovery answers.
-    pub fn fresh(&self, now: Timestamp) -> Option<&Heartbeat> {
-        let goes_on = |at: Option<Timestamp>| at.is_some_and(|at| now.since(at) < FRESH);
-        let fresh = self.heartbeats.values().filter(|(_, heartbeat, at)| heartbeat.answered && goes_on(*at));
-        fresh
-            .max_by_key(|(number, heartbeat, _)| (heartbeat.epoch, heartbeat.seq, *number))
-            .map(|(_, heartbeat, _)| heartbeat)
+    /// The heartbeat with the newest list, of the live pollers that discovery answers.
+    pub(crate) fn newest_live(&self, now: Timestamp) -> Option<&Heartbeat> {
+        let is_live = |received: &&ReceivedHeartbeat| {
+            let is_recent = received.live_at.is_some_and(|at| now.since(at) < HEARTBEAT_TIMEOUT);
+            received.heartbeat.answered && is_recent
+        };
+        let live = self.heartbeats.values().filter(is_live);
+        let newest =
+            live.max_by_key(|received| (received.heartbeat.epoch, received.heartbeat.seq, received.number));
+        newest.map(|received| &received.heartbeat)
     }
 }
 
--- /dev/null
+++ b/crates/recovery/src/server_record.rs
@@ -0,0 +1,92 @@
+//! Servers as the members of a fleet share them.
+
+use serde::{Deserialize, Serialize};
+use shelfgrade::host::{Endpoint, EndpointState};
+use shelfgrade::time::Timestamp;
+use shelfgrade_fleet::Entry;
+use std::net::SocketAddr;
+use xxhash_rust::xxh3::xxh3_64;
+
+/// The prefix of the keys of server records in the replicated map; the server's name follows.
+pub const SERVER_PREFIX: &str = "server/";
+
+/// A server of the endpoint list in the replicated map. Stored by the position of the fields.
+#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
+pub struct ServerRecord {
+    /// The address to connect to.
+    pub address: Option<SocketAddr>,
+    /// The zone that it runs in.
+    pub zone: String,
+    /// The machine type.
+    pub kind: String,
+    /// The number of its cell.
+    pub cell: u64,
+    /// Where it is in its life cycle.
+    pub health: ServerHealth,
+    /// When it started: Unix time in milliseconds, 0 for longer ago than anybody knows.
+    pub started_ms: f64,
+}
+
+/// The life cycle of a server, in the order of its stages. Stored by the position of the variants.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+pub enum ServerHealth {
+    /// It takes new sessions.
+    InService,
+    /// It is draining.
+    Terminating,
+    /// It is gone.
+    Terminated,
+}
+
+impl ServerHealth {
+    /// The state of its endpoint in the balancer.
+    pub fn state(self) -> EndpointState {
+        match self {
+            ServerHealth::InService => EndpointState::Active,
+            ServerHealth::Terminating => EndpointState::Draining,
+            ServerHealth::Terminated => EndpointState::Removed,
+        }
+    }
+}
+
+impl ServerRecord {
+    /// This record with the health of `known` where that is later in the same server incarnation. A discovery that has
+    /// lost its state reports a draining server as in service.
+    pub fn with_known_health(mut self, known: Option<&ServerRecord>) -> Self {
+        if let Some(known) = known.filter(|known| known.started_ms == self.started_ms) {
+            self.health = self.health.max(known.health);
+        }
+        self
+    }
+
+    /// The endpoint of the server with this name, with its start by the local clock.
+    pub fn endpoint(&self, server: &str, started: Option<Timestamp>) -> Endpoint {
+        Endpoint {
+            server: server.into(),
+            zone: self.zone.clone(),
+            kind: self.kind.clone(),
+            cell: self.cell,
+            started,
+            state: self.health.state(),
+        }
+    }
+}
+
+/// The server and its record in an entry of the replicated map; none for other entries and deleted ones.
+pub(crate) fn decode_server(entry: &Entry) -> Option<(String, ServerRecord)> {
+    let server = entry.key.strip_prefix(SERVER_PREFIX)?;
+    Some((server.to_owned(), postcard::from_bytes(entry.value.as_deref()?).ok()?))
+}
+
+/// A digest of an endpoint list that does not depend on the order of the records. Terminated servers count as absent.
+pub fn list_digest<'a>(records: impl Iterator<Item = (&'a str, &'a ServerRecord)>) -> u32 {
+    let present = records.filter(|(_, record)| record.health != ServerHealth::Terminated);
+    let record_hash = |(server, record): (&str, &ServerRecord)| {
+        xxh3_64(&postcard::to_stdvec(&(server, record)).unwrap_or_default())
+    };
+    present.fold(0, |digest, record| digest ^ record_hash(record) as u32)
+}
+
+#[cfg(test)]
+#[path = "../tests/unit/server_record.rs"]
+mod tests;
--- a/crates/recovery/src/snapshot.rs
+++ b/crates/recovery/src/snapshot.rs
@@ -1,68 +1,95 @@
-//! The file that outlives a process: two generations, each with a checksum, the format's version, and whose it is.
+//! The file format of the state that survives a restart.
+//!
+//! A snapshot is written to [`GENERATIONS`] files in turn, so that one of them is intact while another is being
+//! written. Each has a magic number, the format's version, the length and checksum of the body, and the body in
+//! postcard, which says whose it is.
 
 use serde::{Deserialize, Serialize};
 use shelfgrade_fleet::Entry;
 use xxhash_rust::xxh3::xxh3_128;
 
-/// The format that is written; an older one could be read, a newer one cannot.
+/// The version of the format that is written. Older ones can be read, newer ones cannot.
 pub const FORMAT: u16 = 1;
-/// How many files there are: while one is written the other is whole.
+/// How many files there are.
 pub const GENERATIONS: usize = 2;
+
 const MAGIC: [u8; 8] = *b"SHELFGRD";
-const HEAD: usize = MAGIC.len() + 2 + 8 + 16;
-/// Far more than all that is kept takes.
-const LONGEST: usize = 64 << 20;
+const FORMAT_AT: usize = MAGIC.len();
+const LENGTH_AT: usize = FORMAT_AT + size_of::<u16>();
+const CHECKSUM_AT: usize = LENGTH_AT + size_of::<u64>();
+const HEADER_BYTES: usize = CHECKSUM_AT + size_of::<u128>();
+/// The longest body, in bytes: far longer than any that is written.
+const MAX_BODY_BYTES: usize = 64 << 20;
 
-/// What is kept.
+/// The state of a process that survives its restart. Stored by the position of the fields.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// Whose it is.
+    /// The name of the fleet.
     pub fleet: String,
+    /// The name of the process.
     pub name: String,
-    /// Counts up with each writing.
+    /// Goes up with each snapshot.
     pub sequence: u64,
-    /// Unix time by the clock of the machine that wrote it, in milliseconds; for the log, nothing is decided by it.
+    /// When it was written: Unix time in milliseconds, by the writer's clock; informational.
     pub written_at_ms: u64,
-    /// The greatest number that a life of this process has had.
+    /// The highest incarnation number that the process has had, in microseconds of Unix time.
     pub started_at: u64,
-    /// All that the fleet shares, deleted entries included.
+    /// The replicated map, deleted entries included.
     pub entries: Vec<Entry>,
-    /// Where connections stood.
-    pub held: Vec<HeldSession>,
+    /// The established sessions.
+    pub held_sessions: Vec<HeldSession>,
 }
 
-/// A client key's hash, the server that holds its connection, and that server's start, in Unix milliseconds.
+/// An established session and its server. Stored by the position of the fields.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct HeldSession {
+    /// A hash of the client's key.
     pub key: u64,
+    /// The name of the server that holds the session.
     pub server: String,
+    /// When that server started: Unix time in milliseconds.
     pub started_ms: f64,
 }
 
-/// Why a file is not used. The process starts without it, and asks its fellows and discovery.
+/// Why a snapshot file cannot be used. The process starts without it, and receives the state from its peers and
+/// discovery.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum SnapshotError {
-    #[error("empty: the power went as it was made, or the disk is full; it is written anew")]
+    /// The file has no content.
+    #[error("empty: power was lost as it was created, or the disk is full; it will be overwritten")]
     Empty,
+    /// The file ends early.
+    #[error(
+        "torn at {held} of {wanted} bytes: power was lost as it was written; the other generation is used"
+    )]
+    Torn {
+        /// The length of the file in bytes.
+        held: usize,
+        /// The length that its header gives.
+        wanted: usize,
+    },
+    /// The file does not begin with the magic number.
     #[error(
-        "torn at {held} of {wanted} bytes: the power went as it was written; the other generation serves"
+        "no snapshot: another program has written it; check that no other program uses this `state_dir`"
     )]
-    Torn { held: usize, wanted: usize },
-    #[error("no snapshot: something else has this name; see that `state_dir` is this process's alone")]
     NotASnapshot,
-    #[error("damaged: its checksum does not match; see the disk. It is written anew")]
+    /// The checksum does not match, or the content cannot be decoded.
+    #[error("damaged: its checksum does not match; check the disk. It will be overwritten")]
     Damaged,
+    /// A newer version of the format.
     #[error(
-        "of format {0}, where this program reads {FORMAT} at most: start the newer program, or go without it"
+        "of format {0}, and this version reads up to {FORMAT}: start the newer version, or delete the file"
     )]
     UnsupportedFormat(u16),
-    #[error("of the fleet {0}: each fleet needs a `state_dir` of its own")]
+    /// A snapshot of the fleet with this name.
+    #[error("of the fleet {0}: give each fleet a `state_dir` of its own")]
     OtherFleet(String),
-    #[error("of the process {0}: a copied disk? Each process needs a `state_dir` of its own")]
+    /// A snapshot of the member with this name, as on a copied disk.
+    #[error("of the process {0}: give each process a `state_dir` of its own, and copy no disks")]
     OtherMember(String),
 }
 
-/// What the snapshot files of a process yield.
+/// The usable one of a process's snapshot files.
 #[derive(Debug, Default, PartialEq)]
 pub struct LoadedSnapshots {
     /// The usable snapshot with the highest sequence number.
@@ -80,10 +107,11 @@
     pub error: SnapshotError,
 }
 
-pub fn encode(saved: &Snapshot) -> Vec<u8> {
-    // What is kept is made of numbers, texts and lists: it has no way to fail.
-    let body = postcard::to_stdvec(saved).unwrap_or_default();
-    let mut bytes = Vec::with_capacity(HEAD + body.len());
+/// The bytes of a snapshot file.
+pub fn encode(snapshot: &Snapshot) -> Vec<u8> {
+    // Encoding numbers, strings and lists into memory cannot fail.
+    let body = postcard::to_stdvec(snapshot).unwrap_or_default();
+    let mut bytes = Vec::with_capacity(HEADER_BYTES + body.len());
     bytes.extend(MAGIC);
     bytes.extend(FORMAT.to_le_bytes());
     bytes.extend((body.len() as u64).to_le_bytes());
@@ -92,63 +120,76 @@
     bytes
 }
 
+/// Reads a snapshot file of the process `name` in `fleet`.
+///
+/// # Errors
+///
+/// If the file is damaged, of a newer format or of another process.
 pub fn decode(bytes: &[u8], fleet: &str, name: &str) -> Result<Snapshot, SnapshotError> {
+    let body = checked_body(bytes)?;
+    let snapshot: Snapshot = postcard::from_bytes(body).map_err(|_| SnapshotError::Damaged)?;
+    if snapshot.fleet != fleet {
+        return Err(SnapshotError::OtherFleet(snapshot.fleet));
+    }
+    if snapshot.name != name {
+        return Err(SnapshotError::OtherMember(snapshot.name));
+    }
+    Ok(snapshot)
+}
+
+/// The body of a snapshot file whose header matches it.
+fn checked_body(bytes: &[u8]) -> Result<&[u8], SnapshotError> {
     if bytes.is_empty() {
         return Err(SnapshotError::Empty);
     }
-    let known = bytes.len().min(MAGIC.len());
-    if bytes[..known] != MAGIC[..known] {
+    let magic_bytes = bytes.len().min(MAGIC.len());
+    if bytes[..magic_bytes] != MAGIC[..magic_bytes] {
         return Err(SnapshotError::NotASnapshot);
     }
     let torn = |wanted| SnapshotError::Torn { held: bytes.len(), wanted };
-    let Some((head, body)) = bytes.split_at_checked(HEAD) else { return Err(torn(HEAD)) };
-    let format = u16::from_le_bytes([head[8], head[9]]);
+    let (header, body) = bytes.split_at_checked(HEADER_BYTES).ok_or_else(|| torn(HEADER_BYTES))?;
+    let format = u16::from_le_bytes([header[FORMAT_AT], header[FORMAT_AT + 1]]);
     if format > FORMAT {
         return Err(SnapshotError::UnsupportedFormat(format));
     }
-    let length = head[10..18].try_into().map_or(u64::MAX, u64::from_le_bytes);
+    let length = header[LENGTH_AT..CHECKSUM_AT].try_into().map_or(u64::MAX, u64::from_le_bytes);
     let length = usize::try_from(length).unwrap_or(usize::MAX);
-    if length > LONGEST {
+    if length > MAX_BODY_BYTES {
         return Err(SnapshotError::Damaged);
     }
-    if body.len() < length {
-        return Err(torn(HEAD + length));
-    }
-    let sum = head[18..].try_into().map_or(0, u128::from_le_bytes);
-    let body = &body[..length];
-    if xxh3_128(body) != sum {
+    let body = body.get(..length).ok_or_else(|| torn(HEADER_BYTES + length))?;
+    let checksum = header[CHECKSUM_AT..].try_into().map_or(0, u128::from_le_bytes);
+    if xxh3_128(body) != checksum {
         return Err(SnapshotError::Damaged);
     }
-    let saved: Snapshot = postcard::from_bytes(body).map_err(|_| SnapshotError::Damaged)?;
-    if saved.fleet != fleet {
-        return Err(SnapshotError::OtherFleet(saved.fleet));
-    }
-    if saved.name != name {
-        return Err(SnapshotError::OtherMember(saved.name));
-    }
-    Ok(saved)
+    Ok(body)
 }
 
-/// Of two generations the newer one that can be used, and what is wrong with the others; a file that is not there is
-/// no fault.
+/// Selects the newest usable snapshot from the contents of the files, by their indices; none where a file does not
+/// exist, which is no error.
 pub fn select_newest(files: &[Option<Vec<u8>>], fleet: &str, name: &str) -> LoadedSnapshots {
-    let mut best: Option<Snapshot> = None;
-    let mut rejected = Vec::new();
-    for (generation, bytes) in files.iter().enumerate().filter_map(|(i, bytes)| Some((i, bytes.as_ref()?))) {
+    let mut loaded = LoadedSnapshots::default();
+    for (generation, bytes) in files.iter().enumerate() {
+        let Some(bytes) = bytes else { continue };
         match decode(bytes, fleet, name) {
-            Ok(saved) if best.as_ref().is_none_or(|best| saved.sequence > best.sequence) => {
-                best = Some(saved)
-            }
-            Ok(_) => {}
-            Err(error) => rejected.push(RejectedGeneration { generation, error }),
+            Ok(snapshot) => loaded.keep_newer(snapshot),
+            Err(error) => loaded.rejected.push(RejectedGeneration { generation, error }),
+        }
+    }
+    loaded
+}
+
+impl LoadedSnapshots {
+    fn keep_newer(&mut self, snapshot: Snapshot) {
+        if self.newest.as_ref().is_none_or(|newest| snapshot.sequence > newest.sequence) {
+            self.newest = Some(snapshot);
         }
     }
-    LoadedSnapshots { newest: best, rejected }
 }
 
-/// Which file a writing goes to: never the one that holds the last good state.
-pub fn generation(number: u64) -> usize {
-    (number % GENERATIONS as u64) as usize
+/// The index of the file for a snapshot with this sequence number: never the one of the snapshot before it.
+pub fn generation(sequence: u64) -> usize {
+    (sequence % GENERATIONS as u64) as usize
 }
 
 #[cfg(test)]
--- a/crates/recovery/tests/stored_bytes.rs
+++ b/crates/recovery/tests/stored_bytes.rs
@@ -1,5 +1,5 @@
-//! What lasts keeps its bytes: the snapshot on disk and the entries that a fleet shares are compared with what an
-//! earlier release wrote.
+//! The encodings are stable: snapshots and the entries of the replicated map are compared with those that an earlier
+//! release wrote.
 
 use recorded::{hex, Recorded};
 use serde::{de::DeserializeOwned, Serialize};
@@ -27,18 +27,18 @@
     }
 }
 
-fn keeps<T: Serialize + DeserializeOwned + Debug + PartialEq>(name: &str, value: &T) {
+fn assert_stable<T: Serialize + DeserializeOwned + Debug + PartialEq>(name: &str, value: &T) {
     assert_eq!(hex(&postcard::to_stdvec(value).unwrap()), RECORDED.digits(name), "{name}");
     assert_eq!(&postcard::from_bytes::<T>(&RECORDED.bytes(name)).unwrap(), value, "{name}");
 }
 
 #[test]
 fn entries_are_written_and_read_as_an_earlier_release_wrote_them() {
-    keeps("server in service", &record(ServerHealth::InService, Some("127.0.0.1:9001")));
-    keeps("server terminating", &record(ServerHealth::Terminating, Some("[::1]:9001")));
-    keeps("server terminated", &record(ServerHealth::Terminated, None));
-    keeps("beat", &Heartbeat { epoch: 3, seq: 70_000, digest: u32::MAX, answered: true });
-    keeps(
+    assert_stable("server in service", &record(ServerHealth::InService, Some("127.0.0.1:9001")));
+    assert_stable("server terminating", &record(ServerHealth::Terminating, Some("[::1]:9001")));
+    assert_stable("server terminated", &record(ServerHealth::Terminated, None));
+    assert_stable("beat", &Heartbeat { epoch: 3, seq: 70_000, digest: u32::MAX, answered: true });
+    assert_stable(
         "list",
         &ListHistory {
             epoch: 3,
@@ -63,7 +63,7 @@
 fn a_snapshot_is_written_and_read_as_an_earlier_release_wrote_it() {
     let version = Version { count: 300, by: 1_790_000_000_000_123 };
     let entry = |key: &str, value| Entry { key: key.into(), version, owner: MemberId(2), value };
-    let saved = Snapshot {
+    let snapshot = Snapshot {
         fleet: "dar".into(),
         name: "n1".into(),
         sequence: 17,
@@ -76,8 +76,12 @@
             ),
             entry("space/x", None),
         ],
-        held: vec![HeldSession { key: u64::MAX, server: "s-1".into(), started_ms: 1_790_000_000_000.5 }],
+        held_sessions: vec![HeldSession {
+            key: u64::MAX,
+            server: "s-1".into(),
+            started_ms: 1_790_000_000_000.5,
+        }],
     };
-    assert_eq!(hex(&encode(&saved)), RECORDED.digits("snapshot"));
-    assert_eq!(decode(&RECORDED.bytes("snapshot"), "dar", "n1"), Ok(saved));
+    assert_eq!(hex(&encode(&snapshot)), RECORDED.digits("snapshot"));
+    assert_eq!(decode(&RECORDED.bytes("snapshot"), "dar", "n1"), Ok(snapshot));
 }
--- a/crates/recovery/tests/unit/snapshot.rs
+++ b/crates/recovery/tests/unit/snapshot.rs
@@ -1,11 +1,11 @@
-//! Stories of `snapshot.rs` from within.
+//! Unit tests of the snapshot format.
 
 use super::*;
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use shelfgrade_fleet::{MemberId, Version};
 
-fn saved(sequence: u64) -> Snapshot {
+fn snapshot(sequence: u64) -> Snapshot {
     let entry = |i: u64| Entry {
         key: format!("server/s-{i}"),
         version: Version { count: i, by: 7 },
@@ -19,40 +19,43 @@
         written_at_ms: 1_790_000_000_000,
         started_at: 17,
         entries: (0..sequence + 3).map(entry).collect(),
-        held: vec![HeldSession { key: 5, server: "s-1".into(), started_ms: 12.5 }],
+        held_sessions: vec![HeldSession { key: 5, server: "s-1".into(), started_ms: 12.5 }],
     }
 }
 
 #[test]
-fn each_fault_of_a_file_is_told_from_the_others_and_the_other_generation_serves() {
-    let good = encode(&saved(4));
-    let fault = |bytes: &[u8]| decode(bytes, "dar", "n3").expect_err("a fault");
-    assert_eq!(decode(&good, "dar", "n3"), Ok(saved(4)));
-    assert_eq!(fault(&[]), SnapshotError::Empty);
-    assert!(matches!(fault(&good[..good.len() - 1]), SnapshotError::Torn { .. }));
-    assert!(matches!(fault(&good[..20]), SnapshotError::Torn { .. }));
-    assert_eq!(fault(b"{\"json\":1}"), SnapshotError::NotASnapshot);
+fn each_damage_has_its_own_error_and_the_other_generation_is_used() {
+    let good = encode(&snapshot(4));
+    let error = |bytes: &[u8]| decode(bytes, "dar", "n3").expect_err("an error");
+    assert_eq!(decode(&good, "dar", "n3"), Ok(snapshot(4)));
+    assert_eq!(error(&[]), SnapshotError::Empty);
+    assert!(matches!(error(&good[..good.len() - 1]), SnapshotError::Torn { .. }));
+    assert!(matches!(error(&good[..20]), SnapshotError::Torn { .. }));
+    assert_eq!(error(b"{\"json\":1}"), SnapshotError::NotASnapshot);
     let mut newer = good.clone();
     newer[8] = 9;
-    assert_eq!(fault(&newer), SnapshotError::UnsupportedFormat(9));
+    assert_eq!(error(&newer), SnapshotError::UnsupportedFormat(9));
     let mut damaged = good.clone();
     *damaged.last_mut().expect("bytes") ^= 1;
-    assert_eq!(fault(&damaged), SnapshotError::Damaged);
-    let whose = |fleet, name| decode(&good, fleet, name).expect_err("another's");
-    assert_eq!(whose("moshi", "n3"), SnapshotError::OtherFleet("dar".into()));
-    assert_eq!(whose("dar", "n4"), SnapshotError::OtherMember("n3".into()));
+    assert_eq!(error(&damaged), SnapshotError::Damaged);
+    let error_for = |fleet, name| decode(&good, fleet, name).expect_err("the snapshot of another process");
+    assert_eq!(error_for("moshi", "n3"), SnapshotError::OtherFleet("dar".into()));
+    assert_eq!(error_for("dar", "n4"), SnapshotError::OtherMember("n3".into()));
 
-    let later = encode(&saved(5));
+    let later = encode(&snapshot(5));
     let loaded = select_newest(&[Some(good.clone()), Some(later.clone())], "dar", "n3");
-    assert_eq!((loaded.newest, loaded.rejected), (Some(saved(5)), Vec::new()));
+    assert_eq!((loaded.newest, loaded.rejected), (Some(snapshot(5)), Vec::new()));
     let loaded = select_newest(&[Some(good), Some(later[..40].to_vec())], "dar", "n3");
-    assert_eq!((loaded.newest, loaded.rejected.len(), loaded.rejected[0].generation), (Some(saved(4)), 1, 1));
+    assert_eq!(
+        (loaded.newest, loaded.rejected.len(), loaded.rejected[0].generation),
+        (Some(snapshot(4)), 1, 1)
+    );
     assert_eq!(
         select_newest(&[None, None], "dar", "n3"),
         LoadedSnapshots::default(),
-        "a first start is no fault"
+        "a first start has no files"
     );
-    assert_ne!(generation(4), generation(5), "never over the last good one");
+    assert_ne!(generation(4), generation(5), "never over the previous snapshot");
 }
 
 proptest! {
@@ -62,22 +65,22 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever a disk gives back: it is read as it was written, or refused.
+    /// Whatever a disk returns is decoded as it was encoded, or rejected.
     #[test]
-    fn a_file_is_whole_or_refused(
+    fn a_file_is_decoded_as_encoded_or_rejected(
         number in 0..40u64,
         cut in any::<prop::sample::Index>(),
         flips in prop::collection::vec((any::<prop::sample::Index>(), 1..=255u8), 0..3),
     ) {
-        let good = encode(&saved(number));
+        let good = encode(&snapshot(number));
         let mut bytes = good[..=cut.index(good.len())].to_vec();
         for (at, flip) in flips {
             let at = at.index(bytes.len());
             bytes[at] ^= flip;
         }
         match decode(&bytes, "dar", "n3") {
-            Ok(read) => prop_assert!(bytes == good && read == saved(number)),
-            Err(fault) => prop_assert!(bytes != good && !fault.to_string().is_empty()),
+            Ok(decoded) => prop_assert!(bytes == good && decoded == snapshot(number)),
+            Err(error) => prop_assert!(bytes != good && !error.to_string().is_empty()),
         }
     }
 }
