--- a/crates/namespaces/benches/look_up.rs
+++ b/crates/namespaces/benches/look_up.rs
@@ -1,25 +1,33 @@
-//! What a look-up costs with one namespace, and with ten thousand.
+//! Time of a look-up with one namespace, and with ten thousand.
 
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
-use shelfgrade_namespaces::rules::{Grant, Grants, Part, Rule, Space};
-use shelfgrade_namespaces::table::{Found, Table};
+use shelfgrade_namespaces::grants::{Grant, Grants};
+use shelfgrade_namespaces::rules::{Namespace, Rule};
+use shelfgrade_namespaces::selector::ServerSelector;
+use shelfgrade_namespaces::table::{Lookup, NamespaceTable};
 use std::hint::black_box;
 
-fn table(spaces: usize) -> Table {
+fn table(namespaces: usize) -> NamespaceTable {
     let name = |i: usize| format!("customer-{i}");
-    let mut table = Table::default();
-    let grant = |i| Grant { customer: name(i), part: Part::default(), room: 10 };
-    table.grant(Grants { version: 1, others: 10, grants: (0..spaces).map(grant).collect() }).expect("grants");
-    for i in 0..spaces {
+    let mut table = NamespaceTable::default();
+    let grant = |i| Grant { customer: name(i), servers: ServerSelector::default(), max_connections: 10 };
+    table
+        .apply_grants(Grants {
+            version: 1,
+            default_max_connections: 10,
+            grants: (0..namespaces).map(grant).collect(),
+        })
+        .expect("grants");
+    for i in 0..namespaces {
         let rule = |r: usize| Rule {
             name: format!("r{r}"),
-            offerings: vec![format!("offering-{r}")],
+            classes: vec![format!("class-{r}")],
             groups: Vec::new(),
-            to: Part::default(),
-            room: None,
+            servers: ServerSelector::default(),
+            max_connections: None,
         };
         table
-            .put(Space { customer: name(i), version: 1, rules: (0..8).map(rule).collect() })
+            .insert(Namespace { customer: name(i), version: 1, rules: (0..8).map(rule).collect() })
             .expect("a namespace");
     }
     table
@@ -27,13 +35,13 @@
 
 fn look_up(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("look_up");
-    for spaces in [1, 100, 10_000] {
-        let mut table = table(spaces);
-        let customer = format!("customer-{}", spaces / 2);
-        group.bench_with_input(BenchmarkId::from_parameter(spaces), &spaces, |bench, _| {
+    for namespaces in [1, 100, 10_000] {
+        let mut table = table(namespaces);
+        let customer = format!("customer-{}", namespaces / 2);
+        group.bench_with_input(BenchmarkId::from_parameter(namespaces), &namespaces, |bench, _| {
             bench.iter(|| {
-                let found = table.look_up(Some(black_box(&customer)), black_box("offering-7"), None);
-                assert!(matches!(found, Found::Rule(_)));
+                let found = table.look_up(Some(black_box(&customer)), black_box("class-7"), None);
+                assert!(matches!(found, Lookup::Matched(_)));
             });
         });
     }
--- /dev/null
+++ b/crates/namespaces/src/selector.rs
@@ -0,0 +1,98 @@
+//! Name patterns, and the servers that they select.
+
+use serde::{Deserialize, Serialize};
+use shelfgrade::host::Endpoint;
+
+/// Patterns in one list at most, which bounds the time of a look-up.
+pub const MAX_PATTERNS: usize = 64;
+/// Longest name or pattern.
+pub const MAX_NAME_BYTES: usize = 64;
+
+/// A name, or with a star at its end all names that begin so.
+#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(transparent)]
+pub struct Pattern(String);
+
+impl Pattern {
+    /// A pattern of this text, which is validated with the namespace or the grant that holds it.
+    pub fn new(text: &str) -> Self {
+        Pattern(text.to_owned())
+    }
+
+    /// Whether the pattern matches a name.
+    pub fn matches(&self, name: &str) -> bool {
+        match self.prefix() {
+            Some(prefix) => name.starts_with(prefix),
+            None => self.0 == name,
+        }
+    }
+
+    /// Whether this pattern matches every name that the other one matches.
+    pub(crate) fn covers(&self, other: &Pattern) -> bool {
+        match (self.prefix(), other.prefix()) {
+            (Some(prefix), Some(other_prefix)) => other_prefix.starts_with(prefix),
+            (Some(prefix), None) => other.0.starts_with(prefix),
+            (None, other_prefix) => other_prefix.is_none() && self.0 == other.0,
+        }
+    }
+
+    /// The text that it was made of.
+    pub(crate) fn as_str(&self) -> &str {
+        &self.0
+    }
+
+    fn prefix(&self) -> Option<&str> {
+        self.0.strip_suffix('*')
+    }
+
+    fn is_valid(&self) -> bool {
+        !self.0.is_empty() && self.0.len() <= MAX_NAME_BYTES && !self.0.trim_end_matches('*').contains('*')
+    }
+}
+
+/// Validates the patterns of one list; the error says what to correct.
+pub(crate) fn check_patterns(patterns: &[Pattern]) -> Result<(), String> {
+    if patterns.len() > MAX_PATTERNS {
+        return Err(format!("{} names where {MAX_PATTERNS} are the most", patterns.len()));
+    }
+    match patterns.iter().find(|pattern| !pattern.is_valid()) {
+        Some(invalid) => Err(format!("{:?} is no name, nor one with a star at its end", invalid.0)),
+        None => Ok(()),
+    }
+}
+
+/// Whether a text may name a customer or a rule: customers' names become part of file names and of keys of the
+/// replicated map.
+pub(crate) fn is_name(text: &str) -> bool {
+    let allowed = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.');
+    !text.is_empty() && text.len() <= MAX_NAME_BYTES && text.bytes().all(allowed)
+}
+
+/// Selects servers: those that match a pattern of each list. An empty list matches all servers.
+#[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(deny_unknown_fields, default)]
+pub struct ServerSelector {
+    /// Zones.
+    pub zones: Vec<Pattern>,
+    /// Kinds of machine.
+    pub kinds: Vec<Pattern>,
+    /// Server ids.
+    pub ids: Vec<Pattern>,
+}
+
+impl ServerSelector {
+    /// Whether the selector matches a server.
+    pub fn matches(&self, server: &Endpoint) -> bool {
+        let any_matches = |patterns: &[Pattern], name: &str| {
+            patterns.is_empty() || patterns.iter().any(|pattern| pattern.matches(name))
+        };
+        any_matches(&self.zones, &server.zone)
+            && any_matches(&self.kinds, &server.kind)
+            && any_matches(&self.ids, &server.server)
+    }
+
+    /// The lists with their keys, always in the same order.
+    pub(crate) fn lists(&self) -> [(&'static str, &[Pattern]); 3] {
+        [("zones", &self.zones), ("kinds", &self.kinds), ("ids", &self.ids)]
+    }
+}
--- a/crates/namespaces/src/table.rs
+++ b/crates/namespaces/src/table.rs
@@ -1,191 +1,250 @@
-//! What a session finds: its own customer's rules, and nothing of anybody else's.
+//! The namespaces in force, and the look-up of a session's rule: in its own customer's namespace and nowhere else.
 
-use crate::rules::{Grant, Grants, Rule, Space, SpaceError};
+use crate::error::NamespaceError;
+use crate::grants::{Grant, Grants};
+use crate::rules::{Namespace, Rule};
 use shelfgrade::host::{Endpoint, ServerId};
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// A namespace as it is in force, whole, in one version.
-pub struct InForce {
-    pub space: Space,
+/// The endpoint list, and how often it has changed.
+#[derive(Default)]
+struct Endpoints {
+    list: Vec<Endpoint>,
+    generation: u64,
+}
+
+impl Endpoints {
+    /// Ids of the servers that match, sorted.
+    fn select(&self, matches: impl Fn(&Endpoint) -> bool) -> Rc<[ServerId]> {
+        let matching = self.list.iter().filter(|endpoint| matches(endpoint));
+        let mut servers: Vec<_> = matching.map(|endpoint| endpoint.server.clone()).collect();
+        servers.sort();
+        Rc::from(servers)
+    }
+}
+
+/// One version of a namespace in force, with the servers that its rules select from the endpoint list.
+pub struct ActiveNamespace {
+    /// The rules.
+    pub namespace: Namespace,
+    /// What the customer is granted.
     pub grant: Grant,
-    /// What each rule leaves of the list, in the order of the ids.
-    left: Vec<Rc<[ServerId]>>,
-    /// What the grant leaves.
-    granted: Rc<[ServerId]>,
-    /// Which list that is of.
-    of_list: u64,
+    /// For each rule.
+    selected_servers: Vec<Rc<[ServerId]>>,
+    granted_servers: Rc<[ServerId]>,
+    /// Of the endpoint list that the servers were selected from.
+    generation: u64,
 }
 
-impl InForce {
-    fn new(space: Space, grant: Grant, (list, of_list): (&[Endpoint], u64)) -> Self {
-        let left_by = |has: &dyn Fn(&Endpoint) -> bool| {
-            let mut left: Vec<_> = list.iter().filter(|l| has(l)).map(|l| l.server.clone()).collect();
-            left.sort();
-            Rc::from(left)
+impl ActiveNamespace {
+    fn new(namespace: Namespace, grant: Grant, endpoints: &Endpoints) -> Self {
+        let select = |rule: &Rule| {
+            endpoints.select(|endpoint| grant.servers.matches(endpoint) && rule.servers.matches(endpoint))
         };
-        let left = space.rules.iter().map(|rule| left_by(&|line| grant.part.has(line) && rule.to.has(line)));
-        let left = left.collect();
-        let granted = left_by(&|line| grant.part.has(line));
-        InForce { left, granted, space, grant, of_list }
+        ActiveNamespace {
+            selected_servers: namespace.rules.iter().map(select).collect(),
+            granted_servers: endpoints.select(|endpoint| grant.servers.matches(endpoint)),
+            generation: endpoints.generation,
+            namespace,
+            grant,
+        }
     }
 
+    /// Version of the namespace.
     pub fn version(&self) -> u64 {
-        self.space.version
+        self.namespace.version
     }
 
-    /// Servers that any of the customer's sessions may go to.
-    pub fn granted(&self) -> &Rc<[ServerId]> {
-        &self.granted
+    /// Servers that the customer is granted, in the order of their ids.
+    pub fn granted_servers(&self) -> &Rc<[ServerId]> {
+        &self.granted_servers
     }
 }
 
-/// A session's rule, with the version of the namespace that it is of: what it was decided by stays what it was.
+/// The rule that decides a session, with the version of the namespace that it belongs to: a later version does not
+/// change what was decided.
 #[derive(Clone)]
-pub struct Ruled {
-    pub space: Rc<InForce>,
-    rule: usize,
+pub struct MatchedRule {
+    /// The namespace as it was looked up.
+    pub active: Rc<ActiveNamespace>,
+    index: usize,
 }
 
-impl Ruled {
+impl MatchedRule {
+    /// The rule itself.
     pub fn rule(&self) -> &Rule {
-        &self.space.space.rules[self.rule]
+        &self.active.namespace.rules[self.index]
     }
 
-    /// The servers that the rule leaves, in the order of their ids; none may be left.
-    pub fn among(&self) -> Rc<[ServerId]> {
-        self.space.left[self.rule].clone()
+    /// Servers that the rule selects, in the order of their ids; may be empty.
+    pub fn servers(&self) -> Rc<[ServerId]> {
+        self.active.selected_servers[self.index].clone()
     }
 
-    /// How many connections may stand by this rule over the whole fleet.
-    pub fn room(&self) -> u32 {
-        self.rule().room.unwrap_or(self.space.grant.room)
+    /// Connections by this rule over all processes of the fleet.
+    pub fn max_connections(&self) -> u32 {
+        self.rule().max_connections.unwrap_or(self.active.grant.max_connections)
     }
 }
 
-/// What a session finds.
-pub enum Found {
-    /// It names no customer, or one without a namespace: all is as without namespaces.
-    NoSpace,
-    /// Its customer has a namespace, and no rule there is for it: it is turned away.
-    NoRule,
-    Rule(Ruled),
+/// Result of looking up a session.
+pub enum Lookup {
+    /// The session has no customer, or one without a namespace: no rule applies to it.
+    NoNamespace,
+    /// The namespace of its customer has no rule for it: it is rejected.
+    NoMatchingRule,
+    /// The first rule that matches.
+    Matched(MatchedRule),
+}
+
+/// A namespace that went out of force, as it no longer fits its grant.
+#[derive(Debug)]
+pub struct DeactivatedNamespace {
+    /// Name of the customer.
+    pub customer: String,
+    /// Why it does not fit.
+    pub error: NamespaceError,
 }
 
-/// All namespaces that are in force.
+/// The grants and the namespaces in force.
 #[derive(Default)]
-pub struct Table {
-    /// Looked up by one name alone; nothing goes through it in an order.
-    spaces: HashMap<String, Rc<InForce>>,
+pub struct NamespaceTable {
+    /// Never iterated where the order would show.
+    namespaces: HashMap<String, Rc<ActiveNamespace>>,
     grants: HashMap<String, Grant>,
     grants_version: u64,
-    others: u32,
-    list: Vec<Endpoint>,
-    /// Counts the lists.
-    of_list: u64,
+    default_max_connections: u32,
+    endpoints: Endpoints,
 }
 
-impl Table {
-    /// The grants in one place change whole; namespaces that no longer fit theirs go out of force, and are named.
-    pub fn grant(&mut self, grants: Grants) -> Result<Vec<(String, SpaceError)>, SpaceError> {
+impl NamespaceTable {
+    /// Replaces all grants. Returns the namespaces that went out of force, sorted by customer.
+    ///
+    /// # Errors
+    ///
+    /// Those of [`Grants::check`], and [`NamespaceError::Stale`]; the grants before then stay.
+    pub fn apply_grants(&mut self, grants: Grants) -> Result<Vec<DeactivatedNamespace>, NamespaceError> {
         grants.check()?;
         if grants.version < self.grants_version {
-            return Err(SpaceError::Old { told: grants.version, held: self.grants_version });
+            return Err(NamespaceError::Stale { offered: grants.version, held: self.grants_version });
         }
-        (self.grants_version, self.others) = (grants.version, grants.others);
+        self.grants_version = grants.version;
+        self.default_max_connections = grants.default_max_connections;
         self.grants = grants.grants.into_iter().map(|grant| (grant.customer.clone(), grant)).collect();
-        let mut out = Vec::new();
-        let (list, grants) = ((&*self.list, self.of_list), &self.grants);
-        self.spaces.retain(|customer, space| {
+        Ok(self.apply_grants_to_namespaces())
+    }
+
+    fn apply_grants_to_namespaces(&mut self) -> Vec<DeactivatedNamespace> {
+        let mut deactivated = Vec::new();
+        let (endpoints, grants) = (&self.endpoints, &self.grants);
+        self.namespaces.retain(|customer, active| {
             let grant = grants.get(customer);
-            match (space.space.check(grant), grant) {
+            match (active.namespace.check(grant), grant) {
                 (Ok(()), Some(grant)) => {
-                    *space = Rc::new(InForce::new(space.space.clone(), grant.clone(), list));
+                    let namespace = active.namespace.clone();
+                    *active = Rc::new(ActiveNamespace::new(namespace, grant.clone(), endpoints));
                     true
                 }
                 (checked, _) => {
-                    out.extend(checked.err().map(|error| (customer.clone(), error)));
+                    let customer = customer.clone();
+                    deactivated.extend(checked.err().map(|error| DeactivatedNamespace { customer, error }));
                     false
                 }
             }
         });
-        out.sort_by(|a, b| a.0.cmp(&b.0));
-        Ok(out)
-    }
-
-    /// Whether a namespace could be in force by what is granted now.
-    pub fn check(&self, space: &Space) -> Result<(), SpaceError> {
-        space.check(self.grants.get(&space.customer))
-    }
-
-    /// A namespace changes by itself and whole; where it is refused, the one before it stays.
-    pub fn put(&mut self, space: Space) -> Result<Rc<InForce>, SpaceError> {
-        let grant = self.grants.get(&space.customer);
-        space.check(grant)?;
-        if let Some(held) = self.spaces.get(&space.customer).filter(|held| held.version() > space.version) {
-            return Err(SpaceError::Old { told: space.version, held: held.version() });
+        deactivated.sort_by(|a, b| a.customer.cmp(&b.customer));
+        deactivated
+    }
+
+    /// Validates a namespace against the grants in force.
+    ///
+    /// # Errors
+    ///
+    /// Those of [`Namespace::check`].
+    pub fn check(&self, namespace: &Namespace) -> Result<(), NamespaceError> {
+        namespace.check(self.grants.get(&namespace.customer))
+    }
+
+    /// Brings a namespace into force in place of the customer's last one.
+    ///
+    /// # Errors
+    ///
+    /// Those of [`Namespace::check`], and [`NamespaceError::Stale`]; the last one then stays.
+    pub fn insert(&mut self, namespace: Namespace) -> Result<Rc<ActiveNamespace>, NamespaceError> {
+        self.check(&namespace)?;
+        let held = self.namespaces.get(&namespace.customer).map(|active| active.version());
+        if let Some(held) = held.filter(|held| *held > namespace.version) {
+            return Err(NamespaceError::Stale { offered: namespace.version, held });
         }
-        let grant = grant.cloned().ok_or_else(|| SpaceError::NotGranted(space.customer.clone()))?;
-        let customer = space.customer.clone();
-        let space = Rc::new(InForce::new(space, grant, (&self.list, self.of_list)));
-        self.spaces.insert(customer, space.clone());
-        Ok(space)
+        let customer = namespace.customer.clone();
+        let grant = self.grants.get(&customer).cloned();
+        let grant = grant.ok_or_else(|| NamespaceError::NotGranted(customer.clone()))?;
+        let active = Rc::new(ActiveNamespace::new(namespace, grant, &self.endpoints));
+        self.namespaces.insert(customer, active.clone());
+        Ok(active)
     }
 
-    /// A customer's namespace is no more: its sessions go as those without one.
+    /// Removes a customer's namespace: its sessions are then decided as those of customers without one.
     pub fn remove(&mut self, customer: &str) {
-        self.spaces.remove(customer);
+        self.namespaces.remove(customer);
     }
 
-    /// The list of servers has changed. Guards against ten thousand namespaces holding up a session for it: each is cut
-    /// anew when it is next looked up.
-    pub fn follow(&mut self, list: Vec<Endpoint>) {
-        self.list = list;
-        self.of_list += 1;
+    /// Replaces the endpoint list. Each namespace selects its servers anew when it is next looked up, so that the time
+    /// of this call does not grow with the number of namespaces.
+    pub fn set_endpoints(&mut self, list: Vec<Endpoint>) {
+        self.endpoints.list = list;
+        self.endpoints.generation += 1;
     }
 
-    /// A customer's namespace, by the list as it is now.
-    pub fn get(&mut self, customer: &str) -> Option<&Rc<InForce>> {
-        let space = self.spaces.get_mut(customer)?;
-        if space.of_list != self.of_list {
-            let list = (&*self.list, self.of_list);
-            *space = Rc::new(InForce::new(space.space.clone(), space.grant.clone(), list));
+    /// A customer's namespace, with its servers selected from the current endpoint list.
+    pub fn get(&mut self, customer: &str) -> Option<&Rc<ActiveNamespace>> {
+        let active = self.namespaces.get_mut(customer)?;
+        if active.generation != self.endpoints.generation {
+            let (namespace, grant) = (active.namespace.clone(), active.grant.clone());
+            *active = Rc::new(ActiveNamespace::new(namespace, grant, &self.endpoints));
         }
-        Some(space)
+        Some(active)
     }
 
-    /// The part of the whole that a customer's sessions may use of what cold servers bear: its room of all that is
-    /// granted. Guards against a cold server that two share being sent two shares.
-    pub fn share(&self, customer: &str) -> f64 {
-        self.grants.get(customer).map_or(0.0, |grant| f64::from(grant.room) / self.all_rooms())
+    /// The customer's fraction of what this process may send to warming servers: its connections among all that are
+    /// granted. Customers that share a server then together send it no more than one process may.
+    pub fn quota_share(&self, customer: &str) -> f64 {
+        self.grants
+            .get(customer)
+            .map_or(0.0, |grant| f64::from(grant.max_connections) / self.total_max_connections())
     }
 
-    /// The part of the whole for those without a namespace; all of it where nothing is granted to anybody.
-    pub fn common_share(&self) -> f64 {
+    /// The same fraction for sessions whose customer has no namespace; 1 where there are no grants.
+    pub fn default_quota_share(&self) -> f64 {
         if self.grants.is_empty() {
             1.0
         } else {
-            f64::from(self.others) / self.all_rooms()
+            f64::from(self.default_max_connections) / self.total_max_connections()
         }
     }
 
-    fn all_rooms(&self) -> f64 {
-        let granted: f64 = self.grants.values().map(|grant| f64::from(grant.room)).sum();
-        (granted + f64::from(self.others)).max(1.0)
+    fn total_max_connections(&self) -> f64 {
+        let granted: f64 = self.grants.values().map(|grant| f64::from(grant.max_connections)).sum();
+        (granted + f64::from(self.default_max_connections)).max(1.0)
     }
 
-    /// Which rule decides a session: looked up in its customer's namespace and nowhere else, the first that matches.
-    pub fn look_up(&mut self, customer: Option<&str>, offering: &str, group: Option<&str>) -> Found {
-        let Some(space) = customer.and_then(|customer| self.get(customer)) else { return Found::NoSpace };
-        match space.space.rules.iter().position(|rule| rule.matches(offering, group)) {
-            Some(rule) => Found::Rule(Ruled { space: space.clone(), rule }),
-            None => Found::NoRule,
+    /// The rule that decides a session of this customer, request class and client group.
+    pub fn look_up(&mut self, customer: Option<&str>, class: &str, group: Option<&str>) -> Lookup {
+        let Some(active) = customer.and_then(|customer| self.get(customer)) else {
+            return Lookup::NoNamespace;
+        };
+        match active.namespace.rules.iter().position(|rule| rule.matches(class, group)) {
+            Some(index) => Lookup::Matched(MatchedRule { active: active.clone(), index }),
+            None => Lookup::NoMatchingRule,
         }
     }
 }
 
-/// This process's part of a room, by its seat among so many: all parts together are the room, and no more.
-pub fn part_of_room(room: u32, seat: usize, seats: usize) -> u32 {
-    let upto = |seat: usize| (u64::from(room) * seat as u64 / seats.max(1) as u64) as u32;
-    upto(seat + 1) - upto(seat)
+/// Connections of `max_connections` that fall to one of a number of members; those of all members add up to all.
+pub fn member_max_connections(max_connections: u32, member: usize, members: usize) -> u32 {
+    let total_of_first = |members_before: usize| {
+        (u64::from(max_connections) * members_before as u64 / members.max(1) as u64) as u32
+    };
+    total_of_first(member + 1) - total_of_first(member)
 }
--- a/crates/namespaces/tests/isolation.rs
+++ b/crates/namespaces/tests/isolation.rs
@@ -1,43 +1,40 @@
-//! No customer's rules shadow another's routes.
+//! No customer's rules change how another customer's sessions are decided.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use shelfgrade::host::{Endpoint, EndpointState};
-use shelfgrade_namespaces::rules::{Grant, Grants, Part, Pattern, Rule, Space};
-use shelfgrade_namespaces::spread;
-use shelfgrade_namespaces::table::{part_of_room, Found, Table};
+use shelfgrade_namespaces::chunks::{self, ChunkedValue};
+use shelfgrade_namespaces::grants::{Grant, Grants};
+use shelfgrade_namespaces::rules::{Namespace, Rule};
+use shelfgrade_namespaces::selector::{Pattern, ServerSelector};
+use shelfgrade_namespaces::table::{member_max_connections, Lookup, NamespaceTable};
 
 const CUSTOMERS: [&str; 4] = ["posta", "posta-house", "p", "upanga"];
 
 fn pattern() -> impl Strategy<Value = Pattern> {
     let text = prop_oneof!["[ab][12]?", "[ab]\\*", Just("*".to_owned())];
-    text.prop_map(|text| serde_pattern(&text))
-}
-
-fn serde_pattern(text: &str) -> Pattern {
-    let quoted = format!("customer = \"x\"\nversion = 1\n[[rule]]\nname = \"r\"\ngroups = [\"{text}\"]\n");
-    Space::parse(&quoted).expect("a pattern").rules[0].groups[0].clone()
+    text.prop_map(|text| Pattern::new(&text))
 }
 
 fn rules() -> impl Strategy<Value = Vec<Rule>> {
     let lists = || prop::collection::vec(pattern(), 0..3);
-    let offerings = prop::sample::subsequence(vec!["alarm".to_owned(), "status".to_owned()], 0..=2);
-    let rule = (offerings, lists(), lists(), lists(), prop::option::of(0..60u32));
+    let classes = prop::sample::subsequence(vec!["alarm".to_owned(), "status".to_owned()], 0..=2);
+    let rule = (classes, lists(), lists(), lists(), prop::option::of(0..60u32));
     prop::collection::vec(rule, 0..6).prop_map(|rules| {
         let numbered = rules.into_iter().enumerate();
-        let rule = |(i, (offerings, groups, zones, ids, room))| Rule {
+        let rule = |(i, (classes, groups, zones, ids, max_connections))| Rule {
             name: format!("r{i}"),
-            offerings,
+            classes,
             groups,
-            to: Part { zones, kinds: Vec::new(), ids },
-            room,
+            servers: ServerSelector { zones, kinds: Vec::new(), ids },
+            max_connections,
         };
         numbered.map(rule).collect()
     })
 }
 
-fn list() -> Vec<Endpoint> {
-    let line = |id: &str| Endpoint {
+fn endpoints() -> Vec<Endpoint> {
+    let endpoint = |id: &str| Endpoint {
         server: id.into(),
         zone: id[..1].to_owned(),
         kind: "m".into(),
@@ -45,49 +42,56 @@
         started: None,
         state: EndpointState::Active,
     };
-    ["a1", "a2", "b1", "b2", "b3"].map(line).to_vec()
+    ["a1", "a2", "b1", "b2", "b3"].map(endpoint).to_vec()
 }
 
 fn granted() -> Grants {
-    let grant = |customer: &str| Grant { customer: customer.into(), part: Part::default(), room: 60 };
-    Grants { version: 1, others: 10, grants: CUSTOMERS.map(grant).to_vec() }
+    let grant = |customer: &str| Grant {
+        customer: customer.into(),
+        servers: ServerSelector::default(),
+        max_connections: 60,
+    };
+    Grants { version: 1, default_max_connections: 10, grants: CUSTOMERS.map(grant).to_vec() }
 }
 
-fn table(spaces: &[(usize, Vec<Rule>)]) -> Table {
-    let mut table = Table::default();
-    table.grant(granted()).expect("grants");
-    table.follow(list());
-    for (version, (customer, rules)) in spaces.iter().enumerate() {
-        let space =
-            Space { customer: CUSTOMERS[*customer].into(), version: version as u64, rules: rules.clone() };
-        // One that is refused changes nothing.
-        let _ = table.put(space);
+fn table(namespaces: &[(usize, Vec<Rule>)]) -> NamespaceTable {
+    let mut table = NamespaceTable::default();
+    table.apply_grants(granted()).expect("grants");
+    table.set_endpoints(endpoints());
+    for (version, (customer, rules)) in namespaces.iter().enumerate() {
+        let namespace = Namespace {
+            customer: CUSTOMERS[*customer].into(),
+            version: version as u64,
+            rules: rules.clone(),
+        };
+        // A namespace that is refused changes nothing.
+        let _ = table.insert(namespace);
     }
     table
 }
 
 /// Every decision for one customer, as text.
-fn decisions(table: &mut Table, customer: &str) -> String {
-    let mut all = String::new();
-    for offering in ["alarm", "status", "other"] {
+fn decisions(table: &mut NamespaceTable, customer: &str) -> String {
+    let mut decisions = String::new();
+    for class in ["alarm", "status", "other"] {
         for group in [None, Some("a"), Some("a1"), Some("b2"), Some("c")] {
-            let found = match table.look_up(Some(customer), offering, group) {
-                Found::NoSpace => "no space".to_owned(),
-                Found::NoRule => "no rule".to_owned(),
-                Found::Rule(ruled) => {
+            let decision = match table.look_up(Some(customer), class, group) {
+                Lookup::NoNamespace => "no namespace".to_owned(),
+                Lookup::NoMatchingRule => "no matching rule".to_owned(),
+                Lookup::Matched(matched) => {
                     format!(
                         "{:?} {:?} {} {}",
-                        ruled.rule(),
-                        ruled.among(),
-                        ruled.room(),
-                        ruled.space.version()
+                        matched.rule(),
+                        matched.servers(),
+                        matched.max_connections(),
+                        matched.active.version()
                     )
                 }
             };
-            all += &format!("{offering} {group:?}: {found}\n");
+            decisions += &format!("{class} {group:?}: {decision}\n");
         }
     }
-    all + &format!("{}", table.share(customer))
+    decisions + &format!("{}", table.quota_share(customer))
 }
 
 proptest! {
@@ -95,10 +99,9 @@
         cases: 200, rng_seed: RngSeed::Fixed(23), failure_persistence: None, ..ProptestConfig::default()
     })]
 
-    /// One customer's rules stand; all others' change in any way, with names, patterns and orders alike: every decision for
-    /// the one stays the same, to the byte.
+    /// One customer's rules stay while all others' change in any way: every decision for the one stays equal.
     #[test]
-    fn whatever_the_others_write_one_customers_decisions_stay_the_same(
+    fn changes_of_other_customers_rules_never_change_a_customers_decisions(
         mine in rules(),
         before in prop::collection::vec((1..4usize, rules()), 0..8),
         after in prop::collection::vec((1..4usize, rules()), 0..8),
@@ -113,94 +116,96 @@
         prop_assert_eq!(with(&before), decisions(&mut changed, CUSTOMERS[0]));
     }
 
-    /// No rule leaves a server that its customer is not granted, whatever it names.
+    /// No rule selects a server that its customer is not granted, whatever it names.
     #[test]
     fn no_rule_reaches_beyond_its_customers_grant(rules in rules(), zone in "[ab]") {
-        let part = Part { zones: vec![serde_pattern(&zone)], ..Part::default() };
-        let mut table = Table::default();
-        let grant = Grant { customer: "posta".into(), part, room: 60 };
-        table.grant(Grants { version: 1, others: 10, grants: vec![grant] }).expect("grants");
-        table.follow(list());
-        let _ = table.put(Space { customer: "posta".into(), version: 1, rules });
-        for offering in ["alarm", "status"] {
+        let servers = ServerSelector { zones: vec![Pattern::new(&zone)], ..ServerSelector::default() };
+        let mut table = NamespaceTable::default();
+        let grant = Grant { customer: "posta".into(), servers, max_connections: 60 };
+        table.apply_grants(Grants { version: 1, default_max_connections: 10, grants: vec![grant] }).expect("grants");
+        table.set_endpoints(endpoints());
+        let _ = table.insert(Namespace { customer: "posta".into(), version: 1, rules });
+        for class in ["alarm", "status"] {
             for group in [None, Some("a1"), Some("b")] {
-                if let Found::Rule(ruled) = table.look_up(Some("posta"), offering, group) {
-                    prop_assert!(ruled.among().iter().all(|server| server.starts_with(&zone)));
+                if let Lookup::Matched(matched) = table.look_up(Some("posta"), class, group) {
+                    prop_assert!(matched.servers().iter().all(|server| server.starts_with(&zone)));
                 }
             }
         }
     }
 
-    /// All parts of a room together are the room.
+    /// The connections of all members together are those of the fleet.
     #[test]
-    fn parts_of_a_room_add_up_to_the_room(room in 0..5000u32, seats in 1..400usize) {
-        prop_assert_eq!((0..seats).map(|seat| part_of_room(room, seat, seats)).sum::<u32>(), room);
+    fn the_connections_of_all_members_add_up(max_connections in 0..5000u32, members in 1..400usize) {
+        let of_member = |member| member_max_connections(max_connections, member, members);
+        prop_assert_eq!((0..members).map(of_member).sum::<u32>(), max_connections);
     }
 
-    /// A namespace goes round in pieces, and is whole or not there.
+    /// A namespace is replicated in chunks, and chunks of two versions never make a third one.
     #[test]
-    fn a_namespace_is_in_force_whole_or_not_at_all(old in rules(), new in rules(), lost in any::<prop::sample::Index>()) {
-        let space = |rules: &[Rule], version| Space { customer: "posta".into(), version, rules: rules.to_vec() };
+    fn a_namespace_is_reassembled_completely_or_not_at_all(old in rules(), new in rules(), stale in any::<prop::sample::Index>()) {
+        let namespace = |rules: &[Rule], version| Namespace { customer: "posta".into(), version, rules: rules.to_vec() };
         let long = |rules: &[Rule]| [rules.to_vec(), vec![Rule {
-            name: "x".repeat(2000), offerings: Vec::new(), groups: Vec::new(), to: Part::default(), room: None,
+            name: "x".repeat(2000), classes: Vec::new(), groups: Vec::new(), servers: ServerSelector::default(), max_connections: None,
         }]].concat();
-        let (old, new) = (space(&long(&old), 1), space(&long(&new), 2));
-        let ((_, before), (head, after)) = (spread::cut(1, &old).unwrap(), spread::cut(2, &new).unwrap());
-        prop_assert_eq!(spread::join::<Space>(&head, |piece| after.get(piece).cloned()), Some(new.clone()));
-        let lost = lost.index(after.len());
-        let mixed = |piece: usize| if piece == lost { before.get(piece) } else { after.get(piece) }.cloned();
-        let joined = spread::join::<Space>(&head, mixed);
-        prop_assert!(joined.is_none() || joined == Some(new));
+        let (old, new) = (namespace(&long(&old), 1), namespace(&long(&new), 2));
+        let (ChunkedValue { chunks: old_chunks, .. }, new_value) =
+            (chunks::split(1, &old).unwrap(), chunks::split(2, &new).unwrap());
+        let new_chunk = |index: usize| new_value.chunks.get(index).cloned();
+        prop_assert_eq!(chunks::reassemble::<Namespace>(&new_value.header, new_chunk), Some(new.clone()));
+        let stale = stale.index(new_value.chunks.len());
+        let mixed = |index: usize| if index == stale { old_chunks.get(index).cloned() } else { new_chunk(index) };
+        let reassembled = chunks::reassemble::<Namespace>(&new_value.header, mixed);
+        prop_assert!(reassembled.is_none() || reassembled == Some(new));
     }
 }
 
 #[test]
-fn a_bad_namespace_leaves_the_old_one_and_holds_up_nobody() {
+fn an_invalid_namespace_keeps_the_old_one_in_force_and_delays_no_other_customer() {
     let mut table = table(&[(0, Vec::new()), (3, Vec::new())]);
     let rule = |name: &str| Rule {
         name: name.into(),
-        offerings: Vec::new(),
+        classes: Vec::new(),
         groups: Vec::new(),
-        to: Part::default(),
-        room: Some(61),
+        servers: ServerSelector::default(),
+        max_connections: Some(61),
     };
-    let space = |customer: &str, version, rules| Space { customer: customer.into(), version, rules };
-    let fault = table.put(space("posta", 9, vec![rule("big")])).err().expect("refused");
-    assert!(fault.to_string().contains("rule big, room"), "{fault}");
+    let namespace = |customer: &str, version, rules| Namespace { customer: customer.into(), version, rules };
+    let error = table.insert(namespace("posta", 9, vec![rule("big")])).err().expect("refused");
+    assert!(error.to_string().contains("rule big, room"), "{error}");
     assert_eq!(table.get("posta").map(|held| held.version()), Some(0));
-    let good = Rule { room: None, ..rule("all") };
-    assert!(table.put(space("upanga", 9, vec![good.clone()])).is_ok());
-    assert!(table.put(space("upanga", 8, vec![good])).is_err(), "never back to an older one");
-    let Found::Rule(ruled) = table.look_up(Some("upanga"), "alarm", None) else { panic!("a rule") };
-    table.put(space("upanga", 10, Vec::new())).expect("good");
+    let good = Rule { max_connections: None, ..rule("all") };
+    assert!(table.insert(namespace("upanga", 9, vec![good.clone()])).is_ok());
+    assert!(table.insert(namespace("upanga", 8, vec![good])).is_err(), "never back to an older one");
+    let Lookup::Matched(matched) = table.look_up(Some("upanga"), "alarm", None) else { panic!("a rule") };
+    table.insert(namespace("upanga", 10, Vec::new())).expect("good");
     assert_eq!(
-        (ruled.space.version(), ruled.among().len()),
+        (matched.active.version(), matched.servers().len()),
         (9, 5),
-        "what was decided is of one version whole"
+        "a decision keeps the version that it was made by"
     );
-    assert!(matches!(table.look_up(Some("upanga"), "alarm", None), Found::NoRule));
-    assert!(matches!(table.look_up(Some("nobody"), "alarm", None), Found::NoSpace));
-    assert!(matches!(table.look_up(None, "alarm", None), Found::NoSpace));
+    assert!(matches!(table.look_up(Some("upanga"), "alarm", None), Lookup::NoMatchingRule));
+    assert!(matches!(table.look_up(Some("nobody"), "alarm", None), Lookup::NoNamespace));
+    assert!(matches!(table.look_up(None, "alarm", None), Lookup::NoNamespace));
 }
 
-/// A namespace went on by the list that it was put into force with.
 #[test]
-fn a_look_up_goes_by_the_list_as_it_is_now_and_what_was_decided_stays() {
+fn a_look_up_uses_the_current_endpoint_list_and_earlier_decisions_stay() {
     let rule = Rule {
         name: "all".into(),
-        offerings: Vec::new(),
+        classes: Vec::new(),
         groups: Vec::new(),
-        to: Part::default(),
-        room: None,
+        servers: ServerSelector::default(),
+        max_connections: None,
     };
     let mut table = table(&[(0, vec![rule])]);
-    let found = |table: &mut Table| match table.look_up(Some("posta"), "alarm", None) {
-        Found::Rule(ruled) => ruled.among(),
+    let servers = |table: &mut NamespaceTable| match table.look_up(Some("posta"), "alarm", None) {
+        Lookup::Matched(matched) => matched.servers(),
         _ => panic!("a rule"),
     };
-    let before = found(&mut table);
-    table.follow(list()[1..].to_vec());
-    assert_eq!((before.len(), found(&mut table).len()), (5, 4));
-    table.follow(Vec::new());
-    assert!(found(&mut table).is_empty(), "a rule that leaves no server");
+    let before = servers(&mut table);
+    table.set_endpoints(endpoints()[1..].to_vec());
+    assert_eq!((before.len(), servers(&mut table).len()), (5, 4));
+    table.set_endpoints(Vec::new());
+    assert!(servers(&mut table).is_empty(), "a rule that selects no server");
 }
--- a/crates/namespaces/tests/stored_bytes.rs
+++ b/crates/namespaces/tests/stored_bytes.rs
@@ -1,9 +1,10 @@
-//! Namespaces and grants keep their bytes in what a fleet shares: they are compared with what an earlier release wrote.
+//! Namespaces and grants keep their bytes in the replicated map: they are compared with what an earlier release wrote.
 
 use recorded::{hex, Recorded};
 use serde::{de::DeserializeOwned, Serialize};
-use shelfgrade_namespaces::rules::{Grants, Space};
-use shelfgrade_namespaces::spread::{cut, join, key};
+use shelfgrade_namespaces::chunks::{chunk_key, reassemble, split, ChunkedValue};
+use shelfgrade_namespaces::grants::Grants;
+use shelfgrade_namespaces::rules::Namespace;
 use std::fmt::Debug;
 
 #[path = "../../../tests/support/recorded.rs"]
@@ -33,20 +34,20 @@
 name = "rest"
 "#;
 
-/// As the head and the pieces that go round a fleet, and back.
-fn keeps<T: Serialize + DeserializeOwned + Debug + PartialEq>(name: &str, value: &T) {
-    let (head, pieces) = cut(300, value).unwrap();
-    let head_bytes = postcard::to_stdvec(&head).unwrap();
-    assert_eq!(hex(&head_bytes), RECORDED.digits(&format!("{name} head")), "{name}");
-    assert_eq!(hex(&pieces.concat()), RECORDED.digits(name), "{name}");
-    let head = postcard::from_bytes(&RECORDED.bytes(&format!("{name} head"))).unwrap();
+/// The header and the chunks of a value are those of the earlier release, in both directions.
+fn assert_bytes_kept<T: Serialize + DeserializeOwned + Debug + PartialEq>(name: &str, value: &T) {
+    let ChunkedValue { header, chunks } = split(300, value).unwrap();
+    let header_bytes = postcard::to_stdvec(&header).unwrap();
+    assert_eq!(hex(&header_bytes), RECORDED.digits(&format!("{name} head")), "{name}");
+    assert_eq!(hex(&chunks.concat()), RECORDED.digits(name), "{name}");
+    let header = postcard::from_bytes(&RECORDED.bytes(&format!("{name} head"))).unwrap();
     let bytes = RECORDED.bytes(name);
-    assert_eq!(join::<T>(&head, |_| Some(bytes.clone())).as_ref(), Some(value), "{name}");
+    assert_eq!(reassemble::<T>(&header, |_| Some(bytes.clone())).as_ref(), Some(value), "{name}");
 }
 
 #[test]
 fn namespaces_and_grants_are_written_and_read_as_an_earlier_release_wrote_them() {
-    keeps("grants", &Grants::parse(GRANTS).unwrap());
-    keeps("namespace", &Space::parse(NAMESPACE).unwrap());
-    assert_eq!(key("space/msasani", 3), "space/msasani/03");
+    assert_bytes_kept("grants", &Grants::parse(GRANTS).unwrap());
+    assert_bytes_kept("namespace", &Namespace::parse(NAMESPACE).unwrap());
+    assert_eq!(chunk_key("space/msasani", 3), "space/msasani/03");
 }
--- a/crates/proxy/src/tenants/maintenance_windows.rs
+++ b/crates/proxy/src/tenants/maintenance_windows.rs
@@ -3,7 +3,7 @@
 //!
 //! The file is the fleet file's `maintenance`. Whoever has a newer version spreads it; it comes into force whole.
 
-use crate::tenants::tenant_namespaces::{put, whole, ReplicatedStore};
+use crate::tenants::replicated_store::{get_chunked, put_chunked, ReplicatedStore};
 use shelfgrade::host::{Endpoint, EndpointState, ServerId};
 use shelfgrade::time::Timestamp;
 use shelfgrade_maintenance::plan::{goes, short_by, Phase, Plan, Site};
@@ -41,7 +41,7 @@
             let text = std::fs::read_to_string(path).map_err(|error| error.to_string())?;
             let schedule = Schedule::parse(&text).map_err(|error| error.to_string())?;
             schedule.check(now_ms).map_err(|error| error.to_string())?;
-            put(SCHEDULE_KEY, schedule.version, &schedule, shared)
+            put_chunked(SCHEDULE_KEY, schedule.version, &schedule, shared).map_err(|error| error.to_string())
         };
         if let Err(error) = read() {
             log::error!("{}: {error}; the schedule before stays", path.display());
@@ -50,7 +50,7 @@
 
     /// The schedule has changed in what all share.
     pub fn on_schedule_changed(&mut self, now_ms: i64, shared: &impl ReplicatedStore) {
-        let Some(schedule) = whole::<Schedule>(SCHEDULE_KEY, shared) else { return };
+        let Some(schedule) = get_chunked::<Schedule>(SCHEDULE_KEY, shared) else { return };
         let held = self.plan.as_ref().map_or(0, Plan::version);
         if schedule.version <= held {
             return;
--- a/crates/proxy/src/tenants/mod.rs
+++ b/crates/proxy/src/tenants/mod.rs
@@ -1,5 +1,7 @@
-//! What differs between tenants: their balancers, their namespaces, and maintenance windows.
+//! What differs between customers and between sites: a load balancer and a namespace for each customer, and the
+//! maintenance windows of each site.
 
 pub mod maintenance_windows;
+pub mod replicated_store;
 pub mod tenant_balancers;
 pub mod tenant_namespaces;
--- a/crates/proxy/src/tenants/tenant_namespaces.rs
+++ b/crates/proxy/src/tenants/tenant_namespaces.rs
@@ -1,173 +1,184 @@
-//! Customers' namespaces in one process: read from a folder, spread over the fleet, and looked up for each session.
+//! Customers' namespaces in one process: loaded from a directory, replicated over the fleet, and looked up for each
+//! session.
 //!
-//! The folder is the fleet file's `namespaces_dir`: `grants.toml` and a file for each customer. Whoever has a newer
-//! version of one spreads it; each is in force by itself, whole, or refused with its place.
+//! The directory is the fleet file's `namespaces_dir`. It holds `grants.toml` and a file for each customer. A process
+//! that loads a newer version replicates it; each namespace comes into force by itself, in one version.
 
-use serde::{de::DeserializeOwned, Serialize};
+use crate::tenants::replicated_store::{get_chunked, put_chunked, LoadError, ReplicatedStore};
 use shelfgrade::host::{Endpoint, ServerId};
-use shelfgrade_namespaces::rules::{Grants, Space};
-use shelfgrade_namespaces::spread::{cut, join, key, Head};
-use shelfgrade_namespaces::table::{part_of_room, Found, Table};
-use std::collections::BTreeMap;
-use std::path::Path;
+use shelfgrade_namespaces::grants::Grants;
+use shelfgrade_namespaces::rules::Namespace;
+use shelfgrade_namespaces::table::{member_max_connections, Lookup, MatchedRule, NamespaceTable};
+use std::collections::{BTreeMap, BTreeSet};
+use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
-/// The keys of what all share here.
+/// Key of the grants in the replicated map, and their file's name without `.toml`.
 const GRANTS: &str = "grants";
-pub const SPACES: &str = "space/";
+/// Before the customer's name, in the key of its namespace in the replicated map.
+const NAMESPACE_KEY_PREFIX: &str = "space/";
 
-/// What all share, as far as namespaces need it.
-pub trait ReplicatedStore {
-    fn get<T: DeserializeOwned>(&self, key: &str) -> Option<T>;
-    /// Puts a value under a version; one that is not newer changes nothing.
-    fn put<T: Serialize>(&self, key: &str, value: &T, version: u64) -> Result<(), String>;
-}
-
-/// What a session's rule says.
+/// What a customer's namespace decides for one session.
 pub struct RuleDecision {
+    /// Name of the customer.
     pub customer: Rc<str>,
+    /// Servers that the session may go to, in the order of their ids; may be empty.
     pub servers: Rc<[ServerId]>,
-    /// Held for as long as the session is: how many there are is how full the room is.
+    /// Counts the session among those of its rule for as long as it is kept.
     pub reservation: Rc<()>,
-    /// The room is full.
+    /// The rule has no connection left, or no rule matches: the session is to be rejected.
     pub is_over_quota: bool,
 }
 
-/// A customer whose namespace came or changed, what it is granted, and its part of the whole.
+/// A customer's namespace has come into force or has changed.
 pub struct NamespaceUpdate {
+    /// Name of the customer.
     pub customer: Rc<str>,
+    /// Servers that the customer is granted, in the order of their ids.
     pub servers: Rc<[ServerId]>,
+    /// The customer's fraction of what this process may send to warming servers.
     pub quota_share: f64,
 }
 
+/// A rule of a customer, by the names of both.
+type RuleKey = (String, String);
+
+/// The namespaces of all customers in one process.
 pub struct TenantNamespaces {
-    table: Table,
-    /// By customer and rule: what stands there holds one each.
-    rooms: BTreeMap<(String, String), Rc<()>>,
-    /// This process's place among so many.
-    member: (usize, usize),
-    versions: BTreeMap<String, u64>,
+    table: NamespaceTable,
+    /// Each session of a rule holds a clone.
+    reservations: BTreeMap<RuleKey, Rc<()>>,
+    /// Index of this process in the fleet.
+    member: usize,
+    /// Processes in the fleet.
+    members: usize,
+    /// Customers with an entry in the replicated map, in force or not.
+    customers: BTreeSet<String>,
 }
 
 impl TenantNamespaces {
-    pub fn new(member: (usize, usize)) -> Self {
+    /// No namespaces, for a process with this index in a fleet of this size.
+    pub fn new((member, members): (usize, usize)) -> Self {
         TenantNamespaces {
-            table: Table::default(),
-            rooms: BTreeMap::new(),
+            table: NamespaceTable::default(),
+            reservations: BTreeMap::new(),
             member,
-            versions: BTreeMap::new(),
+            members,
+            customers: BTreeSet::new(),
         }
     }
 
-    /// Reads the folder and spreads what is in it; each file by itself, so that a bad one holds up no other.
-    pub fn load(&mut self, folder: &Path, shared: &impl ReplicatedStore) {
-        let files = match std::fs::read_dir(folder) {
+    /// Loads the directory and replicates what it holds. A file that cannot be used is logged and delays no other.
+    pub fn load(&mut self, directory: &Path, store: &impl ReplicatedStore) {
+        let files = match toml_files(directory) {
             Ok(files) => files,
             Err(error) => {
-                return log::error!("{}: {error}: no namespaces are read from there", folder.display())
+                return log::error!("{}: {error}: no namespaces are read from there", directory.display())
             }
         };
-        let mut paths: Vec<_> = files.filter_map(|file| Some(file.ok()?.path())).collect();
-        paths.retain(|path| path.extension().is_some_and(|end| end == "toml"));
-        // What is granted comes first: the others are checked against it.
-        paths.sort_by_key(|path| (path.file_stem().is_none_or(|name| name != GRANTS), path.clone()));
-        for path in paths {
-            if let Err(error) = self.read_file(&path, shared) {
-                log::error!("{}: {error}; what was there before stays", path.display());
+        for path in files {
+            if let Err(error) = self.load_file(&path, store) {
+                log::error!("{}: {error}; the version before stays in force", path.display());
             }
         }
     }
 
-    /// Guards against a bad file reaching the others, or those that start later and have nothing from before.
-    fn read_file(&mut self, path: &Path, shared: &impl ReplicatedStore) -> Result<(), String> {
-        let text = std::fs::read_to_string(path).map_err(|error| error.to_string())?;
-        if path.file_stem().is_some_and(|name| name == GRANTS) {
-            let grants = Grants::parse(&text).map_err(|error| error.to_string())?;
-            put(GRANTS, grants.version, &grants, shared)?;
-            self.grant(grants);
+    /// Validates a file before it is replicated, as processes that start later have no version to fall back to.
+    fn load_file(&mut self, path: &Path, store: &impl ReplicatedStore) -> Result<(), LoadError> {
+        let text = std::fs::read_to_string(path)?;
+        if is_grants_file(path) {
+            let grants = Grants::parse(&text)?;
+            put_chunked(GRANTS, grants.version, &grants, store)?;
+            self.apply_grants(grants);
             return Ok(());
         }
-        let space = Space::parse(&text).map_err(|error| error.to_string())?;
-        self.table.check(&space).map_err(|error| error.to_string())?;
-        put(&format!("{SPACES}{}", space.customer), space.version, &space, shared)
+        let namespace = Namespace::parse(&text)?;
+        self.table.check(&namespace)?;
+        put_chunked(&namespace_key(&namespace.customer), namespace.version, &namespace, store)
     }
 
-    /// Something under a key has changed in what all share: what is whole now comes into force. Gives whose namespaces
-    /// are to be gone by.
+    /// An entry of the replicated map has changed: what is complete there comes into force. Returns the namespaces that
+    /// may have changed.
     pub fn on_shared_entry_changed(
         &mut self,
-        changed: &str,
-        shared: &impl ReplicatedStore,
+        key: &str,
+        store: &impl ReplicatedStore,
     ) -> Vec<NamespaceUpdate> {
-        if changed.starts_with(GRANTS) {
-            if let Some(grants) = whole::<Grants>(GRANTS, shared) {
-                self.grant(grants);
-                // Those that were refused for want of a grant may have one now.
-                let all: Vec<_> = self.versions.keys().cloned().collect();
-                all.iter().for_each(|customer| self.space(customer, shared));
-                return all.iter().filter_map(|customer| self.update_for(customer)).collect();
-            }
-        } else if let Some(customer) = changed.strip_prefix(SPACES).and_then(|rest| rest.split('/').next()) {
-            self.versions.entry(customer.to_owned()).or_default();
-            self.space(customer, shared);
-            return self.update_for(customer).into_iter().collect();
+        if key.starts_with(GRANTS) {
+            return self.on_grants_changed(store);
         }
-        Vec::new()
+        let customer = key.strip_prefix(NAMESPACE_KEY_PREFIX).and_then(|rest| rest.split('/').next());
+        let Some(customer) = customer else { return Vec::new() };
+        self.customers.insert(customer.to_owned());
+        self.refresh_namespace(customer, store);
+        self.update_for(customer).into_iter().collect()
     }
 
-    fn grant(&mut self, grants: Grants) {
+    fn on_grants_changed(&mut self, store: &impl ReplicatedStore) -> Vec<NamespaceUpdate> {
+        let Some(grants) = get_chunked::<Grants>(GRANTS, store) else { return Vec::new() };
+        self.apply_grants(grants);
+        // Namespaces that were refused for want of a grant may have one now.
+        let customers: Vec<_> = self.customers.iter().cloned().collect();
+        customers.iter().for_each(|customer| self.refresh_namespace(customer, store));
+        customers.iter().filter_map(|customer| self.update_for(customer)).collect()
+    }
+
+    fn apply_grants(&mut self, grants: Grants) {
         let version = grants.version;
-        match self.table.grant(grants) {
-            Ok(out) => {
+        match self.table.apply_grants(grants) {
+            Ok(deactivated) => {
                 log::info!("grants: version {version} is in force");
-                for (customer, error) in out {
-                    log::error!("namespace of {customer}: out of force: {error}");
+                for namespace in deactivated {
+                    log::error!("namespace of {}: out of force: {}", namespace.customer, namespace.error);
                 }
             }
-            Err(error) => log::error!("grants: {error}; what was there before stays"),
+            Err(error) => log::error!("grants: {error}; the version before stays in force"),
         }
     }
 
-    fn space(&mut self, customer: &str, shared: &impl ReplicatedStore) {
-        let Some(space) = whole::<Space>(&format!("{SPACES}{customer}"), shared) else { return };
-        // Guards against one customer's rules under another's name.
-        if space.customer != customer || self.table.get(customer).is_some_and(|held| held.space == space) {
+    fn refresh_namespace(&mut self, customer: &str, store: &impl ReplicatedStore) {
+        let Some(namespace) = get_chunked::<Namespace>(&namespace_key(customer), store) else { return };
+        let is_active = self.table.get(customer).is_some_and(|active| active.namespace == namespace);
+        // An entry under another customer's key must not decide that customer's sessions.
+        if namespace.customer != customer || is_active {
             return;
         }
-        match self.table.put(space) {
-            Ok(held) => {
-                log::info!("namespace of {customer}: version {} is in force", held.version());
-                self.versions.insert(customer.to_owned(), held.version());
-                for (rule, earlier) in held.space.shadowed() {
-                    log::warn!("namespace of {customer}: rule {rule} can never act, as {earlier} covers it");
+        match self.table.insert(namespace) {
+            Ok(active) => {
+                log::info!("namespace of {customer}: version {} is in force", active.version());
+                for shadowed in active.namespace.shadowed_rules() {
+                    let (rule, covered_by) = (shadowed.rule, shadowed.covered_by);
+                    log::warn!(
+                        "namespace of {customer}: rule {rule} never matches, as {covered_by} covers it"
+                    );
                 }
             }
-            Err(error) => log::error!("namespace of {customer}: {error}; what was there before stays"),
+            Err(error) => log::error!("namespace of {customer}: {error}; the version before stays in force"),
         }
     }
 
-    /// What a customer is granted now, where its namespace is in force.
+    /// What a customer is granted now; none where it has no namespace in force.
     pub fn update_for(&mut self, customer: &str) -> Option<NamespaceUpdate> {
-        let share = self.table.share(customer);
-        let held = self.table.get(customer)?;
+        let quota_share = self.table.quota_share(customer);
+        let active = self.table.get(customer)?;
         Some(NamespaceUpdate {
             customer: customer.into(),
-            servers: held.granted().clone(),
-            quota_share: share,
+            servers: active.granted_servers().clone(),
+            quota_share,
         })
     }
 
-    /// The list of servers has changed.
-    pub fn set_endpoints(&mut self, list: Vec<Endpoint>) {
-        self.table.follow(list);
+    /// Replaces the endpoint list.
+    pub fn set_endpoints(&mut self, endpoints: Vec<Endpoint>) {
+        self.table.set_endpoints(endpoints);
     }
 
-    /// The part of the whole for those without a namespace.
+    /// Fraction of what this process may send to warming servers, for sessions whose customer has no namespace.
     pub fn default_quota_share(&self) -> f64 {
-        self.table.common_share()
+        self.table.default_quota_share()
     }
 
-    /// What decides a session; none where its customer has no namespace.
+    /// Decides a session by the namespace of its customer; none where the customer has no namespace.
     pub fn decide(
         &mut self,
         customer: Option<&str>,
@@ -175,50 +186,46 @@
         group: Option<&str>,
     ) -> Option<RuleDecision> {
         let customer = customer?;
-        let (member, members) = self.member;
         match self.table.look_up(Some(customer), class, group) {
-            Found::NoSpace => None,
-            // Nothing of the fleet is left for it.
-            Found::NoRule => {
-                let among: Rc<[ServerId]> = Rc::from([]);
-                Some(RuleDecision {
-                    customer: customer.into(),
-                    servers: among,
-                    reservation: Rc::new(()),
-                    is_over_quota: true,
-                })
-            }
-            Found::Rule(ruled) => {
-                let room = part_of_room(ruled.room(), member, members) as usize;
-                let place = self.rooms.entry((customer.to_owned(), ruled.rule().name.clone())).or_default();
-                let full = Rc::strong_count(place) > room;
-                Some(RuleDecision {
-                    customer: customer.into(),
-                    servers: ruled.among(),
-                    reservation: place.clone(),
-                    is_over_quota: full,
-                })
-            }
+            Lookup::NoNamespace => None,
+            Lookup::NoMatchingRule => Some(RuleDecision {
+                customer: customer.into(),
+                servers: Rc::from([]),
+                reservation: Rc::new(()),
+                is_over_quota: true,
+            }),
+            Lookup::Matched(matched) => Some(self.reserve(customer, &matched)),
         }
     }
-}
 
-/// Puts something into what all share, in pieces.
-pub fn put<T: Serialize>(
-    whole: &str,
-    version: u64,
-    value: &T,
-    shared: &impl ReplicatedStore,
-) -> Result<(), String> {
-    let (head, pieces) = cut(version, value).map_err(|error| error.to_string())?;
-    for (index, piece) in pieces.iter().enumerate() {
-        shared.put(&key(whole, index), piece, version)?;
+    fn reserve(&mut self, customer: &str, matched: &MatchedRule) -> RuleDecision {
+        let max_connections = member_max_connections(matched.max_connections(), self.member, self.members);
+        let rule_key = (customer.to_owned(), matched.rule().name.clone());
+        let reservation = self.reservations.entry(rule_key).or_default();
+        // The map itself holds one reference.
+        let is_over_quota = Rc::strong_count(reservation) > max_connections as usize;
+        RuleDecision {
+            customer: customer.into(),
+            servers: matched.servers(),
+            reservation: reservation.clone(),
+            is_over_quota,
+        }
     }
-    shared.put(whole, &head, version)
 }
 
-/// What was put so, once all of it is there.
-pub fn whole<T: DeserializeOwned>(whole: &str, shared: &impl ReplicatedStore) -> Option<T> {
-    let head: Head = shared.get(whole)?;
-    join(&head, |piece| shared.get(&key(whole, piece)))
+fn namespace_key(customer: &str) -> String {
+    format!("{NAMESPACE_KEY_PREFIX}{customer}")
+}
+
+fn is_grants_file(path: &Path) -> bool {
+    path.file_stem().is_some_and(|name| name == GRANTS)
+}
+
+/// The TOML files of a directory: the grants first, as the namespaces are validated against them.
+fn toml_files(directory: &Path) -> std::io::Result<Vec<PathBuf>> {
+    let files = std::fs::read_dir(directory)?;
+    let mut paths: Vec<_> = files.filter_map(|file| Some(file.ok()?.path())).collect();
+    paths.retain(|path| path.extension().is_some_and(|extension| extension == "toml"));
+    paths.sort_by_key(|path| (!is_grants_file(path), path.clone()));
+    Ok(paths)
 }
