--- /dev/null
+++ b/src/balancer/flow_table.rs
@@ -0,0 +1,111 @@
+//! The flow table: which server holds, or held, the connection of a client key.
+
+use super::filter::{Filter, Flow, Selection};
+use crate::host::Host;
+use crate::state::{Attempt, ProxyState, Server, Session};
+use crate::time::Timestamp;
+use std::cell::{Cell, RefCell};
+use std::collections::BTreeMap;
+use std::rc::{Rc, Weak};
+use std::time::Duration;
+
+/// How long an entry outlives its connection.
+const FLOW_TIMEOUT: Duration = Duration::from_millis(30_000);
+/// Bounds the memory of the table to some megabytes.
+const MAX_FLOWS: usize = 100_000;
+
+/// Where a client key's connection is established, or was until recently.
+pub(crate) struct TrackedFlow {
+    server: Weak<Server>,
+    /// When the server had started, as known when the connection was established.
+    server_started: Option<Timestamp>,
+    expires_at: Timestamp,
+}
+
+impl TrackedFlow {
+    fn new(server: &Rc<Server>, expires_at: Timestamp) -> Self {
+        TrackedFlow { server: Rc::downgrade(server), server_started: server.started.get(), expires_at }
+    }
+
+    fn is_at(&self, server: &Rc<Server>) -> bool {
+        std::ptr::eq(self.server.as_ptr(), Rc::as_ptr(server))
+    }
+
+    /// The server, unless it has restarted since: then it holds no earlier connection.
+    fn server(&self) -> Option<Rc<Server>> {
+        self.server.upgrade().filter(|server| server.started.get() == self.server_started)
+    }
+}
+
+/// A bounded table by client key, whose entries age once their connections have ended.
+#[derive(Default)]
+pub(crate) struct FlowTable {
+    flows: RefCell<BTreeMap<u64, TrackedFlow>>,
+    last_sweep: Cell<Timestamp>,
+}
+
+impl FlowTable {
+    /// The server of a key's connection, in the order of the keys.
+    pub(crate) fn servers(&self) -> Vec<(u64, Rc<Server>)> {
+        self.flows.borrow().iter().filter_map(|(key, flow)| Some((*key, flow.server()?))).collect()
+    }
+
+    /// Adds an entry for a key that has none.
+    pub(crate) fn restore(&self, key: u64, server: &Rc<Server>, expires_at: Timestamp) {
+        self.flows.borrow_mut().entry(key).or_insert_with(|| TrackedFlow::new(server, expires_at));
+    }
+
+    fn find(&self, key: u64, now: Timestamp) -> Option<Rc<Server>> {
+        self.flows.borrow().get(&key).filter(|flow| now < flow.expires_at).and_then(TrackedFlow::server)
+    }
+
+    fn sweep(&self, now: Timestamp) {
+        if now.since(self.last_sweep.get()) > FLOW_TIMEOUT {
+            self.last_sweep.set(now);
+            self.flows.borrow_mut().retain(|_, flow| now < flow.expires_at);
+        }
+    }
+
+    /// Records that a session's connection is established, or has ended.
+    fn record(&self, session: &Session, attempt: &Attempt, now: Timestamp) {
+        let expires_at = attempt.outcome.map_or(Timestamp::NEVER, |_| now + FLOW_TIMEOUT);
+        let mut flows = self.flows.borrow_mut();
+        let has_room = flows.len() < MAX_FLOWS;
+        match flows.get_mut(&session.key) {
+            // Keeps the recorded start: the list may have announced a restart that ended this connection.
+            Some(flow) if session.established.get() && flow.is_at(&attempt.server) => {
+                flow.expires_at = expires_at
+            }
+            _ if (attempt.outcome.is_none() || session.established.get()) && has_room => {
+                flows.insert(session.key, TrackedFlow::new(&attempt.server, expires_at));
+            }
+            _ => {}
+        }
+    }
+}
+
+/// First filter: selects the server that holds a mid-flow session's connection.
+pub(super) struct FlowLookup {
+    pub(super) state: Rc<ProxyState>,
+}
+
+impl Filter for FlowLookup {
+    fn on_request(
+        &self,
+        session: &Rc<Session>,
+        selection: &mut Selection,
+        now: Timestamp,
+        _: &mut dyn Host,
+    ) -> Flow {
+        if session.mid_flow && session.attempts.borrow().is_empty() {
+            let server = self.state.flows.find(session.key, now);
+            selection.server = server.filter(|server| server.is_active());
+        }
+        Flow::Continue
+    }
+
+    fn on_outcome(&self, session: &Rc<Session>, attempt: &Attempt, now: Timestamp) {
+        self.state.flows.sweep(now);
+        self.state.flows.record(session, attempt, now);
+    }
+}
--- a/src/balancer/placement.rs
+++ b/src/balancer/placement.rs
@@ -1,127 +1,281 @@
-//! Which server gets a session: the design's choice with the load skip, and what passes a server over.
+//! Which server gets a session: the server of its key's hash, or else one of its group's servers.
 
-use super::{Pick, Stage, Step};
-use crate::host::{AttemptOutcome, EndpointState, Host};
-use crate::record::{Attempt, Server, Session, Shelf, SlowStart};
+use super::failure_domains::DomainScore;
+use super::filter::{Filter, Flow, Selection};
+use super::slow_start::{AdmissionLoad, SlowStart};
+use crate::host::Host;
+use crate::state::{Attempt, ProxyState, Server, Session};
 use crate::time::Timestamp;
 use nanorand::{Rng, WyRand};
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Third stage: the design's choice of a server, with the load skip.
+/// A server is overfull beyond this many times the mean number of connections.
+const SKIP_FACTOR: f64 = 2.0;
+/// ... and this many connections above the mean.
+const SKIP_MARGIN: f64 = 3.0;
+/// How long a client's draw stays the same, so that asking again at once does not change the answer.
+const DRAW_LIFETIME: Duration = Duration::from_millis(2000);
+/// How many servers beyond its group's own a session may go to.
+const EXTRA_SERVERS: usize = 2;
+/// The part of the quota that is admitted by group: a warming server may rank first for many groups.
+const GROUP_QUOTA_FRACTION: f64 = 0.65;
+
+/// Third filter: selects a server, unless an earlier filter has.
 pub(super) struct Placement {
-    pub(super) shelf: Rc<Shelf>,
+    pub(super) state: Rc<ProxyState>,
     pub(super) slow_start: SlowStart,
 }
 
 impl Placement {
-    fn choose(&self, session: &Rc<Session>, now: Timestamp, host: &mut dyn Host) -> Pick {
-        // The design page's figures; of those under way too, against attempts that pile up at a slow server.
-        const SKIP_FACTOR: f64 = 2.0;
-        const SKIP_MARGIN: f64 = 3.0;
-        let all = self.shelf.servers.borrow();
-        let left = session.left_of(&all);
-        let servers = left.as_ref().unwrap_or(&all);
-        let active = || servers.iter().filter(|s| s.state.get() == EndpointState::Active);
-        let add =
-            |n: [f64; 3], s: &Rc<Server>| [n[0] + 1.0, n[1] + s.open(), n[2] + f64::from(s.waiting.get())];
-        let [number, open, out] = active().fold([0.0; 3], add);
-        let over = |n: f64, sum: f64| n * number > SKIP_FACTOR * sum && n >= sum / number + SKIP_MARGIN;
-        let overfull = |s: &Server| over(s.open(), open) || over(f64::from(s.waiting.get()), out);
-        // Guards against retries asking until let in: one draw for all that a client tries in a draw's life.
-        const DRAW_LIFE: Duration = Duration::from_millis(2000);
-        let seed = self.shelf.seed ^ session.key ^ now.periods(DRAW_LIFE);
-        let draw = f64::from(WyRand::new_seed(seed).generate::<f32>());
-        // The session itself will be open, too.
-        let part = (self.slow_start.part(servers.len()) * self.shelf.parts.get()).max(open + 1.0);
-        // Guards against a group's wave back to one cold server, where new ones spread over three.
-        const MORE: usize = 2;
-        let crowd = self.shelf.crowd(now);
-        let blind = session.group.is_some() && self.slow_start.out_of_sight(session.key, servers.len());
-        let most = if session.reconnected && blind { 1.0 / (1.0 + MORE as f64) } else { 1.0 };
-        let first = session.admission_turn.map_or(1.0 - draw, |turn| turn.fraction_ahead);
-        let usable = |s: &&Rc<Server>, part: f64| {
-            s.state.get() == EndpointState::Active
-                && session.may_go_to(s, now)
-                && !session.attempts.borrow().iter().any(|c| Rc::ptr_eq(&c.server, s))
-                && first <= self.slow_start.share(s, [part, crowd, most, servers.len() as f64], now)
-        };
-        // While it is unusually silent a server has no trust at all.
-        let unusual = self.shelf.unusual_after();
-        let silent = |s: &Server| s.silent_since.get().zip(unusual).is_some_and(|(at, u)| now.since(at) > u);
-        // Guards against each proxy meeting a lost zone or kind server by server, where it holds nothing.
-        let kin = self.shelf.kin(now);
-        let by_kin = |s: &Server| s.open() == 0.0 && kin.iter().any(|k| s.kin.contains(&k.0) && draw < k.1);
-        let trusted =
-            |s: &&Rc<Server>| session.mid_flow || draw >= s.distrust(now) && !silent(s) && !by_kin(s);
-
-        // The ordinary path: the key's hash, and the next in order past what drains, is gone or is overfull.
-        let by_group = session.group.filter(|_| !session.mid_flow || blind);
-        if !session.reconnected || by_group.is_none() {
-            let at = session.key as usize % servers.len().max(1);
-            let own = servers[at..].iter().chain(&servers[..at]).find(|s| usable(s, part) && !overfull(s));
-            // Guards against placing by hash in a fleet that is strained where this proxy cannot see it.
-            let calm = || !blind && draw >= self.shelf.strain(|_| true, now);
-            if own.is_some_and(|s| by_group.is_none() && session.mid_flow || trusted(&s) && calm()) {
-                return own.cloned();
-            }
-        }
-        // Guards against members of a group straining every server at once: what came back, or found its pick
-        // or the fleet strained, meets its group at the servers that rank first for it at every proxy.
-        let by = by_group.unwrap_or(session.key);
-        // Guards against a cold one that is first for many groups, unseen by each proxy; 0.75 was too much.
-        let part = if by_group.is_some() { part * 0.65 } else { part };
-        // Who broke off or refused and holds nothing is gone: it takes nobody's place.
-        let there = |s: &&Rc<Server>| usable(s, part) && (!s.broke.get() || s.open() > 0.0 || trusted(s));
-        let mut ranked: Vec<_> = servers.iter().filter(there).map(|s| (s.rank(by), s)).collect();
-        // Guards against a strained fleet scattering its groups: so many past their servers, else pushback.
-        // Guards against a group's weight on one server that is cold, or that nobody has seen strain yet.
-        let cold = || {
-            ranked.iter().min_by_key(|r| r.0).is_some_and(|r| self.slow_start.warm_fraction(r.1, now) < 1.0)
-        };
-        let more = if blind && (!session.reconnected || cold()) { MORE } else { 0 };
-        let width = by_group.map_or(0, |g| self.shelf.width(g, ranked.len()) + more).min(ranked.len());
-        if width + MORE < ranked.len() {
-            ranked.select_nth_unstable_by_key(width + MORE, |r| r.0);
-            ranked.truncate(width + MORE);
+    fn select(&self, session: &Rc<Session>, now: Timestamp, host: &mut dyn Host) -> Option<Rc<Server>> {
+        let all = self.state.servers.all();
+        let allowed = session.restrict(&all);
+        let decision = Decision::new(self, session, allowed.as_ref().unwrap_or(&all), now);
+        decision.server_by_hash().or_else(|| decision.server_by_affinity(host))
+    }
+}
+
+impl Filter for Placement {
+    fn on_request(
+        &self,
+        session: &Rc<Session>,
+        selection: &mut Selection,
+        now: Timestamp,
+        host: &mut dyn Host,
+    ) -> Flow {
+        let selected = selection.server.take().filter(|server| server.is_active());
+        selection.server = selected.or_else(|| self.select(session, now, host));
+        if session.awaits_health_check.get() {
+            Flow::Hold
+        } else if selection.server.is_some() {
+            Flow::Continue
+        } else {
+            Flow::Finish
         }
-        ranked.sort_unstable_by_key(|r| r.0);
-        ranked[..width].sort_unstable_by_key(|r| r.1.rank(session.key));
-        let order = || ranked.iter().map(|r| r.1).filter(trusted);
-        // Guards against proxies that see no strain filling some servers: who answers first has least to do.
-        if blind && !session.mid_flow && order().nth(1).is_some() && !session.hailed.replace(true) {
-            order().take(1 + MORE).for_each(|s| s.hail(session, host));
+    }
+
+    fn on_outcome(&self, session: &Rc<Session>, attempt: &Attempt, now: Timestamp) {
+        attempt.server.record_outcome(session, attempt, now);
+    }
+}
+
+/// Connections of this proxy at the active servers that a session may go to.
+#[derive(Clone, Copy, Default)]
+struct FleetLoad {
+    servers: f64,
+    open: f64,
+    pending: f64,
+}
+
+impl FleetLoad {
+    fn of(servers: &[Rc<Server>]) -> Self {
+        let mut load = FleetLoad::default();
+        for server in servers.iter().filter(|server| server.is_active()) {
+            load.servers += 1.0;
+            load.open += server.open_connections();
+            load.pending += f64::from(server.pending_attempts.get());
         }
-        order().find(|s| !overfull(s)).or_else(|| order().next()).cloned()
+        load
+    }
+
+    /// Whether a server has far more connections than the mean. Pending ones count by themselves too, as they pile up
+    /// at a slow server.
+    fn is_overfull(&self, server: &Server) -> bool {
+        self.exceeds_mean(server.open_connections(), self.open)
+            || self.exceeds_mean(f64::from(server.pending_attempts.get()), self.pending)
+    }
+
+    fn exceeds_mean(&self, count: f64, total: f64) -> bool {
+        count * self.servers > SKIP_FACTOR * total && count >= total / self.servers + SKIP_MARGIN
     }
 }
 
-impl Stage for Placement {
-    fn forth(&mut self, session: &Rc<Session>, pick: &mut Pick, now: Timestamp, host: &mut dyn Host) -> Step {
-        let there = |s: &Rc<Server>| s.state.get() == EndpointState::Active;
-        *pick = pick.take().filter(there).or_else(|| self.choose(session, now, host));
-        match pick {
-            _ if session.hails.get() => Step::Keep,
-            Some(_) => Step::Pass,
-            None => Step::End,
+/// A server and its rendezvous rank.
+struct RankedServer<'a> {
+    rank: u64,
+    server: &'a Rc<Server>,
+}
+
+/// One placement of a session, and what it goes by.
+struct Decision<'a> {
+    state: &'a ProxyState,
+    slow_start: &'a SlowStart,
+    session: &'a Rc<Session>,
+    /// The servers that the session may go to, in the order of the list.
+    servers: &'a [Rc<Server>],
+    now: Timestamp,
+    fleet: FleetLoad,
+    /// The client's draw, from 0 to 1: servers with a higher outlier score are passed over.
+    draw: f64,
+    /// From 0 to 1: warming servers that admit a smaller fraction are passed over.
+    admission_draw: f64,
+    admission: AdmissionLoad,
+    /// Whether the session is placed as if no server's load were observed.
+    load_unobserved: bool,
+    /// The group by which it may be placed.
+    group: Option<u64>,
+    suspicion_timeout: Option<Duration>,
+    domains: Vec<DomainScore>,
+}
+
+impl<'a> Decision<'a> {
+    fn new(
+        placement: &'a Placement,
+        session: &'a Rc<Session>,
+        servers: &'a [Rc<Server>],
+        now: Timestamp,
+    ) -> Self {
+        let Placement { state, slow_start } = placement;
+        let fleet = FleetLoad::of(servers);
+        let draw = client_draw(state, session, now);
+        let load_unobserved =
+            session.group.is_some() && slow_start.is_load_unobserved(session.key, servers.len());
+        Decision {
+            admission: admission_load(placement, session, servers.len(), load_unobserved, fleet, now),
+            // The opposite of the draw: else who passes outliers over would meet at the warming servers.
+            admission_draw: session.admission_turn.map_or(1.0 - draw, |turn| turn.fraction_ahead),
+            group: session.group.filter(|_| !session.mid_flow || load_unobserved),
+            suspicion_timeout: state.establish_latencies.suspicion_timeout(),
+            domains: state.failure_domain_scores(now),
+            state,
+            slow_start,
+            session,
+            servers,
+            now,
+            fleet,
+            draw,
+            load_unobserved,
         }
     }
 
-    fn back(&mut self, session: &Rc<Session>, attempt: &Attempt, now: Timestamp) {
-        attempt.server.broke.set(matches!(
-            attempt.outcome,
-            Some(AttemptOutcome::Unreachable | AttemptOutcome::ConnectionLost)
-        ));
-        // One bad ending takes half of the trust that is left, one that the server itself gave rather less.
-        let keeps = match attempt.outcome {
-            // Guards against distrusting whoever rightly resets a mid-flow connection that another holds.
-            Some(AttemptOutcome::ConnectionLost) if session.mid_flow && !session.stands.get() => return,
-            Some(AttemptOutcome::TimedOut | AttemptOutcome::Unreachable | AttemptOutcome::ConnectionLost) => {
-                0.5
-            }
-            Some(AttemptOutcome::Failed | AttemptOutcome::Rejected) => 0.7,
-            _ => return,
+    /// The ordinary path: the server of the key's hash, or the next one in order that is usable and not overfull. None
+    /// where the session is to be placed by its group.
+    fn server_by_hash(&self) -> Option<Rc<Server>> {
+        if self.session.reconnected && self.group.is_some() {
+            return None;
+        }
+        let start = self.session.key as usize % self.servers.len().max(1);
+        let is_eligible =
+            |server: &&Rc<Server>| self.is_usable(server, &self.admission) && !self.fleet.is_overfull(server);
+        let server = self.servers[start..].iter().chain(&self.servers[..start]).find(is_eligible)?;
+        let is_mid_flow = self.group.is_none() && self.session.mid_flow;
+        (is_mid_flow || self.is_trusted(server) && self.is_fleet_calm()).then(|| server.clone())
+    }
+
+    /// A server of the session's group, or of its key where there is none: the first that is not overfull, or the first.
+    fn server_by_affinity(&self, host: &mut dyn Host) -> Option<Rc<Server>> {
+        let ranked = self.affinity_order();
+        let trusted: Vec<_> =
+            ranked.iter().map(|r| r.server).filter(|server| self.is_trusted(server)).collect();
+        self.request_health_checks(&trusted, host);
+        let has_room = trusted.iter().find(|server| !self.fleet.is_overfull(server));
+        has_room.or(trusted.first()).map(|server| Rc::clone(server))
+    }
+
+    /// The servers that the session may be placed at by affinity: its group's, in the order of the key, and a few more.
+    fn affinity_order(&self) -> Vec<RankedServer<'a>> {
+        let mut ranked = self.ranked_servers();
+        let width = self.group_width(&ranked);
+        if width + EXTRA_SERVERS < ranked.len() {
+            ranked.select_nth_unstable_by_key(width + EXTRA_SERVERS, |r| r.rank);
+            ranked.truncate(width + EXTRA_SERVERS);
+        }
+        ranked.sort_unstable_by_key(|r| r.rank);
+        ranked[..width].sort_unstable_by_key(|r| r.server.rendezvous_rank(self.session.key));
+        ranked
+    }
+
+    /// The servers that take part in the ranking. One that refused or broke the last attempt and holds nothing is gone,
+    /// though still listed.
+    fn ranked_servers(&self) -> Vec<RankedServer<'a>> {
+        let hash = self.group.unwrap_or(self.session.key);
+        let factor = if self.group.is_some() { GROUP_QUOTA_FRACTION } else { 1.0 };
+        let admission = AdmissionLoad { quota: self.admission.quota * factor, ..self.admission };
+        let is_present = |server: &&Rc<Server>| {
+            self.is_usable(server, &admission)
+                && (!server.last_attempt_broke.get()
+                    || server.open_connections() > 0.0
+                    || self.is_trusted(server))
+        };
+        let ranked = |server: &'a Rc<Server>| RankedServer { rank: server.rendezvous_rank(hash), server };
+        self.servers.iter().filter(is_present).map(ranked).collect()
+    }
+
+    /// How many of the ranked servers are the group's own. More where no load is observed, to spread what a single
+    /// server would get; reconnecting clients spread only past a warming server, as each server that holds any member
+    /// of a group does the group's work.
+    fn group_width(&self, ranked: &[RankedServer]) -> usize {
+        let is_first_warming = || {
+            let first = ranked.iter().min_by_key(|r| r.rank);
+            first.is_some_and(|r| self.slow_start.warm_fraction(r.server, self.now) < 1.0)
         };
-        attempt.server.distrust.set((1.0 - (1.0 - attempt.server.distrust(now)) * keeps, now));
+        let is_spread = self.load_unobserved && (!self.session.reconnected || is_first_warming());
+        let extra = if is_spread { EXTRA_SERVERS } else { 0 };
+        let width = |group| self.state.arrivals.servers_for_group(group, ranked.len()) + extra;
+        self.group.map_or(0, width).min(ranked.len())
+    }
+
+    /// Has the first servers answer a health check where no load is observed: the first to answer has the least to do.
+    fn request_health_checks(&self, servers: &[&Rc<Server>], host: &mut dyn Host) {
+        let is_useful = self.load_unobserved && !self.session.mid_flow && servers.len() > 1;
+        if is_useful && !self.session.health_checked.replace(true) {
+            for server in servers.iter().take(1 + EXTRA_SERVERS) {
+                server.request_health_check(self.session, host);
+            }
+        }
+    }
+
+    /// Whether the session may be sent to this server now.
+    fn is_usable(&self, server: &Rc<Server>, admission: &AdmissionLoad) -> bool {
+        server.is_active()
+            && self.session.may_go_to(server, self.now)
+            && !self.session.has_tried(server)
+            && self.admission_draw <= self.slow_start.admitted_fraction(server, admission, self.now)
+    }
+
+    /// Whether neither the server's outlier score nor its silence nor its failure domains pass it over.
+    fn is_trusted(&self, server: &Rc<Server>) -> bool {
+        self.session.mid_flow
+            || self.draw >= server.outlier_score(self.now)
+                && !server.is_suspected(self.suspicion_timeout, self.now)
+                && !self.is_in_failing_domain(server)
+    }
+
+    /// Whether its zone or kind passes over a server where this proxy has no connection to tell by.
+    fn is_in_failing_domain(&self, server: &Server) -> bool {
+        let fails = |d: &DomainScore| server.failure_domains().contains(&d.domain) && self.draw < d.excess;
+        server.open_connections() == 0.0 && self.domains.iter().any(fails)
+    }
+
+    /// Whether the fleet's load is observed and low enough to place sessions by hash.
+    fn is_fleet_calm(&self) -> bool {
+        !self.load_unobserved && self.draw >= self.state.fleet_overload(|_| true, self.now)
+    }
+}
+
+/// The draw of a client, the same for all that it asks within a draw's lifetime.
+fn client_draw(state: &ProxyState, session: &Session, now: Timestamp) -> f64 {
+    let seed = state.seed ^ session.key ^ now.periods(DRAW_LIFETIME);
+    f64::from(WyRand::new_seed(seed).generate::<f32>())
+}
+
+fn admission_load(
+    placement: &Placement,
+    session: &Session,
+    servers: usize,
+    load_unobserved: bool,
+    fleet: FleetLoad,
+    now: Timestamp,
+) -> AdmissionLoad {
+    let Placement { state, slow_start } = placement;
+    // A group reconnects at once to one server, where new clients spread over its extra servers too.
+    let is_wave = session.reconnected && load_unobserved;
+    AdmissionLoad {
+        // The session itself will be open, too.
+        quota: (slow_start.proxy_capacity(servers) * state.quota_fraction.get()).max(fleet.open + 1.0),
+        recent_arrivals: state.arrivals.recent_count(now),
+        max_fraction: if is_wave { 1.0 / (1.0 + EXTRA_SERVERS as f64) } else { 1.0 },
+        servers: servers as f64,
     }
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -67,6 +67,6 @@
 pub mod balancer;
 pub mod host;
 pub mod outstanding;
-mod record;
+mod state;
 pub mod time;
 pub mod warm_restart;
--- /dev/null
+++ b/src/state/server.rs
@@ -0,0 +1,104 @@
+//! A server as this proxy knows it.
+
+use super::{push_bounded, Session};
+use crate::host::{Endpoint, EndpointState, ServerId, SessionId};
+use crate::time::{DurationExt, Timestamp};
+use std::cell::{Cell, RefCell};
+use std::collections::{BTreeMap, VecDeque};
+use std::rc::Weak;
+use std::time::Duration;
+use xxhash_rust::xxh3::xxh3_64;
+
+/// An outlier score as it was when last updated; it decays from then on.
+#[derive(Clone, Copy, Debug, Default)]
+pub(crate) struct OutlierScore {
+    /// From 0, fully trusted, to 1.
+    pub(crate) value: f64,
+    pub(crate) updated_at: Timestamp,
+}
+
+/// A listed server, and what this proxy has observed of it.
+#[derive(Default)]
+pub(crate) struct Server {
+    pub(crate) id: ServerId,
+    /// Hash of the id, for rendezvous ranking.
+    pub(crate) hash: u64,
+    /// Hashes of its failure domains, which differ even where a zone and a kind have the same name.
+    pub(crate) zone: u64,
+    pub(crate) kind: u64,
+    pub(crate) cell: u64,
+    pub(crate) state: Cell<EndpointState>,
+    pub(crate) started: Cell<Option<Timestamp>>,
+    /// Established sessions that this proxy placed here.
+    pub(crate) sessions: RefCell<BTreeMap<SessionId, Weak<Session>>>,
+    /// When the last attempts were sent.
+    pub(crate) recent_attempts: RefCell<VecDeque<Timestamp>>,
+    /// Attempts that are neither established nor ended.
+    pub(crate) pending_attempts: Cell<u32>,
+    /// Since when attempts have been pending without any response.
+    pub(crate) silent_since: Cell<Option<Timestamp>>,
+    /// Whether the last attempt was refused or its connection broke.
+    pub(crate) last_attempt_broke: Cell<bool>,
+    pub(crate) outlier_score: Cell<OutlierScore>,
+    pub(crate) outlier_half_life: Cell<Duration>,
+    /// Sessions that wait for its answer to a health check.
+    pub(crate) awaiting_health_check: RefCell<Vec<Weak<Session>>>,
+    /// When the last periodic health check was sent.
+    pub(crate) last_health_check: Cell<Timestamp>,
+    health_check_latencies: RefCell<VecDeque<Duration>>,
+}
+
+impl Server {
+    pub(super) fn new(endpoint: &Endpoint) -> Self {
+        Server {
+            id: endpoint.server.clone(),
+            hash: xxh3_64(endpoint.server.as_bytes()),
+            zone: xxh3_64(endpoint.zone.as_bytes()),
+            kind: !xxh3_64(endpoint.kind.as_bytes()),
+            cell: endpoint.cell,
+            ..Server::default()
+        }
+    }
+
+    /// Whether it may be sent sessions.
+    pub(crate) fn is_active(&self) -> bool {
+        self.state.get() == EndpointState::Active
+    }
+
+    /// Hashes of what it may share faults with other servers by.
+    pub(crate) fn failure_domains(&self) -> [u64; 2] {
+        [self.zone, self.kind]
+    }
+
+    /// Connections of this proxy, established or pending.
+    pub(crate) fn open_connections(&self) -> f64 {
+        self.sessions.borrow().len() as f64 + f64::from(self.pending_attempts.get())
+    }
+
+    /// Records that an attempt is sent.
+    pub(crate) fn record_attempt(&self, now: Timestamp) {
+        // Longer than any overload window.
+        const RETENTION: Duration = Duration::from_millis(10_000);
+        const MAX_SAMPLES: usize = 4096;
+        self.pending_attempts.set(self.pending_attempts.get() + 1);
+        let mut attempts = self.recent_attempts.borrow_mut();
+        let expired = attempts.partition_point(|at| now.since(*at) > RETENTION);
+        attempts.drain(..expired);
+        push_bounded(&mut attempts, now, MAX_SAMPLES);
+    }
+
+    /// How many attempts this proxy sent within the last `window`.
+    pub(crate) fn attempts_within(&self, window: Duration, now: Timestamp) -> f64 {
+        let attempts = self.recent_attempts.borrow();
+        attempts.iter().rev().take_while(|at| now.since(**at) <= window).count() as f64
+    }
+
+    /// Records the latency of a health check and returns it as a multiple of the shortest recent one.
+    pub(crate) fn record_health_check(&self, latency: Duration) -> f64 {
+        // A single unusually short answer is the reference for no longer than this.
+        const MAX_SAMPLES: usize = 32;
+        let mut latencies = self.health_check_latencies.borrow_mut();
+        push_bounded(&mut latencies, latency, MAX_SAMPLES);
+        latencies.iter().min().map_or(1.0, |shortest| latency.ratio_to(*shortest))
+    }
+}
