--- a/src/balancer/concurrency_limit.rs
+++ b/src/balancer/concurrency_limit.rs
@@ -7,9 +7,9 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// The widest window of the whole fleet, in attempts.
+/// The widest window of all proxies together, in attempts.
 const MAX_FLEET_WINDOW: f64 = 48.0;
-/// The narrowest window of the whole fleet, in attempts.
+/// The narrowest window of all proxies together, in attempts.
 const MIN_FLEET_WINDOW: f64 = 3.0;
 /// The widest window of a proxy is no less than this, as clients may arrive in pairs.
 const MIN_WIDEST_WINDOW: f64 = 2.0;
--- a/src/balancer/placement.rs
+++ b/src/balancer/placement.rs
@@ -2,6 +2,7 @@
 
 use super::failure_domains::DomainScore;
 use super::filter::{Filter, Flow, Selection};
+use super::fleet_load::FleetLoad;
 use super::slow_start::{AdmissionLoad, SlowStart};
 use crate::host::Host;
 use crate::state::{Attempt, ProxyState, Server, Session};
@@ -10,10 +11,6 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A server is overfull beyond this many times the mean number of connections.
-const SKIP_FACTOR: f64 = 2.0;
-/// ... and this many connections above the mean.
-const SKIP_MARGIN: f64 = 3.0;
 /// How long a client's draw stays the same, so that asking again at once does not change the answer.
 const DRAW_LIFETIME: Duration = Duration::from_millis(2000);
 /// How many servers beyond its group's own a session may go to.
@@ -60,37 +57,6 @@
     }
 }
 
-/// Connections of this proxy at the active servers that a session may go to.
-#[derive(Clone, Copy, Default)]
-struct FleetLoad {
-    servers: f64,
-    open: f64,
-    pending: f64,
-}
-
-impl FleetLoad {
-    fn of(servers: &[Rc<Server>]) -> Self {
-        let mut load = FleetLoad::default();
-        for server in servers.iter().filter(|server| server.is_active()) {
-            load.servers += 1.0;
-            load.open += server.open_connections();
-            load.pending += f64::from(server.pending_attempts.get());
-        }
-        load
-    }
-
-    /// Whether a server has far more connections than the mean. Pending ones count by themselves too, as they pile up
-    /// at a slow server.
-    fn is_overfull(&self, server: &Server) -> bool {
-        self.exceeds_mean(server.open_connections(), self.open)
-            || self.exceeds_mean(f64::from(server.pending_attempts.get()), self.pending)
-    }
-
-    fn exceeds_mean(&self, count: f64, total: f64) -> bool {
-        count * self.servers > SKIP_FACTOR * total && count >= total / self.servers + SKIP_MARGIN
-    }
-}
-
 /// A server and its rendezvous rank.
 struct RankedServer<'a> {
     rank: u64,
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,8 @@
-//! Decides where a balancer places long-lived connections.
+//! Decides at which server a proxy places each long-lived connection.
 //!
-//! [`balancer`] holds every decision, [`host`] the interface to whatever carries them out, [`time`] the types
-//! of time. A host implements [`host::Host`] and calls a [`choice::LoadBalancer`]:
+//! The crate does no I/O and reads no clock. [`balancer`] makes every decision, [`host`] is the interface to whatever
+//! carries them out, [`time`] has the types of time, [`warm_restart`] what outlives a restart, and [`outstanding`]
+//! counts what is open. A host implements [`host::Host`] and calls a [`balancer::LoadBalancer`]:
 //!
 //! ```
 //! use shelfgrade::balancer::{LoadBalancer, SlowStart};
@@ -64,6 +65,9 @@
 //! assert_eq!(host.0, ["session 1 to 192.0.2.1:80"]);
 //! ```
 
+#![warn(missing_docs)]
+#![deny(unsafe_code)]
+
 pub mod balancer;
 pub mod host;
 pub mod outstanding;
--- a/src/state/server.rs
+++ b/src/state/server.rs
@@ -65,7 +65,7 @@
         self.state.get() == EndpointState::Active
     }
 
-    /// Hashes of what it may share faults with other servers by.
+    /// Hashes of its failure domains, in which servers fail together.
     pub(crate) fn failure_domains(&self) -> [u64; 2] {
         [self.zone, self.kind]
     }
--- a/src/time.rs
+++ b/src/time.rs
@@ -1,7 +1,7 @@
 //! Timestamps on the host's clock, and what [`Duration`] lacks for them.
 //!
-//! All times count in whole microseconds: whatever is computed from a fraction is rounded to one here, so that a run
-//! gives the same decisions on every machine.
+//! All times are integral numbers of microseconds: what is computed from a fraction is rounded here, so that a run gives
+//! the same decisions on every machine.
 
 use std::ops::{Add, Sub};
 use std::time::Duration;
@@ -14,7 +14,7 @@
     /// Later than every other timestamp.
     pub const NEVER: Timestamp = Timestamp(u64::MAX);
 
-    /// A timestamp from milliseconds, rounded to whole microseconds.
+    /// A timestamp from milliseconds, rounded to microseconds.
     pub fn from_ms(ms: f64) -> Self {
         Timestamp(micros_from_ms(ms))
     }
@@ -24,9 +24,9 @@
         self.0 as f64 / 1000.0
     }
 
-    /// How many whole periods of this length lie before this timestamp.
+    /// How many complete periods of this length lie before this timestamp.
     pub fn periods(self, period: Duration) -> u64 {
-        self.0 / whole_micros(period).max(1)
+        self.0 / as_micros_u64(period).max(1)
     }
 
     /// The time elapsed since `earlier`; zero if that is still to come.
@@ -38,27 +38,27 @@
 impl Add<Duration> for Timestamp {
     type Output = Timestamp;
     fn add(self, duration: Duration) -> Timestamp {
-        Timestamp(self.0.saturating_add(whole_micros(duration)))
+        Timestamp(self.0.saturating_add(as_micros_u64(duration)))
     }
 }
 
 impl Sub<Duration> for Timestamp {
     type Output = Timestamp;
     fn sub(self, duration: Duration) -> Timestamp {
-        Timestamp(self.0.saturating_sub(whole_micros(duration)))
+        Timestamp(self.0.saturating_sub(as_micros_u64(duration)))
     }
 }
 
-/// Conversions and arithmetic in whole microseconds.
+/// Conversions and arithmetic of durations in integral microseconds.
 pub trait DurationExt {
-    /// A duration from milliseconds, rounded to whole microseconds; negative values give zero.
+    /// A duration from milliseconds, rounded to microseconds; negative values give zero.
     fn from_ms(ms: f64) -> Self;
     /// This duration in milliseconds.
     fn as_ms(&self) -> f64;
-    /// This duration multiplied by a factor, cut to whole microseconds.
+    /// This duration multiplied by a factor, truncated to microseconds.
     fn scaled(self, factor: f64) -> Self;
-    /// This duration as a fraction of `whole`.
-    fn ratio_to(self, whole: Self) -> f64;
+    /// This duration as a fraction of `total`, which counts as one microsecond at least.
+    fn ratio_to(self, total: Self) -> f64;
 }
 
 impl DurationExt for Duration {
@@ -67,15 +67,15 @@
     }
 
     fn as_ms(&self) -> f64 {
-        whole_micros(*self) as f64 / 1000.0
+        as_micros_u64(*self) as f64 / 1000.0
     }
 
     fn scaled(self, factor: f64) -> Self {
-        Duration::from_micros((whole_micros(self) as f64 * factor) as u64)
+        Duration::from_micros((as_micros_u64(self) as f64 * factor) as u64)
     }
 
-    fn ratio_to(self, whole: Self) -> f64 {
-        whole_micros(self) as f64 / whole_micros(whole).max(1) as f64
+    fn ratio_to(self, total: Self) -> f64 {
+        as_micros_u64(self) as f64 / as_micros_u64(total).max(1) as f64
     }
 }
 
@@ -83,6 +83,6 @@
     (ms * 1000.0).round() as u64
 }
 
-fn whole_micros(duration: Duration) -> u64 {
+fn as_micros_u64(duration: Duration) -> u64 {
     u64::try_from(duration.as_micros()).unwrap_or(u64::MAX)
 }
