--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire/line.rs
@@ -1,4 +1,4 @@
-//! The wire's lines: a name, then `name=value` parts set apart by single spaces.
+//! The wire's lines: a name, then `name=value` fields separated by single spaces.
 
 use anyhow::{bail, Context, Result};
 use shelfgrade::host::SessionId;
@@ -6,30 +6,34 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-/// Values of these names run to the end of their line.
-const TEXTS: [&str; 1] = ["env"];
+/// The field whose value runs to the end of its line.
+const TEXT_FIELD: &str = "env";
 
+/// A line of the wire, whose fields are read by name.
 pub struct Line<'a> {
+    /// What the line is.
     pub name: &'a str,
     rest: &'a str,
 }
 
 impl<'a> Line<'a> {
+    /// Splits the name from the fields.
     pub fn parse(text: &'a str) -> Self {
         let (name, rest) = text.split_once(' ').unwrap_or((text, ""));
         Line { name, rest }
     }
 
+    /// The value of a field, where the line has it.
     pub fn optional(&self, wanted: &str) -> Option<&'a str> {
         let mut rest = self.rest;
         while !rest.is_empty() {
             let (part, after) = rest.split_once(' ').unwrap_or((rest, ""));
             let (name, value) = part.split_once('=').unwrap_or((part, ""));
-            let text = TEXTS.contains(&name);
+            let is_text = name == TEXT_FIELD;
             if name == wanted {
-                return Some(if text { &rest[name.len() + 1..] } else { value });
+                return Some(if is_text { &rest[name.len() + 1..] } else { value });
             }
-            if text {
+            if is_text {
                 return None;
             }
             rest = after;
@@ -37,20 +41,23 @@
         None
     }
 
+    /// The value of a field that must be there and not be empty.
     pub fn required(&self, name: &str) -> Result<&'a str> {
         self.optional(name).filter(|v| !v.is_empty()).with_context(|| format!("{} lacks {name}", self.name))
     }
 
+    /// A numeric field.
     pub fn number<T: FromStr>(&self, name: &str) -> Result<T> {
         let value = self.required(name)?;
         value.parse().ok().with_context(|| format!("{name}={value} is not a number that fits"))
     }
 
-    pub fn whole(&self, name: &str) -> Result<u64> {
+    /// A field that is an unsigned integer.
+    pub fn integer(&self, name: &str) -> Result<u64> {
         self.number(name)
     }
 
-    fn ms(&self, name: &str) -> Result<f64> {
+    fn milliseconds(&self, name: &str) -> Result<f64> {
         let ms: f64 = self.number(name)?;
         if !ms.is_finite() || ms < 0.0 {
             bail!("{name}={ms} is no time");
@@ -58,14 +65,17 @@
         Ok(ms)
     }
 
-    pub fn point(&self, name: &str) -> Result<Timestamp> {
-        self.ms(name).map(Timestamp::from_ms)
+    /// A timestamp in milliseconds.
+    pub fn timestamp(&self, name: &str) -> Result<Timestamp> {
+        self.milliseconds(name).map(Timestamp::from_ms)
     }
 
-    pub fn span(&self, name: &str) -> Result<Duration> {
-        self.ms(name).map(Duration::from_ms)
+    /// A duration in milliseconds.
+    pub fn duration(&self, name: &str) -> Result<Duration> {
+        self.milliseconds(name).map(Duration::from_ms)
     }
 
+    /// A field that is 0 or 1; false where the line lacks it.
     pub fn flag(&self, name: &str) -> Result<bool> {
         match self.optional(name) {
             None | Some("0") => Ok(false),
@@ -74,6 +84,7 @@
         }
     }
 
+    /// The session that the line is about.
     pub fn session(&self) -> Result<SessionId> {
         let value = self.required("ref")?;
         let id = u64::from_str_radix(value, 16).ok().filter(|_| value.len() == 16);
--- a/crates/simulator-adapter/tests/unit/wire_in.rs
+++ b/crates/simulator-adapter/tests/unit/adapter.rs
@@ -1,22 +1,22 @@
-//! Stories of `main.rs` from within.
+//! Batches and malformed input.
 
 use super::Adapter;
 
 fn run(input: &str) -> Result<String, String> {
     let mut output = Vec::new();
     let done = Adapter::default().run(input.as_bytes(), &mut output);
-    done.map(|()| String::from_utf8(output).expect("text")).map_err(|fault| format!("{fault:#}"))
+    done.map(|()| String::from_utf8(output).expect("text")).map_err(|error| format!("{error:#}"))
 }
 
 #[test]
-fn an_empty_batch_is_answered_and_the_end_of_input_between_batches_is_fine() {
+fn an_empty_batch_is_answered_and_input_may_end_between_batches() {
     assert_eq!(run("SYNC now_ms=1.5 seq=9\nEOF_BATCH\n"), Ok("READY seq=9\n".into()));
     assert_eq!(run(""), Ok(String::new()));
 }
 
 #[test]
-fn a_fault_names_its_line_and_what_is_wrong() {
-    for (input, fault) in [
+fn malformed_input_is_reported_with_its_line_and_reason() {
+    for (input, error) in [
         ("SYNC now_ms=soon seq=1\n", "line 1: now_ms=soon is not a number that fits"),
         ("SYNC seq=1\n", "line 1: SYNC lacks now_ms"),
         ("EOF_BATCH\n", "line 1: EOF_BATCH outside a batch"),
@@ -27,6 +27,6 @@
             "line 3: FIRED for instance 2, which is not running",
         ),
     ] {
-        assert_eq!(run(input), Err(fault.into()), "{input}");
+        assert_eq!(run(input), Err(error.into()), "{input}");
     }
 }
