--- a/crates/proxy/src/fleet/peer_events.rs
+++ b/crates/proxy/src/fleet/peer_events.rs
@@ -1,9 +1,8 @@
 //! What the driver of the peer protocol reports to its owner.
 
 use crate::net::event_loop::EventLoopOwner;
-use shelfgrade::handover::FlowEntry;
-use shelfgrade_recovery::admission::State;
-use shelfgrade_recovery::environment::EndpointAddress;
+use shelfgrade::warm_restart::FlowEntry;
+use shelfgrade_recovery::{EndpointAddress, RecoveryState};
 
 /// Receives what this process learns from its peers and from its recovery; its event loop carries the socket.
 pub trait PeerEvents: EventLoopOwner {
@@ -12,7 +11,7 @@
     /// This process has become one that polls discovery for the fleet, or has ceased to be.
     fn set_polling(&mut self, is_poller: bool);
     /// The recovery has reached another state.
-    fn state_changed(&mut self, state: State);
+    fn state_changed(&mut self, state: RecoveryState);
     /// Where a client's connection was before this process started.
     fn restore_flow(&mut self, flow: &FlowEntry);
     /// The list from discovery was rejected: the complete list is to be requested, after a backoff.
--- a/crates/proxy/src/fleet/peers.rs
+++ b/crates/proxy/src/fleet/peers.rs
@@ -17,13 +17,12 @@
 use environment::NodeEnvironment;
 use notification::Notification;
 use saving::LastSave;
-use shelfgrade::host::Turn;
+use shelfgrade::host::AdmissionTurn;
 use shelfgrade::time::Timestamp;
-use shelfgrade_recovery::admission::State;
-use shelfgrade_recovery::environment::{EndpointAddress, RecoverySettings};
-use shelfgrade_recovery::node::Node;
-use shelfgrade_recovery::restore::ServerRecord;
 use shelfgrade_recovery::snapshot::{self, Snapshot};
+use shelfgrade_recovery::{
+    ClockReading, EndpointAddress, Node, RecoverySettings, RecoveryState, Requester, ServerRecord,
+};
 use std::cell::{Cell, RefCell};
 use std::net::{SocketAddr, UdpSocket};
 use std::path::PathBuf;
@@ -60,7 +59,7 @@
         socket.set_nonblocking(true).map_err(bind_error)?;
         let snapshot = newest_snapshot(&file);
         let now = events.now();
-        let mut node = Node::new(file.roster.clone(), settings, snapshot, seed, (now, wall_ms(now)));
+        let mut node = Node::new(file.roster.clone(), settings, snapshot, seed, clock(now));
         node.add_known_endpoints(known.into_iter(), now);
         let (state, size, fleet) = (node.state().name(), file.roster.size(), file.roster.fleet());
         log::info!("recovery: {state}; one of {size} in {fleet}");
@@ -88,17 +87,13 @@
     fn on_socket_ready(self: &Rc<Self>, events: &mut impl PeerEvents) {
         // Bounded, so that a flood of datagrams does not starve the clients.
         const MAX_DATAGRAMS_PER_EVENT: usize = 64;
-        let mut datagram = [0; shelfgrade_fleet::LONGEST];
+        let mut datagram = [0; shelfgrade_fleet::MAX_DATAGRAM_BYTES];
         for _ in 0..MAX_DATAGRAMS_PER_EVENT {
             let Ok((length, from)) = self.socket.recv_from(&mut datagram) else { break };
             if self.is_peer_address(from) {
                 let now = events.now();
                 let mut environment = NodeEnvironment { peers: self };
-                self.node.borrow_mut().on_datagram(
-                    &datagram[..length],
-                    (now, wall_ms(now)),
-                    &mut environment,
-                );
+                self.node.borrow_mut().on_datagram(&datagram[..length], clock(now), &mut environment);
             } else {
                 events.warn("fleet datagrams from unknown addresses");
             }
@@ -112,7 +107,7 @@
 
     fn on_timer(self: &Rc<Self>, events: &mut impl PeerEvents) {
         let now = events.now();
-        self.node.borrow_mut().on_timer((now, wall_ms(now)), &mut NodeEnvironment { peers: self });
+        self.node.borrow_mut().on_timer(clock(now), &mut NodeEnvironment { peers: self });
         self.save_if_due(now, events);
         self.deliver_notifications(events);
     }
@@ -161,19 +156,17 @@
         accepted
     }
 
-    /// A new session's place in the order of admission, or none outside of a recovery. `class` and `customer` are
-    /// positions in the settings. The quota fraction is brought up to date first, as leases may have expired while this
-    /// process was suspended.
+    /// A new session's place in the order of admission, or none outside of a recovery. The quota fraction is brought up to
+    /// date first, as leases may have expired while this process was suspended.
     pub fn admission_turn(
         &self,
-        class: Option<usize>,
-        customer: Option<usize>,
+        requester: Requester,
         key: u64,
         events: &mut impl PeerEvents,
-    ) -> Option<Turn> {
+    ) -> Option<AdmissionTurn> {
         let now = events.now();
         events.set_quota_fraction(self.node.borrow().quota_fraction(now));
-        self.node.borrow_mut().admission_turn((class, customer), key, now)
+        self.node.borrow_mut().admission_turn(requester, key, now)
     }
 
     /// Records that the session which came last was admitted.
@@ -203,7 +196,7 @@
     }
 
     /// The state of this process's recovery.
-    pub fn state(&self) -> State {
+    pub fn state(&self) -> RecoveryState {
         self.node.borrow().state()
     }
 
@@ -227,7 +220,7 @@
     /// Leaves the fleet: notifies the peers, and waits until the last snapshot is written.
     pub fn leave(&self, events: &impl PeerEvents) {
         let now = events.now();
-        self.node.borrow_mut().leave((now, wall_ms(now)), &mut NodeEnvironment { peers: self });
+        self.node.borrow_mut().leave(clock(now), &mut NodeEnvironment { peers: self });
         self.write_last_snapshot(now, events);
     }
 }
@@ -236,11 +229,16 @@
 fn newest_snapshot(file: &FleetFile) -> Option<Snapshot> {
     let name = file.roster.name(file.roster.me()).unwrap_or_default();
     let found = file.state_dir.as_deref().map(snapshot_writer::read).unwrap_or_default();
-    let (newest, errors) = snapshot::newest(&found, file.roster.fleet(), name);
-    for (generation, error) in errors {
-        log::warn!("snapshot {generation}: {error}");
+    let loaded = snapshot::select_newest(&found, file.roster.fleet(), name);
+    for rejected in loaded.rejected {
+        log::warn!("snapshot {}: {}", rejected.generation, rejected.error);
     }
-    newest
+    loaded.newest
+}
+
+/// What the node is given of the time with each call.
+fn clock(now: Timestamp) -> ClockReading {
+    ClockReading { now, wall_ms: wall_ms(now) }
 }
 
 /// This machine's Unix time in milliseconds, by the event loop's clock.
--- a/crates/proxy/src/fleet/peers/environment.rs
+++ b/crates/proxy/src/fleet/peers/environment.rs
@@ -2,12 +2,12 @@
 
 use super::notification::Notification;
 use super::Peers;
-use shelfgrade::handover::FlowEntry;
 use shelfgrade::time::Timestamp;
+use shelfgrade::warm_restart::FlowEntry;
 use shelfgrade_fleet::{Entry, Environment, MemberId};
-use shelfgrade_recovery::admission::State;
-use shelfgrade_recovery::environment::{EndpointAddress, RecoveryEnvironment};
-use shelfgrade_recovery::restore::{HEARTBEAT_PREFIX, LIST_KEY, SERVER_PREFIX};
+use shelfgrade_recovery::{
+    EndpointAddress, RecoveryEnvironment, RecoveryState, HEARTBEAT_PREFIX, LIST_KEY, SERVER_PREFIX,
+};
 
 /// Keys of the shared map that the recovery state machine handles by itself.
 const INTERNAL_KEY_PREFIXES: [&str; 3] = [SERVER_PREFIX, HEARTBEAT_PREFIX, LIST_KEY];
@@ -66,7 +66,7 @@
         self.notify(Notification::Polling { is_poller });
     }
 
-    fn state_changed(&mut self, state: State, why: &str) {
+    fn state_changed(&mut self, state: RecoveryState, why: &str) {
         log::info!("recovery: {}; {why}", state.name());
         self.notify(Notification::StateChanged(state));
     }
--- a/crates/proxy/src/fleet/peers/notification.rs
+++ b/crates/proxy/src/fleet/peers/notification.rs
@@ -1,15 +1,14 @@
 //! What the recovery state machine reports during a call, kept until the call has returned.
 
 use crate::fleet::peer_events::PeerEvents;
-use shelfgrade::handover::FlowEntry;
-use shelfgrade_recovery::admission::State;
-use shelfgrade_recovery::environment::EndpointAddress;
+use shelfgrade::warm_restart::FlowEntry;
+use shelfgrade_recovery::{EndpointAddress, RecoveryState};
 
 /// One call of [`PeerEvents`] to be made.
 pub(super) enum Notification {
     Endpoints { endpoints: Vec<EndpointAddress>, is_complete: bool },
     Polling { is_poller: bool },
-    StateChanged(State),
+    StateChanged(RecoveryState),
     RestoredFlow(FlowEntry),
     ListRejected,
     SharedEntryChanged(String),
--- a/crates/proxy/src/fleet/peers/saving.rs
+++ b/crates/proxy/src/fleet/peers/saving.rs
@@ -38,6 +38,6 @@
     fn encode_snapshot(&self, now: Timestamp, events: &impl PeerEvents) -> SnapshotJob {
         let flows = events.flow_entries().into_iter().map(|flow| (flow.key, flow.server));
         let snapshot = self.node.borrow_mut().snapshot(flows, wall_ms(now));
-        SnapshotJob { number: snapshot.number, bytes: snapshot::write(&snapshot) }
+        SnapshotJob { number: snapshot.sequence, bytes: snapshot::encode(&snapshot) }
     }
 }
--- a/crates/proxy/src/fleet/peers/shared_map.rs
+++ b/crates/proxy/src/fleet/peers/shared_map.rs
@@ -2,7 +2,7 @@
 
 use super::environment::NodeEnvironment;
 use super::Peers;
-use crate::tenants::tenant_namespaces::Shared;
+use crate::tenants::replicated_store::ReplicatedStore;
 use serde::{de::DeserializeOwned, Serialize};
 use shelfgrade_fleet::Version;
 
@@ -15,7 +15,7 @@
     }
 }
 
-impl Shared for Peers {
+impl ReplicatedStore for Peers {
     fn get<T: DeserializeOwned>(&self, key: &str) -> Option<T> {
         self.node.borrow().fleet().get(key)
     }
--- a/crates/proxy/src/fleet/server_records.rs
+++ b/crates/proxy/src/fleet/server_records.rs
@@ -1,7 +1,7 @@
 //! Records of discovery in the form that peers share.
 
 use crate::discovery::endpoint_list::{EndpointList, EndpointRecord, Health};
-use shelfgrade_recovery::restore::{self, ServerRecord};
+use shelfgrade_recovery::{ServerHealth, ServerRecord};
 
 /// The records of a list, each under its host's name.
 pub fn server_records(list: &EndpointList) -> Vec<(String, ServerRecord)> {
@@ -10,15 +10,15 @@
 
 fn server_record(record: &EndpointRecord) -> ServerRecord {
     ServerRecord {
-        dial: record.address,
-        site: record.zone.clone(),
+        address: record.address,
+        zone: record.zone.clone(),
         kind: record.kind.clone(),
-        block: record.cell,
+        cell: record.cell,
         health: match record.health {
-            Health::InService => restore::Health::InService,
-            Health::Terminating => restore::Health::Terminating,
-            Health::Terminated => restore::Health::Terminated,
+            Health::InService => ServerHealth::InService,
+            Health::Terminating => ServerHealth::Terminating,
+            Health::Terminated => ServerHealth::Terminated,
         },
-        born_ms: record.started_ms,
+        started_ms: record.started_ms,
     }
 }
--- a/crates/proxy/src/lifecycle/serve.rs
+++ b/crates/proxy/src/lifecycle/serve.rs
@@ -87,8 +87,8 @@
 fn build(start: Start, known: &EndpointList, fleet: Option<&FleetFile>, resources: Resources) -> Proxy {
     let Resources { limits, handle, listener, stop } = resources;
     let Settings { classes, customers, slow_start, list_is_pushed: is_pushed, .. } = start.settings;
-    let strain_signs = (start.settings.health_checks_allowed, start.settings.tells_delay);
-    let executor = Executor::new(handle, limits, start.settings.dial_time_out, strain_signs);
+    let strain_signs = (start.settings.health_checks_allowed, start.settings.servers_report_latency);
+    let executor = Executor::new(handle, limits, start.settings.dial_timeout, strain_signs);
     let now = executor.clock.now();
     // With a pushed list or peers the complete list is requested first, as a response to that comes at once.
     let requests_complete_list = known.records.is_empty() || is_pushed || fleet.is_some();
@@ -104,7 +104,7 @@
         executor,
         listener,
         classes,
-        customers: customers.into_iter().map(|(name, _)| name).collect(),
+        customers: customers.into_iter().map(|customer| customer.name).collect(),
         slow_start,
         ring_size: ring_size(limits),
         discovery: Discovery::new(start.discovery, version, timeouts, start.seed),
@@ -122,7 +122,7 @@
         latencies_reported_at: now,
         reload_requested_at: None,
         shutdown_requested_at: None,
-        shutdown_schedule: ShutdownSchedule::new(start.settings.longest_request_timeout),
+        shutdown_schedule: ShutdownSchedule::new(start.settings.max_request_timeout),
         stop,
     }
 }
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -27,7 +27,7 @@
 use calloop::{LoopHandle, LoopSignal};
 use shelfgrade::host::ServerId;
 use shelfgrade::time::Timestamp;
-use shelfgrade_recovery::environment::EndpointAddress;
+use shelfgrade_recovery::EndpointAddress;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
--- a/crates/proxy/src/proxy/admission.rs
+++ b/crates/proxy/src/proxy/admission.rs
@@ -3,10 +3,11 @@
 
 use crate::proxy::Proxy;
 use crate::session::{Session, Stage};
-use crate::tenants::tenant_namespaces::Decided;
+use crate::tenants::tenant_namespaces::RuleDecision;
 use calloop::timer::{TimeoutAction, Timer};
-use shelfgrade::host::{Arrival, Turn};
+use shelfgrade::host::{AdmissionTurn, Arrival};
 use shelfgrade::time::{DurationExt, Timestamp};
+use shelfgrade_recovery::Requester;
 use std::rc::{Rc, Weak};
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
@@ -65,19 +66,19 @@
         let now = self.now();
         let mut turn = self.admission_turn(session);
         let rule = self.rule_for(session);
-        if let Some(rule) = rule.as_ref().filter(|rule| rule.full) {
+        if let Some(rule) = rule.as_ref().filter(|rule| rule.is_over_quota) {
             log::debug!("session {}: the quota of {} is used up", session.id.0, rule.customer);
             self.executor.metrics.count("sessions over namespace quota");
-            let again = turn.map_or(RETRY_AFTER_OVER_QUOTA, |turn| turn.again);
-            turn = Some(Turn { before: NOT_ADMITTED, again });
+            let retry_after = turn.map_or(RETRY_AFTER_OVER_QUOTA, |turn| turn.retry_after);
+            turn = Some(AdmissionTurn { fraction_ahead: NOT_ADMITTED, retry_after });
         }
         if let Some(rule) = &rule {
             self.ensure_balancer_of(&rule.customer, now);
         }
         let deadline = session.since.get() + session.opening.request_timeout;
-        let among = rule.as_ref().map(|rule| &rule.among);
-        let arrival = Arrival { turn, among, ..arrival(session, deadline) };
-        *session.place.borrow_mut() = rule.as_ref().map(|rule| rule.place.clone());
+        let allowed_servers = rule.as_ref().map(|rule| &rule.servers);
+        let arrival = Arrival { admission_turn: turn, allowed_servers, ..arrival(session, deadline) };
+        *session.place.borrow_mut() = rule.as_ref().map(|rule| rule.reservation.clone());
         let customer = rule.as_ref().map(|rule| &rule.customer);
         self.balancer.on_request(customer, &arrival, now, &mut self.executor);
         // One that was rejected has been answered and left this stage.
@@ -88,25 +89,25 @@
 
     /// The load balancer of a customer with a namespace is created with its first session.
     fn ensure_balancer_of(&mut self, customer: &Rc<str>, now: Timestamp) {
-        if !self.balancer.knows(customer) {
-            let namespace = self.namespaces.changed(customer);
-            namespace
-                .into_iter()
-                .for_each(|namespace| self.balancer.begin(namespace, now, &mut self.executor));
+        if !self.balancer.has_tenant(customer) {
+            if let Some(update) = self.namespaces.update_for(customer) {
+                self.balancer.add_tenant(update, now, &mut self.executor);
+            }
         }
     }
 
     /// The session's place in the order of admission, during a recovery.
-    fn admission_turn(&mut self, session: &Session) -> Option<Turn> {
+    fn admission_turn(&mut self, session: &Session) -> Option<AdmissionTurn> {
         let peers = self.peers.clone()?;
         let opening = &session.opening;
         let name = opening.customer.as_ref();
         let customer = name.and_then(|name| self.customers.iter().position(|known| known == name));
-        peers.admission_turn(Some(opening.class), customer, xxh3_64(opening.key.as_bytes()), self)
+        let requester = Requester { class: Some(opening.class), customer };
+        peers.admission_turn(requester, xxh3_64(opening.key.as_bytes()), self)
     }
 
     /// What the namespace of its customer decides about a session, if there is one.
-    fn rule_for(&mut self, session: &Session) -> Option<Decided> {
+    fn rule_for(&mut self, session: &Session) -> Option<RuleDecision> {
         let opening = &session.opening;
         let class = self.classes.get(opening.class).map_or("", String::as_str);
         self.namespaces.decide(opening.customer.as_deref(), class, opening.group.as_deref())
@@ -123,8 +124,8 @@
         group: opening.group.as_deref(),
         deadline,
         mid_flow: opening.mid_flow,
-        returned: opening.returned,
-        turn: None,
-        among: None,
+        reconnected: opening.returned,
+        admission_turn: None,
+        allowed_servers: None,
     }
 }
--- a/crates/proxy/src/proxy/discovery_events.rs
+++ b/crates/proxy/src/proxy/discovery_events.rs
@@ -20,7 +20,7 @@
             return keeps_watching;
         }
         if list.sent_at.is_some_and(|time| self.start_times.update_clock_lead(time, now)) {
-            let known = self.start_times.relocalize(self.balancer.list());
+            let known = self.start_times.relocalize(self.balancer.endpoints());
             self.balancer.on_endpoints(&known, false, now);
         }
         let endpoints = self.start_times.localize(list.endpoints(), now);
--- a/crates/proxy/src/proxy/fleet_endpoints.rs
+++ b/crates/proxy/src/proxy/fleet_endpoints.rs
@@ -2,9 +2,9 @@
 
 use crate::proxy::Proxy;
 use crate::session::Stage;
-use crate::tenants::tenant_namespaces::Changed;
+use crate::tenants::tenant_namespaces::NamespaceUpdate;
 use shelfgrade::host::{Endpoint, Host, SessionId};
-use shelfgrade_recovery::environment::EndpointAddress;
+use shelfgrade_recovery::EndpointAddress;
 
 /// An established session and the zone of its server.
 struct SessionInZone {
@@ -19,27 +19,29 @@
         if is_complete {
             self.fleet_endpoints.clear();
         }
-        for address in &endpoints {
-            self.fleet_endpoints.insert(address.endpoint.server.clone(), duplicate(address));
+        for known in &endpoints {
+            self.fleet_endpoints.insert(known.endpoint.server.clone(), duplicate(known));
         }
-        self.update_maintenance();
+        self.apply_maintenance_windows();
         self.apply_with_maintenance(endpoints, is_complete);
     }
 
     /// Called once a second and with each change of the list: begins and ends maintenance windows by the schedule.
-    pub fn update_maintenance(&mut self) {
-        let Some(peers) = self.peers.clone().filter(|_| !self.maintenance_windows.are_none()) else { return };
+    pub fn apply_maintenance_windows(&mut self) {
+        let Some(peers) = self.peers.clone().filter(|_| self.maintenance_windows.has_schedule()) else {
+            return;
+        };
         let fleet_ms = peers.fleet_ms(self.now());
         let endpoints: Vec<Endpoint> =
             self.fleet_endpoints.values().map(|known| known.endpoint.clone()).collect();
         let sessions = self.sessions_in_zones();
         let sessions_in = |zone: &str| sessions.iter().filter(|session| session.zone == zone).count();
-        let look = self.maintenance_windows.look(fleet_ms, &endpoints, sessions_in);
-        if look.changed {
+        let changes = self.maintenance_windows.evaluate(fleet_ms, &endpoints, sessions_in);
+        if changes.endpoints_changed {
             self.apply_with_maintenance(self.fleet_endpoints.values().map(duplicate).collect(), true);
         }
         for SessionInZone { session, zone } in sessions {
-            if look.begun.contains(&zone) {
+            if changes.closing_sites.contains(&zone) {
                 self.executor.metrics.count("migrated for maintenance");
                 self.executor.migrate(session);
             }
@@ -62,22 +64,24 @@
         let now = self.now();
         let (endpoints, addresses): (Vec<_>, Vec<_>) = endpoints
             .into_iter()
-            .map(|known| (self.maintenance_windows.line(&known.endpoint, self.slow_start, now), known.dial))
+            .map(|known| {
+                (self.maintenance_windows.apply_to(&known.endpoint, self.slow_start, now), known.address)
+            })
             .unzip();
         self.executor.follow(endpoints.iter().zip(addresses.iter().copied()), is_complete);
         self.balancer.on_endpoints(&endpoints, is_complete, now);
     }
 
     /// Passes changed namespaces to the load balancers of their customers.
-    pub fn apply_namespace_changes(&mut self, changes: Vec<Changed>) {
+    pub fn apply_namespace_updates(&mut self, updates: Vec<NamespaceUpdate>) {
         let now = self.now();
-        for (customer, servers, share) in changes {
-            self.balancer.has_space(&customer, &servers, share, now);
+        for update in updates {
+            self.balancer.update_tenant(&update, now);
         }
-        self.balancer.common_has(self.namespaces.common_share());
+        self.balancer.set_default_quota_share(self.namespaces.default_quota_share());
     }
 }
 
-fn duplicate(address: &EndpointAddress) -> EndpointAddress {
-    EndpointAddress { endpoint: address.endpoint.clone(), dial: address.dial }
+fn duplicate(known: &EndpointAddress) -> EndpointAddress {
+    EndpointAddress { endpoint: known.endpoint.clone(), address: known.address }
 }
--- a/crates/proxy/src/proxy/fleet_membership.rs
+++ b/crates/proxy/src/proxy/fleet_membership.rs
@@ -7,7 +7,7 @@
 use crate::fleet::server_records::server_records;
 use crate::proxy::Proxy;
 use crate::tenants::tenant_namespaces::TenantNamespaces;
-use shelfgrade_recovery::environment::{EndpointAddress, RecoverySettings};
+use shelfgrade_recovery::{EndpointAddress, RecoverySettings};
 
 impl Proxy {
     /// Joins the fleet that the fleet file describes. `known` is the list of the start-up file.
@@ -22,7 +22,7 @@
             .endpoints()
             .into_iter()
             .zip(known.addresses())
-            .map(|(endpoint, dial)| EndpointAddress { endpoint, dial });
+            .map(|(endpoint, address)| EndpointAddress { endpoint, address });
         let peers = Peers::join(file, settings, known.collect(), seed, self)?;
         self.namespaces = TenantNamespaces::new(peers.member());
         self.peers = Some(peers.clone());
@@ -51,10 +51,10 @@
     pub fn reload_tenant_files(&mut self) {
         let Some(peers) = self.peers.clone() else { return };
         if let Some(folder) = peers.namespaces_dir() {
-            self.namespaces.read(&folder, &*peers);
+            self.namespaces.load(&folder, &*peers);
         }
         if let Some(path) = peers.maintenance_file() {
-            self.maintenance_windows.read(&path, peers.fleet_ms(self.now()), &*peers);
+            self.maintenance_windows.load(&path, peers.fleet_ms(self.now()), &*peers);
         }
         peers.deliver_notifications(self);
     }
--- a/crates/proxy/src/proxy/peer_events.rs
+++ b/crates/proxy/src/proxy/peer_events.rs
@@ -2,11 +2,10 @@
 
 use crate::fleet::peer_events::PeerEvents;
 use crate::proxy::Proxy;
-use crate::tenants::maintenance_windows::WINDOWS;
-use shelfgrade::handover::FlowEntry;
+use crate::tenants::maintenance_windows::SCHEDULE_KEY;
 use shelfgrade::host::EndpointState;
-use shelfgrade_recovery::admission::State;
-use shelfgrade_recovery::environment::EndpointAddress;
+use shelfgrade::warm_restart::FlowEntry;
+use shelfgrade_recovery::{EndpointAddress, RecoveryState};
 use std::time::Duration;
 
 /// How long a restored flow is remembered: as long as the flow table keeps a connection that has ended.
@@ -19,10 +18,10 @@
     fn apply_endpoints(&mut self, endpoints: Vec<EndpointAddress>, is_complete: bool) {
         self.apply_fleet_endpoints(endpoints, is_complete);
         self.fleet_endpoints.retain(|_, known| known.endpoint.state != EndpointState::Removed);
-        self.namespaces.follow(self.balancer.list());
+        self.namespaces.set_endpoints(self.balancer.endpoints());
         let customers = self.balancer.customers();
-        let changes = customers.iter().filter_map(|customer| self.namespaces.changed(customer)).collect();
-        self.apply_namespace_changes(changes);
+        let updates = customers.iter().filter_map(|customer| self.namespaces.update_for(customer)).collect();
+        self.apply_namespace_updates(updates);
         self.executor.take_over_waiting();
         self.run_deferred_actions();
     }
@@ -36,7 +35,7 @@
         }
     }
 
-    fn state_changed(&mut self, _: State) {
+    fn state_changed(&mut self, _: RecoveryState) {
         self.executor.list_heard.set(true);
         self.open_startup_gate();
     }
@@ -66,12 +65,12 @@
 
     fn shared_entry_changed(&mut self, key: &str) {
         let Some(peers) = self.peers.clone() else { return };
-        if key.starts_with(WINDOWS) {
+        if key.starts_with(SCHEDULE_KEY) {
             let fleet_ms = peers.fleet_ms(self.now());
-            return self.maintenance_windows.heard(fleet_ms, &*peers);
+            return self.maintenance_windows.on_schedule_changed(fleet_ms, &*peers);
         }
-        let changes = self.namespaces.heard(key, &*peers);
-        self.apply_namespace_changes(changes);
+        let updates = self.namespaces.on_shared_entry_changed(key, &*peers);
+        self.apply_namespace_updates(updates);
     }
 
     fn warn(&self, what: &'static str) {
--- a/crates/proxy/src/proxy/ticks.rs
+++ b/crates/proxy/src/proxy/ticks.rs
@@ -30,8 +30,8 @@
         }
         self.latencies_reported_at = now;
         let sessions = &self.executor.sessions;
-        self.balancer.sweep(|session| sessions.contains_key(session), now);
-        self.update_maintenance();
+        self.balancer.evict_idle(|session| sessions.contains_key(session), now);
+        self.apply_maintenance_windows();
         self.report_message_latencies(now);
     }
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,10 +1,11 @@
-//! Decides where a balancer places long-lived connections.
+//! Decides at which server a proxy places each long-lived connection.
 //!
-//! [`choice`] holds every decision, [`host`] the interface to whatever carries them out, [`time`] the types
-//! of time. A host implements [`host::Host`] and calls a [`choice::LoadBalancer`]:
+//! The crate does no I/O and reads no clock. [`balancer`] makes every decision, [`host`] is the interface to whatever
+//! carries them out, [`time`] has the types of time, [`warm_restart`] what outlives a restart, and [`outstanding`]
+//! counts what is open. A host implements [`host::Host`] and calls a [`balancer::LoadBalancer`]:
 //!
 //! ```
-//! use shelfgrade::choice::{LoadBalancer, SlowStart};
+//! use shelfgrade::balancer::{LoadBalancer, SlowStart};
 //! use shelfgrade::host::*;
 //! use shelfgrade::time::Timestamp;
 //! use std::time::Duration;
@@ -56,17 +57,20 @@
 //!     group: None,
 //!     deadline: now + Duration::from_millis(3000),
 //!     mid_flow: false,
-//!     returned: false,
-//!     turn: None,
-//!     among: None,
+//!     reconnected: false,
+//!     admission_turn: None,
+//!     allowed_servers: None,
 //! };
 //! balancer.on_request(&arrival, now, &mut host);
 //! assert_eq!(host.0, ["session 1 to 192.0.2.1:80"]);
 //! ```
 
-pub mod books;
-pub mod choice;
-pub mod handover;
+#![warn(missing_docs)]
+#![deny(unsafe_code)]
+
+pub mod balancer;
 pub mod host;
-mod record;
+pub mod outstanding;
+mod state;
 pub mod time;
+pub mod warm_restart;
