--- a/crates/proxy/src/discovery/client.rs
+++ b/crates/proxy/src/discovery/client.rs
@@ -166,7 +166,7 @@
         let timer = Timer::from_duration(first);
         let token = follower.handle().insert_source(timer, move |_, _, follower| {
             let left = ends.since(follower.now());
-            let up = me.socket.borrow().as_ref().is_some_and(|s| s.is_up().unwrap_or(false));
+            let up = me.socket.borrow().as_ref().is_some_and(|s| s.is_connected().unwrap_or(false));
             if up && left > Duration::ZERO {
                 return TimeoutAction::ToDuration(left);
             }
@@ -211,7 +211,7 @@
 
     fn flush(&self) {
         let Some(socket) = self.socket.borrow().clone() else { return };
-        if socket.is_up().is_ok_and(|up| up) {
+        if socket.is_connected().is_ok_and(|up| up) {
             while socket.write(&mut self.request.borrow_mut()) > 0 {}
         }
     }
@@ -219,7 +219,7 @@
     fn ready(self: &Rc<Self>, follower: &mut F) {
         let Some(socket) = self.socket.borrow().clone() else { return };
         let at = self.at.get();
-        match socket.is_up() {
+        match socket.is_connected() {
             Err(source) => return self.failed(&CallError::Dial { at, source }, follower),
             Ok(false) => return,
             Ok(true) => {}
@@ -229,12 +229,12 @@
         let mut inbox = self.inbox.borrow_mut();
         while socket.read(&mut inbox) > 0 {
             // What comes between calls is nothing that was asked for.
-            let _ = call.as_mut().map(|call| inbox.drain_to(call.come()));
+            let _ = call.as_mut().map(|call| inbox.drain_to(call.input()));
             inbox.clear();
         }
         drop(inbox);
-        let ended = socket.ended.get().is_some();
-        let answer = call.as_mut().map(|call| call.answer(ended));
+        let ended = socket.peer_end.get().is_some();
+        let answer = call.as_mut().map(|call| call.response(ended));
         drop(call);
         match answer {
             // Between calls it may end as it likes; the next call opens another.
@@ -249,7 +249,7 @@
                 }
                 Ok(mut list) => {
                     list.told_at = answer.date;
-                    if !answer.keeps {
+                    if !answer.keep_alive {
                         self.socket.take();
                     }
                     self.stop_timer(follower);
@@ -275,7 +275,7 @@
     fn failed(&self, error: &CallError, follower: &mut F) {
         let begun = match (error, &*self.call.borrow()) {
             (_, None) => return drop(self.socket.take()),
-            (CallError::Http { source: HttpError::CutOff, .. }, Some(call)) => call.has_begun(),
+            (CallError::Http { source: HttpError::Truncated, .. }, Some(call)) => call.has_begun(),
             (CallError::Http { source: HttpError::Status(_), .. }, _) => false,
             (CallError::Http { .. } | CallError::List { .. }, _) => true,
             _ => false,
--- a/crates/proxy/src/downstream/lingering.rs
+++ b/crates/proxy/src/downstream/lingering.rs
@@ -1,75 +1,85 @@
-//! Lingering closes: a connection that has been told its last line is kept for a moment after the end of our sending,
-//! and what still comes on it is read and dropped. A close over unread bytes, or over bytes that are still on their
-//! way, resets the connection, and the reset may overtake that line.
+//! Lingering closes: after its final answer a client's connection is kept for a moment past the end of our sending, and
+//! what still comes on it is read and dropped. A close with bytes unread, or still on their way, resets the connection,
+//! and the reset may overtake the answer.
 
 use crate::net::socket::{End, Socket};
-use crate::proxy::Proxy;
 use shelfgrade::time::Timestamp;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// More than bytes take that were sent before the peer read its answer; with the two seconds after which a silent
-/// client is put out it is under the three in which such a client is owed an answer or a close.
-const LONGEST: Duration = Duration::from_millis(600);
-/// More than a client sends that means no harm; whoever sends on is not read without end.
-const MOST_BYTES: usize = 256 << 10;
+/// How long a connection lingers: longer than bytes take that were sent before the peer read its answer. With the two
+/// seconds for a first line it stays under the three in which a silent client is owed an answer or a close.
+const LINGER_TIMEOUT: Duration = Duration::from_millis(600);
+/// How much is read and dropped: more than a well-behaved client sends without an answer.
+const MAX_DISCARDED_BYTES: usize = 256 << 10;
 
-struct Closing {
-    socket: Rc<Socket<Proxy>>,
+/// What owns the lingering connections, so that their socket events find them.
+pub trait LingeringOwner: Sized + 'static {
+    /// The connections that are lingering.
+    fn lingering(&mut self) -> &mut LingeringCloses<Self>;
+}
+
+struct LingeringClose<T: 'static> {
+    socket: Rc<Socket<T>>,
     since: Timestamp,
-    dropped: usize,
+    discarded: usize,
 }
 
-impl Closing {
-    /// Goes on with what is left to write and read; whether nothing is left.
-    fn go_on(&mut self) -> bool {
-        self.dropped += self.socket.discard(MOST_BYTES - self.dropped);
-        let written = self.socket.write_own();
-        let ended = self.socket.ended.get();
-        ended == Some(End::Reset) || written && (ended.is_some() || self.dropped >= MOST_BYTES)
+impl<T> LingeringClose<T> {
+    /// Writes and reads what is left; whether the connection can be closed.
+    fn advance(&mut self) -> bool {
+        self.discarded += self.socket.discard(MAX_DISCARDED_BYTES - self.discarded);
+        let flushed = self.socket.flush_lines();
+        let end = self.socket.peer_end.get();
+        end == Some(End::Reset) || flushed && (end.is_some() || self.discarded >= MAX_DISCARDED_BYTES)
     }
 }
 
-/// The connections that are being closed, in the order in which that began.
-#[derive(Default)]
-pub struct LingeringCloses {
-    closing: BTreeMap<u64, Closing>,
+/// The connections that are lingering, in the order in which that began.
+pub struct LingeringCloses<T: 'static> {
+    closes: BTreeMap<u64, LingeringClose<T>>,
     last_number: u64,
 }
 
-impl LingeringCloses {
-    /// Ends our side of a connection after its last line, and closes it once its peer has ended too, or in time.
-    pub fn close(&mut self, socket: Rc<Socket<Proxy>>, now: Timestamp) {
+impl<T> Default for LingeringCloses<T> {
+    fn default() -> Self {
+        LingeringCloses { closes: BTreeMap::new(), last_number: 0 }
+    }
+}
+
+impl<T: LingeringOwner> LingeringCloses<T> {
+    /// Ends our side of a connection after its last line, and closes it once its peer has ended too, or after a timeout.
+    pub fn close(&mut self, socket: Rc<Socket<T>>, now: Timestamp) {
         socket.end(End::Fin);
-        let mut closing = Closing { socket, since: now, dropped: 0 };
-        if closing.go_on() {
+        let mut close = LingeringClose { socket, since: now, discarded: 0 };
+        if close.advance() {
             return;
         }
         self.last_number += 1;
         let number = self.last_number;
-        closing.socket.on_ready(move |proxy| proxy.executor.lingering.ready(number));
-        self.closing.insert(number, closing);
+        close.socket.on_ready(move |owner: &mut T| owner.lingering().on_ready(number));
+        self.closes.insert(number, close);
     }
 
-    fn ready(&mut self, number: u64) {
-        if self.closing.get_mut(&number).is_some_and(Closing::go_on) {
-            self.closing.remove(&number);
+    fn on_ready(&mut self, number: u64) {
+        if self.closes.get_mut(&number).is_some_and(LingeringClose::advance) {
+            self.closes.remove(&number);
         }
     }
 
-    /// Called with each tick: closes those whose time is up.
-    pub fn sweep(&mut self, now: Timestamp) {
-        self.closing.retain(|_, closing| now.since(closing.since) < LONGEST);
+    /// Called with each tick: closes the connections whose time is up.
+    pub fn close_expired(&mut self, now: Timestamp) {
+        self.closes.retain(|_, close| now.since(close.since) < LINGER_TIMEOUT);
     }
 
-    /// Closes the one that has lingered for longest, for want of descriptors; false where there is none.
+    /// Closes the connection that has lingered longest, to free its descriptor; false if there is none.
     pub fn close_oldest(&mut self) -> bool {
-        self.closing.pop_first().is_some()
+        self.closes.pop_first().is_some()
     }
 
-    /// How many descriptors are held so.
-    pub fn count(&self) -> usize {
-        self.closing.len()
+    /// How many connections linger.
+    pub fn len(&self) -> usize {
+        self.closes.len()
     }
 }
--- a/crates/proxy/src/downstream/listener.rs
+++ b/crates/proxy/src/downstream/listener.rs
@@ -1,104 +1,88 @@
-//! The door: accepts connections, and keeps those that have yet to send their first line.
+//! Accepts connections, and bounds those that have yet to send their first line in number and in time.
 
 use crate::downstream::pending_connection::PendingConnection;
+use crate::downstream::pending_connection_table::PendingConnectionTable;
+use crate::downstream::recent_request_ids::RecentRequestIds;
+use crate::net::line::Answer;
 use crate::net::socket::Socket;
 use crate::proxy::Proxy;
 use crate::proxy::ServeError;
 use calloop::generic::Generic;
 use calloop::timer::{TimeoutAction, Timer};
 use calloop::{Interest, LoopHandle, Mode, PostAction, RegistrationToken};
-
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use std::io::ErrorKind;
+use shelfgrade::time::Timestamp;
+use std::io::{self, ErrorKind};
 use std::net::{SocketAddr, TcpListener};
 use std::rc::Rc;
 use std::time::Duration;
 
+/// Connections waiting to be accepted: all clients may come at once. The system caps it.
+const BACKLOG: i32 = 4096;
+/// Connections accepted before established sessions have their turn.
+const MAX_ACCEPTS_PER_TURN: usize = 32;
+/// Failures in a row after which accepting pauses. A single one may be that of one connection, or be over with the next
+/// call.
+const MAX_ACCEPT_FAILURES: usize = 16;
+/// The pause, so that the loop does not spin while descriptors have run out: short against any request timeout.
+const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
+/// How long a connection may take to send its first line; three seconds after connecting it is owed an answer or a
+/// close.
+const FIRST_LINE_TIMEOUT: Duration = Duration::from_millis(2000);
+
+/// The listening socket, and the connections that have yet to send their first line.
 pub struct Listener {
     listener: TcpListener,
-    listening: RegistrationToken,
-    /// Accepting waits for a moment after failures in a row.
-    paused: bool,
-    /// The last call found nobody in the system's queue.
+    registration: RegistrationToken,
+    is_paused: bool,
     queue_is_empty: bool,
-    /// The one not heard of for longest comes first.
-    pending_connections: BTreeMap<u64, Rc<PendingConnection>>,
-    last_number: u64,
-    /// The last ids that sessions came with, in their order and by their value.
-    ids: (VecDeque<u64>, BTreeSet<u64>),
+    /// Connections that have yet to send their first line.
+    pub pending: PendingConnectionTable,
+    /// The request ids that came of late.
+    pub recent_request_ids: RecentRequestIds,
 }
 
 impl Listener {
+    /// Listens, and has the loop accept connections.
+    ///
+    /// # Errors
+    ///
+    /// The address is not this machine's, or something else listens there.
     pub fn open(at: SocketAddr, handle: &LoopHandle<'static, Proxy>) -> Result<Self, ServeError> {
-        let cannot = |source| ServeError::Listen { at, source };
-        let listener = listen(at).map_err(cannot)?;
-        let source = Generic::new(listener.try_clone().map_err(cannot)?, Interest::READ, Mode::Level);
-        let listening = handle.insert_source(source, |_, _, proxy| {
+        let cannot_listen = |source| ServeError::Listen { at, source };
+        let listener = listen(at).map_err(cannot_listen)?;
+        let watched = listener.try_clone().map_err(cannot_listen)?;
+        let source = Generic::new(watched, Interest::READ, Mode::Level);
+        let registration = handle.insert_source(source, |_, _, proxy| {
             proxy.accept();
             Ok(PostAction::Continue)
         });
-        let listening = listening.map_err(|error| cannot(std::io::Error::other(error.error)))?;
+        let registration = registration.map_err(|error| cannot_listen(io::Error::other(error.error)))?;
         Ok(Listener {
             listener,
-            listening,
-            paused: false,
+            registration,
+            is_paused: false,
             queue_is_empty: true,
-            pending_connections: BTreeMap::new(),
-            last_number: 0,
-            ids: Default::default(),
+            pending: PendingConnectionTable::default(),
+            recent_request_ids: RecentRequestIds::default(),
         })
     }
 
-    pub fn address(&self) -> std::io::Result<SocketAddr> {
+    /// The address that it listens on.
+    ///
+    /// # Errors
+    ///
+    /// The system does not tell it.
+    pub fn address(&self) -> io::Result<SocketAddr> {
         self.listener.local_addr()
     }
 
-    /// Whether nobody was left in the system's queue when it was last looked into.
+    /// Whether the last accept found no connection in the system's queue.
     pub fn queue_is_empty(&self) -> bool {
         self.queue_is_empty
     }
-
-    pub fn holds(&self, pending_connection: &PendingConnection) -> bool {
-        self.pending_connections.contains_key(&pending_connection.number.get())
-    }
-
-    pub fn forget(&mut self, pending_connection: &PendingConnection) {
-        self.pending_connections.remove(&pending_connection.number.get());
-    }
-
-    /// Whether this id, which is to be new with every connection, is not open and has not come of late. Guards
-    /// against one id for two: servers answer the second with an error, which would count against their health.
-    pub fn is_new(&mut self, id: u64, open: &BTreeSet<u64>) -> bool {
-        // Some minutes of clients that come again as soon as they are told off.
-        const REMEMBERED: usize = 4096;
-        let (order, known) = &mut self.ids;
-        if open.contains(&id) || !known.insert(id) {
-            return false;
-        }
-        order.push_back(id);
-        if order.len() > REMEMBERED {
-            known.remove(&order.pop_front().unwrap_or(id));
-        }
-        true
-    }
-
-    fn next_number(&mut self) -> u64 {
-        self.last_number += 1;
-        self.last_number
-    }
-
-    pub fn pending_connections(&self) -> impl Iterator<Item = &Rc<PendingConnection>> {
-        self.pending_connections.values()
-    }
-
-    fn oldest(&self) -> Option<Rc<PendingConnection>> {
-        self.pending_connections.values().next().cloned()
-    }
 }
 
-fn listen(at: SocketAddr) -> std::io::Result<TcpListener> {
-    // Room for all clients to come at once; the system caps it.
-    const BACKLOG: i32 = 4096;
+fn listen(at: SocketAddr) -> io::Result<TcpListener> {
     let socket =
         socket2::Socket::new(socket2::Domain::for_address(at), socket2::Type::STREAM.cloexec(), None)?;
     socket.set_reuse_address(true)?;
@@ -109,20 +93,16 @@
 }
 
 impl Proxy {
+    /// Accepts the connections in the system's queue, up to the limit for one turn.
     pub fn accept(&mut self) {
-        // Guards against a storm of clients starving those that are there.
-        const AT_ONCE: usize = 32;
-        // A failure may be that of one connection, or be over with the next call; one run in 65,000 is as long where
-        // half of the calls fail.
-        const FAILURES_IN_A_ROW: usize = 16;
         self.listener.queue_is_empty = false;
         let mut failures = 0;
-        for _ in 0..AT_ONCE {
+        for _ in 0..MAX_ACCEPTS_PER_TURN {
             match self.listener.listener.accept() {
                 Ok((stream, _)) => {
                     failures = 0;
                     match Socket::new(stream) {
-                        Ok(socket) => self.take_in(socket),
+                        Ok(socket) => self.add_pending_connection(socket),
                         Err(error) => log::warn!("a client's socket: {error}"),
                     }
                 }
@@ -132,103 +112,98 @@
                 }
                 Err(error) => {
                     failures += 1;
-                    if failures == FAILURES_IN_A_ROW {
-                        return self.accept_later(&error);
+                    if failures == MAX_ACCEPT_FAILURES {
+                        return self.pause_accepting(&error);
                     }
                 }
             }
         }
     }
 
-    /// Guards against spinning where descriptors have run out all the same.
-    fn accept_later(&mut self, error: &std::io::Error) {
-        // Short against any request timeout, long against the calls before it.
-        const PAUSE: Duration = Duration::from_millis(10);
-        if std::mem::replace(&mut self.listener.paused, true) {
+    fn pause_accepting(&mut self, error: &io::Error) {
+        if std::mem::replace(&mut self.listener.is_paused, true) {
             return;
         }
         self.executor.metrics.warn("accept paused");
         log::debug!("accept: {error}");
-        let _ = self.executor.handle.disable(&self.listener.listening);
-        let again = self.executor.handle.insert_source(Timer::from_duration(PAUSE), |_, _, proxy| {
-            // Guards against a listener that is never watched again: it is asked by hand until it can be.
-            let watched = proxy.executor.handle.enable(&proxy.listener.listening).is_ok();
-            proxy.listener.paused = !watched;
-            proxy.accept();
-            if watched {
-                TimeoutAction::Drop
-            } else {
-                TimeoutAction::ToDuration(PAUSE)
-            }
-        });
-        self.executor.metrics.invariant(again.is_ok(), "a timer can be set");
+        let _ = self.executor.handle.disable(&self.listener.registration);
+        let timer = Timer::from_duration(ACCEPT_PAUSE);
+        let set = self.executor.handle.insert_source(timer, |_, _, proxy| proxy.resume_accepting());
+        self.executor.metrics.invariant(set.is_ok(), "a timer can be set");
     }
 
-    fn take_in(&mut self, client: Socket<Proxy>) {
+    /// Accepts again after a pause. If the loop cannot watch the listener yet, accepting goes on by this timer.
+    fn resume_accepting(&mut self) -> TimeoutAction {
+        let watched = self.executor.handle.enable(&self.listener.registration).is_ok();
+        self.listener.is_paused = !watched;
+        self.accept();
+        if watched {
+            TimeoutAction::Drop
+        } else {
+            TimeoutAction::ToDuration(ACCEPT_PAUSE)
+        }
+    }
+
+    fn add_pending_connection(&mut self, client: Socket<Proxy>) {
         self.executor.metrics.count("connections accepted");
-        let pending_connection = PendingConnection::new(self.listener.next_number(), client, self.now());
-        let weak = Rc::downgrade(&pending_connection);
-        let watched = pending_connection.socket.watch(&self.executor.handle, move |proxy| {
-            weak.upgrade().inspect(|pending_connection| pending_connection.ready(proxy));
+        let number = self.listener.pending.next_number();
+        let connection = PendingConnection::new(number, client, self.now());
+        let weak = Rc::downgrade(&connection);
+        let watched = connection.socket.watch(&self.executor.handle, move |proxy| {
+            weak.upgrade().inspect(|connection| connection.on_ready(proxy));
         });
         if let Err(error) = watched {
             log::warn!("a client's connection cannot be watched: {error}");
-            pending_connection.socket.tell("BUSY");
-            return self.executor.close_after_last_line(pending_connection.socket.clone());
+            connection.socket.send_line(&Answer::Rejected.line());
+            return self.executor.close_after_final_answer(connection.socket.clone());
         }
-        self.listener.pending_connections.insert(pending_connection.number.get(), pending_connection.clone());
-        // Most have sent their line by now, and need no place among the callers.
-        pending_connection.ready(self);
-        self.make_room();
+        self.listener.pending.insert(connection.clone());
+        // Most clients have sent their first line by now, and need no place among those that are pending.
+        connection.on_ready(self);
+        self.evict_pending_connections();
     }
 
-    /// Guards against connections that say nothing taking the descriptors of those that do: past what is left
-    /// for them, the one not heard of for longest goes.
-    pub fn make_room(&mut self) {
-        while self.listener.pending_connections.len() + self.executor.lingering.count()
-            > self.executor.pending_connection_limit()
+    /// Closes connections until no more are held than descriptors are left for: lingering ones first, then the least
+    /// recently active that have yet to send their first line.
+    pub fn evict_pending_connections(&mut self) {
+        while self.listener.pending.len() + self.executor.lingering.len()
+            > self.executor.max_pending_connections()
         {
             if self.executor.lingering.close_oldest() {
                 continue;
             }
-            let Some(oldest) = self.listener.oldest() else { return };
-            oldest.ready(self);
-            if self.listener.holds(&oldest) {
-                oldest.refuse("BUSY", "pending connections evicted", self);
+            let Some(oldest) = self.listener.pending.oldest() else { return };
+            oldest.on_ready(self);
+            if self.listener.pending.contains(&oldest) {
+                oldest.reject(Answer::Rejected, "pending connections evicted", self);
             }
         }
     }
 
-    /// The caller asked for a sign of life: it counts as one that has just come.
-    pub fn heard_of(&mut self, pending_connection: &PendingConnection) {
-        let (number, now) = (self.listener.next_number(), self.now());
-        if let Some(me) = self.listener.pending_connections.remove(&pending_connection.number.replace(number))
-        {
-            pending_connection.since.set(now);
-            self.listener.pending_connections.insert(number, me);
+    /// A pending connection has sent a health check, which counts as activity.
+    pub fn on_pending_connection_active(&mut self, connection: &PendingConnection) {
+        let (number, now) = (self.listener.pending.next_number(), self.now());
+        if let Some(active) = self.listener.pending.remove(connection) {
+            active.number.set(number);
+            active.last_active.set(now);
+            self.listener.pending.insert(active);
         }
     }
 
-    /// Puts out who has sent no first line in time.
-    pub fn sweep_pending_connections(&mut self) {
-        // A client sends it at once; three seconds after connecting it is owed an answer or a close.
-        const FIRST_LINE_WITHIN: Duration = Duration::from_millis(2000);
+    /// Called with each tick: closes connections that have not sent their first line in time. One that waits for the
+    /// answer to its health check is left.
+    pub fn close_silent_connections(&mut self) {
         let now = self.now();
-        let is_late = |pending_connection: &&Rc<PendingConnection>| {
-            now.since(pending_connection.since.get()) > FIRST_LINE_WITHIN
+        let timed_out = |connection: &PendingConnection, now: Timestamp| {
+            now.since(connection.last_active.get()) > FIRST_LINE_TIMEOUT
         };
-        // Guards against putting out a front that has asked for a sign of life and waits for it.
-        let late = self
-            .listener
-            .pending_connections()
-            .take_while(is_late)
-            .filter(|pending_connection| !pending_connection.waits_for_sign());
-        for pending_connection in late.cloned().collect::<Vec<_>>() {
-            // Its line may lie there.
-            pending_connection.ready(self);
-            let is_late = self.now().since(pending_connection.since.get()) > FIRST_LINE_WITHIN;
-            if is_late && self.listener.holds(&pending_connection) {
-                pending_connection.refuse("ERR", "first line timeouts", self);
+        let silent = self.listener.pending.values().take_while(|connection| timed_out(connection, now));
+        let silent: Vec<_> = silent.filter(|connection| !connection.awaits_pong()).cloned().collect();
+        for connection in silent {
+            // Its first line may not have been read yet.
+            connection.on_ready(self);
+            if timed_out(&connection, self.now()) && self.listener.pending.contains(&connection) {
+                connection.reject(Answer::Failed, "first line timeouts", self);
             }
         }
     }
--- a/crates/proxy/src/downstream/pending_connection.rs
+++ b/crates/proxy/src/downstream/pending_connection.rs
@@ -1,123 +1,149 @@
-//! A connection whose client has yet to send its first line. It costs one descriptor and the bytes of that
-//! line: it has no session and no rings until the line is there and can be used.
+//! A connection whose client has yet to send its first line. It costs one descriptor and the bytes of that line: it gets
+//! a session and buffers only when the line is complete and valid.
 
-use crate::net::line::{whole, OpenRequest, LONGEST};
+use crate::net::line::{well_formed_line, Answer, MAX_FRAMED_LINE_BYTES, PING};
+use crate::net::open_request::OpenRequest;
 use crate::net::socket::{End, Socket};
 use crate::proxy::Proxy;
 use shelfgrade::time::Timestamp;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
+/// A connection without a first line.
 pub struct PendingConnection {
-    /// Its place in the order in which callers were last heard of.
+    /// Its position in the order of last activity.
     pub number: Cell<u64>,
-    /// When it connected, or last asked for a sign of life.
-    pub since: Cell<Timestamp>,
+    /// When it connected, or last sent a health check.
+    pub last_active: Cell<Timestamp>,
+    /// The client's connection.
     pub socket: Rc<Socket<Proxy>>,
-    begun: RefCell<Vec<u8>>,
-    /// It has asked for a sign of life and waits for it.
-    pub asks: Cell<bool>,
-    /// It has asked once, as a front does that may keep its connection.
-    asked: Cell<bool>,
+    received: RefCell<Vec<u8>>,
+    awaits_pong: Cell<bool>,
+    /// It has sent a health check, as a front end does that may keep its connection.
+    has_sent_ping: Cell<bool>,
 }
 
 impl PendingConnection {
+    /// A connection that has just been accepted.
     pub fn new(number: u64, socket: Socket<Proxy>, now: Timestamp) -> Rc<Self> {
         Rc::new(PendingConnection {
             number: Cell::new(number),
-            since: Cell::new(now),
+            last_active: Cell::new(now),
             socket: Rc::new(socket),
-            begun: RefCell::default(),
-            asks: Cell::default(),
-            asked: Cell::default(),
+            received: RefCell::default(),
+            awaits_pong: Cell::default(),
+            has_sent_ping: Cell::default(),
         })
     }
 
-    /// Reads what has come, to one byte past the longest line at most: more is never looked at.
-    pub fn ready(&self, proxy: &mut Proxy) {
-        if !proxy.listener.holds(self) {
+    /// Its socket may have become readable or writable. Reads one byte past the longest line at most.
+    pub fn on_ready(&self, proxy: &mut Proxy) {
+        if !proxy.listener.pending.contains(self) {
             return;
         }
-        let mut begun = self.begun.borrow_mut();
-        self.socket.write_own();
-        while self.socket.take(&mut begun, LONGEST + 3) > 0 {}
-        let ended = self.socket.ended.get();
-        match begun.iter().position(|b| *b == b'\n') {
-            _ if ended == Some(End::Reset) || ended.is_some() && begun.is_empty() => {
-                proxy.listener.forget(self)
+        let mut received = self.received.borrow_mut();
+        self.socket.flush_lines();
+        while self.socket.read_to_vec(&mut received, MAX_FRAMED_LINE_BYTES + 1) > 0 {}
+        let end = self.socket.peer_end.get();
+        match received.iter().position(|b| *b == b'\n') {
+            _ if end == Some(End::Reset) || end.is_some() && received.is_empty() => {
+                proxy.listener.pending.remove(self);
             }
-            _ if ended.is_some() => {
-                let line = std::mem::take(&mut *begun);
-                drop(begun);
-                self.ends_behind(&line, proxy);
+            _ if end.is_some() => {
+                let line = std::mem::take(&mut *received);
+                drop(received);
+                self.on_end(&line, proxy);
+            }
+            // A client that sends on does not wait for its answer.
+            Some(line_end) if line_end + 1 < received.len() => {
+                self.reject(Answer::Failed, "data after first line", proxy);
             }
-            // Guards against serving whoever does not wait for an answer: all that came is refused.
-            Some(end) if end + 1 < begun.len() => self.refuse("ERR", "data after first line", proxy),
             Some(_) => {
-                let line = std::mem::take(&mut *begun);
-                drop(begun);
-                self.says(&line, proxy);
+                let line = std::mem::take(&mut *received);
+                drop(received);
+                self.on_line(&line, proxy);
+            }
+            None if received.len() > MAX_FRAMED_LINE_BYTES => {
+                self.reject(Answer::Failed, "overlong lines", proxy);
             }
-            None if begun.len() > LONGEST + 2 => self.refuse("ERR", "overlong lines", proxy),
             None => {}
         }
     }
 
-    /// It has ended its sending behind this, and may still read. Nothing begins for it, as it may have gone.
-    fn ends_behind(&self, sent: &[u8], proxy: &mut Proxy) {
-        let asks = whole(sent) == Some("PING") && !proxy.startup_gate.waits();
-        let answer = if asks && proxy.is_ready() { "PONG" } else { "ERR" };
-        self.refuse(answer, "clients closed before answer", proxy);
+    /// The client has ended its sending, and may still read. No session starts for it, as it may have gone.
+    fn on_end(&self, received: &[u8], proxy: &mut Proxy) {
+        let is_ping = well_formed_line(received) == Some(PING);
+        let is_healthy = is_ping && !proxy.startup_gate.waits() && proxy.is_ready();
+        self.reject(health_answer(is_healthy), "clients closed before answer", proxy);
     }
 
-    fn says(&self, line: &[u8], proxy: &mut Proxy) {
-        let line = whole(line);
-        if line == Some("PING") {
-            self.asks.set(true);
-            self.asked.set(true);
-            if !proxy.startup_gate.waits() {
-                self.answer_sign(proxy.is_ready());
-            }
-            return proxy.heard_of(self);
+    fn on_line(&self, line: &[u8], proxy: &mut Proxy) {
+        let line = well_formed_line(line);
+        if line == Some(PING) {
+            return self.on_ping(proxy);
         }
         match line.and_then(|line| OpenRequest::parse(line, &proxy.classes)) {
-            Some(_) if proxy.executor.is_full() => {
-                self.refuse("BUSY", "rejected for lack of descriptors", proxy);
-            }
-            Some(_) if proxy.has_closed() => self.refuse("BUSY", "rejected at shutdown", proxy),
-            Some(open) if !proxy.listener.is_new(open.id, &proxy.executor.open_ids) => {
-                self.refuse("ERR", "duplicate request ids", proxy)
-            }
-            Some(open) => {
-                proxy.listener.forget(self);
-                proxy.open(open, self.socket.clone());
-            }
-            None => self.refuse("ERR", "malformed first lines", proxy),
+            Some(request) => self.on_request(request, proxy),
+            None => self.reject(Answer::Failed, "malformed first lines", proxy),
         }
     }
 
-    /// It may be a client that has yet to send its line, or is half through it.
-    pub fn is_owed(&self) -> bool {
-        !self.asked.get() || !self.begun.borrow().is_empty()
+    fn on_ping(&self, proxy: &mut Proxy) {
+        self.awaits_pong.set(true);
+        self.has_sent_ping.set(true);
+        if !proxy.startup_gate.waits() {
+            self.answer_ping(proxy.is_ready());
+        }
+        proxy.on_pending_connection_active(self);
     }
 
-    /// It has asked for a sign of life, which it is not given before the list is heard.
-    pub fn waits_for_sign(&self) -> bool {
-        self.asks.get()
+    fn on_request(&self, request: OpenRequest, proxy: &mut Proxy) {
+        if proxy.executor.is_out_of_descriptors() {
+            return self.reject(Answer::Rejected, "rejected for lack of descriptors", proxy);
+        }
+        if proxy.has_closed() {
+            return self.reject(Answer::Rejected, "rejected at shutdown", proxy);
+        }
+        // Servers answer the second request of an id with an error, which would count against their health.
+        let is_duplicate = proxy.executor.sessions.has_request_id(request.id)
+            || !proxy.listener.recent_request_ids.insert(request.id);
+        if is_duplicate {
+            return self.reject(Answer::Failed, "duplicate request ids", proxy);
+        }
+        proxy.listener.pending.remove(self);
+        proxy.open(request, self.socket.clone());
+    }
+
+    /// Whether a first line may still come: the connection has sent no health check, or the beginning of a line.
+    pub fn may_send_request_line(&self) -> bool {
+        !self.has_sent_ping.get() || !self.received.borrow().is_empty()
+    }
+
+    /// Whether it has sent a health check that is not answered before the endpoint list has come.
+    pub fn awaits_pong(&self) -> bool {
+        self.awaits_pong.get()
     }
 
-    /// Answers who has asked for a sign of life.
-    pub fn answer_sign(&self, ready: bool) {
-        if self.asks.take() {
-            self.socket.tell(if ready { "PONG" } else { "ERR" });
+    /// Answers a health check that is outstanding.
+    pub fn answer_ping(&self, is_healthy: bool) {
+        if self.awaits_pong.take() {
+            self.socket.send_line(&health_answer(is_healthy).line());
         }
     }
 
-    /// Answers at once, and ends the connection behind that.
-    pub fn refuse(&self, answer: &str, why: &'static str, proxy: &mut Proxy) {
-        proxy.executor.metrics.warn(why);
-        self.socket.tell(answer);
-        proxy.listener.forget(self);
-        proxy.executor.close_after_last_line(self.socket.clone());
+    /// Sends the final answer, counts the reason, and closes the connection behind the answer.
+    pub fn reject(&self, answer: Answer, reason: &'static str, proxy: &mut Proxy) {
+        proxy.executor.metrics.warn(reason);
+        self.socket.send_line(&answer.line());
+        proxy.listener.pending.remove(self);
+        proxy.executor.close_after_final_answer(self.socket.clone());
+    }
+}
+
+fn health_answer(is_healthy: bool) -> Answer {
+    if is_healthy {
+        Answer::Healthy
+    } else {
+        Answer::Failed
     }
 }
--- a/crates/proxy/src/executor.rs
+++ b/crates/proxy/src/executor.rs
@@ -1,291 +1,251 @@
-//! What carries out the decisions: the servers and sessions that there are, and the calls of the module.
+//! Executes the load balancer's decisions on sockets: attempts, answers, migrations, health checks and wake-ups.
 
-use crate::downstream::client::busy;
+use crate::descriptor_budget::DescriptorBudget;
 use crate::downstream::lingering::LingeringCloses;
-use crate::lifecycle::startup::Limits;
 use crate::metrics::Metrics;
 use crate::net::clock::Clock;
+use crate::net::line::Answer;
 use crate::net::socket::Socket;
 use crate::pending_sessions::PendingSessions;
 use crate::proxy::Proxy;
-use crate::session::{Session, Stage, TAKE_OVER_WITHIN};
-use crate::upstream::server::{Attempt, Server};
+use crate::session::{Session, Stage, RESTORE_TIMEOUT};
+use crate::session_table::SessionTable;
+use crate::upstream::attempt::Attempt;
+use crate::upstream::server::Server;
+use crate::upstream::server_pool::ServerPool;
 use calloop::timer::{TimeoutAction, Timer};
 use calloop::LoopHandle;
-use shelfgrade::host::{AttemptOutcome, Endpoint, EndpointState, Host, ServerId, SessionId};
+use shelfgrade::host::{AttemptOutcome, Host, ServerId, SessionId};
 use shelfgrade::time::{DurationExt, Timestamp};
 use std::cell::Cell;
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use std::io::ErrorKind;
-use std::net::SocketAddr;
+use std::collections::VecDeque;
+use std::io::{self, ErrorKind};
 use std::rc::{Rc, Weak};
 use std::time::Duration;
 
-/// What carries out the decisions.
+/// What the executor needs of the settings.
+pub struct ExecutorSettings {
+    /// How long a connection to a server may take to come up; without it an attempt's own timeout applies.
+    pub dial_timeout: Option<Duration>,
+    /// Whether servers may be health-checked.
+    pub health_checks_allowed: bool,
+    /// Whether servers report how long messages take.
+    pub servers_report_latency: bool,
+    /// Descriptors that the process may open.
+    pub max_descriptors: usize,
+}
+
+/// How an attempt, or an established session, has ended.
+pub struct EndedAttempt {
+    /// The session whose attempt it was.
+    pub session: SessionId,
+    /// How it ended.
+    pub outcome: AttemptOutcome,
+    /// The client needs no further attempt.
+    pub client_done: bool,
+}
+
+/// Executes decisions, and owns the servers and sessions that they are about.
 pub struct Executor {
+    /// The loop that watches sockets and timers.
     pub handle: LoopHandle<'static, Proxy>,
+    /// Counters and rate-limited warnings.
     pub metrics: Rc<Metrics>,
-    pub dial_time_out: Option<Duration>,
-    pub health_checks_allowed: bool,
-    pub tells_delay: bool,
+    /// The process's clock.
     pub clock: Clock,
-    pub servers: BTreeMap<ServerId, Rc<Server>>,
-    /// The door: from the module's names to connections.
-    pub sessions: BTreeMap<SessionId, Rc<Session>>,
-    /// The ids that these came with.
-    pub open_ids: BTreeSet<u64>,
-    /// Those that are looked after with each tick, and those whose client waits for something to come back.
-    pub pending: PendingSessions,
-    pub unanswered: PendingSessions,
-    /// Clients that have had their last line.
-    pub lingering: LingeringCloses,
-    pub last_id: u64,
-    /// What waits for the list to name the server that held it before the start.
-    pub unplaced: Vec<Weak<Session>>,
-    /// Discovery has answered since the start.
-    pub list_heard: Cell<bool>,
-    pub sockets: usize,
-    /// What came of a call while the module was speaking, to be told when it has finished.
-    pub untold: VecDeque<(SessionId, AttemptOutcome, bool)>,
-    pub wants_list: Cell<bool>,
-    /// What the module asked to be woken at, last.
-    pub wakes_at: Timestamp,
+    /// See [`ExecutorSettings::dial_timeout`].
+    pub dial_timeout: Option<Duration>,
+    health_checks_allowed: bool,
+    /// See [`ExecutorSettings::servers_report_latency`].
+    pub servers_report_latency: bool,
+    /// The servers of the endpoint list.
+    pub servers: ServerPool,
+    /// The sessions.
+    pub sessions: SessionTable,
+    /// Sessions that have something to do with each tick.
+    pub needing_tick: PendingSessions,
+    /// Sessions whose client has sent a line that nothing has come back for.
+    pub awaiting_reply: PendingSessions,
+    /// Client connections that have been sent their final answer.
+    pub lingering: LingeringCloses<Proxy>,
+    /// Restored sessions whose server is not on the endpoint list yet.
+    awaiting_endpoint: Vec<Weak<Session>>,
+    /// Whether discovery has sent an endpoint list since the start.
+    pub list_received: Cell<bool>,
+    /// Whether the load balancer has asked for an endpoint list.
+    pub poll_requested: Cell<bool>,
+    /// When the load balancer last asked to be woken.
+    pub next_wakeup: Timestamp,
+    /// Attempts that ended while the load balancer was being called, to be reported when it has returned.
+    pub unreported: VecDeque<EndedAttempt>,
+    /// Servers to be health-checked once the load balancer has returned.
     pub health_checks_due: VecDeque<Rc<Server>>,
+    budget: DescriptorBudget,
 }
 
 impl Executor {
-    pub fn new(
-        handle: LoopHandle<'static, Proxy>,
-        limits: Limits,
-        dials: Option<Duration>,
-        (health_checks, tells_delay): (bool, bool),
-    ) -> Self {
+    /// An executor without servers or sessions; its clock starts here.
+    pub fn new(handle: LoopHandle<'static, Proxy>, settings: ExecutorSettings) -> Self {
         Executor {
             handle,
             metrics: Rc::default(),
-            dial_time_out: dials,
-            health_checks_allowed: health_checks,
-            tells_delay,
             clock: Clock::start(),
-            servers: BTreeMap::new(),
-            sessions: BTreeMap::new(),
-            open_ids: BTreeSet::new(),
-            pending: PendingSessions::default(),
-            unanswered: PendingSessions::default(),
+            dial_timeout: settings.dial_timeout,
+            health_checks_allowed: settings.health_checks_allowed,
+            servers_report_latency: settings.servers_report_latency,
+            servers: ServerPool::default(),
+            sessions: SessionTable::default(),
+            needing_tick: PendingSessions::default(),
+            awaiting_reply: PendingSessions::default(),
             lingering: LingeringCloses::default(),
-            last_id: 0,
-            unplaced: Vec::new(),
-            list_heard: Cell::new(false),
-            sockets: limits.sockets as usize,
-            untold: VecDeque::new(),
-            wants_list: Cell::new(false),
-            wakes_at: Timestamp::default(),
+            awaiting_endpoint: Vec::new(),
+            list_received: Cell::new(false),
+            poll_requested: Cell::new(false),
+            next_wakeup: Timestamp::default(),
+            unreported: VecDeque::new(),
             health_checks_due: VecDeque::new(),
+            budget: DescriptorBudget::new(settings.max_descriptors),
         }
     }
 
-    pub fn next_id(&mut self) -> SessionId {
-        self.last_id += 1;
-        SessionId(self.last_id)
-    }
-
-    /// What is kept for callers, whatever else is held: a few of them find room even then.
-    fn reserved_for_pending_connections(&self) -> usize {
-        self.sockets / 16
-    }
-
-    /// Descriptors that are spoken for: each session's two, one a server for its probe, and our own.
-    fn spoken_for(&self, health_checks: usize) -> usize {
-        // For the listener, discovery, the loop and the log.
-        const SPARE: usize = 24;
-        2 * self.sessions.len() + health_checks + SPARE
-    }
-
-    /// How many probes there may be at the least.
-    fn health_checks_wanted(&self) -> usize {
-        // Only servers that hold a session are probed, or three for a new one, however long the list.
+    /// Health check connections that are always allowed: only servers that hold a session are checked periodically, and
+    /// up to three for a new session.
+    fn min_health_checks(&self) -> usize {
         self.servers.len().min(3 * (self.sessions.len() + 1))
     }
 
-    /// Their connections stay when the sessions that they were for have gone.
-    fn health_checks(&self) -> usize {
-        let held = self.servers.values().filter(|server| server.health_check.borrow().is_some()).count();
-        held.max(self.health_checks_wanted())
+    /// Health check connections to reckon with: they outlive the sessions that they were opened for.
+    fn expected_health_checks(&self) -> usize {
+        self.servers.health_check_count().max(self.min_health_checks())
     }
 
-    /// How many connections may be held that have sent no first line: what is left, a quarter at most, which
-    /// is far more than come at once where all clients speak.
-    pub fn pending_connection_limit(&self) -> usize {
-        let left = self.sockets.saturating_sub(self.spoken_for(self.health_checks()));
-        left.clamp(self.reserved_for_pending_connections(), self.sockets / 4)
+    /// How many connections without a first line may be held.
+    pub fn max_pending_connections(&self) -> usize {
+        self.budget.max_pending_connections(self.sessions.len(), self.expected_health_checks())
     }
 
-    /// Whether one more session might find no descriptor.
-    pub fn is_full(&self) -> bool {
-        let is_full = |health_checks| {
-            self.spoken_for(health_checks) + 2 + self.reserved_for_pending_connections() > self.sockets
-        };
-        let full = is_full(self.health_checks_wanted());
-        if !full && is_full(self.health_checks()) {
-            self.close_health_checks(self.health_checks_wanted());
+    /// Whether one more session might find no descriptor. Closes health checks in excess of the minimum first.
+    pub fn is_out_of_descriptors(&self) -> bool {
+        let fits = |health_checks| self.budget.has_capacity_for_session(self.sessions.len(), health_checks);
+        let fits_at_minimum = fits(self.min_health_checks());
+        if fits_at_minimum && !fits(self.expected_health_checks()) {
+            self.servers.close_health_checks(self.min_health_checks());
         }
-        full
+        !fits_at_minimum
     }
 
-    /// Makes room for one more probe. Guards against those of sessions that have gone holding all descriptors.
+    /// Frees a descriptor for one more health check, as connections that were opened for sessions since closed may hold
+    /// all of them.
     pub fn make_room_for_health_check(&self) {
-        let others = self.spoken_for(0) + self.reserved_for_pending_connections();
-        self.close_health_checks(
-            self.sockets.saturating_sub(others).max(self.health_checks_wanted()).saturating_sub(1),
-        );
-    }
-
-    /// Ends all probes but so many, those asked least lately first.
-    fn close_health_checks(&self, but: usize) {
-        let asked =
-            |server: &Rc<Server>| Some((server.health_check.borrow().as_ref()?.last.get(), server.clone()));
-        let mut held: Vec<_> = self.servers.values().filter_map(asked).collect();
-        let over = held.len().saturating_sub(but);
-        held.sort_by_key(|(last, _)| *last);
-        held.iter().take(over).for_each(|(_, server)| drop(server.health_check.take()));
+        let max = self.budget.max_health_checks(self.sessions.len()).max(self.min_health_checks());
+        self.servers.close_health_checks(max.saturating_sub(1));
     }
 
-    /// Ends a client's connection after the last line that it was told.
-    pub fn close_after_last_line(&mut self, client: Rc<Socket<Proxy>>) {
+    /// Closes a client's connection after its final answer.
+    pub fn close_after_final_answer(&mut self, client: Rc<Socket<Proxy>>) {
         let now = self.clock.now();
         self.lingering.close(client, now);
     }
 
-    pub fn forget(&mut self, session: &Session) {
-        self.sessions.remove(&session.id);
-        self.open_ids.remove(&session.opening.id);
-    }
-
-    /// Has a session go on after the others had their turn.
-    pub fn call_again(&self, session: &Session) {
-        let weak = session.me.clone();
-        let again = self.handle.insert_source(Timer::immediate(), move |_, _, proxy| {
-            weak.upgrade().inspect(|session| session.ready(proxy));
+    /// Has a session's sockets looked at again after the other sources of the loop had their turn.
+    pub fn schedule_ready(&self, session: &Session) {
+        let weak = session.weak.clone();
+        let timer = self.handle.insert_source(Timer::immediate(), move |_, _, proxy| {
+            weak.upgrade().inspect(|session| session.on_ready(proxy));
             TimeoutAction::Drop
         });
-        self.metrics.invariant(again.is_ok(), "a timer can be set");
-    }
-
-    /// Goes by these lines of the list, each with its address, if it has one.
-    pub fn follow<'a>(
-        &mut self,
-        lines: impl Iterator<Item = (&'a Endpoint, Option<SocketAddr>)> + Clone,
-        whole: bool,
-    ) {
-        if whole {
-            let told: BTreeSet<_> = lines.clone().map(|(line, _)| &line.server).collect();
-            let gone = self.servers.iter().filter(|(id, _)| !told.contains(id));
-            gone.for_each(|(_, server)| server.state.set(EndpointState::Removed));
-        }
-        for (line, dial) in lines {
-            let server = self.servers.get(&line.server).cloned().or_else(|| {
-                let server = Server {
-                    id: line.server.clone(),
-                    state: Cell::new(line.state),
-                    dial: Cell::new(dial?),
-                    message_latency: Default::default(),
-                    load_reports: Default::default(),
-                    health_check: Default::default(),
-                };
-                Some(Rc::new(server))
-            });
-            let Some(server) = server else { continue };
-            server.state.set(line.state);
-            server.dial.set(dial.unwrap_or(server.dial.get()));
-            self.servers.insert(line.server.clone(), server);
-        }
-        self.servers.retain(|_, server| server.state.get() != EndpointState::Removed);
+        self.metrics.invariant(timer.is_ok(), "a timer can be set");
     }
 
-    /// Connects a session to the server that its line names, or leaves it for when the list names that one.
-    pub fn take_over(&mut self, session: &Rc<Session>) {
+    /// Connects a session that was established before the start to its server, or keeps it until that is listed.
+    pub fn restore_session(&mut self, session: &Rc<Session>) {
         if !session.client_is_waiting(self) {
             return;
         }
-        let server = session.opening.at.as_ref().and_then(|at| self.servers.get(at.as_str()).cloned());
-        let Some(server) = server else { return self.unplaced.push(session.me.clone()) };
-        match Attempt::begin(session, server, TAKE_OVER_WITHIN, self.clock.now(), self) {
+        let server = session.opening.at.as_ref().and_then(|at| self.servers.get(at).cloned());
+        let Some(server) = server else { return self.awaiting_endpoint.push(session.weak.clone()) };
+        match Attempt::start(session, server, RESTORE_TIMEOUT, self) {
             Ok(attempt) => drop(session.attempt.replace(Some(attempt))),
             Err(error) => {
                 log::warn!("session {}: {error}", session.id.0);
-                session.answer("ERR", self);
+                session.send_final_answer(Answer::Failed, self);
             }
         }
     }
 
-    pub fn take_over_waiting(&mut self) {
-        for session in std::mem::take(&mut self.unplaced).iter().filter_map(Weak::upgrade) {
+    /// Tries again to restore the sessions whose server was not listed.
+    pub fn restore_waiting_sessions(&mut self) {
+        for session in std::mem::take(&mut self.awaiting_endpoint).iter().filter_map(Weak::upgrade) {
             if session.stage.get() == Stage::Connecting {
-                self.take_over(&session);
+                self.restore_session(&session);
             }
         }
     }
+
+    fn start_attempt(&self, session: &Rc<Session>, server: Rc<Server>, timeout: Duration) -> io::Result<()> {
+        self.metrics.invariant(session.attempt.borrow().is_none(), "one attempt at a time");
+        let attempt = Attempt::start(session, server, timeout, self)?;
+        session.attempt.replace(Some(attempt));
+        Ok(())
+    }
+
+    fn report_later(&mut self, session: SessionId, outcome: AttemptOutcome, client_done: bool) {
+        self.unreported.push_back(EndedAttempt { session, outcome, client_done });
+    }
 }
 
 impl Host for Executor {
-    fn connect(&mut self, session: SessionId, server: &ServerId, time_out: Duration) {
-        log::debug!("session {} connects to {server}, for {} ms", session.0, time_out.as_ms());
-        let (found, server) = (self.sessions.get(&session).cloned(), self.servers.get(server).cloned());
-        self.metrics.invariant(
-            found.is_some() && server.is_some(),
-            "an attempt is for a session and a server that are",
-        );
-        let begun = match (&found, server) {
-            (Some(found), _) if !found.client_is_waiting(self) => {
-                return self.untold.push_back((session, AttemptOutcome::Cancelled, true));
-            }
-            (Some(found), Some(server)) => {
-                self.metrics.invariant(found.attempt.borrow().is_none(), "one attempt at a time");
-                Attempt::begin(found, server, time_out, self.clock.now(), self)
-            }
-            _ => return self.untold.push_back((session, AttemptOutcome::NotSent, false)),
+    fn connect(&mut self, session: SessionId, server: &ServerId, timeout: Duration) {
+        log::debug!("session {} connects to {server}, timeout {} ms", session.0, timeout.as_ms());
+        let (found, server) = (self.sessions.get(session).cloned(), self.servers.get(server).cloned());
+        let exist = found.is_some() && server.is_some();
+        self.metrics.invariant(exist, "an attempt is for a session and a server that exist");
+        let Some(found) = found else {
+            return self.report_later(session, AttemptOutcome::NotSent, false);
         };
-        match (begun, found) {
-            (Ok(attempt), Some(found)) => drop(found.attempt.replace(Some(attempt))),
-            (Err(error), _) => {
-                // Out of descriptors, or refused at once: nothing was sent.
-                log::warn!("session {}: {error}", session.0);
-                let refused = error.kind() == ErrorKind::ConnectionRefused;
-                let outcome = if refused { AttemptOutcome::Unreachable } else { AttemptOutcome::NotSent };
-                self.untold.push_back((session, outcome, false));
-            }
-            _ => {}
+        if !found.client_is_waiting(self) {
+            return self.report_later(session, AttemptOutcome::Cancelled, true);
+        }
+        let Some(server) = server else {
+            return self.report_later(session, AttemptOutcome::NotSent, false);
+        };
+        if let Err(error) = self.start_attempt(&found, server, timeout) {
+            log::warn!("session {}: {error}", session.0);
+            let refused = error.kind() == ErrorKind::ConnectionRefused;
+            let outcome = if refused { AttemptOutcome::Unreachable } else { AttemptOutcome::NotSent };
+            self.report_later(session, outcome, false);
         }
     }
 
     fn reject(&mut self, session: SessionId, retry_after: Duration) {
         self.metrics.count("rejected");
-        log::debug!("session {} pushed back for {} ms", session.0, retry_after.as_ms());
-        if let Some(session) = self.sessions.get(&session).cloned() {
-            session.answer(&busy(retry_after), self);
+        log::debug!("session {} rejected, retry after {} ms", session.0, retry_after.as_ms());
+        if let Some(session) = self.sessions.get(session).cloned() {
+            session.send_final_answer(Answer::RejectedFor(retry_after), self);
         }
     }
 
     fn fail(&mut self, session: SessionId) {
         self.metrics.count("failed");
-        log::debug!("session {} forfeited", session.0);
-        if let Some(session) = self.sessions.get(&session).cloned() {
-            session.answer("ERR", self);
+        log::debug!("session {} failed", session.0);
+        if let Some(session) = self.sessions.get(session).cloned() {
+            session.send_final_answer(Answer::Failed, self);
         }
     }
 
     fn migrate(&mut self, session: SessionId) {
         self.metrics.count("migrated");
-        log::debug!("session {} sent away", session.0);
+        log::debug!("session {} is to migrate", session.0);
         let now = self.clock.now();
-        let Some(session) = self.sessions.get(&session).filter(|c| c.stage.get() == Stage::Established)
-        else {
+        let found = self.sessions.get(session);
+        let Some(session) = found.filter(|session| session.stage.get() == Stage::Established) else {
             return;
         };
-        session.leaving_line.set(Some(now));
-        self.pending.add(session);
-        if session.try_moving(now) {
-            self.untold.push_back((session.id, AttemptOutcome::Cancelled, true));
+        session.migrating_since.set(Some(now));
+        self.needing_tick.add(session);
+        if session.try_migrate(now) {
+            let id = session.id;
+            self.report_later(id, AttemptOutcome::Cancelled, true);
         }
     }
 
@@ -296,11 +256,11 @@
     }
 
     fn subscribe(&mut self) {
-        self.wants_list.set(true);
+        self.poll_requested.set(true);
     }
 
     fn schedule_wakeup(&mut self, at: Timestamp) {
-        self.wakes_at = at;
+        self.next_wakeup = at;
         let timer = Timer::from_duration(at.since(self.clock.now()));
         let set = self.handle.insert_source(timer, |_, _, proxy| {
             let now = proxy.now();
--- a/crates/proxy/src/fleet/recovery.rs
+++ b/crates/proxy/src/fleet/recovery.rs
@@ -51,13 +51,13 @@
         let live = self.balancer.customers();
         let changed = live.iter().filter_map(|customer| self.namespaces.changed(customer)).collect();
         self.go_by(changed);
-        self.executor.take_over_waiting();
+        self.executor.restore_waiting_sessions();
         self.settle();
     }
 
     fn set_polling(&mut self, watches: bool) {
         if watches {
-            self.executor.wants_list.set(true);
+            self.executor.poll_requested.set(true);
             self.settle();
         } else {
             self.discovery.drop_call(self);
@@ -65,7 +65,7 @@
     }
 
     fn state_changed(&mut self, _: State) {
-        self.executor.list_heard.set(true);
+        self.executor.list_received.set(true);
         self.list_is_here();
     }
 
@@ -173,7 +173,7 @@
         let now = self.executor.clock.now();
         let as_put = |line: &Endpoint| self.maintenance_windows.line(line, self.slow_start, now);
         let lines: Vec<_> = lines.iter().map(|(line, dial)| (as_put(line), *dial)).collect();
-        self.executor.follow(lines.iter().map(|(line, dial)| (line, *dial)), whole);
+        self.executor.servers.apply_endpoints(lines.iter().map(|(line, dial)| (line, *dial)), whole);
         let endpoint: Vec<_> = lines.into_iter().map(|(line, _)| line).collect();
         self.balancer.on_endpoints(&endpoint, whole, now);
     }
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -3,6 +3,7 @@
 //! [`lifecycle::startup::Start`] holds what a proxy is told at its start; [`proxy::serve`] runs it on one thread and one
 //! loop until it is told to end. The decisions are the module's; this crate carries them out.
 
+mod descriptor_budget;
 mod discovery;
 mod downstream;
 mod executor;
@@ -13,5 +14,6 @@
 mod pending_sessions;
 pub mod proxy;
 mod session;
+mod session_table;
 mod tenants;
 mod upstream;
--- a/crates/proxy/src/lifecycle/graceful_shutdown.rs
+++ b/crates/proxy/src/lifecycle/graceful_shutdown.rs
@@ -1,6 +1,7 @@
 //! The end: what comes is still taken and answered, and what stands is moved, until nothing is left or time
 //! runs out.
 
+use crate::net::line::Answer;
 use crate::proxy::{Proxy, TICK};
 use crate::session::{Session, Stage};
 use shelfgrade::time::{DurationExt, Timestamp};
@@ -71,19 +72,23 @@
         if past >= open_for {
             for session in in_stage(Stage::Connecting) {
                 self.executor.metrics.count("failed at shutdown");
-                session.answer("ERR", &mut self.executor);
+                session.send_final_answer(Answer::Failed, &mut self.executor);
             }
         }
         let open = in_stage(Stage::Connecting).chain(in_stage(Stage::Established)).next().is_some();
-        let leaving = in_stage(Stage::Closing).any(|c| !c.client.is_over());
+        let leaving = in_stage(Stage::Closing).any(|c| !c.client.is_closed());
         let quiet = past >= QUIET_FOR && now.since(self.last_arrival) >= QUIET_FOR;
         // Guards against leaving who has connected, and has sent nothing yet or half of its line.
-        let owed = self.listener.pending_connections().any(|pending_connection| pending_connection.is_owed());
+        let owed = self
+            .listener
+            .pending
+            .values()
+            .any(|pending_connection| pending_connection.may_send_request_line());
         let settled = quiet && !open && !leaving && !owed && self.listener.queue_is_empty();
         if settled || past >= last_call {
             self.last_answers();
             // Guards against a process that ends while last lines are being written, or are on their way.
-            if past < gone_within && (leaving || self.executor.lingering.count() > 0) {
+            if past < gone_within && (leaving || self.executor.lingering.len() > 0) {
                 return;
             }
             let peers = self.peers.take();
@@ -104,15 +109,15 @@
                 break;
             }
         }
-        for pending_connection in self.listener.pending_connections().cloned().collect::<Vec<_>>() {
-            pending_connection.ready(self);
-            if self.listener.holds(&pending_connection) {
-                pending_connection.refuse("BUSY", "pending connections closed at shutdown", self);
+        for pending_connection in self.listener.pending.values().cloned().collect::<Vec<_>>() {
+            pending_connection.on_ready(self);
+            if self.listener.pending.contains(&pending_connection) {
+                pending_connection.reject(Answer::Rejected, "pending connections closed at shutdown", self);
             }
         }
         for session in self.executor.sessions.values().cloned().collect::<Vec<_>>() {
             if session.stage.get() == Stage::Connecting {
-                session.answer("ERR", &mut self.executor);
+                session.send_final_answer(Answer::Failed, &mut self.executor);
             }
         }
     }
--- a/crates/proxy/src/lifecycle/startup_gate.rs
+++ b/crates/proxy/src/lifecycle/startup_gate.rs
@@ -75,9 +75,7 @@
             session.upgrade().inspect(|session| self.place(session));
         }
         let ready = self.is_ready();
-        self.listener
-            .pending_connections()
-            .for_each(|pending_connection| pending_connection.answer_sign(ready));
+        self.listener.pending.values().for_each(|pending_connection| pending_connection.answer_ping(ready));
     }
 
     /// Called with each tick, and for each session when its time is up: nobody waits past the bound, and no session past
@@ -89,7 +87,7 @@
             log::warn!("no list has come yet: serving with the one known at the start");
             return self.list_is_here();
         }
-        let impatient = |c: &Rc<Session>| now.since(c.since.get()) >= longest_wait(c);
+        let impatient = |c: &Rc<Session>| now.since(c.stage_entered_at.get()) >= longest_wait(c);
         let due = self.startup_gate.sessions.extract_if(.., |c| c.upgrade().as_ref().is_none_or(impatient));
         for session in due.collect::<Vec<_>>().iter().filter_map(Weak::upgrade) {
             self.place(&session);
@@ -114,9 +112,11 @@
             }
             let among = ruled.as_ref().map(|ruled| &ruled.among);
             let whose = ruled.as_ref().map(|ruled| &ruled.customer);
-            let arrival =
-                crate::proxy::arrival(session, session.since.get() + session.opening.request_timeout);
-            *session.place.borrow_mut() = ruled.as_ref().map(|ruled| ruled.place.clone());
+            let arrival = crate::proxy::arrival(
+                session,
+                session.stage_entered_at.get() + session.opening.request_timeout,
+            );
+            *session.namespace_slot.borrow_mut() = ruled.as_ref().map(|ruled| ruled.place.clone());
             self.balancer.on_request(whose, &Arrival { turn, among, ..arrival }, now, &mut self.executor);
             // Not turned away: it was let in, or is about to be.
             let let_in = turn.is_some() && session.stage.get() == Stage::Connecting;
--- a/crates/proxy/src/net/line.rs
+++ b/crates/proxy/src/net/line.rs
@@ -1,126 +1,138 @@
-//! Lines of the protocol: finding their ends, reading a client's first one, and writing it for a server.
+//! Lines of the client and server protocol: framing, and the words that the wire uses for the proxy's own terms.
 
 use shelfgrade::time::DurationExt;
-use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The longest line, without its end.
-pub const LONGEST: usize = 4096;
+/// The longest line, without its line end, in bytes.
+pub const MAX_LINE_BYTES: usize = 4096;
+/// The longest line end, `\r\n`, in bytes.
+const MAX_LINE_END_BYTES: usize = 2;
+/// The longest line with its line end, in bytes.
+pub const MAX_FRAMED_LINE_BYTES: usize = MAX_LINE_BYTES + MAX_LINE_END_BYTES;
 
-/// A line that never ends.
+/// Health check request, without its line end.
+pub const PING: &str = "PING";
+/// A health check request as it is sent.
+pub const PING_LINE: &[u8] = b"PING\r\n";
+/// Tells a client to connect again, which migrates its session; as it is sent.
+pub const MIGRATE_LINE: &[u8] = b"MOVE\r\n";
+
+const UP: &str = "UP";
+const BUSY: &str = "BUSY";
+const ERR: &str = "ERR";
+const MOVE: &str = "MOVE";
+const BYE: &str = "BYE";
+const LOAD: &str = "LOAD";
+const PONG: &str = "PONG";
+
+/// A peer sent a line of more than [`MAX_LINE_BYTES`].
 #[derive(Debug, PartialEq)]
-pub struct TooLong;
+pub struct LineTooLong;
 
-/// Cuts what one peer sends into lines; reads along, so that the bytes themselves can pass on at once.
+/// Splits the byte stream of one peer into lines. It copies what it needs, so that the bytes themselves can be
+/// forwarded without waiting for the end of a line.
 #[derive(Default)]
 pub struct LineDecoder {
-    begun: Vec<u8>,
+    partial: Vec<u8>,
 }
 
 impl LineDecoder {
-    /// The lines that these bytes complete, with their ends.
-    pub fn feed(&mut self, bytes: &[u8]) -> Result<Vec<Vec<u8>>, TooLong> {
+    /// The lines that these bytes complete, with their line ends.
+    ///
+    /// # Errors
+    ///
+    /// [`LineTooLong`] as soon as a line exceeds [`MAX_LINE_BYTES`].
+    pub fn feed(&mut self, bytes: &[u8]) -> Result<Vec<Vec<u8>>, LineTooLong> {
         let mut lines = Vec::new();
         for part in bytes.split_inclusive(|b| *b == b'\n') {
-            self.begun.extend_from_slice(part);
-            if self.begun.len() > LONGEST + 2 {
-                return Err(TooLong);
+            self.partial.extend_from_slice(part);
+            if self.partial.len() > MAX_FRAMED_LINE_BYTES {
+                return Err(LineTooLong);
             }
             if part.ends_with(b"\n") {
-                lines.push(std::mem::take(&mut self.begun));
+                lines.push(std::mem::take(&mut self.partial));
             }
         }
         Ok(lines)
     }
 
-    /// Whether the peer stands between two lines.
-    pub fn between_lines(&self) -> bool {
-        self.begun.is_empty()
+    /// Whether all bytes so far belong to lines that have ended.
+    pub fn is_at_line_start(&self) -> bool {
+        self.partial.is_empty()
     }
 }
 
-/// A line's text without its end; nothing where it is no text.
-pub fn text(line: &[u8]) -> &str {
+/// The text of a line without its line end; empty if it is not UTF-8.
+pub fn line_text(line: &[u8]) -> &str {
     let line = line.strip_suffix(b"\n").unwrap_or(line);
     std::str::from_utf8(line.strip_suffix(b"\r").unwrap_or(line)).unwrap_or("")
 }
 
-/// The text of a whole line, without its end; none where it is no line of the protocol's: those end in CRLF
-/// and hold printable characters alone.
-pub fn whole(line: &[u8]) -> Option<&str> {
-    let line = line.strip_suffix(b"\r\n").filter(|line| line.len() <= LONGEST)?;
+/// The text of a line that keeps to the protocol, without its line end: it ends in CRLF, holds printable ASCII only,
+/// and is no longer than [`MAX_LINE_BYTES`].
+pub fn well_formed_line(line: &[u8]) -> Option<&str> {
+    let line = line.strip_suffix(b"\r\n").filter(|line| line.len() <= MAX_LINE_BYTES)?;
     let printable = line.iter().all(|b| matches!(b, b' '..=b'~'));
     std::str::from_utf8(line).ok().filter(|_| printable)
 }
 
-/// A client's first line: `OPEN ID KEY NAME=VALUE,…`
-#[derive(Debug)]
-pub struct OpenRequest {
-    line: String,
-    /// New with every connection.
-    pub id: u64,
-    pub key: String,
-    /// The request class's position among the names given.
-    pub class: usize,
-    /// How long the client waits.
-    pub request_timeout: Duration,
-    pub group: Option<String>,
-    pub customer: Option<String>,
-    /// The server where it was open before the start.
-    pub at: Option<String>,
-    pub mid_flow: bool,
-    pub returned: bool,
+/// What the proxy answers a client that gets no server, or one that asked for a health check.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum Answer {
+    /// The client may retry after a delay of its own choice.
+    Rejected,
+    /// The client may retry after this delay.
+    RejectedFor(Duration),
+    /// The request has failed.
+    Failed,
+    /// The proxy is ready.
+    Healthy,
 }
 
-impl OpenRequest {
-    /// Reads a line whole or not at all. Guards against sending on what a server cannot use: the errors that
-    /// it answers would count against its health. Fields never heard of pass, if they are well formed.
-    pub fn parse(line: &str, classes: &[String]) -> Option<Self> {
-        // As many as 32 bits hold, which keeps clear of overflows. Guards against refusing what was open before the
-        // start: where it has no end, its wait is 4294967 ms.
-        const LONGEST_MS: f64 = u32::MAX as f64;
-        let parts: Vec<_> = line.splitn(5, ' ').collect();
-        let ["OPEN", id, key, fields] = parts[..] else { return None };
-        let id = (id.len() == 16 && id.bytes().all(|b| b.is_ascii_hexdigit())).then_some(id)?;
-        let mut values = BTreeMap::new();
-        for field in fields.split(',') {
-            let (name, value) = field.split_once('=')?;
-            let sound = !name.is_empty() && !value.is_empty() && !value.contains('=');
-            if !sound || values.insert(name, value).is_some() {
-                return None;
-            }
+impl Answer {
+    /// The answer as it is sent, without its line end.
+    pub fn line(self) -> String {
+        match self {
+            Answer::Rejected => BUSY.to_owned(),
+            Answer::RejectedFor(retry_after) => format!("{BUSY} {}", retry_after.as_ms().ceil()),
+            Answer::Failed => ERR.to_owned(),
+            Answer::Healthy => PONG.to_owned(),
         }
-        let marked = |name| match values.get(name) {
-            None | Some(&"0") => Some(false),
-            Some(&"1") => Some(true),
-            Some(_) => None,
-        };
-        let wait = values.get("d").filter(|d| d.bytes().all(|b| b.is_ascii_digit() || b == b'.'))?;
-        let wait = wait.parse().ok().filter(|ms| (0.0..=LONGEST_MS).contains(ms))?;
-        let named = |name| values.get(name).map(|value| value.to_string());
-        marked("r")?;
-        let open = OpenRequest {
-            line: line.to_owned(),
-            id: u64::from_str_radix(id, 16).ok()?,
-            key: Some(key).filter(|key| !key.is_empty())?.to_owned(),
-            class: classes.iter().position(|o| values.get("c") == Some(&o.as_str()))?,
-            request_timeout: Duration::from_ms(wait),
-            group: named("g"),
-            customer: named("t"),
-            at: named("at"),
-            mid_flow: marked("mid")?,
-            returned: marked("again")?,
-        };
-        (open.at.is_none() || !open.mid_flow).then_some(open)
     }
+}
 
-    /// The line as the server gets it: unchanged but for `d`, which tells how long the proxy will wait.
-    pub fn for_server(&self, wait: Duration) -> String {
-        let (head, fields) = self.line.rsplit_once(' ').unwrap_or(("", &self.line));
-        let wait = format!("d={}", wait.as_ms().floor());
-        let fields: Vec<_> =
-            fields.split(',').map(|f| if f.starts_with("d=") { wait.as_str() } else { f }).collect();
-        format!("{head} {}\r\n", fields.join(","))
+/// A line from a server.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum ServerLine<'a> {
+    /// The session is established.
+    Established,
+    /// The server sheds load.
+    Rejected,
+    /// The client is to connect again.
+    Migrate,
+    /// The session has completed; the server closes the connection next.
+    Completed,
+    /// A load report, with its value as it was sent.
+    Load(&'a str),
+    /// The answer to a health check.
+    Healthy,
+    /// Anything else.
+    Other,
+}
+
+impl<'a> ServerLine<'a> {
+    /// Reads the text of one line.
+    pub fn parse(text: &'a str) -> Self {
+        let (word, value) = text.split_once(' ').unwrap_or((text, ""));
+        match word {
+            UP => ServerLine::Established,
+            BUSY => ServerLine::Rejected,
+            MOVE => ServerLine::Migrate,
+            BYE => ServerLine::Completed,
+            LOAD => ServerLine::Load(value),
+            PONG if text == PONG => ServerLine::Healthy,
+            _ => ServerLine::Other,
+        }
     }
 }
 
--- a/crates/proxy/src/net/socket.rs
+++ b/crates/proxy/src/net/socket.rs
@@ -1,4 +1,4 @@
-//! A non-blocking TCP connection that the loop watches until it is dropped.
+//! A non-blocking TCP connection that an event loop watches until it is dropped.
 
 use crate::net::ring::Ring;
 use crate::net::transient::is_shortage;
@@ -11,56 +11,74 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How a peer ended what it sends, or how we end what we send.
+/// Failures of one call in a row after which it is left for later.
+const MAX_FAILURES: usize = 16;
+/// When it is called again then.
+const RETRY_DELAY: Duration = Duration::from_millis(10);
+/// Bytes that are read at once in order to be dropped.
+const DISCARD_BYTES: usize = 4096;
+
+/// How a peer ended its sending, or how we end ours.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
+    /// In order, after the last byte.
     Fin,
+    /// With a reset.
     Reset,
 }
 
 type Callback<T> = Rc<dyn Fn(&mut T)>;
 
-/// `T` is what the loop hands to those that are called.
+/// A TCP connection. `T` is the event loop's data, which callbacks are given.
 pub struct Socket<T: 'static> {
     stream: Rc<TcpStream>,
     watch: Cell<Option<(LoopHandle<'static, T>, RegistrationToken)>>,
-    /// What is called when it may have become readable or writable.
-    ready: Rc<RefCell<Callback<T>>>,
-    /// Lines of our own that the system has yet to take.
-    own: RefCell<Vec<u8>>,
-    /// How an attempt failed.
-    refused: Cell<Option<ErrorKind>>,
-    /// `ready` is about to be called by a timer.
-    waits_for_call: Rc<Cell<bool>>,
-    /// Set once the peer has ended, however that was noticed.
-    pub ended: Cell<Option<End>>,
-    /// Set once our side has ended.
-    pub closed: Cell<Option<End>>,
+    /// Called when the socket may have become readable or writable.
+    on_ready: Rc<RefCell<Callback<T>>>,
+    /// Lines of the proxy's own that the system has yet to take.
+    unsent_lines: RefCell<Vec<u8>>,
+    /// How connecting has failed.
+    connect_error: Cell<Option<ErrorKind>>,
+    /// A timer is set that calls `on_ready`.
+    retry_is_scheduled: Rc<Cell<bool>>,
+    /// How the peer has ended, however that was noticed.
+    pub peer_end: Cell<Option<End>>,
+    /// How our side has ended, or is to end after its last byte.
+    local_end: Cell<Option<End>>,
     /// The end of our sending has been handed to the system.
-    shut_down: Cell<bool>,
+    is_shut_down: Cell<bool>,
 }
 
 impl<T> Socket<T> {
+    /// A socket over a connection that is up or coming up.
+    ///
+    /// # Errors
+    ///
+    /// The connection cannot be made non-blocking.
     pub fn new(stream: TcpStream) -> io::Result<Self> {
         stream.set_nonblocking(true)?;
-        // Without it small writes may wait for each other, which is no cause to close a connection.
+        // Without this option small writes may be delayed, which is no reason to close a connection.
         if let Err(error) = stream.set_nodelay(true) {
             log::debug!("no TCP_NODELAY: {error}");
         }
         Ok(Socket {
             stream: Rc::new(stream),
             watch: Cell::default(),
-            ready: Rc::new(RefCell::new(Rc::new(|_| {}))),
-            own: RefCell::default(),
-            refused: Cell::default(),
-            waits_for_call: Rc::default(),
-            ended: Cell::default(),
-            closed: Cell::default(),
-            shut_down: Cell::default(),
+            on_ready: Rc::new(RefCell::new(Rc::new(|_| {}))),
+            unsent_lines: RefCell::default(),
+            connect_error: Cell::default(),
+            retry_is_scheduled: Rc::default(),
+            peer_end: Cell::default(),
+            local_end: Cell::default(),
+            is_shut_down: Cell::default(),
         })
     }
 
-    /// Starts an attempt, which a call of `ready` will bring news of.
+    /// Starts to connect; [`Socket::is_connected`] tells the result once the socket is ready.
+    ///
+    /// # Errors
+    ///
+    /// The socket cannot be opened, or the connection is refused at once.
     pub fn dial(to: SocketAddr) -> io::Result<Self> {
         let socket = socket2::Socket::new(
             socket2::Domain::for_address(to),
@@ -75,33 +93,44 @@
         Self::new(socket.into())
     }
 
-    /// Calls `ready` whenever the socket may have become readable or writable: at each change, not as long as
-    /// it lasts, so whoever is called reads and writes until it would block.
-    pub fn watch(&self, handle: &LoopHandle<'static, T>, ready: impl Fn(&mut T) + 'static) -> io::Result<()> {
-        self.on_ready(ready);
-        let ready = self.ready.clone();
+    /// Calls `on_ready` whenever the socket may have become readable or writable: at each change, not for as long as it
+    /// lasts, so the callback has to read and write until that would block.
+    ///
+    /// # Errors
+    ///
+    /// The loop cannot watch the socket.
+    pub fn watch(
+        &self,
+        handle: &LoopHandle<'static, T>,
+        on_ready: impl Fn(&mut T) + 'static,
+    ) -> io::Result<()> {
+        self.on_ready(on_ready);
+        let on_ready = self.on_ready.clone();
         let source = Generic::new(self.stream.clone(), Interest::BOTH, Mode::Edge);
         let token = handle.insert_source(source, move |_, _, data| {
-            let call = ready.borrow().clone();
-            call(data);
+            let callback = on_ready.borrow().clone();
+            callback(data);
             Ok(PostAction::Continue)
         });
         self.watch.set(Some((handle.clone(), token.map_err(|error| io::Error::other(error.error))?)));
         Ok(())
     }
 
-    /// Has something else called from now on.
-    pub fn on_ready(&self, ready: impl Fn(&mut T) + 'static) {
-        *self.ready.borrow_mut() = Rc::new(ready);
+    /// Replaces the callback.
+    pub fn on_ready(&self, on_ready: impl Fn(&mut T) + 'static) {
+        *self.on_ready.borrow_mut() = Rc::new(on_ready);
     }
 
-    /// Whether an attempt has come up; an error where it has failed. Guards against a refusal that one asks about
-    /// and the next does not hear of: the system tells it once.
-    pub fn is_up(&self) -> io::Result<bool> {
+    /// Whether the connection is up.
+    ///
+    /// # Errors
+    ///
+    /// Connecting has failed. The error is kept, as the system reports it only once.
+    pub fn is_connected(&self) -> io::Result<bool> {
         if let Some(error) = self.stream.take_error()? {
-            self.refused.set(Some(error.kind()));
+            self.connect_error.set(Some(error.kind()));
         }
-        if let Some(kind) = self.refused.get() {
+        if let Some(kind) = self.connect_error.get() {
             return Err(kind.into());
         }
         match self.stream.peer_addr() {
@@ -111,159 +140,153 @@
         }
     }
 
-    /// Whether the peer has ended, with nothing sent that is still to be read.
-    pub fn has_left(&self) -> bool {
+    /// Whether the peer has ended, with nothing left to read.
+    pub fn peer_has_closed(&self) -> bool {
         matches!(self.stream.peek(&mut [0]), Ok(0))
     }
 
-    /// Whether the peer has neither sent anything that is still to be read nor ended; where it has ended, `on_attempt_ended` says
-    /// so from then on.
-    pub fn rests(&self) -> bool {
-        if self.ended.get().is_some() {
+    /// Whether the peer has neither ended nor sent anything that is left to read. Sets `peer_end` if it has ended.
+    pub fn is_idle(&self) -> bool {
+        if self.peer_end.get().is_some() {
             return false;
         }
-        let there = self.settle(|stream| stream.peek(&mut [0]));
-        if there == Some(0) {
-            self.ended.set(Some(End::Fin));
-        }
-        there.is_none() && self.ended.get().is_none()
+        let available = self.retry_transient(|stream| stream.peek(&mut [0]));
+        self.note_end_of_stream(available);
+        available.is_none() && self.peer_end.get().is_none()
     }
 
-    /// Reads once into the ring; nothing where there is nothing now, no room, or nothing any more.
+    /// Reads once into the ring; 0 if there is nothing to read now, no room, or nothing any more.
     pub fn read(&self, ring: &mut Ring) -> usize {
-        if self.ended.get().is_some() || ring.is_full() {
+        if self.peer_end.get().is_some() || ring.is_full() {
             return 0;
         }
-        let read = self.settle(|stream| ring.fill_from(stream));
-        if read == Some(0) {
-            self.ended.set(Some(End::Fin));
-        }
+        let read = self.retry_transient(|stream| ring.fill_from(stream));
+        self.note_end_of_stream(read);
         read.unwrap_or(0)
     }
 
-    /// Reads once to the end of `into`, which holds so many bytes at most.
-    pub fn take(&self, into: &mut Vec<u8>, most: usize) -> usize {
-        let held = into.len();
-        if self.ended.get().is_some() || held >= most {
+    /// Reads once to the end of `buffer`, which grows to `max_len` bytes at most; how many were read.
+    pub fn read_to_vec(&self, buffer: &mut Vec<u8>, max_len: usize) -> usize {
+        let len = buffer.len();
+        if self.peer_end.get().is_some() || len >= max_len {
             return 0;
         }
-        into.resize(most, 0);
-        let read = self.settle(|mut stream| stream.read(&mut into[held..]));
-        into.truncate(held + read.unwrap_or(0));
-        if read == Some(0) {
-            self.ended.set(Some(End::Fin));
-        }
+        buffer.resize(max_len, 0);
+        let read = self.retry_transient(|mut stream| stream.read(&mut buffer[len..]));
+        buffer.truncate(len + read.unwrap_or(0));
+        self.note_end_of_stream(read);
         read.unwrap_or(0)
     }
 
-    /// Reads what lies there, so many bytes at most, and drops it; how many there were.
-    pub fn discard(&self, most: usize) -> usize {
-        let mut scratch = [0; 4096];
-        let mut dropped = 0;
-        while dropped < most && self.ended.get().is_none() {
-            let room = scratch.len().min(most - dropped);
-            match self.settle(|mut stream| stream.read(&mut scratch[..room])) {
-                Some(0) => self.ended.set(Some(End::Fin)),
-                Some(read) => dropped += read,
-                None => break,
-            }
+    /// Reads at most `max` bytes and drops them; how many there were.
+    pub fn discard(&self, max: usize) -> usize {
+        let mut scratch = [0; DISCARD_BYTES];
+        let mut discarded = 0;
+        while discarded < max && self.peer_end.get().is_none() {
+            let len = scratch.len().min(max - discarded);
+            let read = self.retry_transient(|mut stream| stream.read(&mut scratch[..len]));
+            self.note_end_of_stream(read);
+            let Some(read) = read else { break };
+            discarded += read;
         }
-        dropped
+        discarded
     }
 
-    /// Writes a line of our own, before all else that is to be written. What the system does not take at once goes
-    /// with later calls of `write_own`.
-    pub fn tell(&self, line: &str) {
-        self.own.borrow_mut().extend_from_slice(format!("{line}\r\n").as_bytes());
-        self.write_own();
+    fn note_end_of_stream(&self, read: Option<usize>) {
+        if read == Some(0) {
+            self.peer_end.set(Some(End::Fin));
+        }
+    }
+
+    /// Sends a line of the proxy's own, before all else that is to be written. What the system does not take at once is
+    /// kept for [`Socket::flush_lines`].
+    pub fn send_line(&self, line: &str) {
+        self.unsent_lines.borrow_mut().extend_from_slice(format!("{line}\r\n").as_bytes());
+        self.flush_lines();
     }
 
-    /// Goes on with lines of our own, and ends our side after them where that was asked for; whether nothing of them is
-    /// left. Guards against a write that took a part of a line: none but the caller would send the rest.
-    pub fn write_own(&self) -> bool {
-        let mut own = self.own.borrow_mut();
-        while !own.is_empty() {
-            match self.settle(|mut stream| stream.write(&own)) {
-                Some(written) if written > 0 => drop(own.drain(..written)),
-                _ if self.ended.get() == Some(End::Reset) => own.clear(),
+    /// Writes what is left of lines of the proxy's own, and ends our side after them if that was asked for; whether
+    /// nothing is left.
+    pub fn flush_lines(&self) -> bool {
+        let mut unsent = self.unsent_lines.borrow_mut();
+        while !unsent.is_empty() {
+            match self.retry_transient(|mut stream| stream.write(&unsent)) {
+                Some(written) if written > 0 => drop(unsent.drain(..written)),
+                _ if self.peer_end.get() == Some(End::Reset) => unsent.clear(),
                 _ => return false,
             }
         }
-        if self.closed.get() == Some(End::Fin) && !self.shut_down.replace(true) {
-            // It fails where the connection has broken, which is heard of by itself.
+        if self.local_end.get() == Some(End::Fin) && !self.is_shut_down.replace(true) {
+            // This fails only if the connection has broken, which an event tells.
             let _ = self.stream.shutdown(Shutdown::Write);
         }
         true
     }
 
-    /// Writes once from the ring.
+    /// Writes once from the ring; how many bytes were written. Once either side has ended, what is held is dropped.
     pub fn write(&self, ring: &mut Ring) -> usize {
-        if !self.write_own() || ring.is_empty() {
+        if !self.flush_lines() || ring.is_empty() {
             return 0;
         }
-        if self.closed.get().is_some() || self.ended.get() == Some(End::Reset) {
-            // Nobody is left to read it.
+        if self.local_end.get().is_some() || self.peer_end.get() == Some(End::Reset) {
             ring.clear();
             return 0;
         }
-        self.settle(|stream| ring.drain_to(stream)).unwrap_or(0)
+        self.retry_transient(|stream| ring.drain_to(stream)).unwrap_or(0)
     }
 
-    /// None where nothing was done now, or the connection has broken. Guards against taking a want of memory or buffers
-    /// for a broken connection: no event tells when that is over, so it is called again after a while.
-    fn settle(&self, mut act: impl FnMut(&TcpStream) -> io::Result<usize>) -> Option<usize> {
-        // One run in 65,000 is as long where half of the calls fail.
-        const FAILURES_IN_A_ROW: usize = 16;
-        for _ in 0..FAILURES_IN_A_ROW {
-            match act(&self.stream) {
+    /// Repeats a call that fails for lack of memory or buffers, which breaks no connection. None if the call would block,
+    /// if the connection has broken, or if the call went on failing: then `on_ready` is called after a delay, as no
+    /// event tells that memory is available again.
+    fn retry_transient(&self, mut call: impl FnMut(&TcpStream) -> io::Result<usize>) -> Option<usize> {
+        for _ in 0..MAX_FAILURES {
+            match call(&self.stream) {
                 Ok(count) => return Some(count),
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return None,
                 Err(error) if is_shortage(&error) => {}
                 Err(_) => {
-                    self.ended.set(Some(End::Reset));
+                    self.peer_end.set(Some(End::Reset));
                     return None;
                 }
             }
         }
-        self.call_again();
+        self.schedule_retry();
         None
     }
 
-    /// Has `ready` called after a while, as no event may come.
-    fn call_again(&self) {
-        const PAUSE: Duration = Duration::from_millis(10);
+    fn schedule_retry(&self) {
         let Some((handle, token)) = self.watch.take() else { return };
-        if !self.waits_for_call.replace(true) {
-            let (ready, waits) = (Rc::downgrade(&self.ready), self.waits_for_call.clone());
-            let set = handle.insert_source(Timer::from_duration(PAUSE), move |_, _, data| {
-                waits.set(false);
-                let call = ready.upgrade().map(|ready| ready.borrow().clone());
-                call.inspect(|call| call(data));
+        if !self.retry_is_scheduled.replace(true) {
+            let (on_ready, is_scheduled) = (Rc::downgrade(&self.on_ready), self.retry_is_scheduled.clone());
+            let set = handle.insert_source(Timer::from_duration(RETRY_DELAY), move |_, _, data| {
+                is_scheduled.set(false);
+                let callback = on_ready.upgrade().map(|on_ready| on_ready.borrow().clone());
+                callback.inspect(|callback| callback(data));
                 TimeoutAction::Drop
             });
-            self.waits_for_call.set(set.is_ok());
+            self.retry_is_scheduled.set(set.is_ok());
         }
         self.watch.set(Some((handle, token)));
     }
 
-    /// Ends our side: politely, after what is written, or with a reset once the socket is dropped.
-    pub fn end(&self, how: End) {
-        if self.closed.replace(Some(how)).is_none() {
-            match how {
-                End::Fin => drop(self.write_own()),
-                End::Reset => {
-                    let _ = socket2::SockRef::from(&*self.stream).set_linger(Some(Duration::ZERO));
-                }
+    /// Ends our side: in order after what is to be written, or with a reset once the socket is dropped.
+    pub fn end(&self, end: End) {
+        if self.local_end.replace(Some(end)).is_some() {
+            return;
+        }
+        match end {
+            End::Fin => drop(self.flush_lines()),
+            End::Reset => {
+                let _ = socket2::SockRef::from(&*self.stream).set_linger(Some(Duration::ZERO));
             }
         }
     }
 
-    /// Whether nothing more can come or go.
-    pub fn is_over(&self) -> bool {
-        let reset = Some(End::Reset);
-        self.ended.get() == reset
-            || self.closed.get() == reset
-            || self.ended.get().is_some() && self.closed.get().is_some()
+    /// Whether nothing more can be received or sent.
+    pub fn is_closed(&self) -> bool {
+        let (peer, local) = (self.peer_end.get(), self.local_end.get());
+        let is_reset = peer == Some(End::Reset) || local == Some(End::Reset);
+        is_reset || peer.is_some() && local.is_some()
     }
 }
 
--- a/crates/proxy/src/pending_sessions.rs
+++ b/crates/proxy/src/pending_sessions.rs
@@ -1,28 +1,29 @@
-//! Sessions that wait for something no event comes for. Guards against a walk over all that are at rest, which are
-//! tens of thousands where few of them wait.
+//! Sessions that wait for something that no socket event comes for. Keeping them apart saves a walk over all sessions,
+//! most of which are idle.
 
 use crate::session::Session;
 use shelfgrade::host::SessionId;
 use std::collections::BTreeMap;
 use std::rc::{Rc, Weak};
 
-/// In the order in which sessions came; who no longer waits is dropped with the next look.
+/// A set of waiting sessions, in the order in which they came.
 #[derive(Default)]
 pub struct PendingSessions(BTreeMap<SessionId, Weak<Session>>);
 
 impl PendingSessions {
+    /// Adds a session.
     pub fn add(&mut self, session: &Session) {
-        self.0.insert(session.id, session.me.clone());
+        self.0.insert(session.id, session.weak.clone());
     }
 
-    /// Those that still wait.
-    pub fn look(&mut self, waits: impl Fn(&Session) -> bool) -> Vec<Rc<Session>> {
-        let mut due = Vec::with_capacity(self.0.len());
+    /// The sessions for which `is_pending` holds; all others are removed.
+    pub fn still_pending(&mut self, is_pending: impl Fn(&Session) -> bool) -> Vec<Rc<Session>> {
+        let mut pending = Vec::with_capacity(self.0.len());
         self.0.retain(|_, session| {
-            let session = session.upgrade().filter(|session| waits(session));
-            due.extend(session.clone());
+            let session = session.upgrade().filter(|session| is_pending(session));
+            pending.extend(session.clone());
             session.is_some()
         });
-        due
+        pending
     }
 }
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -4,7 +4,7 @@
 use crate::discovery::endpoint_list::EndpointList;
 use crate::discovery::start_times::StartTimes;
 use crate::downstream::listener::Listener;
-use crate::executor::Executor;
+use crate::executor::{EndedAttempt, Executor, ExecutorSettings};
 use crate::fleet::fleet_file::{FleetError, FleetFile};
 use crate::fleet::peers::Peers;
 use crate::fleet::recovery;
@@ -12,7 +12,8 @@
 use crate::lifecycle::startup::{limit_descriptors, Limits, Start};
 use crate::lifecycle::startup_gate::StartupGate;
 use crate::net::event_loop::EventLoopOwner;
-use crate::net::line::{OpenRequest, LONGEST};
+use crate::net::line::MAX_LINE_BYTES;
+use crate::net::open_request::OpenRequest;
 use crate::net::socket::Socket;
 use crate::net::transient::is_transient;
 use crate::session::{Session, Stage};
@@ -115,8 +116,13 @@
     let seq = Some(start.known.seq).filter(|_| !whole);
     let settings_text = start.settings_text;
     let recovery_settings = fleet.as_ref().map(|fleet| recovery::recovery_settings(&start.settings, fleet));
-    let signs = (start.settings.health_checks_allowed, start.settings.tells_delay);
-    let executor = Executor::new(handle, limits, start.settings.dial_time_out, signs);
+    let executor_settings = ExecutorSettings {
+        dial_timeout: start.settings.dial_time_out,
+        health_checks_allowed: start.settings.health_checks_allowed,
+        servers_report_latency: start.settings.tells_delay,
+        max_descriptors: limits.sockets as usize,
+    };
+    let executor = Executor::new(handle, executor_settings);
     let now = executor.clock.now();
     let metrics = executor.metrics.clone();
     let mut proxy = Proxy {
@@ -157,13 +163,13 @@
     let known = if fleet.is_some() { Vec::new() } else { start.known.lines() };
     let known = proxy.start_times.timed(known, now);
     let dials = start.known.entries.iter().map(|entry| entry.dial);
-    proxy.executor.follow(known.iter().zip(dials), true);
+    proxy.executor.servers.apply_endpoints(known.iter().zip(dials), true);
     proxy.balancer.start(&known, now, &mut proxy.executor);
     if !pushed && fleet.is_none() {
-        proxy.startup_gate = StartupGate::until_its_turn(now, proxy.executor.wakes_at);
+        proxy.startup_gate = StartupGate::until_its_turn(now, proxy.executor.next_wakeup);
     }
     // Lines come back at once here however strained a server is.
-    proxy.balancer.start_periodic_checks(!proxy.executor.tells_delay, now, &mut proxy.executor);
+    proxy.balancer.start_periodic_checks(!proxy.executor.servers_report_latency, now, &mut proxy.executor);
     if let Some((file, settings)) = fleet.zip(recovery_settings) {
         proxy.join_peers(file, settings, &start.known, start.seed)?;
     }
@@ -179,7 +185,7 @@
 /// The size of one ring: so that two for every descriptor take half of the memory at most.
 fn ring_size(limits: Limits) -> usize {
     // Room for one of the longest lines and more; over four of them buys nothing for lines this short.
-    let (least, most) = (LONGEST + 512, 16 << 10);
+    let (least, most) = (MAX_LINE_BYTES + 512, 16 << 10);
     ((limits.memory_mb << 20) as usize / 2 / (2 * limits.sockets.max(1) as usize)).clamp(least, most)
 }
 
@@ -197,17 +203,16 @@
     pub fn open(&mut self, open: OpenRequest, client: Rc<Socket<Proxy>>) {
         log::trace!("{open:?}");
         let now = self.now();
-        let session = Session::new(self.executor.next_id(), open, client, self.ring, now);
-        let weak = session.me.clone();
+        let session = Session::new(self.executor.sessions.next_id(), open, client, self.ring, now);
+        let weak = session.weak.clone();
         session.client.on_ready(move |proxy| {
-            weak.upgrade().inspect(|session| session.ready(proxy));
+            weak.upgrade().inspect(|session| session.on_ready(proxy));
         });
-        self.executor.sessions.insert(session.id, session.clone());
-        self.executor.open_ids.insert(session.opening.id);
+        self.executor.sessions.insert(&session);
         self.discovery.clone().look(self);
-        if session.is_taken_over() {
-            self.executor.pending.add(&session);
-            self.executor.take_over(&session);
+        if session.is_restored() {
+            self.executor.needing_tick.add(&session);
+            self.executor.restore_session(&session);
         } else {
             self.executor.metrics.count("sessions");
             self.last_arrival = now;
@@ -218,14 +223,14 @@
             }
         }
         // What came since its line was read, brings no event of its own.
-        session.ready(self);
-        self.make_room();
+        session.on_ready(self);
+        self.evict_pending_connections();
     }
 
     /// The session's connection is up.
     pub fn on_established(&mut self, session: &Session, server: &ServerId) {
         let now = self.now();
-        if session.is_taken_over() {
+        if session.is_restored() {
             self.balancer.restore_session(&arrival(session, now), server, now);
         } else {
             self.executor.metrics.count("sessions established");
@@ -265,34 +270,35 @@
     }
 
     /// Carries out a move that waited for the end of a line.
-    pub fn move_now(&mut self, session: &Session) {
+    pub fn migrate_now(&mut self, session: &Session) {
         let now = self.now();
-        if session.try_moving(now) {
+        if session.try_migrate(now) {
             self.on_attempt_ended(session.id, AttemptOutcome::Cancelled, true);
         }
     }
 
     /// Tells the module what came of its own calls.
     pub fn settle(&mut self) {
-        while let Some((session, outcome, done)) = self.executor.untold.pop_front() {
+        while let Some(ended) = self.executor.unreported.pop_front() {
+            let EndedAttempt { session, outcome, client_done } = ended;
             let now = self.now();
-            self.balancer.on_attempt_ended(session, outcome, done, now, &mut self.executor);
+            self.balancer.on_attempt_ended(session, outcome, client_done, now, &mut self.executor);
         }
-        if self.executor.wants_list.take() && self.asks_discovery() {
+        if self.executor.poll_requested.take() && self.asks_discovery() {
             self.discovery.clone().ask(self);
         }
         while let Some(server) = self.executor.health_checks_due.pop_front() {
-            HealthCheck::ask(&server, self);
+            HealthCheck::start(&server, self);
         }
     }
 
     fn tick(&mut self) {
-        for session in self.executor.pending.look(Session::is_due) {
+        for session in self.executor.needing_tick.still_pending(Session::needs_tick) {
             self.executor.metrics.count("session checks");
-            session.tick(self);
+            session.on_tick(self);
         }
-        self.sweep_pending_connections();
-        self.executor.lingering.sweep(self.now());
+        self.close_silent_connections();
+        self.executor.lingering.close_expired(self.now());
         self.reload_if_requested();
         self.end_of_waiting();
         self.tell_pulses();
@@ -308,20 +314,23 @@
         }
         self.pulses_taken = now;
         let there = &self.executor.sessions;
-        self.balancer.sweep(|session| there.contains_key(session), now);
+        self.balancer.sweep(|session| there.contains(*session), now);
         self.look_at_windows();
         let servers: Vec<_> = self.executor.servers.values().cloned().collect();
-        let waits =
-            |session: &Session| session.stage.get() == Stage::Established && session.asked.get().is_some();
-        for session in self.executor.unanswered.look(waits) {
+        let waits = |session: &Session| {
+            session.stage.get() == Stage::Established && session.awaiting_reply_since.get().is_some()
+        };
+        for session in self.executor.awaiting_reply.still_pending(waits) {
             self.executor.metrics.count("session checks");
-            if let Some(asked) = session.asked.get().filter(|_| session.stage.get() == Stage::Established) {
+            if let Some(asked) =
+                session.awaiting_reply_since.get().filter(|_| session.stage.get() == Stage::Established)
+            {
                 self.balancer.on_message_latency(session.id, now.since(asked), now, &mut self.executor);
                 self.settle();
             }
         }
         for server in servers {
-            if let Some((took, session)) = server.message_latency.take() {
+            if let Some((took, session)) = server.message_latency.take_median() {
                 log::debug!("messages at {} take {} ms", server.id, took.as_ms());
                 self.balancer.on_message_latency(session.id, took, now, &mut self.executor);
                 self.settle();
@@ -344,7 +353,7 @@
     fn on_endpoints(&mut self, list: &EndpointList) -> bool {
         let now = self.now();
         log::debug!("list {}: {} lines, whole {}", list.seq, list.entries.len(), list.whole);
-        self.executor.list_heard.set(true);
+        self.executor.list_received.set(true);
         if let Some(taken) = self.list_for_peers(list) {
             return taken;
         }
@@ -354,9 +363,11 @@
         }
         let lines = self.start_times.timed(list.lines(), now);
         self.start_times.list_is_heard();
-        self.executor.follow(lines.iter().zip(list.entries.iter().map(|entry| entry.dial)), list.whole);
+        self.executor
+            .servers
+            .apply_endpoints(lines.iter().zip(list.entries.iter().map(|entry| entry.dial)), list.whole);
         self.balancer.on_endpoints(&lines, list.whole, now);
-        self.executor.take_over_waiting();
+        self.executor.restore_waiting_sessions();
         self.settle();
         self.list_is_here();
         true
--- a/crates/proxy/src/session.rs
+++ b/crates/proxy/src/session.rs
@@ -1,240 +1,251 @@
-//! A session on sockets: the client's side, the server's side, and the two rings between them.
+//! A client's proxied connection: the client's socket, the attempt at a server, and a buffer for each direction.
 //!
-//! Each direction ends by itself: `up_end` and `down_end` say how, once that is known, and the side that it
-//! leads to is ended the same way after the last byte of its ring.
+//! Each direction ends by itself: `to_server_end` and `to_client_end` say how, once that is known, and the receiving
+//! side is ended the same way after the last byte of its buffer.
 
 use crate::executor::Executor;
-use crate::net::line::{LineDecoder, OpenRequest, TooLong};
+use crate::net::line::{Answer, LineDecoder, LineTooLong, MIGRATE_LINE};
+use crate::net::open_request::OpenRequest;
 use crate::net::ring::Ring;
 use crate::net::socket::{End, Socket};
 use crate::proxy::Proxy;
-use crate::upstream::server::Attempt;
+use crate::upstream::attempt::Attempt;
 use shelfgrade::host::{AttemptOutcome, SessionId};
 use shelfgrade::time::Timestamp;
 use std::cell::{Cell, RefCell};
 use std::rc::{Rc, Weak};
 use std::time::Duration;
 
-/// How long the server of what was open before the start is tried and waited for: a run begins no later.
-pub const TAKE_OVER_WITHIN: Duration = Duration::from_millis(40_000);
-
-/// What tells a client to come again.
-const MOVE: &[u8] = b"MOVE\r\n";
-
+/// How long a restored session waits for its server, connection and answer included.
+pub const RESTORE_TIMEOUT: Duration = Duration::from_millis(40_000);
+/// How long a restored session waits for its server to be listed, once there is an endpoint list.
+const ENDPOINT_TIMEOUT: Duration = Duration::from_millis(2500);
+/// How long a session that is closing waits for both peers to end: long enough for them to read the last bytes, short
+/// enough to free the descriptors.
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(2000);
+/// How long a migration waits for the server to end the line that it has begun.
+const LINE_END_TIMEOUT: Duration = Duration::from_millis(800);
+/// Rounds of reading and writing before other sessions have their turn.
+const MAX_ROUNDS_PER_TURN: usize = 32;
+
+/// How far a session has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// The module is finding it a server.
+    /// The load balancer is finding a server for it.
     Connecting,
-    /// It stands: lines pass both ways.
+    /// Lines pass both ways.
     Established,
-    /// Over for the module; what is left to write is being written.
+    /// It has ended for the load balancer; the last bytes are being written.
     Closing,
     /// Both connections are closed.
     Closed,
 }
 
+/// A client's proxied connection, from its first line to its end.
 pub struct Session {
+    /// Its id in this process.
     pub id: SessionId,
+    /// How far it has come.
     pub stage: Cell<Stage>,
-    /// When that stage began.
-    pub since: Cell<Timestamp>,
+    /// When the stage began.
+    pub stage_entered_at: Cell<Timestamp>,
+    /// The client's first line.
     pub opening: OpenRequest,
+    /// The client's connection.
     pub client: Rc<Socket<Proxy>>,
-    pub from_client: RefCell<LineDecoder>,
+    /// Splits what the client sends into lines.
+    pub client_decoder: RefCell<LineDecoder>,
+    /// The attempt at a server that is under way or established.
     pub attempt: RefCell<Option<Rc<Attempt>>>,
-    pub up: RefCell<Ring>,
-    pub down: RefCell<Ring>,
-    pub up_end: Cell<Option<End>>,
-    pub down_end: Cell<Option<End>>,
-    /// Since when it waits for the end of a line, to send its client away.
-    pub leaving_line: Cell<Option<Timestamp>>,
-    /// When the first line of the client's came that nothing has come back since.
-    pub asked: Cell<Option<Timestamp>>,
-    /// Its place in its customer's room, for as long as it is here.
-    pub place: RefCell<Option<Rc<()>>>,
-    pub me: Weak<Session>,
+    /// Bytes on their way to the server.
+    pub to_server: RefCell<Ring>,
+    /// Bytes on their way to the client.
+    pub to_client: RefCell<Ring>,
+    /// How the direction to the server ends after its last byte.
+    pub to_server_end: Cell<Option<End>>,
+    /// How the direction to the client ends after its last byte.
+    pub to_client_end: Cell<Option<End>>,
+    /// Since when it is to migrate, and waits for the end of a line.
+    pub migrating_since: Cell<Option<Timestamp>>,
+    /// When the client sent the first line that nothing has come back for.
+    pub awaiting_reply_since: Cell<Option<Timestamp>>,
+    /// Its share of its namespace's capacity, freed when the session closes.
+    pub namespace_slot: RefCell<Option<Rc<()>>>,
+    /// A reference to itself, for callbacks.
+    pub weak: Weak<Session>,
 }
 
 impl Session {
+    /// A session whose client has sent its first line. Each buffer takes `buffer_size` bytes.
     pub fn new(
         id: SessionId,
         opening: OpenRequest,
         client: Rc<Socket<Proxy>>,
-        ring: usize,
+        buffer_size: usize,
         now: Timestamp,
     ) -> Rc<Self> {
-        Rc::new_cyclic(|me| Session {
+        Rc::new_cyclic(|weak| Session {
             id,
             stage: Cell::new(Stage::Connecting),
-            since: Cell::new(now),
+            stage_entered_at: Cell::new(now),
             opening,
             client,
-            from_client: RefCell::default(),
+            client_decoder: RefCell::default(),
             attempt: RefCell::default(),
-            up: RefCell::new(Ring::new(ring)),
-            down: RefCell::new(Ring::keeping(MOVE.len(), ring)),
-            up_end: Cell::default(),
-            down_end: Cell::default(),
-            leaving_line: Cell::default(),
-            asked: Cell::default(),
-            place: RefCell::default(),
-            me: me.clone(),
+            to_server: RefCell::new(Ring::new(buffer_size)),
+            to_client: RefCell::new(Ring::with_reserve(buffer_size, MIGRATE_LINE.len())),
+            to_server_end: Cell::default(),
+            to_client_end: Cell::default(),
+            migrating_since: Cell::default(),
+            awaiting_reply_since: Cell::default(),
+            namespace_slot: RefCell::default(),
+            weak: weak.clone(),
         })
     }
 
-    /// A connection that was open before this proxy started.
-    pub fn is_taken_over(&self) -> bool {
+    /// Whether the session was established before this proxy started.
+    pub fn is_restored(&self) -> bool {
         self.opening.at.is_some()
     }
 
-    /// Guards against waiting for a server that does not exist: discovery names all there are at once.
-    fn taken_over_within(&self, proxy: &Proxy) -> Duration {
-        const NAMED_WITHIN: Duration = Duration::from_millis(2500);
-        let unnamed = proxy.executor.list_heard.get() && self.attempt.borrow().is_none();
-        if unnamed {
-            NAMED_WITHIN
-        } else {
-            TAKE_OVER_WITHIN
-        }
-    }
-
+    /// Enters a stage.
     pub fn enter(&self, stage: Stage, now: Timestamp) {
         self.stage.set(stage);
-        self.since.set(now);
+        self.stage_entered_at.set(now);
     }
 
     /// One of its sockets may have become readable or writable.
-    pub fn ready(&self, proxy: &mut Proxy) {
-        // Guards against one busy session starving the rest: it goes on after the others had their turn.
-        const ROUNDS: usize = 32;
-        for _ in 0..ROUNDS {
+    pub fn on_ready(&self, proxy: &mut Proxy) {
+        for _ in 0..MAX_ROUNDS_PER_TURN {
             if self.stage.get() == Stage::Closed {
                 return;
             }
-            let heard = self.hear_client(proxy) | self.hear_server(proxy);
-            if !(self.flush() | heard) {
-                return self.wind_up(proxy);
+            let progress = self.read_client(proxy) | self.read_server(proxy);
+            if !(self.flush() | progress) {
+                return self.close_if_done(proxy);
             }
         }
-        proxy.executor.call_again(self);
+        proxy.executor.schedule_ready(self);
     }
 
-    /// Writes what can be written, and ends the sides that have had their last byte.
+    /// Writes what can be written, and ends the sides that have had their last byte; whether anything was written.
     pub fn flush(&self) -> bool {
         let attempt = self.attempt.borrow().clone();
-        let (mut up, mut down) = (self.up.borrow_mut(), self.down.borrow_mut());
+        let (mut to_server, mut to_client) = (self.to_server.borrow_mut(), self.to_client.borrow_mut());
         let mut written = 0;
-        self.client.write_own();
-        if let Some(attempt) = attempt.as_ref().filter(|c| c.is_up()) {
-            written += attempt.socket.write(&mut up);
-            if let (Some(end), true) = (self.up_end.get(), up.is_empty()) {
+        self.client.flush_lines();
+        if let Some(attempt) = attempt.as_ref().filter(|attempt| attempt.is_established()) {
+            written += attempt.socket.write(&mut to_server);
+            if let (Some(end), true) = (self.to_server_end.get(), to_server.is_empty()) {
                 attempt.socket.end(end);
             }
         }
         if matches!(self.stage.get(), Stage::Established | Stage::Closing) {
-            written += self.client.write(&mut down);
-            if let (Some(end), true) = (self.down_end.get(), down.is_empty()) {
+            written += self.client.write(&mut to_client);
+            if let (Some(end), true) = (self.to_client_end.get(), to_client.is_empty()) {
                 self.client.end(end);
             }
         }
         written > 0
     }
 
-    /// The server has ended a standing connection: the client's side ends the same way.
-    pub fn server_ended(&self, how: End, outcome: AttemptOutcome, proxy: &mut Proxy) {
-        self.down_end.set(Some(how));
-        self.up_end.set(Some(how));
-        self.over_for_module(outcome, proxy);
+    /// Ends both directions after their last bytes, and the session for the load balancer.
+    pub fn end_both_directions(&self, end: End, outcome: AttemptOutcome, proxy: &mut Proxy) {
+        self.to_client_end.set(Some(end));
+        self.to_server_end.set(Some(end));
+        self.finish(outcome, proxy);
     }
 
-    /// The session has ended for the module, with all said that the client will hear of it.
-    pub fn over_for_module(&self, outcome: AttemptOutcome, proxy: &mut Proxy) {
+    /// Reports the end of an established session to the load balancer; the last bytes may still be on their way.
+    pub fn finish(&self, outcome: AttemptOutcome, proxy: &mut Proxy) {
         if self.stage.get() == Stage::Established {
             self.enter(Stage::Closing, proxy.now());
-            proxy.executor.pending.add(self);
+            proxy.executor.needing_tick.add(self);
             proxy.on_attempt_ended(self.id, outcome, true);
         }
     }
 
-    /// A peer has broken the protocol: its connection ends, and the session with it, however the module is
-    /// told that it ended.
-    pub fn foul(&self, _: TooLong, outcome: AttemptOutcome, proxy: &mut Proxy) {
+    /// A peer of an established session has broken the protocol, which ends the session.
+    pub fn protocol_error(&self, _: LineTooLong, outcome: AttemptOutcome, proxy: &mut Proxy) {
         proxy.executor.metrics.warn("overlong lines");
-        self.server_ended(End::Fin, outcome, proxy);
+        self.end_both_directions(End::Fin, outcome, proxy);
         self.enter(Stage::Closing, proxy.now());
     }
 
-    /// Sends the client away as soon as the server's last line has ended; true once that is done.
-    pub fn try_moving(&self, now: Timestamp) -> bool {
-        let between = self.attempt.borrow().as_ref().is_some_and(|c| c.between_lines());
-        let moved = between && self.down.borrow_mut().push(MOVE);
-        if moved {
-            self.leaving_line.set(None);
-            self.down_end.set(Some(End::Fin));
-            self.up_end.set(Some(End::Fin));
+    /// Tells the client to connect again, unless the server is inside a line; whether it was told.
+    pub fn try_migrate(&self, now: Timestamp) -> bool {
+        let at_line_start = self.attempt.borrow().as_ref().is_some_and(|attempt| attempt.is_at_line_start());
+        let migrates = at_line_start && self.to_client.borrow_mut().push(MIGRATE_LINE);
+        if migrates {
+            self.migrating_since.set(None);
+            self.to_client_end.set(Some(End::Fin));
+            self.to_server_end.set(Some(End::Fin));
             self.enter(Stage::Closing, now);
             self.flush();
         }
-        moved
+        migrates
     }
 
-    /// Its server has not ended in time the line that it began, or the client does not read what comes before. What has not
-    /// gone out of that line is dropped; where its beginning has, the connection ends inside it.
-    fn move_without_the_line(&self, proxy: &mut Proxy) {
-        if self.down.borrow_mut().cut_unfinished_line() {
-            self.attempt.borrow().iter().for_each(|attempt| attempt.forget_line());
-            return proxy.move_now(self);
+    /// Migrates although the server has not ended its line in time, or the client does not read what comes before it.
+    /// What is left here of that line is dropped; if its beginning has been written, the connection ends inside it.
+    fn migrate_inside_line(&self, proxy: &mut Proxy) {
+        if self.to_client.borrow_mut().discard_partial_line() {
+            self.attempt.borrow().iter().for_each(|attempt| attempt.discard_partial_line());
+            return proxy.migrate_now(self);
         }
         proxy.executor.metrics.count("migrated inside a line");
-        self.server_ended(End::Fin, AttemptOutcome::Cancelled, proxy);
+        self.end_both_directions(End::Fin, AttemptOutcome::Cancelled, proxy);
         self.flush();
     }
 
-    /// Forgets the session once both sides have ended.
-    pub fn wind_up(&self, proxy: &mut Proxy) {
-        let server_over = || self.attempt.borrow().as_ref().is_none_or(|c| c.socket.is_over());
-        if self.stage.get() == Stage::Closing && self.client.is_over() && server_over() {
+    fn close_if_done(&self, proxy: &mut Proxy) {
+        let server_is_closed =
+            || self.attempt.borrow().as_ref().is_none_or(|attempt| attempt.socket.is_closed());
+        if self.stage.get() == Stage::Closing && self.client.is_closed() && server_is_closed() {
             self.close(&mut proxy.executor);
         }
     }
 
-    /// Closes both connections at once and forgets the session.
+    /// Closes both connections at once, and removes the session.
     pub fn close(&self, executor: &mut Executor) {
         self.attempt.borrow_mut().take();
         self.stage.set(Stage::Closed);
-        self.place.take();
-        executor.forget(self);
+        self.namespace_slot.take();
+        executor.sessions.remove(self);
     }
 
-    /// Whether something is to be done that no event may come for.
-    pub fn is_due(&self) -> bool {
+    /// Whether the session waits for something that no socket event comes for.
+    pub fn needs_tick(&self) -> bool {
         match self.stage.get() {
-            Stage::Connecting => self.is_taken_over(),
-            Stage::Established => self.leaving_line.get().is_some(),
+            Stage::Connecting => self.is_restored(),
+            Stage::Established => self.migrating_since.get().is_some(),
             Stage::Closing => true,
             Stage::Closed => false,
         }
     }
 
-    /// Looks after what no event comes for.
-    pub fn tick(&self, proxy: &mut Proxy) {
-        // Long enough for a peer to end its side too, short enough to free the descriptors.
-        const LAST_BYTES_WITHIN: Duration = Duration::from_millis(2000);
-        // A line begun by the server must not be held up for longer than a second.
-        const LINE_ENDS_WITHIN: Duration = Duration::from_millis(800);
+    /// Called with each tick while [`Session::needs_tick`]: applies the timeouts of the session's stage.
+    pub fn on_tick(&self, proxy: &mut Proxy) {
         let now = proxy.now();
-        let past = now.since(self.since.get());
+        let in_stage = now.since(self.stage_entered_at.get());
+        let line_timed_out = || self.migrating_since.get().is_some_and(|at| now.since(at) > LINE_END_TIMEOUT);
         match self.stage.get() {
-            Stage::Connecting if self.is_taken_over() && past > self.taken_over_within(proxy) => {
-                self.answer("ERR", &mut proxy.executor);
-            }
-            Stage::Closing if past > LAST_BYTES_WITHIN => self.close(&mut proxy.executor),
-            Stage::Established
-                if self.leaving_line.get().is_some_and(|at| now.since(at) > LINE_ENDS_WITHIN) =>
-            {
-                self.move_without_the_line(proxy);
+            Stage::Connecting if self.is_restored() && in_stage > self.restore_timeout(proxy) => {
+                self.send_final_answer(Answer::Failed, &mut proxy.executor);
             }
+            Stage::Closing if in_stage > CLOSE_TIMEOUT => self.close(&mut proxy.executor),
+            Stage::Established if line_timed_out() => self.migrate_inside_line(proxy),
             _ => {}
         }
     }
+
+    /// Shorter if the endpoint list does not name the session's server, as discovery names all of them at once.
+    fn restore_timeout(&self, proxy: &Proxy) -> Duration {
+        let is_unlisted = proxy.executor.list_received.get() && self.attempt.borrow().is_none();
+        if is_unlisted {
+            ENDPOINT_TIMEOUT
+        } else {
+            RESTORE_TIMEOUT
+        }
+    }
 }
--- a/crates/proxy/src/upstream/health_check.rs
+++ b/crates/proxy/src/upstream/health_check.rs
@@ -1,6 +1,6 @@
-//! Signs of life: a connection to a server on which one `PING` at a time goes out.
+//! Health checks of a server: a connection of its own, on which one `PING` at a time is outstanding.
 
-use crate::net::line::{text, LineDecoder};
+use crate::net::line::{line_text, LineDecoder, LineTooLong, ServerLine, PING_LINE};
 use crate::net::ring::Ring;
 use crate::net::socket::Socket;
 use crate::proxy::Proxy;
@@ -10,104 +10,115 @@
 use std::rc::Rc;
 use std::time::Duration;
 
+/// The buffers hold a short line each way, in bytes.
+const BUFFER_BYTES: usize = 256;
+/// A check that is outstanding for less than this answers the next request too. It is longer than any waits for a
+/// health check, and shorter than the interval between rounds of them.
+const CHECK_TIMEOUT: Duration = Duration::from_millis(250);
+
+/// The health check connection to one server.
 pub struct HealthCheck {
     socket: Socket<Proxy>,
-    out: RefCell<Ring>,
-    back: RefCell<Ring>,
-    lines: RefCell<LineDecoder>,
-    /// When the `PING` that is out was asked for.
-    asked: Cell<Option<Timestamp>>,
-    /// When the last one was asked for.
-    pub last: Cell<Timestamp>,
+    outgoing: RefCell<Ring>,
+    incoming: RefCell<Ring>,
+    decoder: RefCell<LineDecoder>,
+    /// When the outstanding check was started.
+    started_at: Cell<Option<Timestamp>>,
+    /// When the last check was started.
+    pub last_used: Cell<Timestamp>,
 }
 
-// Longer than anyone waits for a sign of life, shorter than rounds of probes are apart.
-const JUST_ASKED: Duration = Duration::from_millis(250);
-
 impl HealthCheck {
-    /// Asks for a sign of life over the connection that there is, or over a new one. One that is still out
-    /// serves, or has taken this long already and is given up.
-    pub fn ask(server: &Rc<Server>, proxy: &mut Proxy) {
+    /// Starts a check over the connection that there is, or over a new one. A check that is outstanding answers this
+    /// request too, unless it has timed out: then its time so far is reported as its result.
+    pub fn start(server: &Rc<Server>, proxy: &mut Proxy) {
         let now = proxy.now();
-        let standing = server.health_check.borrow().clone();
-        let out_since = standing.as_ref().and_then(|health_check| health_check.asked.get());
-        if out_since.is_some_and(|asked| now.since(asked) < JUST_ASKED) {
+        let open = server.health_check.borrow().clone();
+        let outstanding_since = open.as_ref().and_then(|check| check.started_at.get());
+        if outstanding_since.is_some_and(|started| now.since(started) < CHECK_TIMEOUT) {
             return;
         }
-        if let Some(asked) = out_since {
+        if let Some(started) = outstanding_since {
             server.health_check.take();
-            proxy.on_health_check(server, now.since(asked));
+            proxy.on_health_check(server, now.since(started));
         }
-        let usable = standing.filter(|p| out_since.is_none() && p.socket.ended.get().is_none());
-        let Some(health_check) = usable.or_else(|| Self::open(server, proxy)) else { return };
-        health_check.asked.set(Some(now));
-        health_check.last.set(now);
-        health_check.out.borrow_mut().push(b"PING\r\n");
-        *server.health_check.borrow_mut() = Some(health_check.clone());
-        health_check.flush();
+        let is_usable =
+            |check: &Rc<Self>| outstanding_since.is_none() && check.socket.peer_end.get().is_none();
+        let usable = open.filter(is_usable);
+        let Some(check) = usable.or_else(|| Self::open(server, proxy)) else { return };
+        check.started_at.set(Some(now));
+        check.last_used.set(now);
+        check.outgoing.borrow_mut().push(PING_LINE);
+        *server.health_check.borrow_mut() = Some(check.clone());
+        check.flush();
     }
 
     fn open(server: &Rc<Server>, proxy: &mut Proxy) -> Option<Rc<Self>> {
-        // A short line each way.
-        const ROOM: usize = 256;
         proxy.executor.make_room_for_health_check();
-        proxy.make_room();
-        let socket = Socket::dial(server.dial.get()).ok()?;
-        let health_check = Rc::new(HealthCheck {
-            socket,
-            out: RefCell::new(Ring::new(ROOM)),
-            back: RefCell::new(Ring::new(ROOM)),
-            lines: RefCell::default(),
-            asked: Cell::default(),
-            last: Cell::new(proxy.now()),
+        proxy.evict_pending_connections();
+        let check = Rc::new(HealthCheck {
+            socket: Socket::dial(server.address.get()).ok()?,
+            outgoing: RefCell::new(Ring::new(BUFFER_BYTES)),
+            incoming: RefCell::new(Ring::new(BUFFER_BYTES)),
+            decoder: RefCell::default(),
+            started_at: Cell::default(),
+            last_used: Cell::new(proxy.now()),
         });
-        let (weak, server) = (Rc::downgrade(&health_check), Rc::downgrade(server));
-        let watched = health_check.socket.watch(&proxy.executor.handle, move |proxy| {
-            if let (Some(health_check), Some(server)) = (weak.upgrade(), server.upgrade()) {
-                health_check.ready(&server, proxy);
+        let (weak, server) = (Rc::downgrade(&check), Rc::downgrade(server));
+        let watched = check.socket.watch(&proxy.executor.handle, move |proxy| {
+            if let (Some(check), Some(server)) = (weak.upgrade(), server.upgrade()) {
+                check.on_ready(&server, proxy);
             }
         });
-        watched.ok().map(|()| health_check)
+        watched.ok().map(|()| check)
     }
 
     fn flush(&self) {
-        if self.socket.is_up().is_ok_and(|up| up) {
-            while self.socket.write(&mut self.out.borrow_mut()) > 0 {}
+        if self.socket.is_connected().is_ok_and(|connected| connected) {
+            while self.socket.write(&mut self.outgoing.borrow_mut()) > 0 {}
         }
     }
 
-    fn ready(&self, server: &Server, proxy: &mut Proxy) {
-        if self.socket.is_up().is_err() {
-            self.close(server);
-            return;
+    fn on_ready(&self, server: &Server, proxy: &mut Proxy) {
+        if self.socket.is_connected().is_err() {
+            return self.close(server);
         }
         self.flush();
-        loop {
-            let read = self.socket.read(&mut self.back.borrow_mut());
-            if read == 0 {
-                break;
-            }
-            let lines = self.lines.borrow_mut().feed(self.back.borrow().latest(read));
-            self.back.borrow_mut().clear();
+        while let Some(lines) = self.read_lines() {
             let Ok(lines) = lines else { return self.close(server) };
-            for line in lines {
-                let asked = self.asked.take();
-                // Anything else tells nothing of how long work takes.
-                if let (Some(asked), "PONG") = (asked, text(&line)) {
-                    proxy.on_health_check(server, proxy.now().since(asked));
-                }
-            }
+            lines.iter().for_each(|line| self.on_line(line, server, proxy));
         }
-        // Where servers tell what strains them, rounds do not probe, and the next sign may be wanted minutes on.
-        let done = proxy.executor.tells_delay && self.asked.get().is_none();
-        if done || self.socket.ended.get().is_some() {
+        // Where servers report message latencies no check is periodic, and the next may be wanted minutes later.
+        let is_done = proxy.executor.servers_report_latency && self.started_at.get().is_none();
+        if is_done || self.socket.peer_end.get().is_some() {
             self.close(server);
         }
     }
 
+    /// Reads once; none if there is nothing to read.
+    fn read_lines(&self) -> Option<Result<Vec<Vec<u8>>, LineTooLong>> {
+        let mut incoming = self.incoming.borrow_mut();
+        let read = self.socket.read(&mut incoming);
+        if read == 0 {
+            return None;
+        }
+        let lines = self.decoder.borrow_mut().feed(incoming.latest(read));
+        incoming.clear();
+        Some(lines)
+    }
+
+    /// Any line ends the check, but only the right answer has a meaningful duration.
+    fn on_line(&self, line: &[u8], server: &Server, proxy: &mut Proxy) {
+        let started_at = self.started_at.take();
+        if let (Some(started), ServerLine::Healthy) = (started_at, ServerLine::parse(line_text(line))) {
+            proxy.on_health_check(server, proxy.now().since(started));
+        }
+    }
+
     fn close(&self, server: &Server) {
-        let mine = server.health_check.borrow().as_ref().is_some_and(|p| std::ptr::eq(&**p, self));
-        if mine {
+        let is_current =
+            server.health_check.borrow().as_ref().is_some_and(|check| std::ptr::eq(&**check, self));
+        if is_current {
             server.health_check.take();
         }
     }
--- a/crates/proxy/src/upstream/load_reports.rs
+++ b/crates/proxy/src/upstream/load_reports.rs
@@ -1,47 +1,51 @@
-//! Telling a server's two kinds of notes apart, which it writes in the same words: `LOAD` and a number.
+//! Tells apart the two kinds of load reports that a server sends with the same word, `LOAD` and a number.
 //!
-//! One is the load of the connection that it comes on, in microseconds of work a second, and comes when that
-//! changes. The other is how many milliseconds a message takes at the server now, and comes once a second
-//! while that is long, on one connection of each proxy.
+//! A connection load report gives the load of the connection that it comes on, in microseconds of work a second, and
+//! comes when that changes. A message latency report gives how many milliseconds a message takes at the server now,
+//! and comes once a second while that is long, on one connection of each proxy.
 
 use shelfgrade::time::{DurationExt, Timestamp};
 use std::cell::Cell;
 use std::time::Duration;
 
+/// Reports below this are message latencies in milliseconds, not connection load.
+const MIN_CONNECTION_LOAD_US_PER_S: f64 = 300.0;
+/// Reports from here on are connection load, not message latencies.
+const MAX_MESSAGE_LATENCY_MS: f64 = 4000.0;
+/// A report between the two is a latency if it comes a multiple of this after the one before it,
+const REPORT_INTERVAL_MS: f64 = 1000.0;
+/// give or take this much,
+const REPORT_JITTER_MS: f64 = 40.0;
+/// and no later than this.
+const MAX_REPORT_GAP: Duration = Duration::from_millis(5500);
+
+/// The timing of one server's message latency reports.
 #[derive(Default)]
 pub struct LoadReports {
-    /// When the last note came that may have told of messages.
-    last: Cell<Option<Timestamp>>,
+    /// When the last report came that may have been a message latency.
+    last_report_at: Cell<Option<Timestamp>>,
 }
 
 impl LoadReports {
-    /// Whether a note that comes now tells how long messages take.
-    pub fn is_delay(&self, told: f64, now: Timestamp) -> bool {
-        // Of 1,300 loads seen none was less: a client that asks for so little is as good as gone.
-        const LEAST_LOAD: f64 = 300.0;
-        // The longest seen was 3.3 s; what is longer is a load that keeps the beat by chance.
-        const LONGEST_MS: f64 = 4000.0;
-        // What is between the two is a delay where it keeps the beat of the notes before it.
-        const BEAT_MS: f64 = 1000.0;
-        const OFF_BEAT_MS: f64 = 40.0;
-        // A pause of more beats than these proves little.
-        const LONGEST_PAUSE: Duration = Duration::from_millis(5500);
-        if told >= LONGEST_MS {
+    /// Whether a report that comes now gives a message latency.
+    pub fn is_message_latency(&self, value: f64, now: Timestamp) -> bool {
+        if value >= MAX_MESSAGE_LATENCY_MS {
             return false;
         }
-        let past = self.last.get().map(|at| now.since(at)).filter(|past| *past < LONGEST_PAUSE);
-        let on_beat = past.is_some_and(|past| {
-            let beats = (past.as_ms() / BEAT_MS).round();
-            beats >= 1.0 && (past.as_ms() - beats * BEAT_MS).abs() < OFF_BEAT_MS
-        });
-        let delay = told < LEAST_LOAD || on_beat;
-        if delay || past.is_none() {
-            self.last.set(Some(now));
+        let gap = self.last_report_at.get().map(|at| now.since(at)).filter(|gap| *gap < MAX_REPORT_GAP);
+        let is_latency = value < MIN_CONNECTION_LOAD_US_PER_S || gap.is_some_and(is_report_interval);
+        if is_latency || gap.is_none() {
+            self.last_report_at.set(Some(now));
         }
-        delay
+        is_latency
     }
 }
 
+fn is_report_interval(gap: Duration) -> bool {
+    let intervals = (gap.as_ms() / REPORT_INTERVAL_MS).round();
+    intervals >= 1.0 && (gap.as_ms() - intervals * REPORT_INTERVAL_MS).abs() < REPORT_JITTER_MS
+}
+
 #[cfg(test)]
 #[path = "../../tests/unit/load_reports.rs"]
 mod tests;
--- a/crates/proxy/src/upstream/message_latency.rs
+++ b/crates/proxy/src/upstream/message_latency.rs
@@ -1,4 +1,4 @@
-//! How long messages take at a server: what the connections that stand there have seen of late.
+//! How long messages take at a server, as seen on the sessions established there.
 
 use crate::session::Session;
 use std::cell::RefCell;
@@ -6,30 +6,40 @@
 use std::rc::{Rc, Weak};
 use std::time::Duration;
 
+/// The samples kept for each server, the latest ones.
+const MAX_SAMPLES: usize = 64;
+
+struct Sample {
+    latency: Duration,
+    session: Weak<Session>,
+}
+
+/// The latest latencies of one server.
 #[derive(Default)]
 pub struct MessageLatency {
-    latest: RefCell<VecDeque<(Duration, Weak<Session>)>>,
+    samples: RefCell<VecDeque<Sample>>,
 }
 
 impl MessageLatency {
-    /// A message of this session has come back.
-    pub fn came_back(&self, session: &Session, took: Duration) {
-        // More than come back in a second, few enough to hold.
-        const SAMPLES: usize = 64;
-        let mut latest = self.latest.borrow_mut();
-        latest.push_back((took, session.me.clone()));
-        if latest.len() > SAMPLES {
-            latest.pop_front();
+    /// A message of this session was answered after `latency`.
+    pub fn record(&self, session: &Session, latency: Duration) {
+        let mut samples = self.samples.borrow_mut();
+        samples.push_back(Sample { latency, session: session.weak.clone() });
+        if samples.len() > MAX_SAMPLES {
+            samples.pop_front();
         }
     }
 
-    /// The middle one of what came back since this was last asked, with a session that still is.
-    pub fn take(&self) -> Option<(Duration, Rc<Session>)> {
-        let latest = std::mem::take(&mut *self.latest.borrow_mut());
-        let mut standing: Vec<_> =
-            latest.into_iter().filter_map(|(took, session)| Some((took, session.upgrade()?))).collect();
-        standing.sort_by_key(|s| s.0);
-        let middle = standing.len() / 2;
-        (middle < standing.len()).then(|| standing.swap_remove(middle))
+    /// The median of what was recorded since the last call, with the session that it was seen on. Samples of closed
+    /// sessions do not count.
+    pub fn take_median(&self) -> Option<(Duration, Rc<Session>)> {
+        let samples = std::mem::take(&mut *self.samples.borrow_mut());
+        let mut live: Vec<_> = samples
+            .into_iter()
+            .filter_map(|sample| Some((sample.latency, sample.session.upgrade()?)))
+            .collect();
+        live.sort_by_key(|(latency, _)| *latency);
+        let middle = live.len() / 2;
+        (middle < live.len()).then(|| live.swap_remove(middle))
     }
 }
--- /dev/null
+++ b/crates/proxy/src/upstream/server_pool.rs
@@ -0,0 +1,74 @@
+//! The servers of the endpoint list, and the health check connections that they hold.
+
+use crate::upstream::server::Server;
+use shelfgrade::host::{Endpoint, EndpointState, ServerId};
+use std::collections::{BTreeMap, BTreeSet};
+use std::net::SocketAddr;
+use std::rc::Rc;
+
+/// Servers that are active or draining, by their ids.
+#[derive(Default)]
+pub struct ServerPool(BTreeMap<ServerId, Rc<Server>>);
+
+impl ServerPool {
+    /// The server of this id.
+    pub fn get(&self, id: &str) -> Option<&Rc<Server>> {
+        self.0.get(id)
+    }
+
+    /// All servers, in the order of their ids.
+    pub fn values(&self) -> impl Iterator<Item = &Rc<Server>> {
+        self.0.values()
+    }
+
+    /// How many servers there are.
+    pub fn len(&self) -> usize {
+        self.0.len()
+    }
+
+    /// Whether there is no server.
+    pub fn is_empty(&self) -> bool {
+        self.0.is_empty()
+    }
+
+    /// Applies endpoints, each with its address if it has one; if the list is complete, servers that it leaves out are
+    /// removed.
+    pub fn apply_endpoints<'a>(
+        &mut self,
+        endpoints: impl Iterator<Item = (&'a Endpoint, Option<SocketAddr>)> + Clone,
+        is_complete: bool,
+    ) {
+        if is_complete {
+            let listed: BTreeSet<_> = endpoints.clone().map(|(endpoint, _)| &endpoint.server).collect();
+            let unlisted = self.0.iter().filter(|(id, _)| !listed.contains(id));
+            unlisted.for_each(|(_, server)| server.state.set(EndpointState::Removed));
+        }
+        endpoints.for_each(|(endpoint, address)| self.apply_endpoint(endpoint, address));
+        self.0.retain(|_, server| server.state.get() != EndpointState::Removed);
+    }
+
+    fn apply_endpoint(&mut self, endpoint: &Endpoint, address: Option<SocketAddr>) {
+        let known = self.0.get(&endpoint.server).cloned();
+        let new = || Some(Rc::new(Server::new(endpoint, address?)));
+        let Some(server) = known.or_else(new) else { return };
+        server.state.set(endpoint.state);
+        server.address.set(address.unwrap_or(server.address.get()));
+        self.0.insert(endpoint.server.clone(), server);
+    }
+
+    /// How many servers hold a health check connection.
+    pub fn health_check_count(&self) -> usize {
+        self.0.values().filter(|server| server.health_check.borrow().is_some()).count()
+    }
+
+    /// Closes health check connections until at most `max` are left, the least recently used first.
+    pub fn close_health_checks(&self, max: usize) {
+        let last_used = |server: &Rc<Server>| {
+            Some((server.health_check.borrow().as_ref()?.last_used.get(), server.clone()))
+        };
+        let mut open: Vec<_> = self.0.values().filter_map(last_used).collect();
+        let excess = open.len().saturating_sub(max);
+        open.sort_by_key(|(last_used, _)| *last_used);
+        open.iter().take(excess).for_each(|(_, server)| drop(server.health_check.take()));
+    }
+}
--- /dev/null
+++ b/crates/proxy/src/upstream/server_side.rs
@@ -0,0 +1,187 @@
+//! The server's side of a session: drives its attempt, and acts on the lines that the server sends.
+
+use crate::net::line::{line_text, Answer, ServerLine};
+use crate::net::socket::End;
+use crate::proxy::Proxy;
+use crate::session::{Session, Stage};
+use crate::upstream::attempt::Attempt;
+use crate::upstream::server::Server;
+use shelfgrade::host::{AttemptOutcome, EndpointState};
+use shelfgrade::time::DurationExt;
+use std::rc::Rc;
+use std::time::Duration;
+
+/// Load reports from here on are invalid, in microseconds of work a second: the work of a thousand cores.
+const MAX_LOAD_US_PER_S: f64 = 1e9;
+
+impl Session {
+    /// Advances the attempt, or reads once from the server; whether anything was received or has ended.
+    pub fn read_server(&self, proxy: &mut Proxy) -> bool {
+        let Some(attempt) = self.attempt.borrow().clone() else { return false };
+        if attempt.is_connecting() {
+            let connected = attempt.socket.is_connected();
+            if let Ok(false) = connected {
+                return false;
+            }
+            if connected.is_err() || !self.may_send_request(&attempt, proxy) {
+                self.on_attempt_ended(&attempt, AttemptOutcome::Unreachable, proxy);
+                return true;
+            }
+            attempt.send_request(self, proxy);
+        }
+        attempt.flush_request();
+        let end_before = attempt.socket.peer_end.get();
+        let read = attempt.socket.read(&mut self.to_client.borrow_mut());
+        if read > 0 {
+            self.on_server_data(&attempt, read, proxy);
+        }
+        match attempt.socket.peer_end.get() {
+            Some(end) if self.is_current(&attempt) && (end_before.is_none() || end == End::Reset) => {
+                self.on_server_end(&attempt, end, proxy) || read > 0
+            }
+            _ => read > 0,
+        }
+    }
+
+    /// Whether the first line may be sent over a connection that has just come up. It may not if the server has left
+    /// the list or is draining by now, if the balancer no longer wants this attempt, or if the server has closed the
+    /// connection: nothing is sent then, so nothing can have run.
+    fn may_send_request(&self, attempt: &Attempt, proxy: &mut Proxy) -> bool {
+        proxy.discovery.clone().look(proxy);
+        let eligible = attempt.server.state.get() == EndpointState::Active || self.is_restored();
+        let now = proxy.now();
+        eligible && proxy.balancer.may_send_request(self.id, now) && !attempt.socket.peer_has_closed()
+    }
+
+    fn is_current(&self, attempt: &Rc<Attempt>) -> bool {
+        self.attempt.borrow().as_ref().is_some_and(|current| Rc::ptr_eq(current, attempt))
+    }
+
+    /// The server has ended its connection; whether that ended the attempt.
+    fn on_server_end(&self, attempt: &Rc<Attempt>, end: End, proxy: &mut Proxy) -> bool {
+        match self.stage.get() {
+            Stage::Connecting => {
+                let outcome = attempt.unreachable_or(AttemptOutcome::ConnectionLost);
+                self.on_attempt_ended(attempt, outcome, proxy);
+                return true;
+            }
+            Stage::Established => self.end_both_directions(end, attempt.outcome_if_closed.get(), proxy),
+            // The client's end came first, and the server's follows it.
+            Stage::Closing | Stage::Closed => {
+                self.to_client_end.set(self.to_client_end.get().or(Some(end)));
+            }
+        }
+        false
+    }
+
+    /// The last `read` bytes of the ring to the client have just come from the server.
+    fn on_server_data(&self, attempt: &Rc<Attempt>, read: usize, proxy: &mut Proxy) {
+        if self.to_client_end.get().is_some() {
+            // The client has had its last line.
+            self.to_client.borrow_mut().truncate_by(read);
+            return;
+        }
+        if self.migrating_since.get().is_some() && self.drop_partial_line(attempt, read) {
+            return proxy.migrate_now(self);
+        }
+        let lines = attempt.decoder.borrow_mut().feed(self.to_client.borrow().latest(read));
+        match lines {
+            Ok(lines) => lines.iter().for_each(|line| self.on_server_line(attempt, line_text(line), proxy)),
+            Err(error) if attempt.is_established() => {
+                self.protocol_error(error, AttemptOutcome::ConnectionLost, proxy);
+            }
+            Err(_) => {
+                proxy.executor.metrics.count("overlong lines");
+                self.on_attempt_ended(attempt, AttemptOutcome::ConnectionLost, proxy);
+            }
+        }
+    }
+
+    /// Keeps a migration from falling between the pieces of a line: if a line ends in the bytes just read, what
+    /// follows the last one is dropped. Whether one does.
+    fn drop_partial_line(&self, attempt: &Attempt, read: usize) -> bool {
+        let mut to_client = self.to_client.borrow_mut();
+        let partial = to_client.latest(read).iter().rev().take_while(|b| **b != b'\n').count();
+        let line_ended = partial < read;
+        if line_ended {
+            to_client.truncate_by(partial);
+            attempt.discard_partial_line();
+        }
+        line_ended
+    }
+
+    fn on_server_line(&self, attempt: &Rc<Attempt>, text: &str, proxy: &mut Proxy) {
+        log::trace!("session {} at {}: {text}", self.id.0, attempt.server.id);
+        if !self.is_current(attempt) {
+            return;
+        }
+        let line = ServerLine::parse(text);
+        if attempt.is_established() {
+            self.on_line_of_established(attempt, line, proxy);
+        } else {
+            self.on_first_line(attempt, line, proxy);
+        }
+    }
+
+    /// The server's answer to the client's first line.
+    fn on_first_line(&self, attempt: &Rc<Attempt>, line: ServerLine, proxy: &mut Proxy) {
+        match line {
+            ServerLine::Established => {
+                attempt.establish();
+                self.enter(Stage::Established, proxy.now());
+                proxy.on_established(self, &attempt.server.id);
+            }
+            ServerLine::Rejected => self.on_attempt_ended(attempt, AttemptOutcome::Rejected, proxy),
+            ServerLine::Migrate => self.on_attempt_ended(attempt, AttemptOutcome::Cancelled, proxy),
+            _ => self.on_attempt_ended(attempt, AttemptOutcome::Failed, proxy),
+        }
+    }
+
+    fn on_line_of_established(&self, attempt: &Attempt, line: ServerLine, proxy: &mut Proxy) {
+        attempt.outcome_if_closed.set(match line {
+            ServerLine::Completed => AttemptOutcome::Completed,
+            ServerLine::Migrate => AttemptOutcome::Cancelled,
+            _ => AttemptOutcome::ConnectionLost,
+        });
+        let awaiting_since = self.awaiting_reply_since.take();
+        match (line, awaiting_since) {
+            (ServerLine::Load(value), _) => self.on_load_report(&attempt.server, value, proxy),
+            (ServerLine::Completed | ServerLine::Migrate, _) | (_, None) => {}
+            (_, Some(since)) => attempt.server.message_latency.record(self, proxy.now().since(since)),
+        }
+    }
+
+    /// Servers use the same word for a connection's load, in microseconds of work a second, and for how long messages
+    /// take there now, in milliseconds. Values out of range are ignored.
+    fn on_load_report(&self, server: &Server, value: &str, proxy: &mut Proxy) {
+        let valid = |value: &f64| (0.0..MAX_LOAD_US_PER_S).contains(value);
+        let Some(value) = value.parse().ok().filter(valid) else { return };
+        let now = proxy.now();
+        if proxy.executor.servers_report_latency && server.load_reports.is_message_latency(value, now) {
+            log::debug!("messages at {} take {value} ms by its own report", server.id);
+            proxy.on_message_latency(self.id, Duration::from_ms(value));
+        } else {
+            proxy.balancer.on_load_report(self.id, value);
+        }
+    }
+
+    /// The attempt's time has run out, unless its answer or the client's end has come in just now.
+    pub fn on_attempt_timeout(&self, attempt: &Rc<Attempt>, proxy: &mut Proxy) {
+        self.on_ready(proxy);
+        if self.is_current(attempt) && !attempt.is_established() {
+            let outcome = attempt.unreachable_or(AttemptOutcome::TimedOut);
+            self.on_attempt_ended(attempt, outcome, proxy);
+        }
+    }
+
+    /// An attempt has ended before the session was established; the load balancer decides on a retry.
+    fn on_attempt_ended(&self, attempt: &Attempt, outcome: AttemptOutcome, proxy: &mut Proxy) {
+        log::debug!("session {} at {}: {outcome:?}", self.id.0, attempt.server.id);
+        self.attempt.borrow_mut().take();
+        self.to_client.borrow_mut().clear();
+        if self.is_restored() {
+            return self.send_final_answer(Answer::Failed, &mut proxy.executor);
+        }
+        proxy.on_attempt_ended(self.id, outcome, false);
+    }
+}
--- a/crates/proxy/tests/unit/load_reports.rs
+++ b/crates/proxy/tests/unit/load_reports.rs
@@ -4,7 +4,10 @@
 
 fn told(notes: &LoadReports, values: &[(u64, f64)]) -> Vec<bool> {
     let start = Timestamp::from_ms(60_000.0);
-    values.iter().map(|(ms, value)| notes.is_delay(*value, start + Duration::from_millis(*ms))).collect()
+    values
+        .iter()
+        .map(|(ms, value)| notes.is_message_latency(*value, start + Duration::from_millis(*ms)))
+        .collect()
 }
 
 #[test]
--- a/crates/proxy/tests/unit/ring.rs
+++ b/crates/proxy/tests/unit/ring.rs
@@ -21,7 +21,7 @@
 
 #[test]
 fn room_that_is_kept_is_for_what_is_pushed_alone() {
-    let mut ring = Ring::keeping(4, 7);
+    let mut ring = Ring::with_reserve(7, 4);
     assert_eq!(ring.fill_from(&b"the quick brown fox"[..]).unwrap(), 7);
     assert!(ring.is_full() && ring.push(b"MOVE") && !ring.push(b"."));
     assert_eq!(ring.latest(4), b"MOVE");
@@ -31,13 +31,13 @@
 fn an_unfinished_line_is_taken_back_where_its_beginning_is_held() {
     let mut ring = Ring::new(8);
     ring.fill_from(&b"abcd"[..]).unwrap();
-    assert!(!ring.cut_unfinished_line(), "it may have begun before");
+    assert!(!ring.discard_partial_line(), "it may have begun before");
     ring.skip(3);
     // Round the end of the buffer.
     ring.fill_from(&b"\nef"[..]).unwrap();
     ring.fill_from(&b"g"[..]).unwrap();
     ring.fill_from(&b"\nhi"[..]).unwrap();
-    assert!(ring.cut_unfinished_line());
+    assert!(ring.discard_partial_line());
     let mut out = Vec::new();
     while !ring.is_empty() {
         ring.drain_to(&mut out).unwrap();
