--- a/crates/proxy/src/fleet/recovery.rs
+++ b/crates/proxy/src/fleet/recovery.rs
@@ -52,13 +52,13 @@
         let live = self.balancer.customers();
         let changed = live.iter().filter_map(|customer| self.namespaces.update_for(customer)).collect();
         self.go_by(changed);
-        self.executor.take_over_waiting();
+        self.executor.restore_waiting_sessions();
         self.run_deferred_actions();
     }
 
     fn set_polling(&mut self, watches: bool) {
         if watches {
-            self.executor.wants_list.set(true);
+            self.executor.poll_requested.set(true);
             self.run_deferred_actions();
         } else {
             self.discovery.cancel_call(self);
@@ -66,7 +66,7 @@
     }
 
     fn state_changed(&mut self, _: RecoveryState) {
-        self.executor.list_heard.set(true);
+        self.executor.list_received.set(true);
         self.open_startup_gate();
     }
 
@@ -178,7 +178,7 @@
         let now = self.executor.clock.now();
         let as_put = |line: &Endpoint| self.maintenance_windows.apply_to(line, self.slow_start, now);
         let lines: Vec<_> = lines.iter().map(|(line, dial)| (as_put(line), *dial)).collect();
-        self.executor.follow(lines.iter().map(|(line, dial)| (line, *dial)), whole);
+        self.executor.servers.apply_endpoints(lines.iter().map(|(line, dial)| (line, *dial)), whole);
         let endpoint: Vec<_> = lines.into_iter().map(|(line, _)| line).collect();
         self.balancer.on_endpoints(&endpoint, whole, now);
     }
--- a/crates/proxy/src/lifecycle/startup_gate.rs
+++ b/crates/proxy/src/lifecycle/startup_gate.rs
@@ -75,9 +75,7 @@
             session.upgrade().inspect(|session| self.admit(session));
         }
         let ready = self.is_ready();
-        self.listener
-            .pending_connections()
-            .for_each(|pending_connection| pending_connection.answer_sign(ready));
+        self.listener.pending.values().for_each(|pending_connection| pending_connection.answer_ping(ready));
     }
 
     /// Called with each tick, and for each session when its time is up: nobody waits past the bound, and no session past
@@ -89,7 +87,7 @@
             log::warn!("no list has come yet: serving with the one known at the start");
             return self.open_startup_gate();
         }
-        let impatient = |c: &Rc<Session>| now.since(c.since.get()) >= longest_wait(c);
+        let impatient = |c: &Rc<Session>| now.since(c.stage_entered_at.get()) >= longest_wait(c);
         let due = self.startup_gate.sessions.extract_if(.., |c| c.upgrade().as_ref().is_none_or(impatient));
         for session in due.collect::<Vec<_>>().iter().filter_map(Weak::upgrade) {
             self.admit(&session);
@@ -115,9 +113,11 @@
             }
             let among = ruled.as_ref().map(|ruled| &ruled.servers);
             let whose = ruled.as_ref().map(|ruled| &ruled.customer);
-            let arrival =
-                crate::proxy::arrival(session, session.since.get() + session.opening.request_timeout);
-            *session.place.borrow_mut() = ruled.as_ref().map(|ruled| ruled.reservation.clone());
+            let arrival = crate::proxy::arrival(
+                session,
+                session.stage_entered_at.get() + session.opening.request_timeout,
+            );
+            *session.namespace_slot.borrow_mut() = ruled.as_ref().map(|ruled| ruled.reservation.clone());
             self.balancer.on_request(
                 whose,
                 &Arrival { admission_turn: turn, allowed_servers: among, ..arrival },
--- a/crates/proxy/src/proxy/discovery_events.rs
+++ b/crates/proxy/src/proxy/discovery_events.rs
@@ -15,7 +15,7 @@
             list.is_complete
         );
         let now = self.now();
-        self.executor.list_heard.set(true);
+        self.executor.list_received.set(true);
         if let Some(keeps_watching) = self.hand_list_to_peers(list) {
             return keeps_watching;
         }
@@ -25,9 +25,9 @@
         }
         let endpoints = self.start_times.localize(list.endpoints(), now);
         self.start_times.on_list_applied();
-        self.executor.follow(endpoints.iter().zip(list.addresses()), list.is_complete);
+        self.executor.servers.apply_endpoints(endpoints.iter().zip(list.addresses()), list.is_complete);
         self.balancer.on_endpoints(&endpoints, list.is_complete, now);
-        self.executor.take_over_waiting();
+        self.executor.restore_waiting_sessions();
         self.run_deferred_actions();
         self.open_startup_gate();
         true
