--- a/crates/proxy/src/discovery/client.rs
+++ b/crates/proxy/src/discovery/client.rs
@@ -5,7 +5,7 @@
 use crate::discovery::endpoint_list::EndpointList;
 use crate::discovery::events::DiscoveryEvents;
 use crate::discovery::poll_schedule::{CallTimeouts, PollRequest, PollSchedule};
-use crate::net::http::{Answer, Exchange, HttpError};
+use crate::net::http::{Exchange, HttpError, Response};
 use crate::net::ring::Ring;
 use crate::net::socket::Socket;
 use calloop::timer::{TimeoutAction, Timer};
@@ -152,12 +152,12 @@
     }
 
     fn is_connected(&self) -> bool {
-        self.socket.borrow().as_ref().is_some_and(|socket| socket.is_up().unwrap_or(false))
+        self.socket.borrow().as_ref().is_some_and(|socket| socket.is_connected().unwrap_or(false))
     }
 
     fn flush(&self) {
         let Some(socket) = self.socket.borrow().clone() else { return };
-        if socket.is_up().is_ok_and(|up| up) {
+        if socket.is_connected().is_ok_and(|up| up) {
             while socket.write(&mut self.request.borrow_mut()) > 0 {}
         }
     }
@@ -165,15 +165,15 @@
     fn on_socket_ready(self: &Rc<Self>, events: &mut E) {
         let Some(socket) = self.socket.borrow().clone() else { return };
         let at = self.address.get();
-        match socket.is_up() {
+        match socket.is_connected() {
             Err(source) => return self.on_call_failed(&CallError::Dial { at, source }, events),
             Ok(false) => return,
             Ok(true) => {}
         }
         self.flush();
         self.read(&socket);
-        let has_ended = socket.ended.get().is_some();
-        let answer = self.exchange.borrow_mut().as_mut().map(|exchange| exchange.answer(has_ended));
+        let has_ended = socket.peer_end.get().is_some();
+        let answer = self.exchange.borrow_mut().as_mut().map(|exchange| exchange.response(has_ended));
         match answer {
             // Discovery may close an idle connection; the next call opens another.
             None if has_ended => drop(self.socket.take()),
@@ -188,12 +188,12 @@
         let mut response = self.response.borrow_mut();
         while socket.read(&mut response) > 0 {
             // Bytes that come between calls answer nothing and are dropped.
-            let _ = exchange.as_mut().map(|exchange| response.drain_to(exchange.come()));
+            let _ = exchange.as_mut().map(|exchange| response.drain_to(exchange.input()));
             response.clear();
         }
     }
 
-    fn on_response(self: &Rc<Self>, answer: &Answer, events: &mut E) {
+    fn on_response(self: &Rc<Self>, answer: &Response, events: &mut E) {
         let at = self.address.get();
         let mut list = match EndpointList::parse(&answer.body) {
             Ok(list) => list,
@@ -206,7 +206,7 @@
             return self.poll(events);
         }
         list.sent_at = answer.date;
-        if !answer.keeps {
+        if !answer.keep_alive {
             self.socket.take();
         }
         self.stop_timer(events);
@@ -249,7 +249,7 @@
     /// Whether the call failed after discovery had begun its response.
     fn response_has_begun(&self, error: &CallError) -> bool {
         match error {
-            CallError::Http { source: HttpError::CutOff, .. } => {
+            CallError::Http { source: HttpError::Truncated, .. } => {
                 self.exchange.borrow().as_ref().is_some_and(Exchange::has_begun)
             }
             CallError::Http { source: HttpError::Status(_), .. } => false,
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -4,6 +4,7 @@
 //! and one event loop until it is stopped. The load balancer decides, without I/O; this crate does the I/O and carries the
 //! decisions out.
 
+mod descriptor_budget;
 mod discovery;
 mod downstream;
 mod executor;
@@ -14,5 +15,6 @@
 mod pending_sessions;
 pub mod proxy;
 mod session;
+mod session_table;
 mod tenants;
 mod upstream;
--- a/crates/proxy/src/lifecycle/serve.rs
+++ b/crates/proxy/src/lifecycle/serve.rs
@@ -5,14 +5,14 @@
 use crate::discovery::poll_schedule::{LOCAL_AGENT, SHARED_DISCOVERY};
 use crate::discovery::start_times::StartTimes;
 use crate::downstream::listener::Listener;
-use crate::executor::Executor;
+use crate::executor::{Executor, ExecutorSettings};
 use crate::fleet::fleet_file::FleetFile;
 use crate::fleet::recovery_settings::recovery_settings;
 use crate::lifecycle::serve_error::ServeError;
 use crate::lifecycle::shutdown_schedule::ShutdownSchedule;
 use crate::lifecycle::startup::{limit_descriptors, Limits, Start};
 use crate::lifecycle::startup_gate::StartupGate;
-use crate::net::line::LONGEST;
+use crate::net::line::MAX_LINE_BYTES;
 use crate::proxy::{Proxy, TICK};
 use crate::tenants::maintenance_windows::MaintenanceWindows;
 use crate::tenants::tenant_balancers::TenantBalancers;
@@ -87,8 +87,13 @@
 fn build(start: Start, known: &EndpointList, fleet: Option<&FleetFile>, resources: Resources) -> Proxy {
     let Resources { limits, handle, listener, stop } = resources;
     let Settings { classes, customers, slow_start, list_is_pushed: is_pushed, .. } = start.settings;
-    let strain_signs = (start.settings.health_checks_allowed, start.settings.servers_report_latency);
-    let executor = Executor::new(handle, limits, start.settings.dial_timeout, strain_signs);
+    let executor_settings = ExecutorSettings {
+        dial_timeout: start.settings.dial_timeout,
+        health_checks_allowed: start.settings.health_checks_allowed,
+        servers_report_latency: start.settings.servers_report_latency,
+        max_descriptors: limits.sockets as usize,
+    };
+    let executor = Executor::new(handle, executor_settings);
     let now = executor.clock.now();
     // With a pushed list or peers the complete list is requested first, as a response to that comes at once.
     let requests_complete_list = known.records.is_empty() || is_pushed || fleet.is_some();
@@ -132,19 +137,19 @@
     let now = proxy.latencies_reported_at;
     let endpoints = if is_in_fleet { Vec::new() } else { known.endpoints() };
     let endpoints = proxy.start_times.localize(endpoints, now);
-    proxy.executor.follow(endpoints.iter().zip(known.addresses()), true);
+    proxy.executor.servers.apply_endpoints(endpoints.iter().zip(known.addresses()), true);
     proxy.balancer.start(&endpoints, now, &mut proxy.executor);
     if !is_pushed && !is_in_fleet {
-        proxy.startup_gate = StartupGate::until_first_poll(now, proxy.executor.wakes_at);
+        proxy.startup_gate = StartupGate::until_first_poll(now, proxy.executor.next_wakeup);
     }
     // Servers that report message latencies need no periodic health checks.
-    proxy.balancer.start_periodic_checks(!proxy.executor.tells_delay, now, &mut proxy.executor);
+    proxy.balancer.start_periodic_checks(!proxy.executor.servers_report_latency, now, &mut proxy.executor);
 }
 
 /// The size of one ring buffer in bytes, such that two for every descriptor take half of the memory at most.
 fn ring_size(limits: Limits) -> usize {
     // One of the longest lines fits; more than the maximum gains nothing for lines this short.
-    const MIN: usize = LONGEST + 512;
+    const MIN: usize = MAX_LINE_BYTES + 512;
     const MAX: usize = 16 << 10;
     let buffers = 2 * limits.sockets.max(1) as usize;
     ((limits.memory_mb << 20) as usize / 2 / buffers).clamp(MIN, MAX)
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -14,7 +14,7 @@
 use crate::discovery::client::Discovery;
 use crate::discovery::start_times::StartTimes;
 use crate::downstream::listener::Listener;
-use crate::executor::Executor;
+use crate::executor::{EndedAttempt, Executor};
 use crate::fleet::peers::Peers;
 use crate::lifecycle::shutdown_schedule::ShutdownSchedule;
 use crate::lifecycle::startup_gate::StartupGate;
@@ -88,15 +88,16 @@
     /// Carries out what was put off while the load balancer was being called: outcomes of attempts that ended at once, a
     /// poll of discovery, and health checks.
     pub fn run_deferred_actions(&mut self) {
-        while let Some((session, outcome, done)) = self.executor.untold.pop_front() {
+        while let Some(ended) = self.executor.unreported.pop_front() {
+            let EndedAttempt { session, outcome, client_done } = ended;
             let now = self.now();
-            self.balancer.on_attempt_ended(session, outcome, done, now, &mut self.executor);
+            self.balancer.on_attempt_ended(session, outcome, client_done, now, &mut self.executor);
         }
-        if self.executor.wants_list.take() && self.polls_discovery() {
+        if self.executor.poll_requested.take() && self.polls_discovery() {
             self.discovery.clone().poll(self);
         }
         while let Some(server) = self.executor.health_checks_due.pop_front() {
-            HealthCheck::ask(&server, self);
+            HealthCheck::start(&server, self);
         }
     }
 }
--- a/crates/proxy/src/proxy/admission.rs
+++ b/crates/proxy/src/proxy/admission.rs
@@ -23,7 +23,7 @@
     /// Holds a session at the startup gate, and no longer than half of its request timeout.
     pub fn hold_at_startup_gate(&mut self, session: &Rc<Session>) {
         let max_hold = session.opening.request_timeout.scaled(MAX_HOLD_FRACTION);
-        self.startup_gate.hold(session, session.since.get(), max_hold);
+        self.startup_gate.hold(session, session.stage_entered_at.get(), max_hold);
         let timer = Timer::from_duration(max_hold);
         let set = self.executor.handle.insert_source(timer, |_, _, proxy| {
             proxy.release_held_sessions();
@@ -41,8 +41,9 @@
         }
         let is_ready = self.is_ready();
         self.listener
-            .pending_connections()
-            .for_each(|pending_connection| pending_connection.answer_sign(is_ready));
+            .pending
+            .values()
+            .for_each(|pending_connection| pending_connection.answer_ping(is_ready));
     }
 
     /// Called with each tick and when a session's hold time is over: opens the gate when it has been closed for too long,
@@ -75,10 +76,10 @@
         if let Some(rule) = &rule {
             self.ensure_balancer_of(&rule.customer, now);
         }
-        let deadline = session.since.get() + session.opening.request_timeout;
+        let deadline = session.stage_entered_at.get() + session.opening.request_timeout;
         let allowed_servers = rule.as_ref().map(|rule| &rule.servers);
         let arrival = Arrival { admission_turn: turn, allowed_servers, ..arrival(session, deadline) };
-        *session.place.borrow_mut() = rule.as_ref().map(|rule| rule.reservation.clone());
+        *session.namespace_slot.borrow_mut() = rule.as_ref().map(|rule| rule.reservation.clone());
         let customer = rule.as_ref().map(|rule| &rule.customer);
         self.balancer.on_request(customer, &arrival, now, &mut self.executor);
         // One that was rejected has been answered and left this stage.
--- a/crates/proxy/src/proxy/fleet_endpoints.rs
+++ b/crates/proxy/src/proxy/fleet_endpoints.rs
@@ -68,7 +68,7 @@
                 (self.maintenance_windows.apply_to(&known.endpoint, self.slow_start, now), known.address)
             })
             .unzip();
-        self.executor.follow(endpoints.iter().zip(addresses.iter().copied()), is_complete);
+        self.executor.servers.apply_endpoints(endpoints.iter().zip(addresses.iter().copied()), is_complete);
         self.balancer.on_endpoints(&endpoints, is_complete, now);
     }
 
--- a/crates/proxy/src/proxy/graceful_shutdown.rs
+++ b/crates/proxy/src/proxy/graceful_shutdown.rs
@@ -1,6 +1,7 @@
 //! Graceful shutdown: new sessions are still accepted and answered, and established ones are migrated, until none is left
 //! or the schedule ends.
 
+use crate::net::line::Answer;
 use crate::proxy::{Proxy, TICK};
 use crate::session::{Session, Stage};
 use shelfgrade::time::{DurationExt, Timestamp};
@@ -35,15 +36,16 @@
         if elapsed >= schedule.accept_for {
             self.fail_unplaced(&sessions);
         }
-        let has_unwritten_answers =
-            sessions.iter().any(|session| session.stage.get() == Stage::Closing && !session.client.is_over());
+        let has_unwritten_answers = sessions
+            .iter()
+            .any(|session| session.stage.get() == Stage::Closing && !session.client.is_closed());
         let is_done = self.is_quiet(now, elapsed) && !has_unwritten_answers && !self.has_open_work(&sessions);
         if !is_done && elapsed < schedule.final_answers_after {
             return;
         }
         self.answer_remaining();
         // The process must not exit while final lines are being written or are on their way.
-        let is_still_writing = has_unwritten_answers || self.executor.lingering.count() > 0;
+        let is_still_writing = has_unwritten_answers || self.executor.lingering.len() > 0;
         if elapsed < schedule.exit_after && is_still_writing {
             return;
         }
@@ -62,7 +64,7 @@
     fn fail_unplaced(&mut self, sessions: &[Rc<Session>]) {
         for session in sessions.iter().filter(|session| session.stage.get() == Stage::Connecting) {
             self.executor.metrics.count("failed at shutdown");
-            session.answer("ERR", &mut self.executor);
+            session.send_final_answer(Answer::Failed, &mut self.executor);
         }
     }
 
@@ -77,7 +79,11 @@
         let is_open =
             |session: &Rc<Session>| matches!(session.stage.get(), Stage::Connecting | Stage::Established);
         sessions.iter().any(is_open)
-            || self.listener.pending_connections().any(|pending_connection| pending_connection.is_owed())
+            || self
+                .listener
+                .pending
+                .values()
+                .any(|pending_connection| pending_connection.may_send_request_line())
             || !self.listener.queue_is_empty()
     }
 
@@ -93,15 +99,15 @@
                 break;
             }
         }
-        for pending_connection in self.listener.pending_connections().cloned().collect::<Vec<_>>() {
-            pending_connection.ready(self);
-            if self.listener.holds(&pending_connection) {
-                pending_connection.refuse("BUSY", "pending connections closed at shutdown", self);
+        for pending_connection in self.listener.pending.values().cloned().collect::<Vec<_>>() {
+            pending_connection.on_ready(self);
+            if self.listener.pending.contains(&pending_connection) {
+                pending_connection.reject(Answer::Rejected, "pending connections closed at shutdown", self);
             }
         }
         for session in self.executor.sessions.values().cloned().collect::<Vec<_>>() {
             if session.stage.get() == Stage::Connecting {
-                session.answer("ERR", &mut self.executor);
+                session.send_final_answer(Answer::Failed, &mut self.executor);
             }
         }
     }
--- a/crates/proxy/src/proxy/peer_events.rs
+++ b/crates/proxy/src/proxy/peer_events.rs
@@ -22,13 +22,13 @@
         let customers = self.balancer.customers();
         let updates = customers.iter().filter_map(|customer| self.namespaces.update_for(customer)).collect();
         self.apply_namespace_updates(updates);
-        self.executor.take_over_waiting();
+        self.executor.restore_waiting_sessions();
         self.run_deferred_actions();
     }
 
     fn set_polling(&mut self, is_poller: bool) {
         if is_poller {
-            self.executor.wants_list.set(true);
+            self.executor.poll_requested.set(true);
             self.run_deferred_actions();
         } else {
             self.discovery.cancel_call(self);
@@ -36,7 +36,7 @@
     }
 
     fn state_changed(&mut self, _: RecoveryState) {
-        self.executor.list_heard.set(true);
+        self.executor.list_received.set(true);
         self.open_startup_gate();
     }
 
--- a/crates/proxy/src/proxy/session_events.rs
+++ b/crates/proxy/src/proxy/session_events.rs
@@ -2,7 +2,7 @@
 //! is carried out.
 
 use super::admission::arrival;
-use crate::net::line::OpenRequest;
+use crate::net::open_request::OpenRequest;
 use crate::net::socket::Socket;
 use crate::proxy::Proxy;
 use crate::session::Session;
@@ -17,17 +17,16 @@
     pub fn open_session(&mut self, open: OpenRequest, client: Rc<Socket<Proxy>>) {
         log::trace!("{open:?}");
         let now = self.now();
-        let session = Session::new(self.executor.next_id(), open, client, self.ring_size, now);
-        let weak = session.me.clone();
+        let session = Session::new(self.executor.sessions.next_id(), open, client, self.ring_size, now);
+        let weak = session.weak.clone();
         session.client.on_ready(move |proxy| {
-            weak.upgrade().inspect(|session| session.ready(proxy));
+            weak.upgrade().inspect(|session| session.on_ready(proxy));
         });
-        self.executor.sessions.insert(session.id, session.clone());
-        self.executor.open_ids.insert(session.opening.id);
+        self.executor.sessions.insert(&session);
         self.discovery.clone().read_pending(self);
-        if session.is_taken_over() {
-            self.executor.pending.add(&session);
-            self.executor.take_over(&session);
+        if session.is_restored() {
+            self.executor.needing_tick.add(&session);
+            self.executor.restore_session(&session);
         } else {
             self.executor.metrics.count("sessions");
             self.last_arrival = now;
@@ -38,14 +37,14 @@
             }
         }
         // Bytes that came after its first line was read trigger no event of their own.
-        session.ready(self);
-        self.make_room();
+        session.on_ready(self);
+        self.evict_pending_connections();
     }
 
     /// The session's connection to its server is established.
     pub fn on_established(&mut self, session: &Session, server: &ServerId) {
         let now = self.now();
-        if session.is_taken_over() {
+        if session.is_restored() {
             self.balancer.restore_session(&arrival(session, now), server, now);
         } else {
             self.executor.metrics.count("sessions established");
@@ -88,7 +87,7 @@
     /// Carries out a migration that waited for the end of a line, if the line has ended.
     pub fn finish_migration(&mut self, session: &Session) {
         let now = self.now();
-        if session.try_moving(now) {
+        if session.try_migrate(now) {
             self.on_attempt_ended(session.id, AttemptOutcome::Cancelled, true);
         }
     }
