--- a/crates/proxy/src/fleet/peers.rs
+++ b/crates/proxy/src/fleet/peers.rs
@@ -20,9 +20,7 @@
 use shelfgrade::host::AdmissionTurn;
 use shelfgrade::time::Timestamp;
 use shelfgrade_recovery::snapshot::{self, Snapshot};
-use shelfgrade_recovery::{
-    ClockReading, EndpointAddress, Node, RecoverySettings, RecoveryState, Requester, ServerRecord,
-};
+use shelfgrade_recovery::{ClockReading, EndpointAddress, Node, RecoverySettings, Requester, ServerRecord};
 use std::cell::{Cell, RefCell};
 use std::net::{SocketAddr, UdpSocket};
 use std::path::PathBuf;
@@ -195,11 +193,6 @@
         wall_ms(now) as i64 + self.node.borrow().fleet().clock_correction_ms()
     }
 
-    /// The state of this process's recovery.
-    pub fn state(&self) -> RecoveryState {
-        self.node.borrow().state()
-    }
-
     /// Whether this process polls discovery for the fleet.
     pub fn is_poller(&self) -> bool {
         self.node.borrow().is_poller()
--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -8,7 +8,7 @@
 mod discovery;
 mod downstream;
 mod executor;
-pub mod fleet;
+mod fleet;
 pub mod lifecycle;
 mod metrics;
 mod net;
--- a/crates/proxy/tests/sockets/faults.rs
+++ b/crates/proxy/tests/sockets/faults.rs
@@ -60,7 +60,7 @@
             "\"most_connects\":\"3\"",
             ["settings: ", "invalid type: string", "correct the value"],
         ),
-        ("\"offerings\"", extra, ["settings: extra: ", "told twice", "leave one of them out"]),
+        ("\"offerings\"", extra, ["settings: extra: ", "given twice", "leave one of them out"]),
         ("", "", ["cannot listen on 127.0.0.1:", "in use", "see that the address is this machine's"]),
     ];
     for (good, bad, words) in faults {
