--- a/crates/proxy/src/discovery/endpoint_list.rs
+++ b/crates/proxy/src/discovery/endpoint_list.rs
@@ -14,7 +14,10 @@
     Form(#[from] serde_json::Error),
     /// A server that is not terminated has no address.
     #[error("a list in which {host} has no address: give it a `dial`, or say that it is `terminated`")]
-    NoAddress { host: String },
+    NoAddress {
+        /// The server's name.
+        host: String,
+    },
 }
 
 /// One version of the endpoint list, or the changes that lead to it.
@@ -26,6 +29,7 @@
     /// Whether all servers are here: one that is absent is gone. Otherwise the list holds changed servers only.
     #[serde(default, rename = "whole")]
     pub is_complete: bool,
+    /// The servers, in the order of the text.
     #[serde(default, rename = "hosts")]
     pub records: Vec<EndpointRecord>,
     /// Discovery's clock when it sent the response, where the response says so.
@@ -36,16 +40,21 @@
 /// One server of the list.
 #[derive(Deserialize)]
 pub struct EndpointRecord {
+    /// The server's name.
     pub host: String,
     /// Where to connect; a terminated server may have none.
     #[serde(rename = "dial")]
     pub address: Option<SocketAddr>,
+    /// The failure domain it is in.
     #[serde(default, rename = "site")]
     pub zone: String,
+    /// The kind of machine it is; may be empty.
     #[serde(default, rename = "class")]
     pub kind: String,
+    /// The number of the cell it is in.
     #[serde(default, rename = "block")]
     pub cell: u64,
+    /// Its state.
     pub health: Health,
     /// When the server started, in Unix milliseconds; 0 where that was long ago or is unknown.
     #[serde(default, rename = "born_ms")]
@@ -56,8 +65,11 @@
 #[derive(Deserialize, PartialEq, Clone, Copy)]
 #[serde(rename_all = "snake_case")]
 pub enum Health {
+    /// Takes sessions.
     InService,
+    /// Drains: takes no new sessions.
     Terminating,
+    /// Gone.
     Terminated,
 }
 
--- a/crates/proxy/src/discovery/poll_schedule.rs
+++ b/crates/proxy/src/discovery/poll_schedule.rs
@@ -20,6 +20,7 @@
     /// Bounds of the wait that a watch asks for, drawn for each watch: watches that all end with one change must not all
     /// be repeated in the same instant.
     pub min_watch_wait: Duration,
+    /// The upper bound.
     pub max_watch_wait: Duration,
     /// How long past its wait a response may take, for a watch that continues from a response.
     pub continued_watch_grace: Duration,
@@ -27,6 +28,7 @@
     pub new_watch_grace: Duration,
     /// A call without a wait.
     pub response_timeout: Duration,
+    /// Until the connection is established.
     pub connect_timeout: Duration,
 }
 
@@ -54,6 +56,7 @@
 
 /// A planned call.
 pub struct PollRequest {
+    /// Path and query of the request.
     pub path: String,
     /// How long discovery may hold the call back until there is a newer version.
     wait: Duration,
@@ -80,10 +83,12 @@
 }
 
 impl PollSchedule {
+    /// The plan of a client that has not called yet; waits are drawn from `seed`.
     pub fn new(timeouts: CallTimeouts, seed: u64) -> Self {
         PollSchedule { timeouts, rng: RefCell::new(WyRand::new_seed(seed)) }
     }
 
+    /// How long establishing a connection may take.
     pub fn connect_timeout(&self) -> Duration {
         self.timeouts.connect_timeout
     }
--- a/crates/proxy/src/fleet/fleet_file.rs
+++ b/crates/proxy/src/fleet/fleet_file.rs
@@ -17,25 +17,72 @@
 pub enum FleetError {
     /// The file cannot be read.
     #[error("{path}: cannot be read ({source}): see that the file is there and may be read by this user")]
-    Unreadable { path: String, source: std::io::Error },
+    Unreadable {
+        /// The file's path.
+        path: String,
+        /// The cause.
+        source: std::io::Error,
+    },
     /// The text is not TOML of this form.
     #[error("{path}, line {line}, column {column}: {what}: correct it there; deploy/fleet.toml explains every key")]
-    Form { path: String, line: usize, column: usize, what: String },
+    Form {
+        /// The file's path.
+        path: String,
+        /// Counts from 1.
+        line: usize,
+        /// Counts from 1.
+        column: usize,
+        /// What is wrong there.
+        what: String,
+    },
     /// The names of the processes cannot be a roster.
     #[error("{path}, [fellows]: {source}")]
-    Roster { path: String, source: RosterError },
+    Roster {
+        /// The file's path.
+        path: String,
+        /// The cause.
+        source: RosterError,
+    },
     /// A number is out of its bounds.
     #[error("{path}, {key}: {value} where {min} to {max} is wanted: correct it there")]
-    Bound { path: String, key: &'static str, value: u64, min: u64, max: u64 },
+    Bound {
+        /// The file's path.
+        path: String,
+        /// The key in the file.
+        key: &'static str,
+        /// The value given.
+        value: u64,
+        /// The smallest value allowed.
+        min: u64,
+        /// The largest value allowed.
+        max: u64,
+    },
     /// Two processes have the same address.
     #[error("{path}, [fellows]: {first} and {second} have one address: give each process one of its own")]
-    DuplicateAddress { path: String, first: String, second: String },
+    DuplicateAddress {
+        /// The file's path.
+        path: String,
+        /// Name of the one process.
+        first: String,
+        /// Name of the other.
+        second: String,
+    },
     /// The socket between peers cannot be opened.
     #[error("cannot receive from peers at {at} ({source}): see that the address is this machine's and that nobody has it")]
-    Bind { at: SocketAddr, source: std::io::Error },
+    Bind {
+        /// The address that was used.
+        at: SocketAddr,
+        /// The cause.
+        source: std::io::Error,
+    },
     /// A reload changes what is fixed while processes run.
     #[error("{path}: {key} differs from the start: it counts when all processes are started anew")]
-    Fixed { path: String, key: &'static str },
+    Fixed {
+        /// The file's path.
+        path: String,
+        /// The key in the file.
+        key: &'static str,
+    },
 }
 
 impl FleetError {
@@ -75,7 +122,9 @@
 /// A fleet file that was read and checked.
 #[derive(Clone)]
 pub struct FleetFile {
+    /// The file's path, for errors.
     pub path: String,
+    /// The names of all processes, and which is this one's.
     pub roster: Roster,
     /// The processes' UDP addresses, in the order of the roster.
     pub addresses: Vec<SocketAddr>,
--- a/crates/proxy/src/fleet/snapshot_writer.rs
+++ b/crates/proxy/src/fleet/snapshot_writer.rs
@@ -12,6 +12,7 @@
 pub struct SnapshotJob {
     /// Counts up with each snapshot; decides which of the generations' files it replaces.
     pub number: u64,
+    /// The contents of the file.
     pub bytes: Vec<u8>,
 }
 
--- a/crates/proxy/src/lifecycle/serve_error.rs
+++ b/crates/proxy/src/lifecycle/serve_error.rs
@@ -9,7 +9,12 @@
 pub enum ServeError {
     /// The listening socket cannot be opened.
     #[error("cannot listen on {at} ({source}): see that the address is this machine's and that nobody listens there")]
-    Listen { at: SocketAddr, source: std::io::Error },
+    Listen {
+        /// The address that was used.
+        at: SocketAddr,
+        /// The cause.
+        source: std::io::Error,
+    },
     /// The fleet file cannot be used, or the socket between peers cannot be opened.
     #[error("{0}")]
     Fleet(#[from] FleetError),
--- a/crates/proxy/src/lifecycle/startup.rs
+++ b/crates/proxy/src/lifecycle/startup.rs
@@ -16,10 +16,20 @@
     Unnamed,
     /// The file cannot be read.
     #[error("{path}: cannot be read ({source}): see that the file is there and may be read by this user")]
-    Unreadable { path: String, source: std::io::Error },
+    Unreadable {
+        /// The file's path.
+        path: String,
+        /// The cause.
+        source: std::io::Error,
+    },
     /// The file's contents cannot be used.
     #[error("{path}: {source}")]
-    Unusable { path: String, source: FileError },
+    Unusable {
+        /// The file's path.
+        path: String,
+        /// The cause.
+        source: FileError,
+    },
 }
 
 impl StartError {
@@ -40,7 +50,12 @@
     Missing(&'static str),
     /// An address cannot be parsed.
     #[error("{name}: {text} is not an address with a port: write one such as 127.0.0.1:8000")]
-    Address { name: &'static str, text: String },
+    Address {
+        /// The environment variable that gives it too.
+        name: &'static str,
+        /// The text given.
+        text: String,
+    },
     /// The seed cannot be parsed.
     #[error("seed: {0:?} is not a hexadecimal number: write up to sixteen digits of 0 to 9 and a to f")]
     Seed(String),
@@ -54,15 +69,19 @@
 
 /// A start-up file that was read and checked.
 pub struct Start {
+    /// This process's name, in the log and in its fleet.
     pub name: String,
     /// Where clients connect.
     pub listen: SocketAddr,
+    /// Where the endpoint list is polled.
     pub discovery: SocketAddr,
     /// Seed of all random draws.
     pub seed: u64,
+    /// The load balancer and its settings.
     pub settings: Settings,
     /// The JSON that the settings were read from.
     pub settings_text: String,
+    /// Resources that it may use.
     pub limits: Limits,
     /// The endpoint list as this proxy last had it; may be outdated.
     pub known: EndpointList,
--- a/crates/proxy/src/lifecycle/startup_gate.rs
+++ b/crates/proxy/src/lifecycle/startup_gate.rs
@@ -47,6 +47,7 @@
         StartupGate { opens_by: Some(now + list_wait + LIST_TIMEOUT), held: Vec::new() }
     }
 
+    /// Whether sessions are to be held.
     pub fn is_closed(&self) -> bool {
         self.opens_by.is_some()
     }
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -37,9 +37,13 @@
 
 /// All state of a running proxy; everything happens on one thread.
 pub struct Proxy {
+    /// This process's name.
     pub name: String,
+    /// The load balancers: the default one, and one for each customer with a namespace.
     pub balancer: TenantBalancers,
+    /// Carries out their decisions.
     pub executor: Executor,
+    /// Accepts connections, and keeps those without a first line.
     pub listener: Listener,
     /// The request classes' names, in the order of the settings.
     pub classes: Vec<String>,
@@ -50,16 +54,21 @@
     /// The size of one ring buffer of a session, in bytes.
     pub ring_size: usize,
 
+    /// Polls and watches the endpoint list.
     pub discovery: Rc<Discovery<Proxy>>,
+    /// Start times of servers on this process's clock.
     pub start_times: StartTimes,
 
     /// The other processes of the fleet, if a fleet file names them.
     pub peers: Option<Rc<Peers>>,
     /// The endpoints that the fleet has agreed on, before maintenance windows are applied.
     pub fleet_endpoints: BTreeMap<ServerId, EndpointAddress>,
+    /// The customers' namespaces.
     pub namespaces: TenantNamespaces,
+    /// The schedule of maintenance windows, and what is in force of it.
     pub maintenance_windows: MaintenanceWindows,
 
+    /// Holds sessions until the endpoint list has come.
     pub startup_gate: StartupGate<Session>,
     /// When the last session arrived.
     pub last_arrival: Timestamp,
@@ -69,6 +78,7 @@
     pub reload_requested_at: Option<Timestamp>,
     /// When the shutdown was requested.
     pub shutdown_requested_at: Option<Timestamp>,
+    /// When each step of a shutdown comes.
     pub shutdown_schedule: ShutdownSchedule,
     /// Stops the event loop.
     pub stop: LoopSignal,
