--- a/crates/proxy/examples/failing_calls/main.rs
+++ b/crates/proxy/examples/failing_calls/main.rs
@@ -106,7 +106,7 @@
 failing!(Connect, c"connect", fn connect(of: c_int, to: *const sockaddr, size: socklen_t) -> c_int);
 failing!(SetOption, c"setsockopt",
     fn setsockopt(of: c_int, level: c_int, name: c_int, value: *const c_void, size: socklen_t) -> c_int);
-failing!(OpenRequest, c"open64", fn open64(path: *const c_char, flags: c_int, mode: mode_t) -> c_int);
+failing!(Open, c"open64", fn open64(path: *const c_char, flags: c_int, mode: mode_t) -> c_int);
 failing!(Sync, c"fsync", fn fsync(file: c_int) -> c_int);
 failing!(Rename, c"rename", fn rename(old: *const c_char, new: *const c_char) -> c_int);
 
--- a/crates/proxy/examples/failing_calls/plan.rs
+++ b/crates/proxy/examples/failing_calls/plan.rs
@@ -16,7 +16,7 @@
     Receive,
     Send,
     SetOption,
-    OpenRequest,
+    Open,
     Write,
     Sync,
     Rename,
--- a/crates/proxy/tests/sockets/faults.rs
+++ b/crates/proxy/tests/sockets/error_messages.rs
@@ -1,9 +1,9 @@
-//! What an operator reads when something is wrong: the place, the cause, and what to do.
+//! Error messages: each names its place, its cause and the remedy.
 
-use crate::stand::{list, Place, Program, USUAL};
+use crate::harness::{list_response, FakeServer, Program, DEFAULT};
 use std::process::{Command, Stdio};
 
-/// The words of a fault that name its place, its cause and the remedy.
+/// The words that name the place, the cause and the remedy.
 type Words = [&'static str; 3];
 
 #[track_caller]
@@ -11,7 +11,7 @@
     assert!(words.iter().all(|word| line.contains(word)), "{words:?} in {line}");
 }
 
-/// What a program says that cannot start, in one line.
+/// What a program that cannot start logs, in one line.
 fn refusal(config: Option<&std::path::Path>) -> String {
     let mut command = Command::new(env!("CARGO_BIN_EXE_shelfgrade"));
     command.env_remove("RELAY_CONFIG").envs(config.map(|path| ("RELAY_CONFIG", path))).stderr(Stdio::piped());
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn each_fault_names_its_place_its_cause_and_the_remedy() {
+fn start_file_errors_name_their_place_cause_and_remedy() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("start.json");
     names(&refusal(None), ["RELAY_CONFIG", "not set", "have it name the start-up file"]);
@@ -31,8 +31,8 @@
         ["start.json", "cannot be read (No such file", "see that the file is there"],
     );
 
-    let taken = Place::new("taken");
-    let whole = format!(
+    let taken = FakeServer::new("taken");
+    let text = format!(
         r#"{{"name":"n","listen":"{}","discovery":"127.0.0.1:1","seed":"1","limits":{{"memory_mb":64,"sockets":64}},
         "settings":{{"discovery":"subscribe","offerings":[],"bounds":{{"most_connects":3}},
         "invariants":{{"overload_factor":4}}}},"known":{{"seq":1,"hosts":[]}}}}"#,
@@ -40,7 +40,7 @@
     );
     let host = r#""hosts":[{"host":"s1","health":"in_service"}]"#;
     let extra = r#""extra":{"server_connections":9,"tenant_quota_connections":[5]},"offerings""#;
-    let faults: [(&str, &str, Words); 9] = [
+    let errors: [(&str, &str, Words); 9] = [
         ("\"known\"", "", ["start.json", "line 3", "correct the JSON"]),
         (
             "\"name\":\"n\",",
@@ -63,20 +63,20 @@
         ("\"offerings\"", extra, ["settings: extra: ", "told twice", "leave one of them out"]),
         ("", "", ["cannot listen on 127.0.0.1:", "in use", "see that the address is this machine's"]),
     ];
-    for (good, bad, words) in faults {
-        std::fs::write(&path, whole.replacen(good, bad, 1)).unwrap();
+    for (good, bad, words) in errors {
+        std::fs::write(&path, text.replacen(good, bad, 1)).unwrap();
         names(&refusal(Some(&path)), words);
     }
 }
 
 #[test]
-fn each_fault_of_a_call_for_the_list_does_too() {
-    let server = Place::new("s1");
-    let mut program = Program::start(USUAL, &[&server]);
+fn discovery_errors_name_their_place_cause_and_remedy() {
+    let server = FakeServer::new("s1");
+    let mut program = Program::start(DEFAULT, &[&server]);
     let place = format!("discovery at {}", program.discovery.address);
     let endless = format!("HTTP/1.1 200 OK\r\nContent-Length: 9000000\r\n\r\n{}", " ".repeat(5 << 20));
-    let unlisted = list(8, true, &[r#"{"host":"s2","health":"in_service"}"#.to_owned()]);
-    let faults: [(&str, bool, [&str; 2]); 6] = [
+    let unlisted = list_response(8, true, &[r#"{"host":"s2","health":"in_service"}"#.to_owned()]);
+    let errors: [(&str, bool, [&str; 2]); 6] = [
         (
             "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
             false,
@@ -92,27 +92,27 @@
         (&endless, false, ["an answer of over", "look at it"]),
         ("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{", true, ["ended in an answer", "it is asked again"]),
     ];
-    for (answer, ends, [cause, remedy]) in faults {
-        let (mut call, _) = program.discovery.called();
-        // It may be done with us before all is sent.
+    for (answer, ends, [cause, remedy]) in errors {
+        let (mut call, _) = program.discovery.next_poll();
+        // The program may close the connection before all is sent.
         let _ = std::io::Write::write_all(&mut call.stream, answer.as_bytes());
         if ends {
-            call.finish();
+            call.end_sending();
         }
-        let line = program.logs();
+        let line = program.next_log_line();
         assert!([&*place, cause, remedy].iter().all(|word| line.contains(word)), "{line}");
     }
-    let _silent = program.discovery.called();
-    let line = program.logs();
+    let _silent = program.discovery.next_poll();
+    let line = program.next_log_line();
     assert!(
         [&*place, "silent", "look at it and the way there"].iter().all(|word| line.contains(word)),
         "{line}"
     );
-    // Nobody accepts what comes now, and then nobody listens.
-    let closed = Place::closed("discovery");
-    program.reads_again(&program.text_with(&closed));
-    assert!(program.logs().contains("read again"));
-    let line = program.logs();
+    // Connections to the first address are not accepted, then those to the second are refused.
+    let closed = FakeServer::refusing("discovery");
+    program.reload(&program.start_file_with(&closed));
+    assert!(program.next_log_line().contains("read again"));
+    let line = program.next_log_line();
     let place = format!("discovery at {}", closed.address);
     assert!(
         [&*place, "cannot connect", "or correct its address"].iter().all(|word| line.contains(word)),
--- a/crates/proxy/tests/sockets/plan.rs
+++ b/crates/proxy/tests/sockets/failure_injection.rs
@@ -3,7 +3,7 @@
 #[path = "../../examples/failing_calls/plan.rs"]
 mod layout;
 
-use crate::stand::{Place, Program, Settings, PROGRAM};
+use crate::harness::{FakeServer, Program, Settings, BINARY};
 pub use layout::Call;
 use layout::{NAMED_BY, SIZE};
 use std::fs::{File, OpenOptions};
@@ -16,13 +16,13 @@
 /// How a call fails.
 #[derive(Clone, Copy, Debug)]
 pub enum Failure {
-    /// With this number of an error.
+    /// With this error number.
     Error(i32),
-    /// It does one to three bytes of what was asked for.
+    /// It transfers one to three bytes of what was asked for.
     Short,
 }
 
-/// Which calls fail from now on; nothing does at first.
+/// Which system calls fail from now on; none does at first.
 pub struct Plan {
     file: File,
     folder: TempDir,
@@ -37,7 +37,7 @@
         Plan { file, folder }
     }
 
-    /// Has so many in a thousand of these calls fail.
+    /// Has `per_mille` of a thousand of these calls fail.
     pub fn fail(&self, call: Call, per_mille: u32, failure: Failure) -> &Self {
         let error = match failure {
             Failure::Error(number) => number as u32,
@@ -46,12 +46,12 @@
         self.set(call, u64::from(per_mille) << 32 | u64::from(error))
     }
 
-    /// Has these calls do what they should again.
-    pub fn mend(&self, call: Call) -> &Self {
+    /// Has these calls succeed again.
+    pub fn restore(&self, call: Call) -> &Self {
         self.set(call, 0)
     }
 
-    /// Sets the wall clock ahead of the machine's by so many milliseconds, or back.
+    /// Sets the wall clock ahead of the machine's, or behind it if negative, in milliseconds.
     pub fn step_wall_clock(&self, ahead_ms: i64) -> &Self {
         self.set(Call::WallClock, ahead_ms as u64)
     }
@@ -70,19 +70,19 @@
 
     /// The command that runs the program under this plan.
     pub fn command(&self) -> Command {
-        let library = Path::new(PROGRAM).with_file_name("examples").join("libfailing_calls.so");
+        let library = Path::new(BINARY).with_file_name("examples").join("libfailing_calls.so");
         assert!(
             library.exists(),
-            "cargo test builds {} unless told which targets to build",
+            "cargo test builds {} unless asked for certain targets to build",
             library.display()
         );
-        let mut command = Command::new(PROGRAM);
+        let mut command = Command::new(BINARY);
         command.env("LD_PRELOAD", library).env(NAMED_BY, self.folder.path().join("plan"));
         command
     }
 
-    /// Starts the program under this plan, before a discovery of its own.
-    pub fn start(&self, settings: Settings, known: &[&Place]) -> Program {
-        Program::start_by(self.command(), Arc::new(Place::new("discovery")), settings, known)
+    /// Starts the program under this plan, with a discovery of its own.
+    pub fn start(&self, settings: Settings, known: &[&FakeServer]) -> Program {
+        Program::start_with_command(self.command(), Arc::new(FakeServer::new("discovery")), settings, known)
     }
 }
--- /dev/null
+++ b/crates/proxy/tests/sockets/file_errors.rs
@@ -0,0 +1,88 @@
+//! Files and directories that cannot be read or written for some time.
+
+use crate::failure_injection::{Call, Failure, Plan};
+use crate::harness::{wait_for, FakeServer, Program, DEFAULT, TEST_TIMEOUT};
+use crate::readiness::own_address;
+use std::fs;
+use std::path::Path;
+use std::sync::Arc;
+use std::time::Duration;
+
+/// A process with a fleet file, whose state directory is this one.
+fn start_with_state_dir(plan: &Plan, folder: &Path, known: &[&FakeServer]) -> Program {
+    let file = folder.join("fleet.toml");
+    let (own, other) = (own_address(), own_address());
+    let text = format!(
+        "fleet = \"f\"\nstate_dir = \"{}\"\nsave_every_ms = 100\nlist_wait_ms = 100\n[fellows]\nn0 = \"{own}\"\nn1 = \"{other}\"\n",
+        folder.display()
+    );
+    fs::write(&file, text).unwrap();
+    let mut command = plan.command();
+    command.env("SHELFGRADE_FLEET", file);
+    Program::start_with_command(command, Arc::new(FakeServer::refusing("discovery")), DEFAULT, known)
+}
+
+/// Whether a snapshot in the directory contains this name.
+fn is_saved(folder: &Path, server: &str) -> bool {
+    (0..2).any(|generation| {
+        let bytes = fs::read(folder.join(format!("shelfgrade.{generation}"))).unwrap_or_default();
+        bytes.windows(server.len()).any(|part| part == server.as_bytes())
+    })
+}
+
+#[test]
+fn snapshot_writes_are_retried_until_they_succeed() {
+    let failing = [
+        (Call::Write, Failure::Error(libc::ENOSPC)),
+        (Call::Sync, Failure::Error(libc::EIO)),
+        (Call::Rename, Failure::Error(libc::EIO)),
+        (Call::Open, Failure::Error(libc::ENOSPC)),
+    ];
+    for (call, failure) in failing {
+        let (plan, folder) = (Plan::new(), tempfile::tempdir().unwrap());
+        let server = FakeServer::new("server-to-be-saved");
+        let program = start_with_state_dir(&plan, folder.path(), &[&server]);
+        plan.fail(call, 1000, failure);
+        (0..2).for_each(|i| _ = fs::remove_file(folder.path().join(format!("shelfgrade.{i}"))));
+        wait_for(TEST_TIMEOUT, || (plan.failed(call) > 3).then_some(()));
+        assert!(!is_saved(folder.path(), "n0"), "{call:?} fails");
+        plan.restore(call);
+        wait_for(Duration::from_secs(2), || is_saved(folder.path(), "n0").then_some(()));
+        // It is killed, as a snapshot written at an orderly shutdown would not count.
+        drop(program);
+    }
+}
+
+/// No generation of the snapshot is given up for a transient error.
+#[test]
+fn snapshot_reads_are_retried_after_transient_errors() {
+    let (plan, folder) = (Plan::new(), tempfile::tempdir().unwrap());
+    let server = FakeServer::new("s1");
+    let first = start_with_state_dir(&plan, folder.path(), &[&server]);
+    let generations = [0, 1].map(|generation| folder.path().join(format!("shelfgrade.{generation}")));
+    wait_for(TEST_TIMEOUT, || generations.iter().all(|path| path.exists()).then_some(()));
+    drop(first);
+    for _ in 0..4 {
+        plan.fail(Call::Open, 600, Failure::Error(libc::EIO));
+        let program = start_with_state_dir(&plan, folder.path(), &[&server]);
+        plan.restore(Call::Open);
+        // What was logged until the program listened includes the reading of snapshots.
+        assert!(!program.startup_log.contains("started without it"), "{}", program.startup_log);
+    }
+}
+
+/// The reload is retried with later ticks.
+#[test]
+fn a_reload_is_retried_after_transient_read_errors() {
+    let plan = Plan::new();
+    let server = FakeServer::new("s1");
+    let program = plan.start(DEFAULT, &[&server]);
+    let _old = program.discovery.next_poll();
+    let new = FakeServer::new("discovery");
+    plan.fail(Call::Open, 1000, Failure::Error(libc::EIO));
+    program.reload(&program.start_file_with(&new));
+    wait_for(TEST_TIMEOUT, || (plan.failed(Call::Open) > 0).then_some(()));
+    std::thread::sleep(Duration::from_millis(300));
+    plan.restore(Call::Open);
+    wait_for(Duration::from_secs(2), || new.try_accept());
+}
--- /dev/null
+++ b/crates/proxy/tests/sockets/mixed_deployment.rs
@@ -0,0 +1,113 @@
+//! Proxies with the settings of two deployments before the same servers, as during a rolling change.
+
+use crate::harness::{wait_for, Connection, FakeServer, Program, Settings, DEFAULT, TEST_TIMEOUT};
+use std::collections::BTreeMap;
+use std::sync::{Arc, Mutex};
+use std::thread;
+
+/// Few proxies, customers with quotas, and servers that may be health-checked.
+const OLD: Settings = Settings { probes: true, balancers: "3", quota: "90", ..DEFAULT };
+/// More proxies than servers, no quotas, no health checks, and servers that report message latencies.
+const NEW: Settings = Settings { tells_delay: true, balancers: "60", quota: "null", ..DEFAULT };
+
+/// What the servers were sent: server, request id, and whether the request was accepted.
+type Sent = Arc<Mutex<Vec<(String, String, bool)>>>;
+
+/// Serves at this address with this capacity, for as long as the test lasts.
+fn serve(server: Arc<FakeServer>, room: usize, sent: Sent) {
+    let held = Arc::new(Mutex::new(0));
+    thread::spawn(move || loop {
+        let mut connection = wait_for(TEST_TIMEOUT * 10, || server.try_accept());
+        let (server, sent, held) = (server.clone(), sent.clone(), held.clone());
+        thread::spawn(move || {
+            let mut line = connection.read_line();
+            while line == "PING" {
+                connection.send("PONG\r\n");
+                line = connection.read_line();
+            }
+            if !line.starts_with("OPEN ") {
+                return;
+            }
+            let id = line.split(' ').nth(1).unwrap_or_default().to_owned();
+            let taken = {
+                let mut held = held.lock().unwrap();
+                let taken = *held < room;
+                *held += usize::from(taken);
+                taken
+            };
+            sent.lock().unwrap().push((server.name.clone(), id, taken));
+            connection.send(if taken { "UP 0123\r\n" } else { "BUSY\r\n" });
+            if taken {
+                connection.wait_for_end();
+                *held.lock().unwrap() -= 1;
+            }
+        });
+    });
+}
+
+/// Two proxies of the old deployment and three of the new one.
+fn both_kinds(servers: &[Arc<FakeServer>]) -> Vec<(&'static str, Program)> {
+    let known: Vec<&FakeServer> = servers.iter().map(|server| &**server).collect();
+    let kinds = [("old", OLD), ("old", OLD), ("new", NEW), ("new", NEW), ("new", NEW)];
+    kinds.into_iter().map(|(kind, settings)| (kind, Program::start(settings, &known))).collect()
+}
+
+/// Has clients of four groups open sessions at one proxy after the other, each until it is established or was rejected ten
+/// times. Gives the established ones by the deployment of their proxy.
+fn come(
+    programs: &[(&'static str, Program)],
+    clients: usize,
+    name: &str,
+) -> BTreeMap<&'static str, Vec<Connection>> {
+    let mut up: BTreeMap<&str, Vec<Connection>> = BTreeMap::new();
+    for i in 0..clients {
+        let (kind, program) = &programs[i % programs.len()];
+        for again in 0..10 {
+            let more = format!(",d=3000,g=g{},again={}", i % 4, u8::from(again > 0));
+            let mut client = program.open_session(&format!("{name}-{i}"), &more);
+            let answer = client.read_line();
+            if answer.starts_with("UP ") {
+                up.entry(kind).or_default().push(client);
+                break;
+            }
+            // Only a rejection may end an attempt here, and nothing may follow it.
+            assert!(answer.starts_with("BUSY"), "{answer}");
+            assert_eq!(client.read_line(), "", "one final answer");
+        }
+    }
+    up
+}
+
+#[test]
+fn old_and_new_deployments_keep_the_rules_and_share_servers() {
+    let servers: Vec<_> = (1..=5).map(|i| Arc::new(FakeServer::new(&format!("s{i}")))).collect();
+    let sent = Sent::default();
+    // Each server has capacity for a quarter of all clients; the last one is not listed yet.
+    servers.iter().for_each(|server| serve(server.clone(), 20, sent.clone()));
+    let programs = both_kinds(&servers[..4]);
+    let up = come(&programs, 60, "first");
+    // Two fifths and three fifths of sixty clients went to either deployment, and there is capacity for eighty.
+    assert!(up["old"].len() >= 22 && up["new"].len() >= 34, "{} {}", up["old"].len(), up["new"].len());
+
+    // One server drains, another joins; both deployments learn of it, and nothing new goes to the draining one.
+    let update = [servers[0].endpoint("terminating"), servers[4].endpoint("in_service")];
+    let _calls: Vec<_> = programs.iter().map(|(_, program)| program.update_endpoints(&update)).collect();
+    let before = sent.lock().unwrap().len();
+    assert!(sent.lock().unwrap().iter().any(|(server, ..)| server == "s1"), "it had its share until then");
+    let more = come(&programs, 15, "second");
+    let sent = sent.lock().unwrap();
+    assert!(sent[before..].iter().all(|(server, ..)| server != "s1"), "{:?}", &sent[before..]);
+    assert!(more["old"].len() >= 5 && more["new"].len() >= 8, "{} {}", more["old"].len(), more["new"].len());
+
+    // No session was accepted twice, whichever deployment forwarded it.
+    let mut taken: Vec<_> = sent.iter().filter(|s| s.2).map(|s| &s.1).collect();
+    let all = taken.len();
+    taken.sort();
+    taken.dedup();
+    assert_eq!(taken.len(), all);
+    drop(sent);
+    drop((up, more));
+    for (_, program) in programs {
+        program.shut_down();
+    }
+}
--- a/crates/proxy/tests/sockets/soak/mod.rs
+++ b/crates/proxy/tests/sockets/soak/mod.rs
@@ -1,15 +1,15 @@
-//! A seeded soak: a real process among servers that answer, refuse, hang, break and drain, a discovery that fails, system
-//! calls that fail, and clients that go on until it is killed, at the earliest moment that the platform names.
+//! A seeded soak test: a real process among servers that answer, refuse, hang, break and drain, a discovery that fails,
+//! system calls that fail, and clients that go on until the process is killed, at the earliest moment that is allowed.
 //!
 //! `SOAK_SEEDS=60 cargo test -p shelfgrade-proxy --test sockets soak` plays more seeds than CI does.
 
-mod parts;
+mod stand_ins;
 
-use crate::plan::{Call, Failure, Plan};
-use crate::stand::{Place, Program, Settings, USUAL};
+use crate::failure_injection::{Call, Failure, Plan};
+use crate::harness::{FakeServer, Program, Settings, DEFAULT};
 use nanorand::{Rng, WyRand};
-use parts::{client, discovery, pause, rules, server, Run, WINDOW_MS};
 use rustix::process::Signal;
+use stand_ins::{client, discovery, pause, rules, server, Run, WINDOW_MS};
 use std::sync::atomic::{AtomicBool, Ordering::SeqCst};
 use std::sync::{Arc, Mutex};
 use std::thread;
@@ -17,21 +17,20 @@
 
 const SERVERS: usize = 4;
 const CLIENTS: usize = 24;
-/// Killing comes so long after the signal and the clients' request timeout; new connections come for as long at the most.
+/// The process is killed this long after the signal and the clients' request timeout; new connections come for as long at
+/// most.
 const KILLED_AFTER: Duration = Duration::from_millis(700);
 const FRONT_NOTICES: Duration = Duration::from_millis(300);
 
-/// Has calls fail as often as is drawn.
-fn fails(plan: &Plan, chance: &mut WyRand) {
-    let error = |numbers: &[i32], chance: &mut WyRand| {
-        Failure::Error(numbers[chance.generate_range(0..numbers.len())])
-    };
-    let accept = error(&[libc::ECONNABORTED, libc::ENFILE, libc::ENOBUFS, libc::ENETDOWN], chance);
-    let connect = error(&[libc::EADDRNOTAVAIL, libc::ENETUNREACH, libc::EAGAIN, libc::ECONNREFUSED], chance);
-    let send = if chance.generate() { Failure::Short } else { error(&[libc::ENOBUFS, libc::EINTR], chance) };
-    let receive =
-        if chance.generate() { Failure::Short } else { error(&[libc::ENOMEM, libc::EINTR], chance) };
-    let socket = error(&[libc::ENOBUFS, libc::ENFILE, libc::ENOMEM], chance);
+/// Has system calls fail at random rates.
+fn inject_failures(plan: &Plan, rng: &mut WyRand) {
+    let error =
+        |numbers: &[i32], rng: &mut WyRand| Failure::Error(numbers[rng.generate_range(0..numbers.len())]);
+    let accept = error(&[libc::ECONNABORTED, libc::ENFILE, libc::ENOBUFS, libc::ENETDOWN], rng);
+    let connect = error(&[libc::EADDRNOTAVAIL, libc::ENETUNREACH, libc::EAGAIN, libc::ECONNREFUSED], rng);
+    let send = if rng.generate() { Failure::Short } else { error(&[libc::ENOBUFS, libc::EINTR], rng) };
+    let receive = if rng.generate() { Failure::Short } else { error(&[libc::ENOMEM, libc::EINTR], rng) };
+    let socket = error(&[libc::ENOBUFS, libc::ENFILE, libc::ENOMEM], rng);
     let calls = [
         (Call::Accept, accept),
         (Call::Connect, connect),
@@ -40,29 +39,29 @@
         (Call::Socket, socket),
     ];
     for (call, failure) in calls {
-        let often = [0, 0, 50, 400][chance.generate_range(0..4_usize)];
+        let often = [0, 0, 50, 400][rng.generate_range(0..4_usize)];
         plan.fail(call, often, failure);
     }
 }
 
 fn soak(seed: u64) -> Vec<String> {
-    let mut chance = WyRand::new_seed(seed);
-    let effect = ["repeatable", "by_key", "once"][chance.generate_range(0..3_usize)];
-    let request_timeout_ms = [900, 1800, 3000][chance.generate_range(0..3_usize)];
-    let is_crowded = chance.generate_range(0..3_u32) == 0;
-    let sockets = if is_crowded { 160 } else { 512 };
-    let places: Vec<_> = (0..SERVERS).map(|i| Place::new(&format!("s{i}"))).collect();
+    let mut rng = WyRand::new_seed(seed);
+    let effect = ["repeatable", "by_key", "once"][rng.generate_range(0..3_usize)];
+    let request_timeout_ms = [900, 1800, 3000][rng.generate_range(0..3_usize)];
+    let has_idle_clients = rng.generate_range(0..3_u32) == 0;
+    let sockets = if has_idle_clients { 160 } else { 512 };
+    let places: Vec<_> = (0..SERVERS).map(|i| FakeServer::new(&format!("s{i}"))).collect();
     let settings = Settings {
         effect,
         request_timeout_ms,
         sockets,
         window_ms: WINDOW_MS,
-        probes: chance.generate(),
-        tells_delay: chance.generate(),
-        discovery: if chance.generate() { "subscribe" } else { "automatic" },
+        probes: rng.generate(),
+        tells_delay: rng.generate(),
+        discovery: if rng.generate() { "subscribe" } else { "automatic" },
         balancers: "1",
         quota: "200",
-        ..USUAL
+        ..DEFAULT
     };
     let plan = Plan::new();
     let program = plan.start(settings, &places.iter().collect::<Vec<_>>());
@@ -75,36 +74,38 @@
         front_has_left: AtomicBool::new(false),
         over: AtomicBool::new(false),
     });
-    let entries = places.iter().map(|place| ["in_service", "terminating"].map(|health| place.entry(health)));
+    let entries =
+        places.iter().map(|place| ["in_service", "terminating"].map(|health| place.endpoint(health)));
     let (entries, discovers, place) = (entries.collect(), run.clone(), program.discovery.clone());
     thread::spawn(move || discovery(discovers, place, entries));
     for (index, place) in places.into_iter().enumerate() {
         let run = run.clone();
         thread::spawn(move || server(run, index, place));
     }
-    fails(&plan, &mut chance);
-    let crowd: Vec<_> = (0..if is_crowded { 120 } else { 0 }).map(|_| program.client()).collect();
+    inject_failures(&plan, &mut rng);
+    let idle_clients: Vec<_> =
+        (0..if has_idle_clients { 120 } else { 0 }).map(|_| program.connect()).collect();
     let clients: Vec<_> = (0..CLIENTS as u64)
         .map(|index| {
             let run = run.clone();
             thread::spawn(move || client(run, index))
         })
         .collect();
-    for _ in 0..chance.generate_range(1..6_u32) {
-        pause(chance.generate_range(100..400));
-        if chance.generate() {
-            held_up(&program);
+    for _ in 0..rng.generate_range(1..6_u32) {
+        pause(rng.generate_range(100..400));
+        if rng.generate() {
+            suspend_briefly(&program);
         }
-        plan.step_wall_clock([0, 3_600_000, -3_600_000, 5000][chance.generate_range(0..4_usize)]);
+        plan.step_wall_clock([0, 3_600_000, -3_600_000, 5000][rng.generate_range(0..4_usize)]);
     }
-    for _ in 0..chance.generate_range(0..4_u32) {
+    for _ in 0..rng.generate_range(0..4_u32) {
         program.signal(Signal::HUP);
-        pause(chance.generate_range(0..30));
+        pause(rng.generate_range(0..30));
     }
-    ends(&run, program, &mut chance);
+    shut_down(&run, program, &mut rng);
     clients.into_iter().for_each(|client| client.join().unwrap());
     run.over.store(true, SeqCst);
-    drop(crowd);
+    drop(idle_clients);
     rules(&run);
     let mut seen = run.seen.lock().unwrap();
     println!(
@@ -117,29 +118,29 @@
     std::mem::take(&mut seen.breaches)
 }
 
-/// It is held up, as long as may be.
-fn held_up(program: &Program) {
+/// Suspends the program for as long as the rules allow.
+fn suspend_briefly(program: &Program) {
     program.signal(Signal::STOP);
     pause(150);
     program.signal(Signal::CONT);
 }
 
-/// Signals in series, and the kill at its earliest.
-fn ends(run: &Run, mut program: Program, chance: &mut WyRand) {
+/// Sends signals in series, and kills the process at the earliest moment.
+fn shut_down(run: &Run, mut program: Program, rng: &mut WyRand) {
     program.terminate();
-    let told = Instant::now();
-    for _ in 0..chance.generate_range(0..3_u32) {
-        pause(chance.generate_range(0..60));
-        program.signal(if chance.generate() { Signal::HUP } else { Signal::TERM });
-        if chance.generate() {
-            held_up(&program);
+    let signalled_at = Instant::now();
+    for _ in 0..rng.generate_range(0..3_u32) {
+        pause(rng.generate_range(0..60));
+        program.signal(if rng.generate() { Signal::HUP } else { Signal::TERM });
+        if rng.generate() {
+            suspend_briefly(&program);
         }
     }
-    thread::sleep(FRONT_NOTICES.saturating_sub(told.elapsed()));
+    thread::sleep(FRONT_NOTICES.saturating_sub(signalled_at.elapsed()));
     run.front_has_left.store(true, SeqCst);
-    while told.elapsed() < run.request_timeout + KILLED_AFTER {
+    while signalled_at.elapsed() < run.request_timeout + KILLED_AFTER {
         if program.child.try_wait().unwrap().is_some() {
-            let (code, log) = program.exit();
+            let (code, log) = program.wait_for_exit();
             if code != Some(0) || log.contains("panicked") || log.contains("does not hold") {
                 run.breach(format!("ended with {code:?}: {log}"));
             }
@@ -151,7 +152,7 @@
 }
 
 #[test]
-fn whatever_happens_each_request_has_its_answer_and_no_rule_breaks() {
+fn every_request_is_answered_and_no_rule_breaks_under_random_faults() {
     const IN_CI: u64 = 12;
     const SIDE_BY_SIDE: usize = 4;
     let seeds = std::env::var("SOAK_SEEDS").ok().and_then(|seeds| seeds.parse().ok()).unwrap_or(IN_CI);
--- a/crates/proxy/tests/sockets/soak/parts.rs
+++ b/crates/proxy/tests/sockets/soak/stand_ins.rs
@@ -1,6 +1,6 @@
-//! The stand-ins of a soak, and what the rules say of all that they saw.
+//! The fake peers of a soak test, and the rules for all that they saw.
 
-use crate::stand::{list, next_call, Place, Wire};
+use crate::harness::{list_response, read_request, Connection, FakeServer};
 use nanorand::{Rng, WyRand};
 use std::collections::BTreeMap;
 use std::io::Write;
@@ -10,9 +10,10 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Repeats are dropped for so long, where they are.
+/// How long servers drop repeats in milliseconds, if they do.
 pub const WINDOW_MS: u64 = 700;
-/// Nothing new comes to a server so long after its drain was written to the process, and an answer comes so late at most.
+/// A drained server receives nothing new this long after the drain was written to the process; and how late an answer may
+/// be.
 const DRAIN_GRACE: Duration = Duration::from_millis(400);
 const ANSWER_SLACK: Duration = Duration::from_millis(500);
 
@@ -21,18 +22,18 @@
 pub struct Sent {
     server: usize,
     at: Instant,
-    /// It was not turned away.
+    /// The server did not reject it.
     may_have_run: bool,
 }
 
-/// What all stand-ins saw.
+/// What all peers saw.
 #[derive(Default)]
 pub struct Seen {
-    /// By the request's id.
+    /// By request id.
     pub sent: BTreeMap<String, Vec<Sent>>,
-    /// Requests whose connection its server ended.
+    /// Requests whose connection was ended by the server.
     pub ended_by_server: Vec<String>,
-    /// Since when the process has been told that a server drains.
+    /// When the drain of a server was written to the process.
     pub drains: Vec<(usize, Instant)>,
     pub breaches: Vec<String>,
 }
@@ -55,7 +56,7 @@
         self.seen.lock().unwrap().breaches.push(line);
     }
 
-    fn chance(&self, of: u64) -> WyRand {
+    fn rng(&self, of: u64) -> WyRand {
         WyRand::new_seed(self.seed * 1000 + of)
     }
 }
@@ -64,15 +65,15 @@
     thread::sleep(Duration::from_millis(ms));
 }
 
-fn send(wire: &mut Wire, text: &str) -> bool {
-    wire.stream.write_all(text.as_bytes()).is_ok()
+fn send(connection: &mut Connection, text: &str) -> bool {
+    connection.stream.write_all(text.as_bytes()).is_ok()
 }
 
-/// One connection at a server.
-fn serves(run: &Run, server: usize, mut wire: Wire, mut chance: WyRand) {
-    let line = wire.line();
+/// Serves one connection.
+fn serves(run: &Run, server: usize, mut connection: Connection, mut rng: WyRand) {
+    let line = connection.read_line();
     if line == "PING" {
-        send(&mut wire, "PONG\r\n");
+        send(&mut connection, "PONG\r\n");
         return;
     }
     let Some(id) = line.strip_prefix("OPEN ").and_then(|rest| rest.split(' ').next()) else {
@@ -82,79 +83,83 @@
         return;
     };
     let id = id.to_owned();
-    let what = chance.generate_range(0..40_u32);
+    let what = rng.generate_range(0..40_u32);
     let sent = Sent { server, at: Instant::now(), may_have_run: what != 0 };
     run.seen.lock().unwrap().sent.entry(id.clone()).or_default().push(sent);
     match what {
-        0 => drop(send(&mut wire, "BUSY\r\n")),
-        1 => drop(send(&mut wire, "ERR\r\n")),
-        2 => wire.reset(),
-        3 => drop(send(&mut wire, "U")),
-        // It hangs.
-        4 => wire.lasts(),
+        0 => drop(send(&mut connection, "BUSY\r\n")),
+        1 => drop(send(&mut connection, "ERR\r\n")),
+        2 => connection.reset(),
+        3 => drop(send(&mut connection, "U")),
+        // The server hangs.
+        4 => connection.wait_for_end(),
         _ => {
-            pause(chance.generate_range(0..40));
-            send(&mut wire, "UP 0123\r\n");
-            let lines = if what < 14 { chance.generate_range(0..20) } else { usize::MAX };
+            pause(rng.generate_range(0..40));
+            send(&mut connection, "UP 0123\r\n");
+            let lines = if what < 14 { rng.generate_range(0..20) } else { usize::MAX };
             for _ in 0..lines {
-                let line = wire.line();
+                let line = connection.read_line();
                 if line.is_empty() || line == "reset" {
                     return;
                 }
-                send(&mut wire, &format!("{line}\r\n"));
+                send(&mut connection, &format!("{line}\r\n"));
             }
             run.seen.lock().unwrap().ended_by_server.push(id);
-            if chance.generate() {
-                send(&mut wire, "BYE\r\n");
+            if rng.generate() {
+                send(&mut connection, "BYE\r\n");
             }
         }
     }
 }
 
-pub fn server(run: Arc<Run>, index: usize, place: Place) {
+pub fn server(run: Arc<Run>, index: usize, place: FakeServer) {
     let mut connections = 0;
     while !run.over.load(SeqCst) {
-        let Some(wire) = place.try_accept() else {
+        let Some(connection) = place.try_accept() else {
             pause(1);
             continue;
         };
         connections += 1;
-        let (run, chance) = (run.clone(), run.chance(100 * (index as u64 + 1) + connections));
-        thread::spawn(move || serves(&run, index, wire, chance));
+        let (run, rng) = (run.clone(), run.rng(100 * (index as u64 + 1) + connections));
+        thread::spawn(move || serves(&run, index, connection, rng));
     }
 }
 
-/// Discovery tells one server's drain at a drawn moment, and is slow, refuses or hangs in between.
-pub fn discovery(run: Arc<Run>, place: Arc<Place>, entries: Vec<[String; 2]>) {
-    let mut chance = run.chance(1);
-    let (drains_after, drained) = (chance.generate_range(2..12_u32), chance.generate_range(0..entries.len()));
+/// Writes the drain of one server at a random moment, and is slow, refuses or hangs in between.
+pub fn discovery(run: Arc<Run>, place: Arc<FakeServer>, entries: Vec<[String; 2]>) {
+    let mut rng = run.rng(1);
+    let (drains_after, drained) = (rng.generate_range(2..12_u32), rng.generate_range(0..entries.len()));
     let (mut seq, mut calls) = (7, 0);
     while !run.over.load(SeqCst) {
-        let Some(mut wire) = place.try_accept() else {
+        let Some(mut connection) = place.try_accept() else {
             pause(1);
             continue;
         };
         while !run.over.load(SeqCst) {
-            let path = next_call(&mut wire);
+            let path = read_request(&mut connection);
             if path.is_empty() {
                 break;
             }
             calls += 1;
-            pause(chance.generate_range(0..150));
-            let answer = match chance.generate_range(0..8_u32) {
+            pause(rng.generate_range(0..150));
+            let answer = match rng.generate_range(0..8_u32) {
                 0 => "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n".to_owned(),
                 1 => break,
                 _ if calls > drains_after => {
                     seq += 1;
-                    list(seq, false, &[entries[drained][1].clone()])
+                    list_response(seq, false, &[entries[drained][1].clone()])
                 }
                 _ => {
                     seq += 1;
-                    list(seq, true, &entries.iter().map(|entry| entry[0].clone()).collect::<Vec<_>>())
+                    list_response(
+                        seq,
+                        true,
+                        &entries.iter().map(|entry| entry[0].clone()).collect::<Vec<_>>(),
+                    )
                 }
             };
             let tells = answer.contains("terminating");
-            if send(&mut wire, &answer) && tells {
+            if send(&mut connection, &answer) && tells {
                 run.seen.lock().unwrap().drains.push((drained, Instant::now()));
             }
         }
@@ -162,61 +167,61 @@
 }
 
 /// What a client does with one connection.
-fn asks(run: &Run, id: &str, chance: &mut WyRand) {
+fn asks(run: &Run, id: &str, rng: &mut WyRand) {
     let Ok(stream) = TcpStream::connect(run.address) else { return };
-    let mut wire = Wire::new(stream);
-    // One request in five has very little time.
-    let is_hasty = chance.generate_range(0..5_u32) == 0;
+    let mut connection = Connection::new(stream);
+    // One request in five has a very short timeout.
+    let is_hasty = rng.generate_range(0..5_u32) == 0;
     let request_timeout =
-        if is_hasty { Duration::from_millis(chance.generate_range(0..80)) } else { run.request_timeout };
-    let (ms, key) = (request_timeout.as_millis(), chance.generate::<u16>());
+        if is_hasty { Duration::from_millis(rng.generate_range(0..80)) } else { run.request_timeout };
+    let (ms, key) = (request_timeout.as_millis(), rng.generate::<u16>());
     let line = format!("OPEN {id} lift-{key} c=alarm,d={ms}\r\n");
-    let what = chance.generate_range(0..14_u32);
+    let what = rng.generate_range(0..14_u32);
     match what {
         0 => {
-            // It stops in the middle of its line, and stays.
-            send(&mut wire, &line[..20]);
-            let answer = wire.line();
+            // The client stops inside its line, and stays connected.
+            send(&mut connection, &line[..20]);
+            let answer = connection.read_line();
             if !["ERR", "BUSY", ""].contains(&&*answer) {
                 run.breach(format!("half a line was answered {answer:?}"));
             }
             return;
         }
         1 => {
-            send(&mut wire, "PING\r\n");
-            if wire.line() != "PONG" {
+            send(&mut connection, "PING\r\n");
+            if connection.read_line() != "PONG" {
                 return;
             }
-            pause(chance.generate_range(0..300));
+            pause(rng.generate_range(0..300));
         }
         _ => {}
     }
     let asked = Instant::now();
-    for piece in line.as_bytes().chunks(chance.generate_range(5..80)) {
-        let _ = wire.stream.write_all(piece);
+    for piece in line.as_bytes().chunks(rng.generate_range(5..80)) {
+        let _ = connection.stream.write_all(piece);
     }
     if what == 2 {
-        // It gives up early.
-        return pause(chance.generate_range(0..60));
+        // The client aborts.
+        return pause(rng.generate_range(0..60));
     }
-    let answer = wire.line();
+    let answer = connection.read_line();
     let late = asked.elapsed() > request_timeout + ANSWER_SLACK;
     let is_final = answer == "UP 0123" || answer == "ERR" || answer == "BUSY" || answer.starts_with("BUSY ");
     if late || !is_final {
         return run.breach(format!("{id}: {answer:?} after {:?}", asked.elapsed()));
     }
     if answer != "UP 0123" {
-        let rest = wire.line();
+        let rest = connection.read_line();
         if !rest.is_empty() {
             run.breach(format!("{id}: {rest:?} behind {answer:?}"));
         }
         return;
     }
-    let stays = [3, 20, 400][chance.generate_range(0..3_usize)];
+    let stays = [3, 20, 400][rng.generate_range(0..3_usize)];
     for i in 0..stays {
         let line = format!("M {i}");
-        send(&mut wire, &format!("{line}\r\n"));
-        let heard = wire.line();
+        send(&mut connection, &format!("{line}\r\n"));
+        let heard = connection.read_line();
         match &*heard {
             heard if heard == line => pause(5),
             "MOVE" => return,
@@ -234,15 +239,15 @@
 
 pub fn client(run: Arc<Run>, index: u64) {
     static LAST_ID: AtomicU32 = AtomicU32::new(0);
-    let mut chance = run.chance(10_000 + index);
+    let mut rng = run.rng(10_000 + index);
     while !run.front_has_left.load(SeqCst) {
         let number = LAST_ID.fetch_add(1, SeqCst);
-        asks(&run, &format!("50a4{number:012x}"), &mut chance);
-        pause(chance.generate_range(0..40));
+        asks(&run, &format!("50a4{number:012x}"), &mut rng);
+        pause(rng.generate_range(0..40));
     }
 }
 
-/// What the rules say of all that was seen.
+/// Checks the rules against all that was seen.
 pub fn rules(run: &Run) {
     let (sent, drains) = {
         let seen = run.seen.lock().unwrap();
@@ -259,12 +264,12 @@
             }
             _ => {}
         }
-        for (server, told) in &drains {
-            let late = |sent: &&Sent| sent.server == *server && sent.at > *told + DRAIN_GRACE;
+        for (server, drained_at) in &drains {
+            let late = |sent: &&Sent| sent.server == *server && sent.at > *drained_at + DRAIN_GRACE;
             if let Some(sent) = tries.iter().find(late) {
                 run.breach(format!(
-                    "{id}: at server {server} {:?} after its drain was told",
-                    sent.at - *told
+                    "{id}: at server {server} {:?} after its drain was announced",
+                    sent.at - *drained_at
                 ));
             }
         }
--- a/crates/proxy/tests/sockets/settings.rs
+++ b/crates/proxy/tests/sockets/start_file.rs
@@ -1,9 +1,9 @@
-//! What the program is started with: the settings that stories change, and the start-up file that they make.
+//! The start-up file of the program under test, and the settings that tests change.
 
-use crate::stand::Place;
+use crate::harness::FakeServer;
 use std::net::SocketAddr;
 
-/// What the program is started with.
+/// The settings that tests change.
 #[derive(Clone, Copy)]
 pub struct Settings {
     pub effect: &'static str,
@@ -11,28 +11,28 @@
     pub tells_delay: bool,
     pub sockets: u64,
     pub dial_ms: u64,
-    /// How long a message may take, and how many connections all servers can hold, if that is told.
+    /// The message latency objective in milliseconds, and how many connections all servers can hold, or 0.
     pub aim_ms: u64,
     pub quota: &'static str,
     /// How many proxies there are.
     pub balancers: &'static str,
-    /// How the list comes.
+    /// How the endpoint list is delivered.
     pub discovery: &'static str,
-    /// The longest that a client waits, and how many attempts it may have.
+    /// The longest request timeout in milliseconds, and how many attempts a request may have.
     pub request_timeout_ms: u64,
     pub attempts: u64,
-    /// How long it may go without asking for the list.
+    /// The longest interval between polls in milliseconds.
     pub must_ask_ms: u64,
-    /// For all that is left to chance.
+    /// The seed of all random decisions.
     pub seed: &'static str,
-    /// How long a server is cold, and what part of its capacity it begins with.
+    /// The slow start of a server in milliseconds, and the fraction of its capacity that it starts with.
     pub cold_ms: u64,
     pub cold_from: f64,
-    /// How long servers drop repeats, where the effect is `by_key`.
+    /// How long servers drop repeats in milliseconds, if the effect is `by_key`.
     pub window_ms: u64,
 }
 
-pub const USUAL: Settings = Settings {
+pub const DEFAULT: Settings = Settings {
     effect: "repeatable",
     probes: false,
     tells_delay: false,
@@ -52,11 +52,11 @@
 };
 
 /// The list is pushed, by an agent that is watched.
-pub const PUSHED: Settings = Settings { discovery: "automatic", ..USUAL };
+pub const PUSHED: Settings = Settings { discovery: "automatic", ..DEFAULT };
 
-/// The start-up file for these terms, with these servers known.
-pub fn start_file(settings: &Settings, discovery: SocketAddr, known: &[&Place]) -> String {
-    let entries: Vec<_> = known.iter().map(|p| p.entry("in_service")).collect();
+/// The start-up file for these settings, with these servers known.
+pub fn start_file_text(settings: &Settings, discovery: SocketAddr, known: &[&FakeServer]) -> String {
+    let entries: Vec<_> = known.iter().map(|p| p.endpoint("in_service")).collect();
     let Settings { effect, probes, tells_delay, sockets, dial_ms, aim_ms, quota, balancers, .. } = settings;
     let Settings {
         discovery: how,
--- a/crates/proxy/tests/unit/clock.rs
+++ b/crates/proxy/tests/unit/clock.rs
@@ -1,4 +1,4 @@
-//! Stories of `clock.rs` from within.
+//! Unit tests of `clock.rs`.
 
 use super::*;
 
--- a/crates/proxy/tests/unit/disk.rs
+++ b/crates/proxy/tests/unit/disk.rs
@@ -1,9 +1,9 @@
-//! Stories of `disk.rs` from within.
+//! Unit tests of `disk.rs`.
 
 use super::*;
 use std::time::{Duration, Instant};
 
-/// Waits until the file of this number holds these bytes.
+/// Waits until the snapshot of this number holds these bytes.
 fn is_written(folder: &Path, number: u64, bytes: &[u8]) {
     let began = Instant::now();
     while fs::read(path(folder, generation(number))).ok().as_deref() != Some(bytes) {
@@ -12,9 +12,9 @@
     }
 }
 
-/// It was dropped: whoever had handed it over took it for written.
+/// A snapshot that was handed over counts as written, so it may not be dropped.
 #[test]
-fn what_cannot_be_written_is_tried_again_until_it_can_be() {
+fn failed_writes_are_retried_until_they_succeed() {
     let parent = tempfile::tempdir().unwrap();
     let folder = parent.path().join("not-there-yet");
     let disk = Disk::begin(&folder);
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn what_is_newer_takes_the_place_of_what_could_not_be_written() {
+fn a_newer_snapshot_replaces_one_that_could_not_be_written() {
     let parent = tempfile::tempdir().unwrap();
     let folder = parent.path().join("not-there-yet");
     let disk = Disk::begin(&folder);
@@ -39,9 +39,9 @@
     assert!(!path(&folder, generation(7)).exists(), "no older one is written any more");
 }
 
-/// A write that hangs held the process up past its end.
+/// The process exits although a write hangs.
 #[test]
-fn the_end_does_not_wait_for_a_disk_that_hangs() {
+fn shutdown_does_not_wait_for_a_hanging_disk() {
     let folder = tempfile::tempdir().unwrap();
     // Opening it for writing waits for a reader that never comes.
     rustix::fs::mkfifoat(rustix::fs::CWD, folder.path().join("shelfgrade.new"), 0o600.into()).unwrap();
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn the_end_waits_for_what_can_be_written() {
+fn shutdown_waits_for_a_writable_snapshot() {
     let folder = tempfile::tempdir().unwrap();
     let disk = Disk::begin(folder.path());
     assert!(disk.write(1, b"one".to_vec()));
--- a/crates/proxy/tests/unit/endpoint_list.rs
+++ b/crates/proxy/tests/unit/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! Stories of `listing.rs` from within.
+//! Unit tests of `endpoint_list.rs`.
 
 use super::*;
 
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn an_answer_is_taken_whole_or_not_at_all() {
+fn a_list_with_any_invalid_entry_is_rejected() {
     let listing = parse("in_service", r#""127.0.0.1:80""#).expect("a good answer");
     let line = &listing.lines()[0];
     assert_eq!((&*line.server, line.started, line.state), ("s", None, EndpointState::Active));
--- a/crates/proxy/tests/unit/fleet_file.rs
+++ b/crates/proxy/tests/unit/fleet_file.rs
@@ -1,17 +1,17 @@
-//! Stories of `fleet_file.rs` from within.
+//! Unit tests of `fleet_file.rs`.
 
 use super::*;
 
 const GOOD: &str =
     "fleet = \"dar\"\nlist_wait_ms = 900\n[fellows]\nn1 = \"127.0.0.1:7401\"\nn0 = \"127.0.0.1:7400\"\n";
 
-fn fault(text: &str) -> String {
-    FleetFile::parse("fleet.toml", text, "n1").err().expect("a fault").to_string()
+fn error_of(text: &str) -> String {
+    FleetFile::parse("fleet.toml", text, "n1").err().expect("an error").to_string()
 }
 
 /// A key that the shipped file explains has to be one that is read.
 #[test]
-fn the_shipped_file_can_be_used_with_its_keys_switched_on() {
+fn the_shipped_file_is_valid_with_its_optional_keys() {
     let shipped = include_str!("../../../../deploy/fleet.toml");
     let on =
         shipped.replace("# namespaces_dir =", "namespaces_dir =").replace("# maintenance =", "maintenance =");
@@ -21,13 +21,13 @@
 }
 
 #[test]
-fn the_file_is_checked_whole_and_each_fault_says_where_it_is_and_what_to_do() {
+fn every_file_error_names_its_place_and_remedy() {
     let file = FleetFile::parse("fleet.toml", GOOD, "n1").expect("a good file");
     assert_eq!(
         (file.roster.size(), file.addresses[0].port(), file.list_wait),
         (2, 7400, Duration::from_millis(900))
     );
-    let faults: [(&str, &str, [&str; 3]); 7] = [
+    let errors: [(&str, &str, [&str; 3]); 7] = [
         (
             "list_wait_ms",
             "wait_ms",
@@ -44,11 +44,11 @@
         ("n1", "n2", ["fleet.toml, fellows", "n1, is not among the fellows", "add it"]),
         ("fleet = \"dar\"\n", "", ["fleet.toml, line 1", "missing field `fleet`", "correct it there"]),
     ];
-    for (good, bad, words) in faults {
-        let fault = fault(&GOOD.replace(good, bad));
-        assert!(words.iter().all(|word| fault.contains(word)) && fault.lines().count() == 1, "{fault}");
+    for (good, bad, words) in errors {
+        let error = error_of(&GOOD.replace(good, bad));
+        assert!(words.iter().all(|word| error.contains(word)) && error.lines().count() == 1, "{error}");
     }
     let other = FleetFile::parse("fleet.toml", &GOOD.replace("n0", "n7"), "n1").expect("a good file");
-    assert!(file.may_follow(&other).is_err_and(|fault| fault.to_string().contains("started anew")));
+    assert!(file.may_follow(&other).is_err_and(|error| error.to_string().contains("started anew")));
     assert!(file.may_follow(&FleetFile { save_every: Duration::from_millis(500), ..file.clone() }).is_ok());
 }
--- a/crates/proxy/tests/unit/graceful_shutdown.rs
+++ b/crates/proxy/tests/unit/graceful_shutdown.rs
@@ -1,14 +1,14 @@
-//! Stories of `ending.rs` from within.
+//! Unit tests of `graceful_shutdown.rs`.
 
 use super::*;
 
 #[test]
-fn the_course_of_the_end_follows_from_the_longest_request_timeout_and_is_over_before_the_killing() {
+fn the_shutdown_schedule_ends_before_the_kill_for_every_request_timeout() {
     for (request_timeout, killed) in [(Some(300), 1000), (Some(1200), 1900), (Some(4800), 3700), (None, 3700)]
     {
         let schedule = ShutdownSchedule::by(request_timeout.map(Duration::from_millis));
         assert!(schedule.stay_for < schedule.open_for && schedule.open_for < schedule.gone_within);
-        // A beat, and the time to leave.
+        // One tick, and the time to exit.
         assert!(
             schedule.gone_within + Duration::from_millis(150) < Duration::from_millis(killed),
             "{schedule:?}"
--- a/crates/proxy/tests/unit/line.rs
+++ b/crates/proxy/tests/unit/line.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_line_ends_in_crlf_and_holds_printable_characters_alone() {
+fn a_well_formed_line_ends_in_crlf_and_is_printable() {
     assert_eq!(well_formed_line(b"PING\r\n"), Some("PING"));
     for bad in [&b"PING\n"[..], b"PING", b"PI\0NG\r\n", b"PING\r\r\n", b"P\tING\r\n", b"P\xc3\xa9\r\n"] {
         assert_eq!(well_formed_line(bad), None);
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn lines_are_found_across_reads_and_an_endless_one_is_refused() {
+fn lines_are_decoded_across_reads_and_an_overlong_one_is_rejected() {
     let mut decoder = LineDecoder::default();
     assert_eq!(decoder.feed(b"LOAD 1.5\r\nB"), Ok(vec![b"LOAD 1.5\r\n".to_vec()]));
     assert!(!decoder.is_at_line_start());
--- a/crates/proxy/tests/unit/open_request.rs
+++ b/crates/proxy/tests/unit/open_request.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn a_first_line_is_read_and_only_its_wait_changes() {
+fn a_first_line_is_parsed_and_only_its_timeout_changes() {
     let line = format!("{HEAD} c=mail,t=acme,d=2000,h=1.5e3,x-new=3,g=5c0f,r=1,again=1");
     let open = parse(&line).expect("a good line");
     assert_eq!((open.id, &*open.key, open.class), (0x9b1f_03aa_5c7e_2d41, "7f3a9c21e0b4d655", 1));
@@ -24,7 +24,7 @@
 
 /// Each of these would be answered with an error by every server that it was sent to.
 #[test]
-fn what_no_server_could_use_is_refused() {
+fn malformed_first_lines_are_rejected() {
     let bad_heads = [
         "",
         "OPEN",
--- a/crates/proxy/tests/unit/ring.rs
+++ b/crates/proxy/tests/unit/ring.rs
@@ -1,9 +1,9 @@
-//! Stories of `ring.rs` from within.
+//! Unit tests of `ring.rs`.
 
 use super::Ring;
 
 #[test]
-fn bytes_come_out_as_they_went_in_round_the_end_of_the_buffer() {
+fn bytes_keep_their_order_across_the_wrap_around() {
     let mut ring = Ring::new(7);
     let (mut source, mut out) = (&b"the quick brown fox jumps over the lazy dog"[..], Vec::new());
     while !source.is_empty() || !ring.is_empty() {
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn room_that_is_kept_is_for_what_is_pushed_alone() {
+fn the_reserve_is_used_by_push_only() {
     let mut ring = Ring::with_reserve(7, 4);
     assert_eq!(ring.fill_from(&b"the quick brown fox"[..]).unwrap(), 7);
     assert!(ring.is_full() && ring.push(b"MOVE") && !ring.push(b"."));
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn an_unfinished_line_is_taken_back_where_its_beginning_is_held() {
+fn a_partial_line_is_discarded_if_its_beginning_is_held() {
     let mut ring = Ring::new(8);
     ring.fill_from(&b"abcd"[..]).unwrap();
     assert!(!ring.discard_partial_line(), "it may have begun before");
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn a_text_that_does_not_fit_is_refused_whole() {
+fn a_push_that_does_not_fit_adds_nothing() {
     let mut ring = Ring::new(7);
     assert!(ring.push(b"MOVE"));
     assert!(!ring.push(b"MOVE") && ring.latest(4) == b"MOVE");
--- a/crates/proxy/tests/unit/start_times.rs
+++ b/crates/proxy/tests/unit/start_times.rs
@@ -1,4 +1,4 @@
-//! Stories of `start_times.rs` from within.
+//! Unit tests of `start_times.rs`.
 
 use super::*;
 use std::time::Duration;
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn what_is_there_before_the_first_list_goes_by_what_is_told_but_never_lies_ahead() {
+fn starts_before_the_first_list_are_as_reported_but_never_in_the_future() {
     let mut starts = StartTimes::default();
     assert_eq!(start(&mut starts, "s1", 0.0, 10_000.0), None, "long ago");
     assert_eq!(start(&mut starts, "s2", 4000.0, 10_000.0), Some(4000.0));
@@ -32,10 +32,10 @@
     assert_eq!(start(&mut starts, "s3", 3_600_000.0, 30_000.0), Some(10_000.0), "once timed it stays so");
 }
 
-/// The list comes half a second late at its best; this clock is right, then an hour ahead of that by which starts are told,
+/// The list is half a second late at best; this clock is right, then an hour ahead of that by which starts are reported,
 /// then an hour behind.
 #[test]
-fn a_start_that_is_new_on_a_later_list_counts_from_the_lists_least_lateness() {
+fn starts_new_on_a_later_list_count_from_the_least_list_delay() {
     for ahead_ms in [0.0, 3_600_000.0, -3_600_000.0] {
         let mut starts = StartTimes::default();
         let base = 1e12;
@@ -58,11 +58,11 @@
 }
 
 #[test]
-fn discoverys_time_makes_starts_later_where_this_clock_is_ahead_and_never_earlier() {
+fn discoverys_date_only_moves_starts_later() {
     let unix = |ms| UNIX_EPOCH + Duration::from_millis(ms);
     let mut starts = StartTimes::default();
     starts.discovery_says(unix(9_000), at(10_000.0));
-    assert_eq!(start(&mut starts, "s1", 4000.0, 10_000.0), Some(4000.0), "as near as the time is told");
+    assert_eq!(start(&mut starts, "s1", 4000.0, 10_000.0), Some(4000.0), "within the precision of the date");
     starts.discovery_says(unix(1_000), at(3_601_000.0));
     assert_eq!(start(&mut starts, "s2", 500.0, 3_601_000.0), Some(3_600_500.0));
     assert_eq!(start(&mut starts, "s3", 2000.0, 3_601_000.0), Some(3_601_000.0));
