--- a/crates/proxy/src/executor.rs
+++ b/crates/proxy/src/executor.rs
@@ -59,13 +59,13 @@
     /// See [`ExecutorSettings::servers_report_latency`].
     pub servers_report_latency: bool,
     /// The servers of the endpoint list.
-    pub servers: ServerPool,
+    pub servers: ServerPool<Proxy>,
     /// The sessions.
-    pub sessions: SessionTable,
+    pub sessions: SessionTable<Session>,
     /// Sessions that have something to do with each tick.
-    pub needing_tick: PendingSessions,
+    pub needing_tick: PendingSessions<Session>,
     /// Sessions whose client has sent a line that nothing has come back for.
-    pub awaiting_reply: PendingSessions,
+    pub awaiting_reply: PendingSessions<Session>,
     /// Client connections that have been sent their final answer.
     pub lingering: LingeringCloses<Proxy>,
     /// Restored sessions whose server is not on the endpoint list yet.
@@ -79,7 +79,7 @@
     /// Attempts that ended while the load balancer was being called, to be reported when it has returned.
     pub unreported: VecDeque<EndedAttempt>,
     /// Servers to be health-checked once the load balancer has returned.
-    pub health_checks_due: VecDeque<Rc<Server>>,
+    pub health_checks_due: VecDeque<Rc<Server<Proxy>>>,
     budget: DescriptorBudget,
 }
 
@@ -182,7 +182,12 @@
         }
     }
 
-    fn start_attempt(&self, session: &Rc<Session>, server: Rc<Server>, timeout: Duration) -> io::Result<()> {
+    fn start_attempt(
+        &self,
+        session: &Rc<Session>,
+        server: Rc<Server<Proxy>>,
+        timeout: Duration,
+    ) -> io::Result<()> {
         self.metrics.invariant(session.attempt.borrow().is_none(), "one attempt at a time");
         let attempt = Attempt::start(session, server, timeout, self)?;
         session.attempt.replace(Some(attempt));
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -254,7 +254,7 @@
     }
 
     /// A probe has come back, or was given up, after this long.
-    pub fn on_health_check(&mut self, server: &Server, took: Duration) {
+    pub fn on_health_check(&mut self, server: &Server<Proxy>, took: Duration) {
         self.executor.metrics.count("health checks");
         log::debug!("probe of {} took {} ms", server.id, took.as_ms());
         let now = self.now();
--- a/crates/proxy/src/session.rs
+++ b/crates/proxy/src/session.rs
@@ -9,6 +9,7 @@
 use crate::net::ring::Ring;
 use crate::net::socket::{End, Socket};
 use crate::proxy::Proxy;
+use crate::session_table::SessionEntry;
 use crate::upstream::attempt::Attempt;
 use shelfgrade::host::{AttemptOutcome, SessionId};
 use shelfgrade::time::Timestamp;
@@ -75,6 +76,20 @@
     pub weak: Weak<Session>,
 }
 
+impl SessionEntry for Session {
+    fn id(&self) -> SessionId {
+        self.id
+    }
+
+    fn request_id(&self) -> u64 {
+        self.opening.id
+    }
+
+    fn downgrade(&self) -> Weak<Self> {
+        self.weak.clone()
+    }
+}
+
 impl Session {
     /// A session whose client has sent its first line. Each buffer takes `buffer_size` bytes.
     pub fn new(
@@ -172,7 +187,7 @@
         self.enter(Stage::Closing, proxy.now());
     }
 
-    /// Tells the client to connect again, unless the server is inside a line; whether it was told.
+    /// Tells the client to connect again, unless the server is inside a line; whether that was sent.
     pub fn try_migrate(&self, now: Timestamp) -> bool {
         let at_line_start = self.attempt.borrow().as_ref().is_some_and(|attempt| attempt.is_at_line_start());
         let migrates = at_line_start && self.to_client.borrow_mut().push(MIGRATE_LINE);
--- a/crates/proxy/src/session_table.rs
+++ b/crates/proxy/src/session_table.rs
@@ -1,19 +1,33 @@
 //! The sessions of the process by their ids.
 
-use crate::session::Session;
 use shelfgrade::host::SessionId;
 use std::collections::{BTreeMap, BTreeSet};
-use std::rc::Rc;
+use std::rc::{Rc, Weak};
+
+/// What a table needs of the sessions that it holds.
+pub trait SessionEntry {
+    /// The session's id in this process.
+    fn id(&self) -> SessionId;
+    /// The id that its client sent.
+    fn request_id(&self) -> u64;
+    /// A reference that does not keep the session alive.
+    fn downgrade(&self) -> Weak<Self>;
+}
 
 /// All sessions whose connections are not closed yet, and the request ids that their clients sent.
-#[derive(Default)]
-pub struct SessionTable {
-    sessions: BTreeMap<SessionId, Rc<Session>>,
+pub struct SessionTable<S> {
+    sessions: BTreeMap<SessionId, Rc<S>>,
     request_ids: BTreeSet<u64>,
     last_id: u64,
 }
 
-impl SessionTable {
+impl<S> Default for SessionTable<S> {
+    fn default() -> Self {
+        SessionTable { sessions: BTreeMap::new(), request_ids: BTreeSet::new(), last_id: 0 }
+    }
+}
+
+impl<S: SessionEntry> SessionTable<S> {
     /// An id that no session of this process has had.
     pub fn next_id(&mut self) -> SessionId {
         self.last_id += 1;
@@ -21,19 +35,19 @@
     }
 
     /// Adds a session.
-    pub fn insert(&mut self, session: &Rc<Session>) {
-        self.sessions.insert(session.id, session.clone());
-        self.request_ids.insert(session.opening.id);
+    pub fn insert(&mut self, session: &Rc<S>) {
+        self.sessions.insert(session.id(), session.clone());
+        self.request_ids.insert(session.request_id());
     }
 
     /// Removes a session, and frees its request id.
-    pub fn remove(&mut self, session: &Session) {
-        self.sessions.remove(&session.id);
-        self.request_ids.remove(&session.opening.id);
+    pub fn remove(&mut self, session: &S) {
+        self.sessions.remove(&session.id());
+        self.request_ids.remove(&session.request_id());
     }
 
     /// The session of this id.
-    pub fn get(&self, id: SessionId) -> Option<&Rc<Session>> {
+    pub fn get(&self, id: SessionId) -> Option<&Rc<S>> {
         self.sessions.get(&id)
     }
 
@@ -48,7 +62,7 @@
     }
 
     /// All sessions, in the order in which they came.
-    pub fn values(&self) -> impl Iterator<Item = &Rc<Session>> {
+    pub fn values(&self) -> impl Iterator<Item = &Rc<S>> {
         self.sessions.values()
     }
 
--- a/crates/proxy/src/upstream/attempt.rs
+++ b/crates/proxy/src/upstream/attempt.rs
@@ -27,7 +27,7 @@
 /// An attempt, from the dial to the end of its connection.
 pub struct Attempt {
     /// The server that it is for.
-    pub server: Rc<Server>,
+    pub server: Rc<Server<Proxy>>,
     /// The connection to that server.
     pub socket: Socket<Proxy>,
     phase: Cell<Phase>,
@@ -49,7 +49,7 @@
     /// The socket cannot be opened or watched, or the connection is refused at once.
     pub fn start(
         session: &Rc<Session>,
-        server: Rc<Server>,
+        server: Rc<Server<Proxy>>,
         timeout: Duration,
         executor: &Executor,
     ) -> io::Result<Rc<Self>> {
--- a/crates/proxy/src/upstream/health_check.rs
+++ b/crates/proxy/src/upstream/health_check.rs
@@ -1,9 +1,9 @@
 //! Health checks of a server: a connection of its own, on which one `PING` at a time is outstanding.
 
+use crate::net::event_loop::EventLoopOwner;
 use crate::net::line::{line_text, LineDecoder, LineTooLong, ServerLine, PING_LINE};
 use crate::net::ring::Ring;
 use crate::net::socket::Socket;
-use crate::proxy::Proxy;
 use crate::upstream::server::Server;
 use shelfgrade::time::Timestamp;
 use std::cell::{Cell, RefCell};
@@ -16,9 +16,22 @@
 /// health check, and shorter than the interval between rounds of them.
 const CHECK_TIMEOUT: Duration = Duration::from_millis(250);
 
+/// Who starts health checks, and whose loop carries them.
+pub trait HealthCheckEvents: EventLoopOwner {
+    /// The sessions that servers hold.
+    type Session;
+
+    /// A connection is about to be opened: makes sure that there is a descriptor for it.
+    fn before_health_check_dial(&mut self);
+    /// A health check was answered, or timed out, after this long.
+    fn on_health_check(&mut self, server: &Server<Self>, latency: Duration);
+    /// Whether a connection stays open between checks.
+    fn keeps_health_check_connections(&self) -> bool;
+}
+
 /// The health check connection to one server.
-pub struct HealthCheck {
-    socket: Socket<Proxy>,
+pub struct HealthCheck<T: HealthCheckEvents> {
+    socket: Socket<T>,
     outgoing: RefCell<Ring>,
     incoming: RefCell<Ring>,
     decoder: RefCell<LineDecoder>,
@@ -28,11 +41,11 @@
     pub last_used: Cell<Timestamp>,
 }
 
-impl HealthCheck {
+impl<T: HealthCheckEvents> HealthCheck<T> {
     /// Starts a check over the connection that there is, or over a new one. A check that is outstanding answers this
     /// request too, unless it has timed out: then its time so far is reported as its result.
-    pub fn start(server: &Rc<Server>, proxy: &mut Proxy) {
-        let now = proxy.now();
+    pub fn start(server: &Rc<Server<T>>, owner: &mut T) {
+        let now = owner.now();
         let open = server.health_check.borrow().clone();
         let outstanding_since = open.as_ref().and_then(|check| check.started_at.get());
         if outstanding_since.is_some_and(|started| now.since(started) < CHECK_TIMEOUT) {
@@ -40,12 +53,12 @@
         }
         if let Some(started) = outstanding_since {
             server.health_check.take();
-            proxy.on_health_check(server, now.since(started));
+            owner.on_health_check(server, now.since(started));
         }
         let is_usable =
             |check: &Rc<Self>| outstanding_since.is_none() && check.socket.peer_end.get().is_none();
         let usable = open.filter(is_usable);
-        let Some(check) = usable.or_else(|| Self::open(server, proxy)) else { return };
+        let Some(check) = usable.or_else(|| Self::open(server, owner)) else { return };
         check.started_at.set(Some(now));
         check.last_used.set(now);
         check.outgoing.borrow_mut().push(PING_LINE);
@@ -53,21 +66,20 @@
         check.flush();
     }
 
-    fn open(server: &Rc<Server>, proxy: &mut Proxy) -> Option<Rc<Self>> {
-        proxy.executor.make_room_for_health_check();
-        proxy.evict_pending_connections();
+    fn open(server: &Rc<Server<T>>, owner: &mut T) -> Option<Rc<Self>> {
+        owner.before_health_check_dial();
         let check = Rc::new(HealthCheck {
             socket: Socket::dial(server.address.get()).ok()?,
             outgoing: RefCell::new(Ring::new(BUFFER_BYTES)),
             incoming: RefCell::new(Ring::new(BUFFER_BYTES)),
             decoder: RefCell::default(),
             started_at: Cell::default(),
-            last_used: Cell::new(proxy.now()),
+            last_used: Cell::new(owner.now()),
         });
         let (weak, server) = (Rc::downgrade(&check), Rc::downgrade(server));
-        let watched = check.socket.watch(&proxy.executor.handle, move |proxy| {
+        let watched = check.socket.watch(&owner.handle(), move |owner: &mut T| {
             if let (Some(check), Some(server)) = (weak.upgrade(), server.upgrade()) {
-                check.on_ready(&server, proxy);
+                check.on_ready(&server, owner);
             }
         });
         watched.ok().map(|()| check)
@@ -79,17 +91,16 @@
         }
     }
 
-    fn on_ready(&self, server: &Server, proxy: &mut Proxy) {
+    fn on_ready(&self, server: &Server<T>, owner: &mut T) {
         if self.socket.is_connected().is_err() {
             return self.close(server);
         }
         self.flush();
         while let Some(lines) = self.read_lines() {
             let Ok(lines) = lines else { return self.close(server) };
-            lines.iter().for_each(|line| self.on_line(line, server, proxy));
+            lines.iter().for_each(|line| self.on_line(line, server, owner));
         }
-        // Where servers report message latencies no check is periodic, and the next may be wanted minutes later.
-        let is_done = proxy.executor.servers_report_latency && self.started_at.get().is_none();
+        let is_done = !owner.keeps_health_check_connections() && self.started_at.get().is_none();
         if is_done || self.socket.peer_end.get().is_some() {
             self.close(server);
         }
@@ -108,14 +119,14 @@
     }
 
     /// Any line ends the check, but only the right answer has a meaningful duration.
-    fn on_line(&self, line: &[u8], server: &Server, proxy: &mut Proxy) {
+    fn on_line(&self, line: &[u8], server: &Server<T>, owner: &mut T) {
         let started_at = self.started_at.take();
         if let (Some(started), ServerLine::Healthy) = (started_at, ServerLine::parse(line_text(line))) {
-            proxy.on_health_check(server, proxy.now().since(started));
+            owner.on_health_check(server, owner.now().since(started));
         }
     }
 
-    fn close(&self, server: &Server) {
+    fn close(&self, server: &Server<T>) {
         let is_current =
             server.health_check.borrow().as_ref().is_some_and(|check| std::ptr::eq(&**check, self));
         if is_current {
--- a/crates/proxy/src/upstream/server.rs
+++ b/crates/proxy/src/upstream/server.rs
@@ -1,6 +1,6 @@
 //! A server of the endpoint list.
 
-use crate::upstream::health_check::HealthCheck;
+use crate::upstream::health_check::{HealthCheck, HealthCheckEvents};
 use crate::upstream::load_reports::LoadReports;
 use crate::upstream::message_latency::MessageLatency;
 use shelfgrade::host::{Endpoint, EndpointState, ServerId};
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 
 /// A server, as far as executing decisions needs it.
-pub struct Server {
+pub struct Server<T: HealthCheckEvents> {
     /// Its id on the endpoint list.
     pub id: ServerId,
     /// Its state on the endpoint list.
@@ -17,14 +17,14 @@
     /// Where to connect.
     pub address: Cell<SocketAddr>,
     /// How long messages have taken of late.
-    pub message_latency: MessageLatency,
+    pub message_latency: MessageLatency<T::Session>,
     /// Tells its two kinds of load reports apart.
     pub load_reports: LoadReports,
     /// The connection for health checks, while there is one.
-    pub health_check: RefCell<Option<Rc<HealthCheck>>>,
+    pub health_check: RefCell<Option<Rc<HealthCheck<T>>>>,
 }
 
-impl Server {
+impl<T: HealthCheckEvents> Server<T> {
     /// A server that is new on the endpoint list.
     pub fn new(endpoint: &Endpoint, address: SocketAddr) -> Self {
         Server {
--- a/crates/proxy/src/upstream/server_pool.rs
+++ b/crates/proxy/src/upstream/server_pool.rs
@@ -1,5 +1,6 @@
 //! The servers of the endpoint list, and the health check connections that they hold.
 
+use crate::upstream::health_check::HealthCheckEvents;
 use crate::upstream::server::Server;
 use shelfgrade::host::{Endpoint, EndpointState, ServerId};
 use std::collections::{BTreeMap, BTreeSet};
@@ -7,17 +8,22 @@
 use std::rc::Rc;
 
 /// Servers that are active or draining, by their ids.
-#[derive(Default)]
-pub struct ServerPool(BTreeMap<ServerId, Rc<Server>>);
+pub struct ServerPool<T: HealthCheckEvents>(BTreeMap<ServerId, Rc<Server<T>>>);
 
-impl ServerPool {
+impl<T: HealthCheckEvents> Default for ServerPool<T> {
+    fn default() -> Self {
+        ServerPool(BTreeMap::new())
+    }
+}
+
+impl<T: HealthCheckEvents> ServerPool<T> {
     /// The server of this id.
-    pub fn get(&self, id: &str) -> Option<&Rc<Server>> {
+    pub fn get(&self, id: &str) -> Option<&Rc<Server<T>>> {
         self.0.get(id)
     }
 
     /// All servers, in the order of their ids.
-    pub fn values(&self) -> impl Iterator<Item = &Rc<Server>> {
+    pub fn values(&self) -> impl Iterator<Item = &Rc<Server<T>>> {
         self.0.values()
     }
 
@@ -63,7 +69,7 @@
 
     /// Closes health check connections until at most `max` are left, the least recently used first.
     pub fn close_health_checks(&self, max: usize) {
-        let last_used = |server: &Rc<Server>| {
+        let last_used = |server: &Rc<Server<T>>| {
             Some((server.health_check.borrow().as_ref()?.last_used.get(), server.clone()))
         };
         let mut open: Vec<_> = self.0.values().filter_map(last_used).collect();
--- a/crates/proxy/src/upstream/server_side.rs
+++ b/crates/proxy/src/upstream/server_side.rs
@@ -147,13 +147,15 @@
         match (line, awaiting_since) {
             (ServerLine::Load(value), _) => self.on_load_report(&attempt.server, value, proxy),
             (ServerLine::Completed | ServerLine::Migrate, _) | (_, None) => {}
-            (_, Some(since)) => attempt.server.message_latency.record(self, proxy.now().since(since)),
+            (_, Some(since)) => {
+                attempt.server.message_latency.record(self.weak.clone(), proxy.now().since(since))
+            }
         }
     }
 
     /// Servers use the same word for a connection's load, in microseconds of work a second, and for how long messages
     /// take there now, in milliseconds. Values out of range are ignored.
-    fn on_load_report(&self, server: &Server, value: &str, proxy: &mut Proxy) {
+    fn on_load_report(&self, server: &Server<Proxy>, value: &str, proxy: &mut Proxy) {
         let valid = |value: &f64| (0.0..MAX_LOAD_US_PER_S).contains(value);
         let Some(value) = value.parse().ok().filter(valid) else { return };
         let now = proxy.now();
