--- a/crates/proxy/src/downstream/events.rs
+++ b/crates/proxy/src/downstream/events.rs
@@ -1,10 +1,82 @@
 //! What the parts of this folder ask of their owner, answered by the proxy.
 
 use crate::downstream::lingering::{LingeringCloses, LingeringOwner};
+use crate::downstream::listener::{Listener, ListenerOwner};
+use crate::downstream::pending_connection::{AdmissionError, PendingConnectionOwner};
+use crate::downstream::pending_connection_table::PendingConnectionTable;
+use crate::metrics::Metrics;
+use crate::net::open_request::OpenRequest;
+use crate::net::socket::Socket;
 use crate::proxy::Proxy;
+use std::rc::Rc;
 
 impl LingeringOwner for Proxy {
     fn lingering(&mut self) -> &mut LingeringCloses<Self> {
         &mut self.executor.lingering
     }
 }
+
+impl PendingConnectionOwner for Proxy {
+    fn pending_connections(&mut self) -> &mut PendingConnectionTable<Self> {
+        &mut self.listener.pending
+    }
+
+    fn metrics(&self) -> &Metrics {
+        &self.executor.metrics
+    }
+
+    fn request_classes(&self) -> &[String] {
+        &self.classes
+    }
+
+    fn readiness(&self) -> Option<bool> {
+        (!self.startup_gate.waits()).then(|| self.is_ready())
+    }
+
+    fn admit(&mut self, request_id: u64) -> Result<(), AdmissionError> {
+        if self.executor.is_out_of_descriptors() {
+            return Err(AdmissionError::OutOfDescriptors);
+        }
+        if self.has_closed() {
+            return Err(AdmissionError::ShuttingDown);
+        }
+        // Servers answer the second request of an id with an error, which would count against their health.
+        let is_duplicate = self.executor.sessions.has_request_id(request_id)
+            || !self.listener.recent_request_ids.insert(request_id);
+        if is_duplicate {
+            return Err(AdmissionError::DuplicateRequestId);
+        }
+        Ok(())
+    }
+
+    fn open(&mut self, request: OpenRequest, socket: Rc<Socket<Self>>) {
+        Proxy::open(self, request, socket);
+    }
+}
+
+impl ListenerOwner for Proxy {
+    fn listener(&mut self) -> &mut Listener<Self> {
+        &mut self.listener
+    }
+
+    fn max_pending_connections(&self) -> usize {
+        self.executor.max_pending_connections()
+    }
+}
+
+impl Proxy {
+    /// See [`Listener::accept`].
+    pub fn accept(&mut self) {
+        Listener::accept(self);
+    }
+
+    /// See [`Listener::evict_connections`].
+    pub fn evict_pending_connections(&mut self) {
+        Listener::evict_connections(self);
+    }
+
+    /// See [`Listener::close_silent_connections`].
+    pub fn close_silent_connections(&mut self) {
+        Listener::close_silent_connections(self);
+    }
+}
--- a/crates/proxy/src/downstream/listener.rs
+++ b/crates/proxy/src/downstream/listener.rs
@@ -1,12 +1,10 @@
 //! Accepts connections, and bounds those that have yet to send their first line in number and in time.
 
-use crate::downstream::pending_connection::PendingConnection;
+use crate::downstream::pending_connection::{PendingConnection, PendingConnectionOwner};
 use crate::downstream::pending_connection_table::PendingConnectionTable;
 use crate::downstream::recent_request_ids::RecentRequestIds;
 use crate::net::line::Answer;
 use crate::net::socket::Socket;
-use crate::proxy::Proxy;
-use crate::proxy::ServeError;
 use calloop::generic::Generic;
 use calloop::timer::{TimeoutAction, Timer};
 use calloop::{Interest, LoopHandle, Mode, PostAction, RegistrationToken};
@@ -29,37 +27,42 @@
 /// close.
 const FIRST_LINE_TIMEOUT: Duration = Duration::from_millis(2000);
 
+/// Who owns a listener, and bounds its pending connections.
+pub trait ListenerOwner: PendingConnectionOwner {
+    /// The listener.
+    fn listener(&mut self) -> &mut Listener<Self>;
+    /// How many connections without a first line there are descriptors for, lingering ones included.
+    fn max_pending_connections(&self) -> usize;
+}
+
 /// The listening socket, and the connections that have yet to send their first line.
-pub struct Listener {
+pub struct Listener<T: ListenerOwner> {
     listener: TcpListener,
     registration: RegistrationToken,
     is_paused: bool,
     queue_is_empty: bool,
     /// Connections that have yet to send their first line.
-    pub pending: PendingConnectionTable,
+    pub pending: PendingConnectionTable<T>,
     /// The request ids that came of late.
     pub recent_request_ids: RecentRequestIds,
 }
 
-impl Listener {
+impl<T: ListenerOwner> Listener<T> {
     /// Listens, and has the loop accept connections.
     ///
     /// # Errors
     ///
     /// The address is not this machine's, or something else listens there.
-    pub fn open(at: SocketAddr, handle: &LoopHandle<'static, Proxy>) -> Result<Self, ServeError> {
-        let cannot_listen = |source| ServeError::Listen { at, source };
-        let listener = listen(at).map_err(cannot_listen)?;
-        let watched = listener.try_clone().map_err(cannot_listen)?;
-        let source = Generic::new(watched, Interest::READ, Mode::Level);
-        let registration = handle.insert_source(source, |_, _, proxy| {
-            proxy.accept();
+    pub fn open(at: SocketAddr, handle: &LoopHandle<'static, T>) -> io::Result<Self> {
+        let listener = listen(at)?;
+        let source = Generic::new(listener.try_clone()?, Interest::READ, Mode::Level);
+        let registration = handle.insert_source(source, |_, _, owner| {
+            Self::accept(owner);
             Ok(PostAction::Continue)
         });
-        let registration = registration.map_err(|error| cannot_listen(io::Error::other(error.error)))?;
         Ok(Listener {
             listener,
-            registration,
+            registration: registration.map_err(|error| io::Error::other(error.error))?,
             is_paused: false,
             queue_is_empty: true,
             pending: PendingConnectionTable::default(),
@@ -80,63 +83,52 @@
     pub fn queue_is_empty(&self) -> bool {
         self.queue_is_empty
     }
-}
-
-fn listen(at: SocketAddr) -> io::Result<TcpListener> {
-    let socket =
-        socket2::Socket::new(socket2::Domain::for_address(at), socket2::Type::STREAM.cloexec(), None)?;
-    socket.set_reuse_address(true)?;
-    socket.bind(&at.into())?;
-    socket.listen(BACKLOG)?;
-    socket.set_nonblocking(true)?;
-    Ok(socket.into())
-}
 
-impl Proxy {
     /// Accepts the connections in the system's queue, up to the limit for one turn.
-    pub fn accept(&mut self) {
-        self.listener.queue_is_empty = false;
+    pub fn accept(owner: &mut T) {
+        owner.listener().queue_is_empty = false;
         let mut failures = 0;
         for _ in 0..MAX_ACCEPTS_PER_TURN {
-            match self.listener.listener.accept() {
+            match owner.listener().listener.accept() {
                 Ok((stream, _)) => {
                     failures = 0;
                     match Socket::new(stream) {
-                        Ok(socket) => self.add_pending_connection(socket),
+                        Ok(socket) => Self::add_connection(socket, owner),
                         Err(error) => log::warn!("a client's socket: {error}"),
                     }
                 }
                 Err(error) if error.kind() == ErrorKind::WouldBlock => {
-                    self.listener.queue_is_empty = true;
+                    owner.listener().queue_is_empty = true;
                     return;
                 }
                 Err(error) => {
                     failures += 1;
                     if failures == MAX_ACCEPT_FAILURES {
-                        return self.pause_accepting(&error);
+                        return Self::pause(&error, owner);
                     }
                 }
             }
         }
     }
 
-    fn pause_accepting(&mut self, error: &io::Error) {
-        if std::mem::replace(&mut self.listener.is_paused, true) {
+    fn pause(error: &io::Error, owner: &mut T) {
+        if std::mem::replace(&mut owner.listener().is_paused, true) {
             return;
         }
-        self.executor.metrics.warn("accept paused");
+        owner.metrics().warn("accept paused");
         log::debug!("accept: {error}");
-        let _ = self.executor.handle.disable(&self.listener.registration);
+        let handle = owner.handle();
+        let _ = handle.disable(&owner.listener().registration);
         let timer = Timer::from_duration(ACCEPT_PAUSE);
-        let set = self.executor.handle.insert_source(timer, |_, _, proxy| proxy.resume_accepting());
-        self.executor.metrics.invariant(set.is_ok(), "a timer can be set");
+        let set = handle.insert_source(timer, |_, _, owner| Self::resume(owner));
+        owner.metrics().invariant(set.is_ok(), "a timer can be set");
     }
 
     /// Accepts again after a pause. If the loop cannot watch the listener yet, accepting goes on by this timer.
-    fn resume_accepting(&mut self) -> TimeoutAction {
-        let watched = self.executor.handle.enable(&self.listener.registration).is_ok();
-        self.listener.is_paused = !watched;
-        self.accept();
+    fn resume(owner: &mut T) -> TimeoutAction {
+        let watched = owner.handle().enable(&owner.listener().registration).is_ok();
+        owner.listener().is_paused = !watched;
+        Self::accept(owner);
         if watched {
             TimeoutAction::Drop
         } else {
@@ -144,67 +136,67 @@
         }
     }
 
-    fn add_pending_connection(&mut self, client: Socket<Proxy>) {
-        self.executor.metrics.count("connections accepted");
-        let number = self.listener.pending.next_number();
-        let connection = PendingConnection::new(number, client, self.now());
+    fn add_connection(client: Socket<T>, owner: &mut T) {
+        owner.metrics().count("connections accepted");
+        let number = owner.pending_connections().next_number();
+        let connection = PendingConnection::new(number, client, owner.now());
         let weak = Rc::downgrade(&connection);
-        let watched = connection.socket.watch(&self.executor.handle, move |proxy| {
-            weak.upgrade().inspect(|connection| connection.on_ready(proxy));
+        let watched = connection.socket.watch(&owner.handle(), move |owner| {
+            weak.upgrade().inspect(|connection| connection.on_ready(owner));
         });
         if let Err(error) = watched {
             log::warn!("a client's connection cannot be watched: {error}");
             connection.socket.send_line(&Answer::Rejected.line());
-            return self.executor.close_after_final_answer(connection.socket.clone());
+            let now = owner.now();
+            return owner.lingering().close(connection.socket.clone(), now);
         }
-        self.listener.pending.insert(connection.clone());
+        owner.pending_connections().insert(connection.clone());
         // Most clients have sent their first line by now, and need no place among those that are pending.
-        connection.on_ready(self);
-        self.evict_pending_connections();
+        connection.on_ready(owner);
+        Self::evict_connections(owner);
     }
 
     /// Closes connections until no more are held than descriptors are left for: lingering ones first, then the least
     /// recently active that have yet to send their first line.
-    pub fn evict_pending_connections(&mut self) {
-        while self.listener.pending.len() + self.executor.lingering.len()
-            > self.executor.max_pending_connections()
-        {
-            if self.executor.lingering.close_oldest() {
+    pub fn evict_connections(owner: &mut T) {
+        while owner.pending_connections().len() + owner.lingering().len() > owner.max_pending_connections() {
+            if owner.lingering().close_oldest() {
                 continue;
             }
-            let Some(oldest) = self.listener.pending.oldest() else { return };
-            oldest.on_ready(self);
-            if self.listener.pending.contains(&oldest) {
-                oldest.reject(Answer::Rejected, "pending connections evicted", self);
+            let Some(oldest) = owner.pending_connections().oldest() else { return };
+            oldest.on_ready(owner);
+            if owner.pending_connections().contains(&oldest) {
+                oldest.reject(Answer::Rejected, "pending connections evicted", owner);
             }
         }
     }
 
-    /// A pending connection has sent a health check, which counts as activity.
-    pub fn on_pending_connection_active(&mut self, connection: &PendingConnection) {
-        let (number, now) = (self.listener.pending.next_number(), self.now());
-        if let Some(active) = self.listener.pending.remove(connection) {
-            active.number.set(number);
-            active.last_active.set(now);
-            self.listener.pending.insert(active);
-        }
-    }
-
     /// Called with each tick: closes connections that have not sent their first line in time. One that waits for the
     /// answer to its health check is left.
-    pub fn close_silent_connections(&mut self) {
-        let now = self.now();
-        let timed_out = |connection: &PendingConnection, now: Timestamp| {
+    pub fn close_silent_connections(owner: &mut T) {
+        let now = owner.now();
+        let timed_out = |connection: &PendingConnection<T>, now: Timestamp| {
             now.since(connection.last_active.get()) > FIRST_LINE_TIMEOUT
         };
-        let silent = self.listener.pending.values().take_while(|connection| timed_out(connection, now));
+        let pending = owner.pending_connections().values();
+        let silent = pending.take_while(|connection| timed_out(connection, now));
         let silent: Vec<_> = silent.filter(|connection| !connection.awaits_pong()).cloned().collect();
         for connection in silent {
             // Its first line may not have been read yet.
-            connection.on_ready(self);
-            if timed_out(&connection, self.now()) && self.listener.pending.contains(&connection) {
-                connection.reject(Answer::Failed, "first line timeouts", self);
+            connection.on_ready(owner);
+            if timed_out(&connection, owner.now()) && owner.pending_connections().contains(&connection) {
+                connection.reject(Answer::Failed, "first line timeouts", owner);
             }
         }
     }
 }
+
+fn listen(at: SocketAddr) -> io::Result<TcpListener> {
+    let socket =
+        socket2::Socket::new(socket2::Domain::for_address(at), socket2::Type::STREAM.cloexec(), None)?;
+    socket.set_reuse_address(true)?;
+    socket.bind(&at.into())?;
+    socket.listen(BACKLOG)?;
+    socket.set_nonblocking(true)?;
+    Ok(socket.into())
+}
--- a/crates/proxy/src/downstream/pending_connection.rs
+++ b/crates/proxy/src/downstream/pending_connection.rs
@@ -1,31 +1,82 @@
 //! A connection whose client has yet to send its first line. It costs one descriptor and the bytes of that line: it gets
 //! a session and buffers only when the line is complete and valid.
 
+use crate::downstream::lingering::LingeringOwner;
+use crate::downstream::pending_connection_table::PendingConnectionTable;
+use crate::metrics::Metrics;
+use crate::net::event_loop::EventLoopOwner;
 use crate::net::line::{well_formed_line, Answer, MAX_FRAMED_LINE_BYTES, PING};
 use crate::net::open_request::OpenRequest;
 use crate::net::socket::{End, Socket};
-use crate::proxy::Proxy;
 use shelfgrade::time::Timestamp;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 
+/// Why a request is not admitted.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum AdmissionError {
+    /// Its session might find no descriptor.
+    OutOfDescriptors,
+    /// The process takes no more sessions.
+    ShuttingDown,
+    /// Its request id is in use, or was used of late.
+    DuplicateRequestId,
+}
+
+impl AdmissionError {
+    fn answer(self) -> Answer {
+        match self {
+            AdmissionError::OutOfDescriptors | AdmissionError::ShuttingDown => Answer::Rejected,
+            AdmissionError::DuplicateRequestId => Answer::Failed,
+        }
+    }
+
+    fn counter(self) -> &'static str {
+        match self {
+            AdmissionError::OutOfDescriptors => "rejected for lack of descriptors",
+            AdmissionError::ShuttingDown => "rejected at shutdown",
+            AdmissionError::DuplicateRequestId => "duplicate request ids",
+        }
+    }
+}
+
+/// Who holds pending connections, and takes over those whose first line is valid.
+pub trait PendingConnectionOwner: EventLoopOwner + LingeringOwner {
+    /// The connections that have yet to send their first line.
+    fn pending_connections(&mut self) -> &mut PendingConnectionTable<Self>;
+    /// Counters and rate-limited warnings.
+    fn metrics(&self) -> &Metrics;
+    /// The names of the request classes.
+    fn request_classes(&self) -> &[String];
+    /// Whether sessions can be served; none while the endpoint list is waited for.
+    fn readiness(&self) -> Option<bool>;
+    /// Whether a session may start for a request of this id.
+    ///
+    /// # Errors
+    ///
+    /// Why it may not.
+    fn admit(&mut self, request_id: u64) -> Result<(), AdmissionError>;
+    /// Starts a session.
+    fn open(&mut self, request: OpenRequest, socket: Rc<Socket<Self>>);
+}
+
 /// A connection without a first line.
-pub struct PendingConnection {
+pub struct PendingConnection<T: PendingConnectionOwner> {
     /// Its position in the order of last activity.
     pub number: Cell<u64>,
     /// When it connected, or last sent a health check.
     pub last_active: Cell<Timestamp>,
     /// The client's connection.
-    pub socket: Rc<Socket<Proxy>>,
+    pub socket: Rc<Socket<T>>,
     received: RefCell<Vec<u8>>,
     awaits_pong: Cell<bool>,
     /// It has sent a health check, as a front end does that may keep its connection.
     has_sent_ping: Cell<bool>,
 }
 
-impl PendingConnection {
+impl<T: PendingConnectionOwner> PendingConnection<T> {
     /// A connection that has just been accepted.
-    pub fn new(number: u64, socket: Socket<Proxy>, now: Timestamp) -> Rc<Self> {
+    pub fn new(number: u64, socket: Socket<T>, now: Timestamp) -> Rc<Self> {
         Rc::new(PendingConnection {
             number: Cell::new(number),
             last_active: Cell::new(now),
@@ -37,8 +88,8 @@
     }
 
     /// Its socket may have become readable or writable. Reads one byte past the longest line at most.
-    pub fn on_ready(&self, proxy: &mut Proxy) {
-        if !proxy.listener.pending.contains(self) {
+    pub fn on_ready(&self, owner: &mut T) {
+        if !owner.pending_connections().contains(self) {
             return;
         }
         let mut received = self.received.borrow_mut();
@@ -47,71 +98,72 @@
         let end = self.socket.peer_end.get();
         match received.iter().position(|b| *b == b'\n') {
             _ if end == Some(End::Reset) || end.is_some() && received.is_empty() => {
-                proxy.listener.pending.remove(self);
+                owner.pending_connections().remove(self);
             }
             _ if end.is_some() => {
                 let line = std::mem::take(&mut *received);
                 drop(received);
-                self.on_end(&line, proxy);
+                self.on_end(&line, owner);
             }
             // A client that sends on does not wait for its answer.
             Some(line_end) if line_end + 1 < received.len() => {
-                self.reject(Answer::Failed, "data after first line", proxy);
+                self.reject(Answer::Failed, "data after first line", owner);
             }
             Some(_) => {
                 let line = std::mem::take(&mut *received);
                 drop(received);
-                self.on_line(&line, proxy);
+                self.on_line(&line, owner);
             }
             None if received.len() > MAX_FRAMED_LINE_BYTES => {
-                self.reject(Answer::Failed, "overlong lines", proxy);
+                self.reject(Answer::Failed, "overlong lines", owner);
             }
             None => {}
         }
     }
 
     /// The client has ended its sending, and may still read. No session starts for it, as it may have gone.
-    fn on_end(&self, received: &[u8], proxy: &mut Proxy) {
+    fn on_end(&self, received: &[u8], owner: &mut T) {
         let is_ping = well_formed_line(received) == Some(PING);
-        let is_healthy = is_ping && !proxy.startup_gate.waits() && proxy.is_ready();
-        self.reject(health_answer(is_healthy), "clients closed before answer", proxy);
+        let is_healthy = is_ping && owner.readiness() == Some(true);
+        self.reject(health_answer(is_healthy), "clients closed before answer", owner);
     }
 
-    fn on_line(&self, line: &[u8], proxy: &mut Proxy) {
+    fn on_line(&self, line: &[u8], owner: &mut T) {
         let line = well_formed_line(line);
         if line == Some(PING) {
-            return self.on_ping(proxy);
+            return self.on_ping(owner);
         }
-        match line.and_then(|line| OpenRequest::parse(line, &proxy.classes)) {
-            Some(request) => self.on_request(request, proxy),
-            None => self.reject(Answer::Failed, "malformed first lines", proxy),
+        match line.and_then(|line| OpenRequest::parse(line, owner.request_classes())) {
+            Some(request) => self.on_request(request, owner),
+            None => self.reject(Answer::Failed, "malformed first lines", owner),
         }
     }
 
-    fn on_ping(&self, proxy: &mut Proxy) {
+    fn on_ping(&self, owner: &mut T) {
         self.awaits_pong.set(true);
         self.has_sent_ping.set(true);
-        if !proxy.startup_gate.waits() {
-            self.answer_ping(proxy.is_ready());
+        if let Some(is_ready) = owner.readiness() {
+            self.answer_ping(is_ready);
         }
-        proxy.on_pending_connection_active(self);
+        self.move_to_back(owner);
     }
 
-    fn on_request(&self, request: OpenRequest, proxy: &mut Proxy) {
-        if proxy.executor.is_out_of_descriptors() {
-            return self.reject(Answer::Rejected, "rejected for lack of descriptors", proxy);
+    /// Activity moves the connection behind all others in the order of eviction.
+    fn move_to_back(&self, owner: &mut T) {
+        let (number, now) = (owner.pending_connections().next_number(), owner.now());
+        if let Some(connection) = owner.pending_connections().remove(self) {
+            connection.number.set(number);
+            connection.last_active.set(now);
+            owner.pending_connections().insert(connection);
         }
-        if proxy.has_closed() {
-            return self.reject(Answer::Rejected, "rejected at shutdown", proxy);
-        }
-        // Servers answer the second request of an id with an error, which would count against their health.
-        let is_duplicate = proxy.executor.sessions.has_request_id(request.id)
-            || !proxy.listener.recent_request_ids.insert(request.id);
-        if is_duplicate {
-            return self.reject(Answer::Failed, "duplicate request ids", proxy);
+    }
+
+    fn on_request(&self, request: OpenRequest, owner: &mut T) {
+        if let Err(error) = owner.admit(request.id) {
+            return self.reject(error.answer(), error.counter(), owner);
         }
-        proxy.listener.pending.remove(self);
-        proxy.open(request, self.socket.clone());
+        owner.pending_connections().remove(self);
+        owner.open(request, self.socket.clone());
     }
 
     /// Whether a first line may still come: the connection has sent no health check, or the beginning of a line.
@@ -132,11 +184,12 @@
     }
 
     /// Sends the final answer, counts the reason, and closes the connection behind the answer.
-    pub fn reject(&self, answer: Answer, reason: &'static str, proxy: &mut Proxy) {
-        proxy.executor.metrics.warn(reason);
+    pub fn reject(&self, answer: Answer, reason: &'static str, owner: &mut T) {
+        owner.metrics().warn(reason);
         self.socket.send_line(&answer.line());
-        proxy.listener.pending.remove(self);
-        proxy.executor.close_after_final_answer(self.socket.clone());
+        owner.pending_connections().remove(self);
+        let now = owner.now();
+        owner.lingering().close(self.socket.clone(), now);
     }
 }
 
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -46,7 +46,7 @@
     pub executor: Executor,
     /// The request classes' names in their order.
     pub classes: Vec<String>,
-    pub listener: Listener,
+    pub listener: Listener<Proxy>,
     pub discovery: Rc<Discovery<Proxy>>,
     pub startup_gate: StartupGate,
     /// The customers' names in their order.
@@ -97,7 +97,8 @@
 
     let mut events: EventLoop<'static, Proxy> = EventLoop::try_new()?;
     let handle = events.handle();
-    let listener = Listener::open(start.listen, &handle)?;
+    let cannot_listen = |source| ServeError::Listen { at: start.listen, source };
+    let listener = Listener::open(start.listen, &handle).map_err(cannot_listen)?;
     let signals = Signals::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP])?;
     let signals = handle.insert_source(signals, |event, _, proxy| match event.signal() {
         Signal::SIGHUP => proxy.reload_requested(),
