--- a/crates/proxy/examples/failing_calls/main.rs
+++ b/crates/proxy/examples/failing_calls/main.rs
@@ -1,7 +1,9 @@
-//! A library to preload into the program under test: system calls fail, or do part of what was asked for, as often as
-//! the plan in the file says that `SHELFGRADE_FAILING_CALLS` names. Without the variable nothing fails.
+//! A library to preload into the program under test: system calls fail, or transfer less than was asked for, at the rates
+//! of the plan in the file that `SHELFGRADE_FAILING_CALLS` names. Without the variable none fails.
 //!
-//! Only calls through the C library are reached; the event loop's own are made without it.
+//! Only calls through the C library are intercepted; the event loop makes its own without it.
+//!
+//! This example needs unsafe code: it maps the plan into memory, and it defines and calls functions of the C library.
 
 mod plan;
 
@@ -13,13 +15,13 @@
 /// Descriptors up to this one are the standard streams, whose writes never fail.
 const STANDARD_ERROR: c_int = 2;
 
-/// The plan's cells, mapped; none where no plan is named.
+/// The plan's cells, mapped into memory; none if no plan is named.
 fn cells() -> Option<&'static [AtomicU64]> {
     static CELLS: OnceLock<Option<&'static [AtomicU64]>> = OnceLock::new();
     *CELLS.get_or_init(|| {
         let name = std::env::var_os(NAMED_BY)?;
         let path = std::ffi::CString::new(name.into_encoded_bytes()).ok()?;
-        // SAFETY: the mapping is shared, as long as the file, and lives as long as the process.
+        // SAFETY: the mapping is shared, as long as the file, and never unmapped.
         unsafe {
             let file = libc::syscall(libc::SYS_openat, libc::AT_FDCWD, path.as_ptr(), libc::O_RDWR) as c_int;
             let (access, shared) = (libc::PROT_READ | libc::PROT_WRITE, libc::MAP_SHARED);
@@ -30,7 +32,7 @@
     })
 }
 
-/// A drawn number below so many.
+/// A random number below `below`.
 fn draw(below: u64) -> u64 {
     static STATE: AtomicU64 = AtomicU64::new(0x9e37_79b9_7f4a_7c15);
     let mut x = STATE.load(Ordering::Relaxed);
@@ -41,41 +43,41 @@
     (x >> 11) % below
 }
 
-/// What becomes of one call.
-enum Fate {
+/// The outcome that the plan gives one call.
+enum Outcome {
     Passes,
     Fails,
     Short,
 }
 
-/// Draws it; where it fails, the error is set.
-fn fate(call: Call) -> Fate {
-    let Some(cells) = cells() else { return Fate::Passes };
+/// Draws the outcome of a call; if it fails, `errno` is set.
+fn draw_outcome(call: Call) -> Outcome {
+    let Some(cells) = cells() else { return Outcome::Passes };
     let rule = cells[call.offset() / 8].load(Ordering::Relaxed);
     if draw(1000) >= rule >> 32 {
-        return Fate::Passes;
+        return Outcome::Passes;
     }
     cells[call.offset() / 8 + 1].fetch_add(1, Ordering::Relaxed);
     match rule as u32 as c_int {
-        0 => Fate::Short,
+        0 => Outcome::Short,
         error => {
-            // SAFETY: the error number of this thread.
+            // SAFETY: the pointer is to this thread's error number.
             unsafe { *libc::__errno_location() = error };
-            Fate::Fails
+            Outcome::Fails
         }
     }
 }
 
-/// A call's length, cut short where that is its fate; none where it fails.
-fn length(call: Call, asked: size_t) -> Option<size_t> {
-    match fate(call) {
-        Fate::Passes => Some(asked),
-        Fate::Short => Some(asked.min(1 + draw(3) as usize)),
-        Fate::Fails => None,
+/// How many bytes a call transfers at most; none if it fails.
+fn transfer_length(call: Call, asked: size_t) -> Option<size_t> {
+    match draw_outcome(call) {
+        Outcome::Passes => Some(asked),
+        Outcome::Short => Some(asked.min(1 + draw(3) as usize)),
+        Outcome::Fails => None,
     }
 }
 
-/// The function of this name that would have been called without this library.
+/// The function of this name that is called without this library.
 macro_rules! next {
     ($name:literal as $form:ty) => {{
         static NEXT: OnceLock<usize> = OnceLock::new();
@@ -84,16 +86,16 @@
     }};
 }
 
-/// Defines a function that fails by the plan, and else does what the next one of its name does.
+/// Defines a function that fails by the plan, and otherwise calls the next one of its name.
 macro_rules! failing {
     ($call:ident, $literal:literal, fn $name:ident($($argument:ident: $kind:ty),*) -> $result:ty) => {
         /// # Safety
         /// As the C library's function of this name.
         #[no_mangle]
         pub unsafe extern "C" fn $name($($argument: $kind),*) -> $result {
-            match fate(Call::$call) {
-                Fate::Fails => -1,
-                Fate::Passes | Fate::Short => {
+            match draw_outcome(Call::$call) {
+                Outcome::Fails => -1,
+                Outcome::Passes | Outcome::Short => {
                     next!($literal as unsafe extern "C" fn($($kind),*) -> $result)($($argument),*)
                 }
             }
@@ -110,15 +112,15 @@
 failing!(Sync, c"fsync", fn fsync(file: c_int) -> c_int);
 failing!(Rename, c"rename", fn rename(old: *const c_char, new: *const c_char) -> c_int);
 
-/// Defines a function that passes bytes on a connection, and by the plan fails or passes fewer than it was asked to.
-macro_rules! passing {
+/// Defines a function that transfers bytes on a connection, and by the plan fails or transfers fewer than asked for.
+macro_rules! transferring {
     ($call:ident, $literal:literal, fn $name:ident($bytes:ty)) => {
         /// # Safety
         /// As the C library's function of this name.
         #[no_mangle]
         pub unsafe extern "C" fn $name(on: c_int, bytes: $bytes, size: size_t, flags: c_int) -> ssize_t {
             type Form = unsafe extern "C" fn(c_int, $bytes, size_t, c_int) -> ssize_t;
-            match length(Call::$call, size) {
+            match transfer_length(Call::$call, size) {
                 Some(size) => next!($literal as Form)(on, bytes, size, flags),
                 None => -1,
             }
@@ -126,8 +128,8 @@
     };
 }
 
-passing!(Receive, c"recv", fn recv(*mut c_void));
-passing!(Send, c"send", fn send(*const c_void));
+transferring!(Receive, c"recv", fn recv(*mut c_void));
+transferring!(Send, c"send", fn send(*const c_void));
 
 /// # Safety
 /// As the C library's function of this name.
@@ -135,7 +137,7 @@
 pub unsafe extern "C" fn write(to: c_int, bytes: *const c_void, size: size_t) -> ssize_t {
     type Form = unsafe extern "C" fn(c_int, *const c_void, size_t) -> ssize_t;
     let passes = to <= STANDARD_ERROR;
-    match if passes { Some(size) } else { length(Call::Write, size) } {
+    match if passes { Some(size) } else { transfer_length(Call::Write, size) } {
         Some(size) => next!(c"write" as Form)(to, bytes, size),
         None => -1,
     }
@@ -146,13 +148,13 @@
 #[no_mangle]
 pub unsafe extern "C" fn clock_gettime(clock: clockid_t, time: *mut timespec) -> c_int {
     type Form = unsafe extern "C" fn(clockid_t, *mut timespec) -> c_int;
-    let told = next!(c"clock_gettime" as Form)(clock, time);
-    let stepped = clock == libc::CLOCK_REALTIME && told == 0;
+    let result = next!(c"clock_gettime" as Form)(clock, time);
+    let stepped = clock == libc::CLOCK_REALTIME && result == 0;
     if let Some(cells) = cells().filter(|_| stepped) {
         let cell = &cells[Call::WallClock.offset() / 8];
-        // SAFETY: the same size and alignment, and any bits are a number.
+        // SAFETY: both types have one size and alignment, and any bits are a valid number.
         let ahead_ms = (*std::ptr::from_ref(cell).cast::<AtomicI64>()).load(Ordering::Relaxed);
         (*time).tv_sec += ahead_ms / 1000;
     }
-    told
+    result
 }
--- a/crates/proxy/src/downstream/client_side.rs
+++ b/crates/proxy/src/downstream/client_side.rs
@@ -11,7 +11,7 @@
     /// Whether the client still waits for its answer and has sent nothing more; otherwise it gets its final answer here.
     ///
     /// No attempt may start for a client that has closed or reset its connection, even if no event of that has been
-    /// handled yet. A client that has ended only its sending cannot be told from one that has closed.
+    /// handled yet. A client that has ended only its sending is indistinguishable from one that has closed.
     pub fn client_is_waiting(&self, executor: &mut Executor) -> bool {
         if self.client.is_idle() {
             return true;
--- a/crates/proxy/src/downstream/events.rs
+++ b/crates/proxy/src/downstream/events.rs
@@ -65,17 +65,17 @@
 }
 
 impl Proxy {
-    /// See [`Listener::accept`].
+    /// Accepts the connections that wait in the system's queue.
     pub fn accept(&mut self) {
         Listener::accept(self);
     }
 
-    /// See [`Listener::evict_connections`].
+    /// Closes connections without a session until all fit into the descriptor budget.
     pub fn evict_pending_connections(&mut self) {
         Listener::evict_connections(self);
     }
 
-    /// See [`Listener::close_silent_connections`].
+    /// Closes connections whose first line has timed out.
     pub fn close_silent_connections(&mut self) {
         Listener::close_silent_connections(self);
     }
--- a/crates/proxy/src/executor.rs
+++ b/crates/proxy/src/executor.rs
@@ -162,7 +162,7 @@
         if !session.client_is_waiting(self) {
             return;
         }
-        let server = session.opening.at.as_ref().and_then(|at| self.servers.get(at).cloned());
+        let server = session.opening.restored_from.as_ref().and_then(|at| self.servers.get(at).cloned());
         let Some(server) = server else { return self.awaiting_endpoint.push(session.weak.clone()) };
         match Attempt::start(session, server, RESTORE_TIMEOUT, self) {
             Ok(attempt) => drop(session.attempt.replace(Some(attempt))),
--- a/crates/proxy/src/net/open_request.rs
+++ b/crates/proxy/src/net/open_request.rs
@@ -39,7 +39,7 @@
     /// The tenant.
     pub customer: Option<String>,
     /// The server that held the session before the proxy started.
-    pub at: Option<String>,
+    pub restored_from: Option<String>,
     /// The flow is known to a server.
     pub mid_flow: bool,
     /// The client connects again after it was rejected or migrated.
@@ -64,11 +64,11 @@
             request_timeout,
             group: fields.text(field::GROUP),
             customer: fields.text(field::CUSTOMER),
-            at: fields.text(field::SERVER),
+            restored_from: fields.text(field::SERVER),
             mid_flow: fields.flag(field::MID_FLOW)?,
             returned: fields.flag(field::RETURNED)?,
         };
-        (request.at.is_none() || !request.mid_flow).then_some(request)
+        (request.restored_from.is_none() || !request.mid_flow).then_some(request)
     }
 
     /// The line as the server gets it, with its line end: unchanged but for the request timeout, which tells how long
--- a/crates/proxy/src/session.rs
+++ b/crates/proxy/src/session.rs
@@ -120,7 +120,7 @@
 
     /// Whether the session was established before this proxy started.
     pub fn is_restored(&self) -> bool {
-        self.opening.at.is_some()
+        self.opening.restored_from.is_some()
     }
 
     /// Enters a stage.
--- a/crates/proxy/src/upstream/load_reports.rs
+++ b/crates/proxy/src/upstream/load_reports.rs
@@ -12,11 +12,12 @@
 const MIN_CONNECTION_LOAD_US_PER_S: f64 = 300.0;
 /// Reports from here on are connection load, not message latencies.
 const MAX_MESSAGE_LATENCY_MS: f64 = 4000.0;
-/// A report between the two is a latency if it comes a multiple of this after the one before it,
+/// The interval of message latency reports. A report between the two limits is one if it comes a multiple of this after
+/// the last.
 const REPORT_INTERVAL_MS: f64 = 1000.0;
-/// give or take this much,
+/// How far a report may be off a multiple of the interval.
 const REPORT_JITTER_MS: f64 = 40.0;
-/// and no later than this.
+/// After a longer gap the interval proves nothing.
 const MAX_REPORT_GAP: Duration = Duration::from_millis(5500);
 
 /// The timing of one server's message latency reports.
--- a/crates/proxy/src/upstream/server_side.rs
+++ b/crates/proxy/src/upstream/server_side.rs
@@ -11,7 +11,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Load reports from here on are invalid, in microseconds of work a second: the work of a thousand cores.
+/// Load reports from here on are invalid, in microseconds of work a second: a thousand cores' work.
 const MAX_LOAD_US_PER_S: f64 = 1e9;
 
 impl Session {
