--- a/crates/proxy/tests/sockets/mixed_deployment.rs
+++ b/crates/proxy/tests/sockets/mixed_deployment.rs
@@ -10,15 +10,23 @@
 /// More proxies than servers, no quotas, no health checks, and servers that report message latencies.
 const NEW: Settings = Settings { tells_delay: true, balancers: "60", quota: "null", ..DEFAULT };
 
-/// What the servers were sent: server, request id, and whether the request was accepted.
-type Sent = Arc<Mutex<Vec<(String, String, bool)>>>;
+/// A request that a server was sent.
+#[derive(Debug)]
+struct SentRequest {
+    server: String,
+    id: String,
+    was_accepted: bool,
+}
+
+/// All requests that the servers were sent, in their order.
+type Sent = Arc<Mutex<Vec<SentRequest>>>;
 
 /// Serves at this address with this capacity, for as long as the test lasts.
-fn serve(server: Arc<FakeServer>, room: usize, sent: Sent) {
-    let held = Arc::new(Mutex::new(0));
+fn serve(server: Arc<FakeServer>, capacity: usize, sent: Sent) {
+    let open = Arc::new(Mutex::new(0));
     thread::spawn(move || loop {
         let mut connection = wait_for(TEST_TIMEOUT * 10, || server.try_accept());
-        let (server, sent, held) = (server.clone(), sent.clone(), held.clone());
+        let (server, sent, open) = (server.clone(), sent.clone(), open.clone());
         thread::spawn(move || {
             let mut line = connection.read_line();
             while line == "PING" {
@@ -29,24 +37,25 @@
                 return;
             }
             let id = line.split(' ').nth(1).unwrap_or_default().to_owned();
-            let taken = {
-                let mut held = held.lock().unwrap();
-                let taken = *held < room;
-                *held += usize::from(taken);
-                taken
+            let accepted = {
+                let mut open = open.lock().unwrap();
+                let accepted = *open < capacity;
+                *open += usize::from(accepted);
+                accepted
             };
-            sent.lock().unwrap().push((server.name.clone(), id, taken));
-            connection.send(if taken { "UP 0123\r\n" } else { "BUSY\r\n" });
-            if taken {
+            let request = SentRequest { server: server.name.clone(), id, was_accepted: accepted };
+            sent.lock().unwrap().push(request);
+            connection.send(if accepted { "UP 0123\r\n" } else { "BUSY\r\n" });
+            if accepted {
                 connection.wait_for_end();
-                *held.lock().unwrap() -= 1;
+                *open.lock().unwrap() -= 1;
             }
         });
     });
 }
 
 /// Two proxies of the old deployment and three of the new one.
-fn both_kinds(servers: &[Arc<FakeServer>]) -> Vec<(&'static str, Program)> {
+fn start_both_deployments(servers: &[Arc<FakeServer>]) -> Vec<(&'static str, Program)> {
     let known: Vec<&FakeServer> = servers.iter().map(|server| &**server).collect();
     let kinds = [("old", OLD), ("old", OLD), ("new", NEW), ("new", NEW), ("new", NEW)];
     kinds.into_iter().map(|(kind, settings)| (kind, Program::start(settings, &known))).collect()
@@ -54,7 +63,7 @@
 
 /// Has clients of four groups open sessions at one proxy after the other, each until it is established or was rejected ten
 /// times. Gives the established ones by the deployment of their proxy.
-fn come(
+fn open_sessions(
     programs: &[(&'static str, Program)],
     clients: usize,
     name: &str,
@@ -84,8 +93,8 @@
     let sent = Sent::default();
     // Each server has capacity for a quarter of all clients; the last one is not listed yet.
     servers.iter().for_each(|server| serve(server.clone(), 20, sent.clone()));
-    let programs = both_kinds(&servers[..4]);
-    let up = come(&programs, 60, "first");
+    let programs = start_both_deployments(&servers[..4]);
+    let up = open_sessions(&programs, 60, "first");
     // Two fifths and three fifths of sixty clients went to either deployment, and there is capacity for eighty.
     assert!(up["old"].len() >= 22 && up["new"].len() >= 34, "{} {}", up["old"].len(), up["new"].len());
 
@@ -93,18 +102,19 @@
     let update = [servers[0].endpoint("terminating"), servers[4].endpoint("in_service")];
     let _calls: Vec<_> = programs.iter().map(|(_, program)| program.update_endpoints(&update)).collect();
     let before = sent.lock().unwrap().len();
-    assert!(sent.lock().unwrap().iter().any(|(server, ..)| server == "s1"), "it had its share until then");
-    let more = come(&programs, 15, "second");
+    assert!(sent.lock().unwrap().iter().any(|request| request.server == "s1"), "it had its share until then");
+    let more = open_sessions(&programs, 15, "second");
     let sent = sent.lock().unwrap();
-    assert!(sent[before..].iter().all(|(server, ..)| server != "s1"), "{:?}", &sent[before..]);
+    assert!(sent[before..].iter().all(|request| request.server != "s1"), "{:?}", &sent[before..]);
     assert!(more["old"].len() >= 5 && more["new"].len() >= 8, "{} {}", more["old"].len(), more["new"].len());
 
     // No session was accepted twice, whichever deployment forwarded it.
-    let mut taken: Vec<_> = sent.iter().filter(|s| s.2).map(|s| &s.1).collect();
-    let all = taken.len();
-    taken.sort();
-    taken.dedup();
-    assert_eq!(taken.len(), all);
+    let mut accepted: Vec<_> =
+        sent.iter().filter(|request| request.was_accepted).map(|request| &request.id).collect();
+    let all = accepted.len();
+    accepted.sort();
+    accepted.dedup();
+    assert_eq!(accepted.len(), all);
     drop(sent);
     drop((up, more));
     for (_, program) in programs {
