--- a/crates/proxy/src/lifecycle/serve.rs
+++ b/crates/proxy/src/lifecycle/serve.rs
@@ -27,7 +27,7 @@
 struct Resources {
     limits: Limits,
     handle: LoopHandle<'static, Proxy>,
-    listener: Listener,
+    listener: Listener<Proxy>,
     stop: LoopSignal,
 }
 
@@ -42,7 +42,8 @@
 
     let mut event_loop: EventLoop<'static, Proxy> = EventLoop::try_new()?;
     let handle = event_loop.handle();
-    let listener = Listener::open(start.listen, &handle)?;
+    let cannot_listen = |source| ServeError::Listen { at: start.listen, source };
+    let listener = Listener::open(start.listen, &handle).map_err(cannot_listen)?;
     watch_signals(&handle)?;
     start_ticks(&handle)?;
 
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -44,7 +44,7 @@
     /// Carries out their decisions.
     pub executor: Executor,
     /// Accepts connections, and keeps those without a first line.
-    pub listener: Listener,
+    pub listener: Listener<Proxy>,
     /// The request classes' names, in the order of the settings.
     pub classes: Vec<String>,
     /// The customers' names, in the order of the settings.
--- a/crates/proxy/src/proxy/session_events.rs
+++ b/crates/proxy/src/proxy/session_events.rs
@@ -69,7 +69,7 @@
     }
 
     /// A health check was answered, or given up, after `took`.
-    pub fn on_health_check(&mut self, server: &Server, took: Duration) {
+    pub fn on_health_check(&mut self, server: &Server<Proxy>, took: Duration) {
         self.executor.metrics.count("health checks");
         log::debug!("health check of {} took {} ms", server.id, took.as_ms());
         let now = self.now();
