--- a/crates/fleet/src/anti_entropy.rs
+++ b/crates/fleet/src/anti_entropy.rs
@@ -1,94 +1,124 @@
-//! What rumours miss: two processes compare their maps part by part, and give each other what differs.
+//! Anti-entropy: finds and repairs the differences between two maps that gossip has left.
+//!
+//! A member sends the digests of its buckets to a peer. If many differ, the peer knows little of this map and sends
+//! entries at once. If few differ, the peer sends the digests of the entries in one of them, and both exchange the
+//! entries that differ.
 
+use crate::entry::{Entry, EntryDigest};
 use crate::packet::Message;
-use crate::replicated_map::{state, Entry, BUCKETS};
-use crate::swim::Known;
+use crate::replicated_map::{ReplicatedMap, BUCKETS};
 use nanorand::{Rng, WyRand};
 use std::collections::BTreeMap;
 
-/// What one datagram of entries or states may hold, in bytes; what is round it takes the rest.
-const ROOM: usize = 1200;
-/// The most of the parts that differ where their states are worth comparing first; else one just knows little.
-const FEW: usize = 8;
-/// How many datagrams of entries who knows little is given at once.
-const GIFTS: usize = 4;
+/// The room for entries or digests in one datagram, in bytes.
+const PAYLOAD_BYTES: usize = 1200;
+/// What an entry takes in a datagram beside its key and value, in bytes, rounded up.
+const ENTRY_OVERHEAD_BYTES: usize = 32;
+/// The most digests of entries in one datagram, at eight bytes each.
+const MAX_DIGESTS: usize = 140;
+/// The most keys that are requested in one datagram.
+const MAX_REQUESTED_KEYS: usize = PAYLOAD_BYTES / 8;
+/// Up to this many differing buckets entries are compared by their digests first.
+const MAX_BUCKETS_TO_COMPARE: usize = 8;
+/// How many datagrams of entries are sent at once where more buckets differ.
+const MAX_ENTRY_DATAGRAMS: usize = 4;
 
-/// Roughly what an entry takes in a datagram.
-fn size(entry: &Entry) -> usize {
-    const ROUND_IT: usize = 32;
-    entry.key.len() + entry.value.as_ref().map_or(0, Vec::len) + ROUND_IT
+/// What two members lack of a bucket that they compare.
+pub(crate) struct BucketDifference {
+    /// Entries that the peer lacks, as many as fit in one datagram.
+    pub(crate) entries_to_send: Vec<Entry>,
+    /// Short hashes of the keys to request from it.
+    pub(crate) keys_to_request: Vec<u32>,
 }
 
-impl Known {
-    /// The parts of the map in which the other one knows something else.
-    pub fn differing(&self, theirs: &[u64]) -> Vec<usize> {
-        let mine = self.map.digest();
-        if theirs.len() != BUCKETS {
+impl ReplicatedMap {
+    /// The buckets whose digests differ from those of a peer.
+    pub(crate) fn differing_buckets(&self, peer_digests: &[u64]) -> Vec<usize> {
+        if peer_digests.len() != BUCKETS {
             return Vec::new();
         }
-        (0..BUCKETS).filter(|part| mine[*part] != theirs[*part]).collect()
+        let own_digests = self.bucket_digests();
+        (0..BUCKETS).filter(|bucket| own_digests[*bucket] != peer_digests[*bucket]).collect()
     }
 
-    /// What is told of those parts: all of some of them where many differ, else the states of one.
-    pub fn answers(&self, differing: &[usize], chance: &mut WyRand) -> Vec<Message> {
+    /// The reply to a peer whose digests differ in these buckets, beginning at a random one.
+    pub(crate) fn reply_to_digests(&self, differing: &[usize], rng: &mut WyRand) -> Vec<Message> {
         if differing.is_empty() {
             return Vec::new();
         }
-        let from = chance.generate_range(0..differing.len());
-        if differing.len() > FEW {
-            let turned = differing[from..].iter().chain(&differing[..from]);
-            let entries = turned.flat_map(|part| self.map.in_bucket(*part)).cloned();
-            return packed(entries).into_iter().take(GIFTS).map(Message::Entries).collect();
+        let first = rng.generate_range(0..differing.len());
+        if differing.len() > MAX_BUCKETS_TO_COMPARE {
+            return self.entries_of_buckets(differing, first);
         }
-        // Eight bytes each, and no more than one datagram holds; the next time it begins elsewhere.
-        const STATES: usize = 140;
-        let part = differing[from];
-        let mut states: Vec<_> = self.map.in_bucket(part).map(state).collect();
-        if states.len() > STATES {
-            let turn = chance.generate_range(0..states.len());
-            states.rotate_left(turn);
-            states.truncate(STATES);
+        vec![self.bucket_summary(differing[first], rng)]
+    }
+
+    fn entries_of_buckets(&self, buckets: &[usize], first: usize) -> Vec<Message> {
+        let rotated = buckets[first..].iter().chain(&buckets[..first]);
+        let entries = rotated.flat_map(|bucket| self.in_bucket(*bucket)).cloned();
+        let datagrams = pack_datagrams(entries).into_iter().take(MAX_ENTRY_DATAGRAMS);
+        datagrams.map(Message::Entries).collect()
+    }
+
+    /// The digests of the entries in a bucket. Where they do not fit in a datagram, it has some, beginning at random.
+    fn bucket_summary(&self, bucket: usize, rng: &mut WyRand) -> Message {
+        let mut entries: Vec<_> = self.in_bucket(bucket).map(Entry::digest).collect();
+        if entries.len() > MAX_DIGESTS {
+            let first = rng.generate_range(0..entries.len());
+            entries.rotate_left(first);
+            entries.truncate(MAX_DIGESTS);
         }
-        vec![Message::Summary { part: part as u16, states }]
+        Message::BucketSummary { bucket: bucket as u16, entries }
     }
 
-    /// Of one part: what the other one does not have, in one datagram, and what is to be asked of it.
-    pub fn compare(&self, part: usize, theirs: &[(u32, u32)]) -> (Vec<Entry>, Vec<u32>) {
-        let theirs: BTreeMap<u32, u32> = theirs.iter().copied().collect();
-        let mine: BTreeMap<u32, &Entry> =
-            self.map.in_bucket(part).map(|entry| (state(entry).0, entry)).collect();
-        let lacks = mine.iter().filter(|(key, entry)| theirs.get(key) != Some(&state(entry).1));
-        let gives = packed(lacks.map(|(_, entry)| (*entry).clone())).into_iter().next().unwrap_or_default();
-        let held = |key: &u32| mine.get(key).map(|entry| state(entry).1);
-        let wants = theirs.iter().filter(|(key, state)| held(key) != Some(**state)).map(|(key, _)| *key);
-        (gives, wants.take(ROOM / 8).collect())
+    /// Compares a bucket with the digests of a peer.
+    pub(crate) fn compare_bucket(&self, bucket: usize, peer: &[EntryDigest]) -> BucketDifference {
+        let peer: BTreeMap<u32, u32> = peer.iter().map(|digest| (digest.key, digest.state)).collect();
+        let own: BTreeMap<u32, &Entry> =
+            self.in_bucket(bucket).map(|entry| (entry.digest().key, entry)).collect();
+        let differs_at_peer = |(key, entry): &(&u32, &&Entry)| peer.get(key) != Some(&entry.digest().state);
+        let missing_at_peer = own.iter().filter(differs_at_peer).map(|(_, entry)| (*entry).clone());
+        let own_state = |key: &u32| own.get(key).map(|entry| entry.digest().state);
+        let missing_here = peer.iter().filter(|(key, state)| own_state(key) != Some(**state));
+        BucketDifference {
+            entries_to_send: first_datagram(missing_at_peer),
+            keys_to_request: missing_here.map(|(key, _)| *key).take(MAX_REQUESTED_KEYS).collect(),
+        }
     }
 
-    /// The entries with these short hashes, in one datagram.
-    pub fn wanted(&self, keys: &[u32]) -> Vec<Entry> {
-        let keys = keys.iter().copied().collect();
-        let entries = self.map.with_hashes(&keys).into_iter();
-        packed(entries.cloned()).into_iter().next().unwrap_or_default()
+    /// The entries that a peer has requested by the short hashes of their keys, as many as fit in one datagram.
+    pub(crate) fn requested_entries(&self, key_hashes: &[u32]) -> Vec<Entry> {
+        let key_hashes = key_hashes.iter().copied().collect();
+        first_datagram(self.with_key_hashes(&key_hashes).into_iter().cloned())
     }
 }
 
-/// Entries in as many datagrams as they need, in their order.
-fn packed(entries: impl Iterator<Item = Entry>) -> Vec<Vec<Entry>> {
-    let mut all: Vec<Vec<Entry>> = Vec::new();
-    let mut left = 0;
+fn first_datagram(entries: impl Iterator<Item = Entry>) -> Vec<Entry> {
+    pack_datagrams(entries).into_iter().next().unwrap_or_default()
+}
+
+/// Distributes entries over datagrams, in order. Stops soon after [`MAX_ENTRY_DATAGRAMS`].
+fn pack_datagrams(entries: impl Iterator<Item = Entry>) -> Vec<Vec<Entry>> {
+    let mut datagrams: Vec<Vec<Entry>> = Vec::new();
+    let mut remaining_bytes = 0;
     for entry in entries {
-        let size = size(&entry);
-        match all.last_mut().filter(|_| size <= left) {
-            Some(last) => last.push(entry),
+        let size = encoded_bytes(&entry);
+        match datagrams.last_mut().filter(|_| size <= remaining_bytes) {
+            Some(datagram) => datagram.push(entry),
             None => {
-                all.push(vec![entry]);
-                left = ROOM;
+                datagrams.push(vec![entry]);
+                remaining_bytes = PAYLOAD_BYTES;
             }
         }
-        left = left.saturating_sub(size);
-        if all.len() > GIFTS {
+        remaining_bytes = remaining_bytes.saturating_sub(size);
+        if datagrams.len() > MAX_ENTRY_DATAGRAMS {
             break;
         }
     }
-    all
+    datagrams
+}
+
+/// An estimate of what an entry takes in a datagram.
+fn encoded_bytes(entry: &Entry) -> usize {
+    entry.key.len() + entry.value.as_ref().map_or(0, Vec::len) + ENTRY_OVERHEAD_BYTES
 }
--- a/crates/fleet/src/membership_filter.rs
+++ b/crates/fleet/src/membership_filter.rs
@@ -1,69 +1,82 @@
-//! What a message of the membership says that is not known already, so that only this is looked up.
+//! Removes what is known already from SWIM messages before they reach the library.
 //!
-//! The library looks for each member that a message names from the first to the last of its list. While a whole fleet
-//! starts each message names seventy, mostly known: that cost a process more than all else, and the more the larger
-//! the fleet. What is left out here is what the library would find to be no news.
+//! The library searches its list of members linearly for each member that a message names. While a large fleet starts
+//! every message names dozens of members, most of them known, and the search dominates the CPU time. The filter
+//! removes only what the library would ignore.
 
 use crate::roster::{Incarnation, MemberId};
 use foca::{Header, Member, Message, State};
 
-/// The incarnations of those that are there, by their members; 0 for all others.
-pub struct Incarnations(Vec<u64>);
+/// The current incarnations of the members that are alive.
+pub(crate) struct Incarnations {
+    /// By the members; 0 for those that are not alive.
+    started_at: Vec<u64>,
+}
 
 impl Incarnations {
-    pub fn new(size: usize) -> Self {
-        Incarnations(vec![0; size])
+    pub(crate) fn new(size: usize) -> Self {
+        Incarnations { started_at: vec![0; size] }
     }
 
-    pub fn member_joined(&mut self, incarnation: Incarnation) {
-        if let Some(started_at) = self.0.get_mut(usize::from(incarnation.member.0)) {
+    pub(crate) fn member_joined(&mut self, incarnation: Incarnation) {
+        if let Some(started_at) = self.started_at.get_mut(usize::from(incarnation.member.0)) {
             *started_at = incarnation.started_at;
         }
     }
 
-    /// Another life has taken the place of one that was there.
-    pub fn follows(&mut self, before: Incarnation, incarnation: Incarnation) {
-        if self.of(before.member) == Some(before) {
+    /// Another incarnation of a member has replaced `previous`.
+    pub(crate) fn member_renewed(&mut self, previous: Incarnation, incarnation: Incarnation) {
+        if self.of(previous.member) == Some(previous) {
             self.member_joined(incarnation);
         }
     }
 
-    pub fn member_left(&mut self, member: MemberId) {
+    pub(crate) fn member_left(&mut self, member: MemberId) {
         self.member_joined(Incarnation { member, started_at: 0 });
     }
 
-    pub fn of(&self, member: MemberId) -> Option<Incarnation> {
-        let started_at = self.0.get(usize::from(member.0)).copied().filter(|started_at| *started_at > 0)?;
+    pub(crate) fn of(&self, member: MemberId) -> Option<Incarnation> {
+        let started_at = self.started_at.get(usize::from(member.0)).copied().filter(|at| *at > 0)?;
         Some(Incarnation { member, started_at })
     }
 }
 
-/// The message without the members that are known to be there, by just these incarnations, and of which it says no more. None
-/// where there are none, and where it cannot be read: that is for the library to say.
-///
-/// Guards against leaving out news: one that has defended itself against a suspicion, one that is suspected or gone,
-/// and whatever is said of this process itself stays.
-pub fn news(bytes: &[u8], incarnations: &Incarnations, me: MemberId) -> Option<Vec<u8>> {
-    let (header, rest): (Header<Incarnation>, _) = postcard::take_from_bytes(bytes).ok()?;
-    if header.message == Message::Broadcast || rest.len() < 2 {
+/// The length of the number of members in a message.
+const COUNT_BYTES: usize = size_of::<u16>();
+
+/// The message without the members that are known to be alive in just these incarnations. None where nothing is to be
+/// removed, or the message cannot be decoded, which the library reports.
+pub(crate) fn without_known_members(
+    message: &[u8],
+    incarnations: &Incarnations,
+    me: MemberId,
+) -> Option<Vec<u8>> {
+    let (header, after_header): (Header<Incarnation>, _) = postcard::take_from_bytes(message).ok()?;
+    if header.message == Message::Broadcast || after_header.len() < COUNT_BYTES {
         return None;
     }
-    let begin = bytes.len() - rest.len();
-    let (number, mut rest) = rest.split_at(2);
-    let number = u16::from_be_bytes([number[0], number[1]]);
-    let mut sifted = bytes[..begin + 2].to_vec();
-    let mut left = 0u16;
-    for _ in 0..number {
+    let count_at = message.len() - after_header.len();
+    let (count, mut rest) = after_header.split_at(COUNT_BYTES);
+    let count = u16::from_be_bytes([count[0], count[1]]);
+    let mut filtered = message[..count_at + COUNT_BYTES].to_vec();
+    let mut kept = 0u16;
+    for _ in 0..count {
         let (member, after): (Member<Incarnation>, _) = postcard::take_from_bytes(rest).ok()?;
-        let incarnation = *member.id();
-        let plain = member.incarnation() == 0 && member.state() == State::Alive;
-        if !plain || incarnation.member == me || incarnations.of(incarnation.member) != Some(incarnation) {
-            sifted.extend_from_slice(&rest[..rest.len() - after.len()]);
-            left += 1;
+        if is_news(&member, incarnations, me) {
+            filtered.extend_from_slice(&rest[..rest.len() - after.len()]);
+            kept += 1;
         }
         rest = after;
     }
-    sifted[begin..begin + 2].copy_from_slice(&left.to_be_bytes());
-    sifted.extend_from_slice(rest);
-    (left < number).then_some(sifted)
+    filtered[count_at..count_at + COUNT_BYTES].copy_from_slice(&kept.to_be_bytes());
+    filtered.extend_from_slice(rest);
+    (kept < count).then_some(filtered)
+}
+
+/// Whether an update may be new to the library: one about this member itself, about another incarnation, about a
+/// suspected or failed member, or one that refutes a suspicion.
+fn is_news(member: &Member<Incarnation>, incarnations: &Incarnations, me: MemberId) -> bool {
+    let incarnation = *member.id();
+    let is_plainly_alive = member.incarnation() == 0 && member.state() == State::Alive;
+    !is_plainly_alive || incarnation.member == me || incarnations.of(incarnation.member) != Some(incarnation)
 }
--- a/crates/fleet/src/packet.rs
+++ b/crates/fleet/src/packet.rs
@@ -1,86 +1,83 @@
-//! What goes between two processes in one datagram, and what is refused unread.
+//! The datagrams between two members: a tag of the fleet, a checksum, and the packet in postcard.
 
-use crate::replicated_map::Entry;
+use crate::entry::{Entry, EntryDigest};
+use crate::quota_leases::{LeaseGrant, LeaseRequest, Unit};
 use crate::roster::{Incarnation, MemberId, Roster};
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// The longest datagram, in bytes: under what any network carries whole.
+/// The longest datagram, in bytes: short enough not to be fragmented.
 pub const MAX_DATAGRAM_BYTES: usize = 1400;
-/// The format's number, part of the tag: other ones are another fleet's.
+/// The version of the format, which is part of the tag: members of another version count as of another fleet.
 const FORMAT: u64 = 1;
+const CHECKSUM_AT: usize = size_of::<u64>();
+const HEADER_BYTES: usize = CHECKSUM_AT + size_of::<u64>();
 
+/// What a member sends to another. Encoded by the position of the variants and fields.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum Message {
-    /// The membership's own.
+pub(crate) enum Message {
+    /// A message of the membership protocol.
     Swim(Vec<u8>),
-    /// What each part of the sender's map holds; an answer is not answered with another.
-    Digest {
-        parts: Vec<u64>,
-        answer: bool,
-    },
-    /// The states of all entries in one part of it.
-    Summary {
-        part: u16,
-        states: Vec<(u32, u32)>,
-    },
-    /// Keys, by their short hashes, whose entries are wanted.
-    Want(Vec<u32>),
+    /// The digests of all buckets of the sender's map. A reply is not replied to.
+    MapDigest { buckets: Vec<u64>, is_reply: bool },
+    /// The digests of entries in one bucket of the sender's map.
+    BucketSummary { bucket: u16, entries: Vec<EntryDigest> },
+    /// Requests entries by the short hashes of their keys.
+    EntryRequest(Vec<u32>),
+    /// Entries of the sender's map.
     Entries(Vec<Entry>),
-    /// Units of the pool that the sender would hold, and some that it holds no longer.
-    Ask {
-        number: u32,
-        units: Vec<u16>,
-        releases: Vec<u16>,
-    },
-    /// Those that the witness grants.
-    Grant {
-        number: u32,
-        units: Vec<u16>,
-    },
+    /// Requests leases on units of the quota, and releases others.
+    LeaseRequest(LeaseRequest),
+    /// Grants leases on units, in reply to a request.
+    LeaseGrant(LeaseGrant),
 }
 
+/// A message with its sender. Encoded by the position of the fields.
 #[derive(Debug, PartialEq, Serialize, Deserialize)]
-pub struct Packet {
-    pub from: Incarnation,
+pub(crate) struct Packet {
+    pub(crate) from: Incarnation,
     /// The sender's clock: Unix time in milliseconds.
-    pub wall_ms: u64,
-    pub message: Message,
+    pub(crate) wall_ms: u64,
+    pub(crate) message: Message,
 }
 
-/// Why a datagram is refused; nothing of it is used.
+/// Why a datagram is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum PacketError {
-    #[error("of another fleet, another roster or another format: see who sends to this address")]
-    Foreign,
-    #[error("damaged on its way: see the network between the processes")]
+pub(crate) enum PacketError {
+    #[error("of another fleet, another roster or another format: check who sends to this address")]
+    OtherFleet,
+    #[error("damaged in transit: check the network between the members")]
     Damaged,
-    #[error("not to be read: see that all processes run one version")]
+    #[error("malformed: check that all members run the same version")]
     Malformed,
-    #[error("from a seat that the roster does not have: see that all processes have one list of fellows")]
+    #[error("from a member that the roster does not have: check that all members have the same fleet file")]
     UnknownMember,
 }
 
-fn tag(roster: &Roster) -> u64 {
+fn fleet_tag(roster: &Roster) -> u64 {
     roster.tag() ^ FORMAT.rotate_left(48)
 }
 
-pub fn write(roster: &Roster, packet: &Packet) -> Vec<u8> {
-    let tag = tag(roster);
-    // What is written here is made of numbers, texts and lists: it has no way to fail.
+/// The datagram of a packet.
+pub(crate) fn encode(roster: &Roster, packet: &Packet) -> Vec<u8> {
+    let tag = fleet_tag(roster);
+    // Encoding numbers, strings and lists into memory cannot fail.
     let body = postcard::to_stdvec(packet).unwrap_or_default();
-    let check = xxh3_64_with_seed(&body, tag);
-    [&tag.to_le_bytes()[..], &check.to_le_bytes()[..], &body].concat()
+    let checksum = xxh3_64_with_seed(&body, tag);
+    [&tag.to_le_bytes()[..], &checksum.to_le_bytes()[..], &body].concat()
 }
 
-pub fn read(roster: &Roster, bytes: &[u8]) -> Result<Packet, PacketError> {
-    let number = |at: usize| bytes.get(at..at + 8).and_then(|b| b.try_into().ok()).map(u64::from_le_bytes);
-    let (Some(fleet), Some(check)) = (number(0), number(8)) else { return Err(PacketError::Malformed) };
-    if fleet != tag(roster) {
-        return Err(PacketError::Foreign);
+/// The packet in a datagram.
+pub(crate) fn decode(roster: &Roster, datagram: &[u8]) -> Result<Packet, PacketError> {
+    let (header, body) = datagram.split_at_checked(HEADER_BYTES).ok_or(PacketError::Malformed)?;
+    let header_field = |at: usize| header[at..at + 8].try_into().map(u64::from_le_bytes);
+    let (Ok(tag), Ok(checksum)) = (header_field(0), header_field(CHECKSUM_AT)) else {
+        return Err(PacketError::Malformed);
+    };
+    if tag != fleet_tag(roster) {
+        return Err(PacketError::OtherFleet);
     }
-    let body = &bytes[16..];
-    if check != xxh3_64_with_seed(body, fleet) {
+    if checksum != xxh3_64_with_seed(body, tag) {
         return Err(PacketError::Damaged);
     }
     let (packet, rest): (Packet, _) = postcard::take_from_bytes(body).map_err(|_| PacketError::Malformed)?;
@@ -94,16 +91,18 @@
 }
 
 impl Message {
-    /// Whom it may name at all.
-    pub fn members_within(&self, size: usize) -> bool {
-        let within = |member: &MemberId| usize::from(member.0) < size;
+    /// Whether all members and units that it names are within a roster of `size`.
+    pub(crate) fn is_within_roster(&self, size: usize) -> bool {
+        let is_member = |member: &MemberId| usize::from(member.0) < size;
+        let is_unit = |unit: &Unit| usize::from(*unit) < size;
         match self {
-            Message::Entries(entries) => entries.iter().all(|entry| within(&entry.owner)),
-            Message::Ask { units, releases, .. } => {
-                units.iter().chain(releases).all(|unit| usize::from(*unit) < size)
-            }
-            Message::Grant { units, .. } => units.iter().all(|unit| usize::from(*unit) < size),
-            _ => true,
+            Message::Entries(entries) => entries.iter().all(|entry| is_member(&entry.owner)),
+            Message::LeaseRequest(request) => request.units.iter().chain(&request.releases).all(is_unit),
+            Message::LeaseGrant(grant) => grant.units.iter().all(is_unit),
+            Message::Swim(_)
+            | Message::MapDigest { .. }
+            | Message::BucketSummary { .. }
+            | Message::EntryRequest(_) => true,
         }
     }
 }
--- a/crates/fleet/src/roster.rs
+++ b/crates/fleet/src/roster.rs
@@ -1,54 +1,64 @@
-//! Who may be part of the fleet: the same names in the same order at every process, for as long as the fleet runs.
+//! The members that a fleet may have: the same names in the same order at every member, for as long as the fleet runs.
 
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// A process's place in the roster.
+/// The index of a member in the roster.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct MemberId(pub u16);
 
-/// One life of the process in a member; a later one has a greater number.
+/// One run of a member's process. Encoded by the position of the fields.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation {
+    /// The member.
     pub member: MemberId,
-    /// Microseconds of Unix time at its start, or more.
+    /// Microseconds of Unix time at its start, or more: greater than in any earlier incarnation of the member.
     pub started_at: u64,
 }
 
 /// Why names make no roster.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum RosterError {
-    #[error("no fellow is named: name every process of the fleet, this one included")]
+    /// No names.
+    #[error("no members: name every process of the fleet, this one included")]
     Empty,
-    #[error("{0} fellows: a fleet has {MAX_MEMBERS} at most; split it in two")]
+    /// More than [`MAX_MEMBERS`].
+    #[error("{0} members: a fleet has {MAX_MEMBERS} at most; split it in two")]
     TooMany(usize),
+    /// Two members have this name.
     #[error("{0} is named twice: give each process a name of its own")]
     DuplicateName(String),
-    #[error("this process, {0}, is not among the fellows: add it, at every process")]
+    /// The name of the local member is missing.
+    #[error("this process, {0}, is not among the members: add it, at every process")]
     LocalNameMissing(String),
 }
 
-/// As many as members of two bytes and the trials at size go up to. Each costs a process about 150 bytes of memory, measured
-/// from 100 to 3,800 with nothing shared but who is there; what it sends at rest is bounded (`docs/fleet.md`, Figures).
+/// The most members of a fleet. Memory per member and traffic at this size are in `docs/fleet.md`, Figures.
 pub const MAX_MEMBERS: usize = 4096;
 
+/// The roster as one of its members has it. Copies share the names.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Roster {
-    shared: Arc<Shared>,
+    shared: Arc<SharedRoster>,
     me: MemberId,
 }
 
-/// What is the same at every process.
+/// What is the same at every member.
 #[derive(Debug, PartialEq, Eq)]
-struct Shared {
+struct SharedRoster {
     fleet: String,
     names: Vec<String>,
-    /// Guards against hashing all names for each datagram: it was half of what a fleet of a thousand cost at rest.
+    /// A hash of the above, kept since every datagram needs it.
     tag: u64,
 }
 
 impl Roster {
+    /// A roster of these members, in any order, for the one named `me`.
+    ///
+    /// # Errors
+    ///
+    /// If there are no names, too many, equal ones, or `me` is not among them.
     pub fn new(fleet: &str, names: impl IntoIterator<Item = String>, me: &str) -> Result<Self, RosterError> {
         let mut names: Vec<_> = names.into_iter().collect();
         names.sort();
@@ -58,58 +68,67 @@
         if names.len() > MAX_MEMBERS {
             return Err(RosterError::TooMany(names.len()));
         }
-        if let Some(twice) = names.windows(2).find(|pair| pair[0] == pair[1]) {
-            return Err(RosterError::DuplicateName(twice[0].clone()));
+        if let Some(equal) = names.windows(2).find(|pair| pair[0] == pair[1]) {
+            return Err(RosterError::DuplicateName(equal[0].clone()));
         }
-        let tag =
-            names.iter().fold(xxh3_64(fleet.as_bytes()), |tag, name| xxh3_64_with_seed(name.as_bytes(), tag));
-        let shared = Shared { fleet: fleet.to_owned(), names, tag };
+        let fleet_tag = xxh3_64(fleet.as_bytes());
+        let tag = names.iter().fold(fleet_tag, |tag, name| xxh3_64_with_seed(name.as_bytes(), tag));
+        let shared = SharedRoster { fleet: fleet.to_owned(), names, tag };
         Roster { shared: Arc::new(shared), me: MemberId(0) }.with_local_member(me)
     }
 
-    /// The same roster at another of its processes, in one copy where both are in one program.
-    pub fn with_local_member(&self, me: &str) -> Result<Self, RosterError> {
-        let member = self.shared.names.binary_search_by(|name| name.as_str().cmp(me));
-        let member = member.map_err(|_| RosterError::LocalNameMissing(me.to_owned()))?;
-        Ok(Roster { shared: self.shared.clone(), me: MemberId(member as u16) })
+    /// The same roster for another of its members, sharing the names.
+    ///
+    /// # Errors
+    ///
+    /// If the name is not in the roster.
+    pub fn with_local_member(&self, name: &str) -> Result<Self, RosterError> {
+        let index = self.shared.names.binary_search_by(|other| other.as_str().cmp(name));
+        let index = index.map_err(|_| RosterError::LocalNameMissing(name.to_owned()))?;
+        Ok(Roster { shared: self.shared.clone(), me: MemberId(index as u16) })
     }
 
+    /// The local member.
     pub fn me(&self) -> MemberId {
         self.me
     }
 
+    /// How many members there are, alive or not.
     pub fn size(&self) -> usize {
         self.shared.names.len()
     }
 
+    /// The name of the fleet.
     pub fn fleet(&self) -> &str {
         &self.shared.fleet
     }
 
+    /// The name of a member; none where the roster does not have it.
     pub fn name(&self, member: MemberId) -> Option<&str> {
         self.shared.names.get(usize::from(member.0)).map(String::as_str)
     }
 
+    /// All members, in order.
     pub fn members(&self) -> impl Iterator<Item = MemberId> {
         (0..self.shared.names.len() as u16).map(MemberId)
     }
 
-    /// What tells this fleet from others, and from itself with another roster.
+    /// Identifies this fleet with this roster.
     pub fn tag(&self) -> u64 {
         self.shared.tag
     }
 }
 
-/// The members of a roster of so many that are not among those `alive`, which are in order; both in one walk.
-pub fn missing(alive: &[MemberId], size: usize) -> impl Iterator<Item = MemberId> + '_ {
-    let mut there = alive.iter().peekable();
+/// The members of a roster of `size` that are not among `alive`, which is in order.
+pub(crate) fn missing(alive: &[MemberId], size: usize) -> impl Iterator<Item = MemberId> + '_ {
+    let mut alive_members = alive.iter().peekable();
     let all = if alive.len() < size { 0..size as u16 } else { 0..0 };
-    all.map(MemberId).filter(move |member| there.next_if_eq(&member).is_none())
+    all.map(MemberId).filter(move |member| alive_members.next_if_eq(&member).is_none())
 }
 
-/// Where a member stands in the order of something: the same at every process.
-pub fn rank(of: u64, member: MemberId) -> u64 {
-    xxh3_64_with_seed(&member.0.to_le_bytes(), of)
+/// The rank of a member for a subject, the same at every member (rendezvous hashing). The least comes first.
+pub fn rank(subject: u64, member: MemberId) -> u64 {
+    xxh3_64_with_seed(&member.0.to_le_bytes(), subject)
 }
 
 #[cfg(test)]
--- a/crates/fleet/src/swim.rs
+++ b/crates/fleet/src/swim.rs
@@ -1,150 +1,82 @@
-//! Who is there: SWIM with suspicion, by the library `foca`, which does no I/O; rumours of entries ride on its messages.
+//! Membership: SWIM with suspicion, by the library `foca`, which does no I/O. Entries are gossiped on its messages.
 
+mod gossip;
+mod identity;
+mod rng;
+
+use crate::entry::Entry;
 use crate::membership_filter::{self, Incarnations};
-use crate::replicated_map::{Entry, MergeOutcome, ReplicatedMap, Version};
+use crate::replica::Replica;
 use crate::roster::{missing, Incarnation, MemberId, Roster};
-use foca::{
-    AccumulatingRuntime, BroadcastHandler, Config, Foca, Identity, Invalidates, OwnedNotification,
-    PeriodicParams, PostcardCodec, Timer,
-};
+use foca::{AccumulatingRuntime, Config, Foca, OwnedNotification, PeriodicParams, PostcardCodec, Timer};
+use gossip::EntryGossip;
 use nanorand::{Rng as _, WyRand};
+use rng::SeededRng;
 use shelfgrade::time::{DurationExt, Timestamp};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
-use std::convert::Infallible;
 use std::num::{NonZeroU8, NonZeroUsize};
 use std::rc::Rc;
 use std::time::Duration;
 
-impl Identity for Incarnation {
-    type Addr = MemberId;
-
-    /// Guards against a process that was taken for dead, or whose clock went back, never being believed again: its next
-    /// life is later than any clock is wrong by.
-    fn renew(&self) -> Option<Self> {
-        const LATER: u64 = 6 * 3_600_000_000;
-        Some(Incarnation { member: self.member, started_at: self.started_at.saturating_add(LATER) })
-    }
-
-    fn addr(&self) -> MemberId {
-        self.member
-    }
-
-    fn win_addr_conflict(&self, other: &Self) -> bool {
-        self.started_at > other.started_at
-    }
-}
-
-/// The library's chance, from the given seed.
-struct Dice(WyRand);
-
-impl rand::TryRng for Dice {
-    type Error = Infallible;
-    fn try_next_u32(&mut self) -> Result<u32, Infallible> {
-        Ok(self.0.generate())
-    }
-    fn try_next_u64(&mut self) -> Result<u64, Infallible> {
-        Ok(self.0.generate())
-    }
-    fn try_fill_bytes(&mut self, bytes: &mut [u8]) -> Result<(), Infallible> {
-        self.0.fill(bytes);
-        Ok(())
-    }
-}
-
-/// The map, and what has changed in it since that was last told.
-pub struct Known {
-    pub map: ReplicatedMap,
-    pub fresh: Vec<Entry>,
-    pub over_bound: u64,
-}
-
-impl Known {
-    pub fn merge(&mut self, entry: Entry) -> bool {
-        let merged = self.map.merge(entry.clone());
-        match merged {
-            MergeOutcome::Applied => self.fresh.push(entry),
-            MergeOutcome::Rejected => self.over_bound += 1,
-            MergeOutcome::Stale => {}
-        }
-        merged == MergeOutcome::Applied
-    }
-}
-
-#[derive(Debug, thiserror::Error)]
-#[error("an entry that is none")]
-struct NoEntry;
-
-struct Rumour {
-    key: String,
-    version: Version,
-}
-
-impl Invalidates for Rumour {
-    fn invalidates(&self, other: &Self) -> bool {
-        self.key == other.key && self.version >= other.version
-    }
-}
-
-struct Rumours {
-    known: Rc<RefCell<Known>>,
-    members: usize,
-}
-
-impl BroadcastHandler<Incarnation> for Rumours {
-    type Key = Rumour;
-    type Error = NoEntry;
-
-    fn receive_item(&mut self, data: &[u8], sender: Option<&Incarnation>) -> Result<Option<Rumour>, NoEntry> {
-        let entry: Entry = postcard::from_bytes(data).map_err(|_| NoEntry)?;
-        if usize::from(entry.owner.0) >= self.members {
-            return Err(NoEntry);
-        }
-        let rumour = Rumour { key: entry.key.clone(), version: entry.version };
-        // What this process says itself stands in its map already.
-        let news = sender.is_none() || self.known.borrow_mut().merge(entry);
-        Ok(news.then_some(rumour))
-    }
+/// Effects and events of the membership.
+pub(crate) trait SwimEvents {
+    fn send_swim(&mut self, to: MemberId, bytes: Vec<u8>);
+    fn member_joined(&mut self, member: MemberId);
+    fn member_left(&mut self, member: MemberId);
+    /// The local member goes on under a new incarnation.
+    fn incarnation_renewed(&mut self, incarnation: Incarnation);
 }
 
-pub struct Swim {
-    foca: Foca<Incarnation, PostcardCodec, Dice, Rumours>,
+/// The membership as the local member sees it.
+pub(crate) struct Swim {
+    foca: Foca<Incarnation, PostcardCodec, SeededRng, EntryGossip>,
     runtime: AccumulatingRuntime<Incarnation>,
-    /// What is due when; a number tells apart what is due at once.
-    timers: BTreeMap<(Timestamp, u64), Timer<Incarnation>>,
+    timers: BTreeMap<TimerKey, Timer<Incarnation>>,
     last_timer: u64,
     me: Incarnation,
-    /// Who is there, this process included, in the order of the roster. Guards against a list of all that is built anew
-    /// at each call: it follows what the library tells.
-    there: Vec<MemberId>,
+    /// The members that are alive, the local one included, in order.
+    alive: Vec<MemberId>,
     incarnations: Incarnations,
-    /// Whom it has not met, in turns.
-    invites: WyRand,
-    next_invite: Timestamp,
-    began: Timestamp,
+    invitation_rng: WyRand,
+    next_invitation: Timestamp,
+    started: Timestamp,
 }
 
-/// What the membership asks for or tells.
-pub trait SwimEvents {
-    fn send_swim(&mut self, to: MemberId, bytes: Vec<u8>);
-    fn member_joined(&mut self, member: MemberId);
-    fn member_left(&mut self, member: MemberId);
-    /// This process goes on under another life.
-    fn incarnation_renewed(&mut self, incarnation: Incarnation);
+/// When a timer is due; a sequence number distinguishes timers that are due at the same time.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct TimerKey {
+    due: Timestamp,
+    sequence: u64,
 }
 
-/// The longest message, in bytes: with what is round it, it fits in one datagram.
-const LONGEST: usize = 1200;
+/// The longest message, in bytes: with the packet's header it fits in one datagram.
+const MAX_MESSAGE_BYTES: usize = 1200;
+/// Tells the generator of invitations from the library's.
+const INVITATION_SEED_SALT: u64 = 0x1f;
+
+/// How often members that are not alive are invited, and how many at once.
+struct InvitationRate {
+    interval: Duration,
+    members: usize,
+}
 
-/// One probe a second and a gossip to two twice a second, whatever the fleet's size; a process that answers nobody is
-/// suspected within a second and a half and dead three later. Dead ones are asked again every five seconds, so that two
-/// halves find each other.
+/// For this long after its start a member invites others often, so that a fleet which starts together finds itself.
+const STARTUP_TIME: Duration = Duration::from_millis(5000);
+const STARTUP_INVITATIONS: InvitationRate =
+    InvitationRate { interval: Duration::from_millis(300), members: 3 };
+const LATER_INVITATIONS: InvitationRate =
+    InvitationRate { interval: Duration::from_millis(3000), members: 1 };
+
+/// One probe a second and two gossip messages twice a second, whatever the size of the fleet. A member that does not
+/// answer is suspected within 1.5 s and failed 3 s later. Failed members are announced to every five seconds, so that
+/// the halves of a partition find each other.
 fn config(size: usize) -> Config {
     let periodic = |ms, members| {
         let num_members = NonZeroUsize::new(members).unwrap_or(NonZeroUsize::MIN);
         Some(PeriodicParams { frequency: Duration::from_millis(ms), num_members })
     };
-    // A rumour has reached all when each has told it to so many: four times the logarithm is the library's figure.
+    // The library's recommendation for an update to reach all members.
     let transmissions = (4.0 * (size as f64 + 1.0).log10()).ceil() as u8;
     Config {
         probe_period: Duration::from_millis(1000),
@@ -152,7 +84,7 @@
         max_transmissions: NonZeroU8::new(transmissions).unwrap_or(NonZeroU8::MIN),
         suspect_to_down_after: Duration::from_secs(3),
         remove_down_after: Some(Duration::from_secs(3600)),
-        max_packet_size: NonZeroUsize::new(LONGEST).unwrap_or(NonZeroUsize::MIN),
+        max_packet_size: NonZeroUsize::new(MAX_MESSAGE_BYTES).unwrap_or(NonZeroUsize::MIN),
         notify_down_members: true,
         periodic_announce: periodic(10_000, 1),
         periodic_announce_to_down_members: periodic(5000, 1),
@@ -162,131 +94,151 @@
 }
 
 impl Swim {
-    pub fn new(
+    pub(crate) fn new(
         me: Incarnation,
         roster: &Roster,
-        known: Rc<RefCell<Known>>,
+        replica: Rc<RefCell<Replica>>,
         seed: u64,
         now: Timestamp,
     ) -> Self {
-        let rumours = Rumours { known, members: roster.size() };
-        let dice = Dice(WyRand::new_seed(seed));
+        let gossip = EntryGossip::new(replica, roster.size());
+        let config = config(roster.size());
         Swim {
-            foca: Foca::with_custom_broadcast(me, config(roster.size()), dice, PostcardCodec, rumours),
+            foca: Foca::with_custom_broadcast(me, config, SeededRng::new(seed), PostcardCodec, gossip),
             runtime: AccumulatingRuntime::new(),
             timers: BTreeMap::new(),
             last_timer: 0,
             me,
-            there: vec![me.member],
+            alive: vec![me.member],
             incarnations: Incarnations::new(roster.size()),
-            invites: WyRand::new_seed(seed ^ 0x1f),
-            next_invite: now,
-            began: now,
+            invitation_rng: WyRand::new_seed(seed ^ INVITATION_SEED_SALT),
+            next_invitation: now,
+            started: now,
         }
     }
 
-    /// Who is there, this process included, in the order of the roster.
-    pub fn alive(&self) -> &[MemberId] {
-        &self.there
+    /// The members that are alive, the local one included, in order.
+    pub(crate) fn alive(&self) -> &[MemberId] {
+        &self.alive
     }
 
-    /// The life of who is there in a member, as far as it is known.
-    pub fn incarnation(&self, member: MemberId) -> Option<Incarnation> {
+    /// The incarnation of a peer that is alive.
+    pub(crate) fn incarnation(&self, member: MemberId) -> Option<Incarnation> {
         self.incarnations.of(member)
     }
 
-    /// Hands on a rumour of an entry that was written here, or found elsewhere by comparing.
-    pub fn spread(&mut self, entry: &Entry) {
+    /// Gossips an entry.
+    pub(crate) fn gossip(&mut self, entry: &Entry) {
         if let Ok(bytes) = postcard::to_stdvec(entry) {
-            // One too long for a message is left to comparing.
+            // Anti-entropy spreads those that are too long for a message.
             let _ = self.foca.add_broadcast(&bytes);
         }
     }
 
-    /// True where the message could be read.
-    pub fn on_datagram(&mut self, bytes: &[u8], now: Timestamp, environment: &mut impl SwimEvents) -> bool {
-        // One that is too long is for the library to refuse.
-        let news = Some(bytes).filter(|bytes| bytes.len() <= LONGEST);
-        let news = news.and_then(|bytes| membership_filter::news(bytes, &self.incarnations, self.me.member));
-        let read = self.foca.handle_data(news.as_deref().unwrap_or(bytes), &mut self.runtime).is_ok();
-        self.settle(now, environment);
-        read
-    }
-
-    pub fn on_timer(&mut self, now: Timestamp, roster: &Roster, environment: &mut impl SwimEvents) {
-        while let Some(due) = self.timers.first_entry().filter(|due| due.key().0 <= now) {
-            let timer = due.remove();
-            // A timer that the library no longer knows is none of its concern.
+    /// A message of a peer has been received; whether it is well-formed.
+    pub(crate) fn on_datagram(
+        &mut self,
+        message: &[u8],
+        now: Timestamp,
+        events: &mut impl SwimEvents,
+    ) -> bool {
+        // The library rejects those that are too long.
+        let filtered = (message.len() <= MAX_MESSAGE_BYTES)
+            .then(|| membership_filter::without_known_members(message, &self.incarnations, self.me.member))
+            .flatten();
+        let message = filtered.as_deref().unwrap_or(message);
+        let is_well_formed = self.foca.handle_data(message, &mut self.runtime).is_ok();
+        self.drain_runtime(now, events);
+        is_well_formed
+    }
+
+    /// Runs the timers that are due.
+    pub(crate) fn on_timer(&mut self, now: Timestamp, roster: &Roster, events: &mut impl SwimEvents) {
+        while let Some(first) = self.timers.first_entry().filter(|first| first.key().due <= now) {
+            let timer = first.remove();
+            // The library returns an error for timers that it has since replaced.
             let _ = self.foca.handle_timer(timer, &mut self.runtime);
-            self.settle(now, environment);
+            self.drain_runtime(now, events);
         }
-        if now >= self.next_invite {
-            self.invite(now, roster, environment);
+        if now >= self.next_invitation {
+            self.invite_missing_members(now, roster, events);
         }
     }
 
-    /// Guards against a fleet that never finds together: those that were not met are asked, by their members alone, often
-    /// in the first seconds.
-    fn invite(&mut self, now: Timestamp, roster: &Roster, environment: &mut impl SwimEvents) {
-        const EARLY: Duration = Duration::from_millis(5000);
-        let (pause, most) = if now.since(self.began) < EARLY {
-            (Duration::from_millis(300), 3)
-        } else {
-            (Duration::from_millis(3000), 1)
-        };
-        self.next_invite = now + pause;
-        let unmet: Vec<MemberId> = missing(&self.there, roster.size()).collect();
-        for _ in 0..most.min(unmet.len()) {
-            let member = unmet[self.invites.generate_range(0..unmet.len())];
+    /// Invites random members that are not alive. The library announces only to members that it has known before.
+    fn invite_missing_members(&mut self, now: Timestamp, roster: &Roster, events: &mut impl SwimEvents) {
+        let is_starting = now.since(self.started) < STARTUP_TIME;
+        let rate = if is_starting { STARTUP_INVITATIONS } else { LATER_INVITATIONS };
+        self.next_invitation = now + rate.interval;
+        let missing: Vec<MemberId> = missing(&self.alive, roster.size()).collect();
+        for _ in 0..rate.members.min(missing.len()) {
+            let member = missing[self.invitation_rng.generate_range(0..missing.len())];
+            // The start of its incarnation is not known; its reply has it.
             let _ = self.foca.announce(Incarnation { member, started_at: 0 }, &mut self.runtime);
         }
-        self.settle(now, environment);
+        self.drain_runtime(now, events);
     }
 
-    pub fn next_wakeup(&self) -> Timestamp {
-        self.timers.first_key_value().map_or(self.next_invite, |first| first.0 .0.min(self.next_invite))
+    /// When [`Swim::on_timer`] is to be called next.
+    pub(crate) fn next_wakeup(&self) -> Timestamp {
+        let first_timer = self.timers.first_key_value().map(|(key, _)| key.due);
+        first_timer.map_or(self.next_invitation, |due| due.min(self.next_invitation))
     }
 
-    pub fn leave(&mut self, now: Timestamp, environment: &mut impl SwimEvents) {
+    /// Announces that the local member leaves.
+    pub(crate) fn leave(&mut self, now: Timestamp, events: &mut impl SwimEvents) {
         let _ = self.foca.leave_cluster(&mut self.runtime);
-        self.settle(now, environment);
+        self.drain_runtime(now, events);
     }
 
-    fn settle(&mut self, now: Timestamp, environment: &mut impl SwimEvents) {
+    /// Carries out what the library has asked for.
+    fn drain_runtime(&mut self, now: Timestamp, events: &mut impl SwimEvents) {
         while let Some((after, timer)) = self.runtime.to_schedule() {
             self.last_timer += 1;
-            let at = now + Duration::from_ms(after.as_secs_f64() * 1000.0);
-            self.timers.insert((at, self.last_timer), timer);
+            let due = now + Duration::from_ms(after.as_secs_f64() * 1000.0);
+            self.timers.insert(TimerKey { due, sequence: self.last_timer }, timer);
         }
         while let Some((to, bytes)) = self.runtime.to_send() {
-            environment.send_swim(to.member, bytes.to_vec());
+            events.send_swim(to.member, bytes.to_vec());
         }
-        while let Some(news) = self.runtime.to_notify() {
-            match news {
-                OwnedNotification::MemberUp(member) => {
-                    if let Err(at) = self.there.binary_search(&member.member) {
-                        self.there.insert(at, member.member);
-                    }
-                    self.incarnations.member_joined(member);
-                    environment.member_joined(member.member);
-                }
-                OwnedNotification::MemberDown(member) => {
-                    let at = self.there.binary_search(&member.member);
-                    if let Some(at) = at.ok().filter(|_| member.member != self.me.member) {
-                        self.there.remove(at);
-                    }
-                    self.incarnations.member_left(member.member);
-                    environment.member_left(member.member);
-                }
-                OwnedNotification::Rename(before, incarnation) => {
-                    self.incarnations.follows(before, incarnation)
-                }
-                OwnedNotification::Rejoin(incarnation) => {
-                    self.me = incarnation;
-                    environment.incarnation_renewed(incarnation);
-                }
-                _ => {}
+        while let Some(notification) = self.runtime.to_notify() {
+            self.on_notification(notification, events);
+        }
+    }
+
+    fn on_notification(
+        &mut self,
+        notification: OwnedNotification<Incarnation>,
+        events: &mut impl SwimEvents,
+    ) {
+        match notification {
+            OwnedNotification::MemberUp(incarnation) => self.on_member_up(incarnation, events),
+            OwnedNotification::MemberDown(incarnation) => self.on_member_down(incarnation.member, events),
+            OwnedNotification::Rename(previous, incarnation) => {
+                self.incarnations.member_renewed(previous, incarnation);
             }
+            OwnedNotification::Rejoin(incarnation) => {
+                self.me = incarnation;
+                events.incarnation_renewed(incarnation);
+            }
+            _ => {}
+        }
+    }
+
+    fn on_member_up(&mut self, incarnation: Incarnation, events: &mut impl SwimEvents) {
+        if let Err(index) = self.alive.binary_search(&incarnation.member) {
+            self.alive.insert(index, incarnation.member);
+        }
+        self.incarnations.member_joined(incarnation);
+        events.member_joined(incarnation.member);
+    }
+
+    fn on_member_down(&mut self, member: MemberId, events: &mut impl SwimEvents) {
+        let index = self.alive.binary_search(&member);
+        if let Some(index) = index.ok().filter(|_| member != self.me.member) {
+            self.alive.remove(index);
         }
+        self.incarnations.member_left(member);
+        events.member_left(member);
     }
 }
--- a/crates/recovery/src/admission.rs
+++ b/crates/recovery/src/admission.rs
@@ -1,6 +1,6 @@
 //! The recovery ramp: the order in which requests are admitted while servers warm up.
 //!
-//! The balancer still selects servers, decides on retries and rejects. For each request the ramp hands it a turn: the
+//! The balancer still selects servers, decides on retries and rejects. For each request the ramp gives it a turn: the
 //! fraction of the recent arrivals that precede it, and a `retry_after` in case it is rejected. A warming server
 //! admits the requests whose turn lies within the fraction that it has capacity for.
 
--- a/crates/recovery/src/poller_election.rs
+++ b/crates/recovery/src/poller_election.rs
@@ -1,7 +1,7 @@
 //! Elects the members that poll discovery on behalf of all.
 //!
 //! All members rank the roster in the same order, and the first few of those alive poll. After a loss of power nobody
-//! knows yet who is alive, so until the membership has settled the first few of the whole roster poll. The number of
+//! knows yet who is alive, so until the membership has settled the first few of the entire roster poll. The number of
 //! polls therefore does not depend on the size of the fleet. The other members receive the list from the pollers.
 
 use shelfgrade::time::Timestamp;
--- a/crates/recovery/src/snapshot.rs
+++ b/crates/recovery/src/snapshot.rs
@@ -58,7 +58,7 @@
     /// The file has no content.
     #[error("empty: power was lost as it was created, or the disk is full; it will be overwritten")]
     Empty,
-    /// The file ends early.
+    /// The file is truncated.
     #[error(
         "torn at {held} of {wanted} bytes: power was lost as it was written; the other generation is used"
     )]
