--- a/crates/recovery/src/node/discovery.rs
+++ b/crates/recovery/src/node/discovery.rs
@@ -8,6 +8,21 @@
 use shelfgrade_fleet::{Entry, Version};
 use std::collections::BTreeMap;
 
+/// Why a list from discovery is rejected.
+#[derive(Debug, thiserror::Error)]
+enum ListRejection {
+    #[error("version {seq} is a change to a list that is not held; a complete one is requested")]
+    ChangeToUnknownList { seq: u64 },
+    #[error("version {seq} is outdated, {current} is held")]
+    Outdated { seq: u64, current: u64 },
+}
+
+/// The endpoint list that results from what discovery has sent.
+struct AcceptedList {
+    records: BTreeMap<String, ServerRecord>,
+    history: ListHistory,
+}
+
 impl Node {
     /// A list with version number `seq` was received from discovery: a complete one, or the records that have changed.
     /// Shares it with the peers, and returns whether it was accepted; if not, a complete list is to be requested.
@@ -19,36 +34,47 @@
         now: Timestamp,
         environment: &mut dyn RecoveryEnvironment,
     ) -> bool {
+        let accepted = match self.accept_list(records, is_complete, seq) {
+            Ok(accepted) => accepted,
+            Err(rejection) => {
+                environment.list_rejected(&rejection.to_string());
+                return false;
+            }
+        };
+        // Only an accepted list counts as an answer: otherwise a poller without a list would report an empty one.
+        self.last_discovery_answer = Some(now);
+        let changed_entries = self.share_list(&accepted, environment);
+        self.list_history = accepted.history;
+        self.apply_entries(changed_entries, now, environment);
+        self.on_list_agreed("list received from discovery", now, environment);
+        true
+    }
+
+    fn accept_list(
+        &self,
+        records: Vec<(String, ServerRecord)>,
+        is_complete: bool,
+        seq: u64,
+    ) -> Result<AcceptedList, ListRejection> {
         if !is_complete && (!self.is_list_agreed || seq < self.list_history.seq) {
-            let reason =
-                format!("version {seq} is a change to a list that is not held; a complete one is requested");
-            environment.list_rejected(&reason);
-            return false;
+            return Err(ListRejection::ChangeToUnknownList { seq });
         }
         let mut next = if is_complete { BTreeMap::new() } else { self.records.clone() };
         next.extend(records);
         let digest = list_digest(next.iter().map(|(server, record)| (server.as_str(), record)));
         let verdict = if is_complete { self.list_history.judge(seq, digest) } else { ListVerdict::Current };
         if verdict == ListVerdict::Outdated {
-            let current = self.list_history.seq;
-            environment.list_rejected(&format!("version {seq} is outdated, {current} is held"));
-            return false;
+            return Err(ListRejection::Outdated { seq, current: self.list_history.seq });
         }
-        // Only an accepted list counts as an answer: otherwise a poller without a list would report an empty one.
-        self.last_discovery_answer = Some(now);
-        let mut list_history = self.list_history.clone();
-        list_history.record(verdict, seq, digest);
         if is_complete {
             self.add_terminated(&mut next);
         }
         if verdict == ListVerdict::NewEpoch {
             self.keep_known_health(&mut next);
         }
-        let changed_entries = self.share_list(&next, &list_history, environment);
-        self.list_history = list_history;
-        self.apply_entries(changed_entries, now, environment);
-        self.on_list_agreed("list received from discovery", now, environment);
-        true
+        let mut history = self.list_history.clone();
+        history.record(verdict, seq, digest);
+        Ok(AcceptedList { records: next, history })
     }
 
     /// Adds the servers that are absent from a complete list, as terminated.
@@ -66,16 +92,11 @@
     }
 
     /// Writes what has changed to the replicated map; the entries that were written.
-    fn share_list(
-        &mut self,
-        next: &BTreeMap<String, ServerRecord>,
-        list_history: &ListHistory,
-        environment: &mut dyn RecoveryEnvironment,
-    ) -> Vec<Entry> {
-        let count = list_history.entry_version(list_history.seq);
+    fn share_list(&mut self, list: &AcceptedList, environment: &mut dyn RecoveryEnvironment) -> Vec<Entry> {
+        let count = list.history.entry_version(list.history.seq);
         let version = Version { count, by: self.fleet.me().started_at };
         let mut recorder = EnvironmentRecorder::new(environment);
-        for (server, record) in next {
+        for (server, record) in &list.records {
             let key = format!("{SERVER_PREFIX}{server}");
             if self.fleet.get::<ServerRecord>(&key).as_ref() == Some(record) {
                 continue;
@@ -84,9 +105,9 @@
                 recorder.environment.list_rejected(&error.to_string());
             }
         }
-        if *list_history != self.list_history {
+        if list.history != self.list_history {
             // A full map rejects it; the peers then go by the previous history, and the records still count.
-            let _ = self.fleet.put_version(LIST_KEY, list_history, version, &mut recorder);
+            let _ = self.fleet.put_version(LIST_KEY, &list.history, version, &mut recorder);
         }
         recorder.changed_entries
     }
