--- a/crates/simulator-adapter/src/adapter.rs
+++ b/crates/simulator-adapter/src/adapter.rs
@@ -1,4 +1,4 @@
-//! Reads batches of events, hands them to their instances, and writes the decisions of each batch.
+//! Reads batches of events, passes them to their instances, and writes the decisions of each batch.
 
 use crate::wire::event::{endpoint, Event, ListKind};
 use crate::wire::line::Line;
@@ -155,7 +155,7 @@
         Ok(())
     }
 
-    /// Hands the list to its instance once all its entries are there.
+    /// Applies the list at its instance once all its entries are there.
     fn apply_complete_list(&mut self) {
         let Some(list) = self.list.take_if(|list| list.missing == 0) else { return };
         let Some(Instance { balancer, capabilities, .. }) = self.instances.get_mut(&list.instance) else {
--- a/tests/scenarios/jams.rs
+++ b/tests/scenarios/concurrency_limit.rs
@@ -1,75 +1,75 @@
 //! Stories of jams behind all servers.
 
-use crate::fake::*;
+use crate::harness::*;
 use shelfgrade::host::*;
 use shelfgrade::time::DurationExt;
 
 #[test]
-fn a_jam_slows_a_hundred_proxies_that_have_one_client_each() {
+fn congestion_limits_a_hundred_proxies_of_one_client_each() {
     // Whatever is sent ends in an error, and the client comes straight back, as a new session each time.
     let sent_in_a_second_of_the_jam = |seed: u64| {
         let mut proxy =
-            Proxy::among(100, None, seed.wrapping_mul(0x9e37_79b9_7f4a_7c15), &TWELVE.map(server));
+            Proxy::one_of(100, None, seed.wrapping_mul(0x9e37_79b9_7f4a_7c15), &TWELVE.map(server));
         let mut before = 0;
         for i in 0..40 {
             if i == 30 {
-                before = proxy.notes.attempts.len();
+                before = proxy.host.attempts.len();
             }
             let key = format!("lift-{i}");
-            let session = proxy.arrives(Arrival { reconnected: true, ..plain(&key) });
+            let session = proxy.arrive(Arrival { reconnected: true, ..arrival(&key) });
             // As long as it is sent somewhere else.
             for tried in 1..=4 {
-                if proxy.sent_to(session).len() == tried {
-                    proxy.attempt_ends(session, AttemptOutcome::Failed);
+                if proxy.servers_tried(session).len() == tried {
+                    proxy.end_attempt(session, AttemptOutcome::Failed);
                 }
             }
-            proxy.passes(100);
+            proxy.advance(100);
         }
-        proxy.notes.attempts.len() - before
+        proxy.host.attempts.len() - before
     };
     let sent: usize = (0..100).map(sent_in_a_second_of_the_jam).sum();
     assert!((1..=150).contains(&sent), "{sent} of a thousand sessions, with up to four attempts each");
 }
 
 #[test]
-fn a_jam_behind_all_servers_is_paced_and_nobody_is_held() {
+fn congestion_behind_all_servers_limits_attempts_and_the_rest_are_answered_at_once() {
     let mut proxy = Proxy::with(&["a1", "a2", "a3", "b1", "b2", "b3"].map(server));
     for i in 0..6 {
-        let session = proxy.arrives(plain(&format!("jam-{i}")));
+        let session = proxy.arrive(arrival(&format!("jam-{i}")));
         for _ in 0..4 {
-            proxy.attempt_ends(session, AttemptOutcome::Failed);
+            proxy.end_attempt(session, AttemptOutcome::Failed);
         }
     }
-    let (sent, pushed) = (proxy.notes.attempts.len(), proxy.notes.rejected.len());
+    let (sent, pushed) = (proxy.host.attempts.len(), proxy.host.rejected.len());
     for i in 0..50 {
-        proxy.arrives(plain(&format!("storm-{i}")));
+        proxy.arrive(arrival(&format!("storm-{i}")));
     }
-    let went = proxy.notes.attempts.len() - sent;
+    let went = proxy.host.attempts.len() - sent;
     assert!(went <= 1, "no storm: {went}");
-    assert_eq!(proxy.notes.rejected.len() - pushed, 50 - went, "all others are answered at once");
+    assert_eq!(proxy.host.rejected.len() - pushed, 50 - went, "all others are answered at once");
 }
 
 /// How many of sixty, each one of so many proxies, let a client in, so long after a jam behind all servers in which
 /// what was let in stood after such a time.
 fn let_in_after(proxies: usize, stood_after: u64, ms: u64) -> usize {
     let lets_in = |seed: &u64| {
-        let mut proxy = Proxy::among(proxies, None, *seed, &TWELVE.map(server));
+        let mut proxy = Proxy::one_of(proxies, None, *seed, &TWELVE.map(server));
         for round in 0..15 {
-            let came: Vec<_> = (0..30).map(|i| proxy.arrives(plain(&format!("jam-{round}-{i}")))).collect();
-            proxy.passes(stood_after);
+            let came: Vec<_> = (0..30).map(|i| proxy.arrive(arrival(&format!("jam-{round}-{i}")))).collect();
+            proxy.advance(stood_after);
             came.iter().for_each(|session| proxy.balancer.on_established(SessionId(*session), proxy.now));
         }
-        proxy.passes(ms);
-        let attempts = proxy.notes.attempts.len();
-        proxy.arrives(plain("new"));
-        proxy.notes.attempts.len() > attempts
+        proxy.advance(ms);
+        let attempts = proxy.host.attempts.len();
+        proxy.arrive(arrival("new"));
+        proxy.host.attempts.len() > attempts
     };
     (0..60).filter(lets_in).count()
 }
 
 /// A jam of two seconds on a day of three hundred proxies had them turn nearly everybody away for twelve more.
 #[test]
-fn a_jam_is_over_for_proxies_of_few_clients_within_fourteen_seconds_however_many_they_are() {
+fn the_window_reopens_within_fourteen_seconds_after_congestion_for_any_number_of_proxies() {
     assert!(let_in_after(300, 301, 0) <= 6);
     assert!((3..40).contains(&let_in_after(300, 301, 8000)), "a few proxies after the other");
     assert_eq!(let_in_after(300, 301, 14_000), 60);
@@ -78,20 +78,20 @@
 }
 
 #[test]
-fn attempts_that_stand_late_are_the_sign_of_a_jam_and_those_in_time_of_none() {
+fn attempts_established_late_narrow_the_window_and_those_in_time_do_not() {
     assert_eq!(let_in_after(300, 300, 0), 60);
     // Where there is a jam another server would do no better: an attempt waits its client's request timeout out.
-    let mut proxy = Proxy::among(300, None, 1, &TWELVE.map(server));
+    let mut proxy = Proxy::one_of(300, None, 1, &TWELVE.map(server));
     let wait = |proxy: &mut Proxy| {
-        proxy.arrives(plain("k"));
-        proxy.notes.attempts.last().map(|c| c.2)
+        proxy.arrive(arrival("k"));
+        proxy.host.attempts.last().map(|c| c.2)
     };
     assert_eq!(wait(&mut proxy), Some(REQUEST_TIMEOUT.scaled(0.5)));
     wait(&mut proxy);
     wait(&mut proxy);
-    proxy.passes(301);
+    proxy.advance(301);
     (1..3).for_each(|session| proxy.balancer.on_established(SessionId(session), proxy.now));
-    proxy.passes(200);
+    proxy.advance(200);
     for _ in 4..40 {
         wait(&mut proxy);
     }
--- /dev/null
+++ b/tests/scenarios/final_answers.rs
@@ -0,0 +1,90 @@
+//! Stories of the one answer, and of what may be sent again.
+
+use crate::harness::*;
+use shelfgrade::host::*;
+
+#[test]
+fn a_non_idempotent_session_is_not_retried_once_it_may_have_run() {
+    let mut proxy = Proxy::with_four_servers();
+    let delicate = Arrival { class: Some(NON_IDEMPOTENT), ..arrival("job") };
+    let run = proxy.arrive(delicate);
+    proxy.end_attempt(run, AttemptOutcome::ConnectionLost);
+    assert_eq!((proxy.servers_tried(run).len(), &proxy.host.failed), (1, &vec![run]));
+    let unrun = proxy.arrive(delicate);
+    proxy.end_attempt(unrun, AttemptOutcome::Rejected);
+    assert_eq!(proxy.servers_tried(unrun).len(), 2, "proven not to have run, it may be sent again");
+    // A request class never heard of is handled as carefully.
+    let unknown = proxy.arrive(Arrival { class: None, ..arrival("what") });
+    proxy.end_attempt(unknown, AttemptOutcome::TimedOut);
+    assert_eq!(proxy.host.failed, [run, unknown]);
+}
+
+#[test]
+fn a_keyed_session_is_retried_only_in_its_scope_and_window() {
+    let mut proxy = Proxy::with_four_servers();
+    let key = key_for("a2");
+    let marked = Arrival { class: Some(KEYED), ..arrival(&key) };
+    let session = proxy.arrive(marked);
+    proxy.end_attempt(session, AttemptOutcome::ConnectionLost);
+    proxy.end_attempt(session, AttemptOutcome::ConnectionLost);
+    assert_eq!(proxy.servers_tried(session), ["a2", "a1"], "only its own zone drops the repeat");
+    assert_eq!(proxy.host.failed, [session], "no pushback: the client's next try may land anywhere");
+    let mut later = Proxy::with_four_servers();
+    let session = later.arrive(marked);
+    later.advance(1600);
+    later.end_attempt(session, AttemptOutcome::TimedOut);
+    assert_eq!((later.servers_tried(session).len(), &later.host.failed), (1, &vec![session]));
+}
+
+#[test]
+fn every_session_gets_one_final_answer_by_its_deadline_and_no_attempt_after() {
+    let mut proxy = Proxy::with_four_servers();
+    let session = proxy.arrive(arrival("slow"));
+    while proxy.host.rejected.is_empty() {
+        let time_out = proxy.host.attempts.last().expect("an attempt").2;
+        proxy.now = proxy.now + time_out;
+        proxy.end_attempt(session, AttemptOutcome::TimedOut);
+    }
+    assert!(proxy.now <= shelfgrade::time::Timestamp::from_ms(60_000.0) + REQUEST_TIMEOUT);
+    assert!(proxy.servers_tried(session).len() >= 2, "the time-outs leave room for another attempt");
+    let before = proxy.host.attempts.len();
+    proxy.end_attempt(session, AttemptOutcome::TimedOut);
+    assert_eq!((proxy.host.attempts.len(), proxy.host.rejected.len()), (before, 1));
+    let mut proxy = Proxy::with_four_servers();
+    let left = proxy.arrive(arrival("impatient"));
+    proxy.balancer.on_client_closed(SessionId(left));
+    proxy.end_attempt(left, AttemptOutcome::Rejected);
+    assert_eq!((proxy.host.attempts.len(), proxy.host.rejected.len()), (1, 0));
+}
+
+#[test]
+fn a_silent_server_is_passed_over_without_earlier_sessions_there() {
+    let mut proxy = Proxy::with_four_servers();
+    let (usual, silent) = (key_for("a1"), key_for("a2"));
+    for _ in 0..6 {
+        let session = proxy.arrive(arrival(&usual));
+        proxy.advance(10);
+        proxy.balancer.on_established(SessionId(session), proxy.now);
+        proxy.end_attempt(session, AttemptOutcome::Completed);
+    }
+    assert_eq!(proxy.establish(arrival(&silent)).as_deref(), Some("a2"));
+    proxy.end_attempt(7, AttemptOutcome::Completed);
+    proxy.arrive(arrival(&silent));
+    proxy.advance(300);
+    assert_ne!(proxy.establish(arrival(&silent)).as_deref(), Some("a2"));
+}
+
+#[test]
+fn an_attempt_has_the_full_deadline_where_long_silences_are_usual_everywhere() {
+    let mut proxy = Proxy::with_four_servers();
+    proxy.arrive(arrival("first"));
+    assert!(proxy.host.attempts[0].2 < REQUEST_TIMEOUT);
+    proxy.balancer.on_established(SessionId(1), proxy.now);
+    for i in 0..6 {
+        let session = proxy.arrive(arrival(&format!("jam-{i}")));
+        proxy.advance(700);
+        proxy.balancer.on_established(SessionId(session), proxy.now);
+    }
+    proxy.arrive(arrival("later"));
+    assert_eq!(proxy.host.attempts.last().map(|c| c.2), Some(REQUEST_TIMEOUT));
+}
--- a/tests/scenarios/gathering.rs
+++ b/tests/scenarios/group_affinity.rs
@@ -1,47 +1,47 @@
 //! Stories of groups that meet.
 
-use crate::fake::*;
+use crate::harness::*;
 use shelfgrade::host::*;
 use std::collections::BTreeSet;
 use std::time::Duration;
 
 #[test]
-fn a_group_that_came_back_as_a_crowd_to_a_proxy_just_started_is_spread_by_its_share() {
-    let mut proxy = Proxy::of_twelve();
+fn a_group_that_reconnects_at_a_proxy_just_started_spreads_by_its_share() {
+    let mut proxy = Proxy::with_twelve_servers();
     for i in 0..48 {
         // The group is half of all that comes.
         let (key, group) = (format!("back-{i}"), if i % 2 == 0 { "lifts" } else { &format!("other-{i}") });
-        proxy.settles(Arrival { group: Some(group), reconnected: true, ..plain(&key) });
+        proxy.establish(Arrival { group: Some(group), reconnected: true, ..arrival(&key) });
     }
     let servers: std::collections::BTreeSet<_> =
-        proxy.notes.attempts.iter().filter(|c| c.0 % 2 == 1).map(|c| &c.1).collect();
+        proxy.host.attempts.iter().filter(|c| c.0 % 2 == 1).map(|c| &c.1).collect();
     assert!(servers.len() >= 4, "{servers:?}");
 }
 
 #[test]
-fn servers_gone_but_still_listed_do_not_take_the_places_of_those_that_are_there() {
+fn unreachable_servers_that_are_still_listed_take_no_place_in_a_groups_ranking() {
     let mut proxy = Proxy::with(&["a1", "a2", "b1", "b2", "b3"].map(server));
     let gone = ["a1", "a2", "b1"];
     for i in 0..200 {
         let key = format!("back-{i}");
         let group = format!("group-{}", i % 10);
-        let session = proxy.arrives(Arrival { group: Some(&group), reconnected: true, ..plain(&key) });
-        while proxy.sent_to(session).last().is_some_and(|place| gone.contains(&place.as_str())) {
-            let tried = proxy.sent_to(session).len();
-            proxy.attempt_ends(session, AttemptOutcome::Unreachable);
-            if proxy.sent_to(session).len() == tried {
+        let session = proxy.arrive(Arrival { group: Some(&group), reconnected: true, ..arrival(&key) });
+        while proxy.servers_tried(session).last().is_some_and(|place| gone.contains(&place.as_str())) {
+            let tried = proxy.servers_tried(session).len();
+            proxy.end_attempt(session, AttemptOutcome::Unreachable);
+            if proxy.servers_tried(session).len() == tried {
                 break;
             }
         }
         proxy.balancer.on_established(SessionId(session), proxy.now);
-        proxy.passes(20);
+        proxy.advance(20);
     }
-    assert_eq!(proxy.notes.rejected.len(), 0, "two are sound");
+    assert_eq!(proxy.host.rejected.len(), 0, "two are sound");
 }
 
 #[test]
-fn a_change_of_the_list_moves_only_the_homes_of_the_server_that_went() {
-    let (mut before, mut after) = (Proxy::of_twelve(), Proxy::of_twelve());
+fn a_removed_server_moves_only_the_groups_that_it_had() {
+    let (mut before, mut after) = (Proxy::with_twelve_servers(), Proxy::with_twelve_servers());
     after.balancer.on_endpoints(
         &[Endpoint { state: EndpointState::Removed, ..server("a3") }],
         false,
@@ -54,16 +54,16 @@
 }
 
 #[test]
-fn a_group_gathers_on_as_many_servers_as_its_share_needs() {
-    let mut proxy = Proxy::of_twelve();
+fn a_reconnecting_group_meets_on_as_many_servers_as_its_share_needs() {
+    let mut proxy = Proxy::with_twelve_servers();
     for i in 0..60 {
         let group = if i % 2 == 0 { "large".to_owned() } else { format!("small-{i}") };
-        proxy.settles(Arrival { group: Some(&group), ..plain(&format!("new-{i}")) });
+        proxy.establish(Arrival { group: Some(&group), ..arrival(&format!("new-{i}")) });
     }
     let mut places = |group: &str| {
         let back = |i| {
             let key = format!("back-{i}");
-            proxy.settles(Arrival { group: Some(group), reconnected: true, ..plain(&key) })
+            proxy.establish(Arrival { group: Some(group), reconnected: true, ..arrival(&key) })
         };
         (0..30).map(back).collect::<BTreeSet<_>>().len()
     };
@@ -73,12 +73,12 @@
 
 /// Three hundred proxies placed 1,218 clients by hash, 15 to a server, and saw no strain before servers broke off.
 #[test]
-fn where_a_proxy_cannot_see_most_servers_a_group_meets_from_its_first_clients_on() {
+fn where_load_is_unobserved_a_group_meets_from_its_first_clients_on() {
     let list: Vec<_> = (0..80).map(|i| server(&format!("a{i:02}"))).collect();
     let places = |proxies: usize, part: Option<f64>| -> BTreeSet<_> {
         let first = |i| {
-            let mut proxy = Proxy::among(proxies, part, i, &list);
-            proxy.settles(Arrival { group: Some("g"), ..plain(&format!("key{i}")) })
+            let mut proxy = Proxy::one_of(proxies, part, i, &list);
+            proxy.establish(Arrival { group: Some("g"), ..arrival(&format!("key{i}")) })
         };
         let placed: Vec<_> = (0..30).filter_map(first).collect();
         assert_eq!(placed.len(), 30);
@@ -94,77 +94,77 @@
 
 /// Groups met on 231 servers of 81: some held 55 connections and broke off, others one, and no proxy saw either.
 #[test]
-fn where_a_proxy_cannot_see_most_servers_the_first_to_give_a_sign_of_life_gets_the_session() {
+fn where_load_is_unobserved_the_first_server_to_answer_a_health_check_gets_the_session() {
     let mut placed = 0;
     for seed in 0..30 {
         let mut proxy = one_of_many(seed);
-        let session = proxy.arrives(Arrival { group: Some("g"), ..plain("k") });
+        let session = proxy.arrive(Arrival { group: Some("g"), ..arrival("k") });
         // A few draws go by the key's hash and ask nobody.
-        let [_, second, third] = &proxy.notes.probed.clone()[..] else { continue };
-        assert!(proxy.sent_to(session).is_empty());
-        proxy.passes(9);
-        proxy.answers(second, 9);
-        proxy.answers(third, 10);
-        proxy.lives(1000);
-        assert_eq!(proxy.sent_to(session), [second.as_str()]);
+        let [_, second, third] = &proxy.host.health_checked.clone()[..] else { continue };
+        assert!(proxy.servers_tried(session).is_empty());
+        proxy.advance(9);
+        proxy.answer_health_check(second, 9);
+        proxy.answer_health_check(third, 10);
+        proxy.run_for(1000);
+        assert_eq!(proxy.servers_tried(session), [second.as_str()]);
         placed += 1;
     }
     assert!(placed > 20, "{placed}");
 }
 
 #[test]
-fn a_session_whose_servers_give_no_sign_in_time_is_sent_all_the_same_and_one_answer_is_as_good_for_two() {
+fn a_session_is_sent_without_a_health_check_answer_in_time_and_sessions_share_an_answer() {
     let mut proxy = one_of_many(1);
-    let first = proxy.arrives(Arrival { group: Some("g"), ..plain("k") });
-    let second = proxy.arrives(Arrival { group: Some("g"), ..plain("k") });
-    assert_eq!(proxy.notes.probed.len(), 3, "what is asked already is not asked twice");
-    proxy.lives(49);
-    assert!(proxy.notes.attempts.is_empty());
-    proxy.lives(1);
-    assert_eq!((proxy.sent_to(first).len(), proxy.sent_to(second).len()), (1, 1));
+    let first = proxy.arrive(Arrival { group: Some("g"), ..arrival("k") });
+    let second = proxy.arrive(Arrival { group: Some("g"), ..arrival("k") });
+    assert_eq!(proxy.host.health_checked.len(), 3, "what is asked already is not asked twice");
+    proxy.run_for(49);
+    assert!(proxy.host.attempts.is_empty());
+    proxy.run_for(1);
+    assert_eq!((proxy.servers_tried(first).len(), proxy.servers_tried(second).len()), (1, 1));
     [first, second].iter().for_each(|session| proxy.balancer.on_established(SessionId(*session), proxy.now));
     // A sign that comes after its time, or in place of one given up, sends nothing.
-    let place = proxy.notes.probed[2].clone();
-    proxy.answers(&place, 51);
-    assert_eq!(proxy.notes.attempts.len(), 2);
-    let third = proxy.arrives(Arrival {
+    let place = proxy.host.health_checked[2].clone();
+    proxy.answer_health_check(&place, 51);
+    assert_eq!(proxy.host.attempts.len(), 2);
+    let third = proxy.arrive(Arrival {
         group: Some("g"),
         deadline: proxy.now + Duration::from_millis(20),
-        ..plain("k")
+        ..arrival("k")
     });
-    let fourth = proxy.arrives(Arrival { group: Some("g"), ..plain("k") });
-    proxy.answers(&place, 4);
-    assert_eq!((proxy.sent_to(third), proxy.sent_to(fourth)), (vec![place.clone()], vec![place]));
+    let fourth = proxy.arrive(Arrival { group: Some("g"), ..arrival("k") });
+    proxy.answer_health_check(&place, 4);
+    assert_eq!((proxy.servers_tried(third), proxy.servers_tried(fourth)), (vec![place.clone()], vec![place]));
 }
 
 #[test]
-fn a_sign_of_life_sends_nothing_for_a_client_that_has_left_nor_to_a_server_that_drains_since() {
+fn a_health_check_answer_sends_nothing_for_a_closed_client_nor_to_a_draining_server() {
     let mut proxy = one_of_many(1);
-    let left = proxy.arrives(Arrival { group: Some("g"), ..plain("k") });
-    let asked = proxy.notes.probed.clone();
+    let left = proxy.arrive(Arrival { group: Some("g"), ..arrival("k") });
+    let asked = proxy.host.health_checked.clone();
     proxy.balancer.on_client_closed(SessionId(left));
-    asked.iter().for_each(|place| proxy.answers(place, 3));
-    proxy.lives(1000);
-    assert!(proxy.notes.attempts.is_empty() && proxy.notes.rejected.is_empty());
-    let stays = proxy.arrives(Arrival { group: Some("g"), ..plain("k") });
+    asked.iter().for_each(|place| proxy.answer_health_check(place, 3));
+    proxy.run_for(1000);
+    assert!(proxy.host.attempts.is_empty() && proxy.host.rejected.is_empty());
+    let stays = proxy.arrive(Arrival { group: Some("g"), ..arrival("k") });
     proxy.balancer.on_endpoints(
         &[Endpoint { state: EndpointState::Draining, ..server(&asked[0]) }],
         false,
         proxy.now,
     );
-    proxy.answers(&asked[0], 3);
-    assert!(proxy.sent_to(stays).len() == 1 && proxy.last_place() != asked[0]);
+    proxy.answer_health_check(&asked[0], 3);
+    assert!(proxy.servers_tried(stays).len() == 1 && proxy.last_server() != asked[0]);
 }
 
 #[test]
-fn a_strained_fleet_gathers_new_sessions_even_at_servers_not_heard_of() {
-    let at_b4 = |group: &String| home(&mut Proxy::of_twelve(), group).as_deref() == Some("b4");
+fn in_an_overloaded_fleet_new_sessions_meet_their_group_at_unobserved_servers_too() {
+    let at_b4 = |group: &String| home(&mut Proxy::with_twelve_servers(), group).as_deref() == Some("b4");
     let group = (0..).map(|i| format!("bank-{i}")).find(at_b4).expect("a group");
     let places = |strained: &[&str]| {
         let new = |i| {
-            let mut proxy = Proxy::of_twelve();
-            proxy.strains(strained, 500);
-            proxy.settles(Arrival { group: Some(&group), ..plain(&format!("new-{i}")) })
+            let mut proxy = Proxy::with_twelve_servers();
+            proxy.overload(strained, 500);
+            proxy.establish(Arrival { group: Some(&group), ..arrival(&format!("new-{i}")) })
         };
         (0..12).map(new).filter(|place| place.as_deref() == Some("b4")).count()
     };
@@ -173,34 +173,34 @@
 }
 
 #[test]
-fn a_strained_fleet_does_not_scatter_a_group_over_its_last_good_servers() {
-    let mut proxy = Proxy::of_twelve();
+fn in_an_overloaded_fleet_a_group_is_not_spread_over_the_remaining_servers() {
+    let mut proxy = Proxy::with_twelve_servers();
     let first = home(&mut proxy, "bank").expect("a home");
-    proxy.strains(&[&first], 500);
+    proxy.overload(&[&first], 500);
     let second = home(&mut proxy, "bank").expect("the next in rank");
-    proxy.strains(&[&second], 500);
+    proxy.overload(&[&second], 500);
     let third = home(&mut proxy, "bank").expect("the one after");
-    proxy.strains(&[&third], 500);
+    proxy.overload(&[&third], 500);
     assert_eq!(home(&mut proxy, "bank"), None);
-    assert_eq!(proxy.notes.rejected.len(), 1);
+    assert_eq!(proxy.host.rejected.len(), 1);
 }
 
 /// Three servers for each group where none can be asked: on days of strain half of all load was the groups' own.
 #[test]
-fn where_probes_are_refused_a_group_starts_on_three_servers_and_comes_back_to_one() {
+fn without_health_checks_a_group_starts_on_three_servers_and_reconnects_to_one() {
     let list: Vec<_> = (0..50).map(|i| server(&format!("a{i:02}"))).collect();
     let places = |reconnected: bool, cold: &str| -> BTreeSet<_> {
         let place_of = |seed: u64| {
-            let mut proxy = Proxy::among(150, None, seed, &list);
-            proxy.notes.mute = true;
+            let mut proxy = Proxy::one_of(150, None, seed, &list);
+            proxy.host.health_checks_refused = true;
             proxy.balancer.on_endpoints(
                 &[Endpoint { started: Some(proxy.now), ..server(cold) }],
                 false,
                 proxy.now,
             );
             // By then it may have nearly all that it can bear.
-            proxy.passes(7900);
-            proxy.settles(Arrival { group: Some("g"), reconnected, ..plain(&format!("key{seed}")) })
+            proxy.advance(7900);
+            proxy.establish(Arrival { group: Some("g"), reconnected, ..arrival(&format!("key{seed}")) })
         };
         (0..60).filter_map(place_of).collect()
     };
--- a/tests/scenarios/fake.rs
+++ b/tests/scenarios/harness.rs
@@ -7,20 +7,20 @@
 use std::time::Duration;
 
 #[derive(Default)]
-pub struct Notes {
+pub struct RecordingHost {
     /// Every connect, with the time-out it was given.
     pub attempts: Vec<(u64, String, Duration)>,
     pub rejected: Vec<(u64, Duration)>,
     pub failed: Vec<u64>,
     pub migrated: Vec<u64>,
     pub subscribed: usize,
-    pub probed: Vec<String>,
+    pub health_checked: Vec<String>,
     /// Probes are not allowed.
-    pub mute: bool,
-    pub alarms: Vec<Timestamp>,
+    pub health_checks_refused: bool,
+    pub wakeups: Vec<Timestamp>,
 }
 
-impl Host for Notes {
+impl Host for RecordingHost {
     fn connect(&mut self, session: SessionId, server: &ServerId, time_out: Duration) {
         self.attempts.push((session.0, server.to_string(), time_out));
     }
@@ -37,20 +37,20 @@
         self.subscribed += 1;
     }
     fn check_health(&mut self, server: &ServerId) -> bool {
-        if !self.mute {
-            self.probed.push(server.to_string());
+        if !self.health_checks_refused {
+            self.health_checked.push(server.to_string());
         }
-        !self.mute
+        !self.health_checks_refused
     }
     fn schedule_wakeup(&mut self, at: Timestamp) {
-        self.alarms.push(at);
+        self.wakeups.push(at);
     }
 }
 
 pub const IDEMPOTENT: usize = 0;
 pub const NON_IDEMPOTENT: usize = 1;
 pub const KEYED: usize = 2;
-pub const MUST_ASK_IN: Duration = Duration::from_millis(10_000);
+pub const MAX_POLL_INTERVAL: Duration = Duration::from_millis(10_000);
 pub const REQUEST_TIMEOUT: Duration = Duration::from_millis(2000);
 pub const CONNECT_LATENCY_OBJECTIVE: Duration = Duration::from_millis(300);
 
@@ -58,7 +58,7 @@
 
 pub struct Proxy {
     pub balancer: LoadBalancer,
-    pub notes: Notes,
+    pub host: RecordingHost,
     pub now: Timestamp,
     next: u64,
 }
@@ -76,7 +76,7 @@
 }
 
 /// A session with its own key and no group.
-pub fn plain<'a>(key: &'a str) -> Arrival<'a> {
+pub fn arrival<'a>(key: &'a str) -> Arrival<'a> {
     Arrival {
         session: SessionId(0),
         class: Some(IDEMPOTENT),
@@ -96,11 +96,11 @@
     }
 
     pub fn seeded(seed: u64, list: &[Endpoint]) -> Self {
-        Self::among(3, None, seed, list)
+        Self::one_of(3, None, seed, list)
     }
 
     /// One of so many, whose part of what the servers can hold is this, if the settings tell.
-    pub fn among(proxies: usize, part: Option<f64>, seed: u64, list: &[Endpoint]) -> Self {
+    pub fn one_of(proxies: usize, part: Option<f64>, seed: u64, list: &[Endpoint]) -> Self {
         let many = proxies as f64;
         let slow_start = SlowStart {
             initial_fraction: 0.3,
@@ -127,35 +127,35 @@
             })
             .to_vec();
         let pause = Duration::from_millis(1000);
-        let balancer = LoadBalancer::new(seed, classes, 4, pause, Some(MUST_ASK_IN), slow_start);
+        let balancer = LoadBalancer::new(seed, classes, 4, pause, Some(MAX_POLL_INTERVAL), slow_start);
         let mut proxy =
-            Proxy { balancer, notes: Notes::default(), now: Timestamp::from_ms(60_000.0), next: 0 };
-        proxy.balancer.start(list, proxy.now, &mut proxy.notes);
+            Proxy { balancer, host: RecordingHost::default(), now: Timestamp::from_ms(60_000.0), next: 0 };
+        proxy.balancer.start(list, proxy.now, &mut proxy.host);
         proxy
     }
 
     /// Four servers in two zones, warm and active.
-    pub fn of_four() -> Self {
+    pub fn with_four_servers() -> Self {
         Self::with(&["a1", "a2", "b1", "b2"].map(server))
     }
 
     /// Twelve of them.
-    pub fn of_twelve() -> Self {
+    pub fn with_twelve_servers() -> Self {
         Self::with(&TWELVE.map(server))
     }
 
     /// Has every server of the list hold a session whose messages take this long.
-    pub fn strains(&mut self, places: &[&str], ms: u64) {
+    pub fn overload(&mut self, places: &[&str], ms: u64) {
         for place in places {
             self.next += 1;
-            let open = Arrival { session: SessionId(self.next), ..plain("any") };
+            let open = Arrival { session: SessionId(self.next), ..arrival("any") };
             self.balancer.restore_session(&open, place, self.now);
-            self.on_message_latency(self.next, ms);
+            self.report_message_latency(self.next, ms);
         }
     }
 
     /// Lets a session arrive and gives its number.
-    pub fn arrives(&mut self, arrival: Arrival) -> u64 {
+    pub fn arrive(&mut self, arrival: Arrival) -> u64 {
         self.next += 1;
         let ends = if arrival.deadline == Timestamp::default() {
             self.now + REQUEST_TIMEOUT
@@ -163,91 +163,94 @@
             arrival.deadline
         };
         let arrival = Arrival { session: SessionId(self.next), deadline: ends, ..arrival };
-        self.balancer.on_request(&arrival, self.now, &mut self.notes);
+        self.balancer.on_request(&arrival, self.now, &mut self.host);
         self.next
     }
 
     /// A server gives a sign of life after this long.
-    pub fn answers(&mut self, place: &str, ms: u64) {
-        self.balancer.on_health_check(place, Duration::from_millis(ms), self.now, &mut self.notes);
+    pub fn answer_health_check(&mut self, place: &str, ms: u64) {
+        self.balancer.on_health_check(place, Duration::from_millis(ms), self.now, &mut self.host);
     }
 
     /// Lets it arrive and its connection stand, if it was sent anywhere; says where. Of servers that are asked for
     /// a sign of life the first answers.
-    pub fn settles(&mut self, arrival: Arrival) -> Option<String> {
-        let asked = self.notes.probed.len();
-        let session = self.arrives(arrival);
-        if let Some(first) = self.notes.probed.get(asked).cloned() {
-            self.answers(&first, 3);
+    pub fn establish(&mut self, arrival: Arrival) -> Option<String> {
+        let asked = self.host.health_checked.len();
+        let session = self.arrive(arrival);
+        if let Some(first) = self.host.health_checked.get(asked).cloned() {
+            self.answer_health_check(&first, 3);
         }
-        let place = self.sent_to(session).last().cloned();
-        self.passes(20);
+        let place = self.servers_tried(session).last().cloned();
+        self.advance(20);
         self.balancer.on_established(SessionId(session), self.now);
         place
     }
 
-    pub fn attempt_ends(&mut self, session: u64, outcome: AttemptOutcome) {
+    pub fn end_attempt(&mut self, session: u64, outcome: AttemptOutcome) {
         self.balancer.on_attempt_ended(
             SessionId(session),
             outcome,
             outcome == AttemptOutcome::Completed,
             self.now,
-            &mut self.notes,
+            &mut self.host,
         );
     }
 
-    pub fn on_message_latency(&mut self, session: u64, ms: u64) {
+    pub fn report_message_latency(&mut self, session: u64, ms: u64) {
         self.balancer.on_message_latency(
             SessionId(session),
             Duration::from_millis(ms),
             self.now,
-            &mut self.notes,
+            &mut self.host,
         );
     }
 
-    pub fn passes(&mut self, ms: u64) {
+    pub fn advance(&mut self, ms: u64) {
         self.now = self.now + Duration::from_millis(ms);
     }
 
     /// Lets time pass, ringing each alarm when it is due.
-    pub fn lives(&mut self, ms: u64) {
+    pub fn run_for(&mut self, ms: u64) {
         let end = self.now + Duration::from_millis(ms);
-        while let Some(i) = self.notes.alarms.iter().position(|at| *at <= end) {
-            self.now = self.now.max(self.notes.alarms.remove(i));
-            self.balancer.on_timer(self.now, &mut self.notes);
+        while let Some(i) = self.host.wakeups.iter().position(|at| *at <= end) {
+            self.now = self.now.max(self.host.wakeups.remove(i));
+            self.balancer.on_timer(self.now, &mut self.host);
         }
         self.now = end;
     }
 
-    pub fn sent_to(&self, session: u64) -> Vec<String> {
-        self.notes.attempts.iter().filter(|(c, ..)| *c == session).map(|(_, s, _)| s.clone()).collect()
+    pub fn servers_tried(&self, session: u64) -> Vec<String> {
+        self.host.attempts.iter().filter(|(c, ..)| *c == session).map(|(_, s, _)| s.clone()).collect()
     }
 
-    pub fn last_place(&self) -> &str {
-        &self.notes.attempts.last().expect("an attempt").1
+    pub fn last_server(&self) -> &str {
+        &self.host.attempts.last().expect("an attempt").1
     }
 
     /// How many attempts each server got.
-    pub fn shares(&self) -> BTreeMap<String, usize> {
-        let mut shares = BTreeMap::new();
-        self.notes.attempts.iter().for_each(|(_, s, _)| *shares.entry(s.clone()).or_default() += 1);
-        shares
+    pub fn attempts_by_server(&self) -> BTreeMap<String, usize> {
+        let mut attempts_by_server = BTreeMap::new();
+        self.host
+            .attempts
+            .iter()
+            .for_each(|(_, s, _)| *attempts_by_server.entry(s.clone()).or_default() += 1);
+        attempts_by_server
     }
 }
 
 /// A client key whose sessions go to `place` in an untroubled proxy of four.
 pub fn key_for(place: &str) -> String {
-    let lands = |key: &String| Proxy::of_four().settles(plain(key)).as_deref() == Some(place);
+    let lands = |key: &String| Proxy::with_four_servers().establish(arrival(key)).as_deref() == Some(place);
     (0..).map(|i| format!("key-{i}")).find(lands).expect("some key")
 }
 
 /// Where a session of the group goes that came back.
 pub fn home(proxy: &mut Proxy, group: &str) -> Option<String> {
-    proxy.settles(Arrival { group: Some(group), reconnected: true, ..plain("k") })
+    proxy.establish(Arrival { group: Some(group), reconnected: true, ..arrival("k") })
 }
 
 /// One of three hundred proxies, whose servers can hold 2,400 connections as far as the settings tell.
 pub fn one_of_many(seed: u64) -> Proxy {
     let list: Vec<_> = (0..80).map(|i| server(&format!("a{i:02}"))).collect();
-    Proxy::among(300, Some(8.0), seed, &list)
+    Proxy::one_of(300, Some(8.0), seed, &list)
 }
--- a/tests/scenarios/told.rs
+++ b/tests/scenarios/list_freshness.rs
@@ -1,7 +1,7 @@
 //! Stories of the clock by which a change of the list counts as told: six seconds after its service had it and could be
 //! reached, whatever call failed before.
 
-use crate::fake::*;
+use crate::harness::*;
 use nanorand::{Rng, WyRand};
 use shelfgrade::balancer::{LoadBalancer, SlowStart};
 use shelfgrade::time::{DurationExt, Timestamp};
@@ -14,7 +14,7 @@
 const SILENT_FOR: Duration = Duration::from_millis(2800);
 const DIALS_FOR: Duration = Duration::from_millis(1000);
 
-fn one_of(proxies: usize, must_ask_in: Option<Duration>, seed: u64) -> Proxy {
+fn one_of(proxies: usize, max_poll_interval: Option<Duration>, seed: u64) -> Proxy {
     let slow_start = SlowStart {
         initial_fraction: 0.3,
         duration: Duration::from_millis(8000),
@@ -25,21 +25,21 @@
         proxies: proxies as f64,
     };
     let balancer =
-        LoadBalancer::new(seed, Vec::new(), 4, Duration::from_millis(1000), must_ask_in, slow_start);
-    let mut proxy = Proxy::of_four();
-    proxy.notes = Notes::default();
+        LoadBalancer::new(seed, Vec::new(), 4, Duration::from_millis(1000), max_poll_interval, slow_start);
+    let mut proxy = Proxy::with_four_servers();
+    proxy.host = RecordingHost::default();
     proxy.balancer = balancer;
     proxy
 }
 
 /// Lives until it asks for the list again, and says when; what it asked before is done with.
 fn asks(proxy: &mut Proxy) -> Timestamp {
-    while proxy.notes.subscribed == 0 {
-        let at = proxy.notes.alarms.iter().copied().min().expect("it will ask");
-        proxy.lives(at.since(proxy.now).as_ms().ceil() as u64);
+    while proxy.host.subscribed == 0 {
+        let at = proxy.host.wakeups.iter().copied().min().expect("it will ask");
+        proxy.run_for(at.since(proxy.now).as_ms().ceil() as u64);
     }
-    proxy.notes.subscribed = 0;
-    proxy.notes.alarms.clear();
+    proxy.host.subscribed = 0;
+    proxy.host.wakeups.clear();
     proxy.now
 }
 
@@ -54,28 +54,29 @@
         2 => proxy.now = began + DIALS_FOR,
         _ => {
             proxy.now = began + SILENT_FOR;
-            return proxy.balancer.on_watch_lost(began + COUNTS_AFTER, &mut proxy.notes);
+            return proxy.balancer.on_watch_lost(began + COUNTS_AFTER, &mut proxy.host);
         }
     }
-    proxy.balancer.on_poll_failed(began, proxy.now, &mut proxy.notes);
+    proxy.balancer.on_poll_failed(began, proxy.now, &mut proxy.host);
 }
 
 /// With three hundred proxies and ten seconds to ask in, the pause after a failure, and the one at the start, were up to
 /// eight seconds: a server that had left the list 7.1 s before was sent a session.
 #[test]
-fn whatever_failed_before_news_is_in_hand_six_seconds_after_it_can_be_had() {
+fn after_any_failures_a_change_is_applied_within_six_seconds_of_being_available() {
     let mut chance = WyRand::new_seed(11);
-    for (proxies, must_ask_in) in
+    for (proxies, max_poll_interval) in
         [(3, 10_000), (24, 10_000), (300, 10_000), (300, 60_000), (300, 1500), (3800, 10_000), (300, 0)]
     {
         for seed in 0..400 {
-            let must_ask_in = Some(Duration::from_millis(must_ask_in)).filter(|time| *time > Duration::ZERO);
-            let mut proxy = one_of(proxies, must_ask_in, seed);
+            let max_poll_interval =
+                Some(Duration::from_millis(max_poll_interval)).filter(|time| *time > Duration::ZERO);
+            let mut proxy = one_of(proxies, max_poll_interval, seed);
             proxy.now = Timestamp::from_ms(60_000.0);
             let mut from =
                 proxy.now + Duration::from_millis(20_000).scaled(f64::from(chance.generate::<f32>()));
             let restarts = seed % 2 == 0;
-            proxy.balancer.start(&TWELVE.map(server), proxy.now, &mut proxy.notes);
+            proxy.balancer.start(&TWELVE.map(server), proxy.now, &mut proxy.host);
             if !restarts {
                 // It had the list, and its watch broke after a while.
                 asks(&mut proxy);
@@ -94,7 +95,7 @@
             };
             assert!(
                 answered.since(from) < COUNTS_AFTER,
-                "{proxies}, {must_ask_in:?}, seed {seed}: {:?} after it could be had, {tries:?}",
+                "{proxies}, {max_poll_interval:?}, seed {seed}: {:?} after it was available, {tries:?}",
                 answered.since(from)
             );
         }
@@ -103,21 +104,21 @@
 
 /// Two refusals by a service that has too many callers, each after it kept the caller in turn, leave time for a third try.
 #[test]
-fn a_service_with_too_many_callers_that_refuses_twice_is_asked_a_third_time_in_time() {
+fn after_two_late_refusals_a_third_poll_is_in_time() {
     for proxies in [3, 300] {
         for seed in 0..200 {
-            let mut proxy = one_of(proxies, Some(MUST_ASK_IN), seed);
-            proxy.balancer.start(&TWELVE.map(server), proxy.now, &mut proxy.notes);
+            let mut proxy = one_of(proxies, Some(MAX_POLL_INTERVAL), seed);
+            proxy.balancer.start(&TWELVE.map(server), proxy.now, &mut proxy.host);
             // Down for long, and back just as a call was taken.
             for _ in 0..9 {
                 let began = asks(&mut proxy);
-                proxy.balancer.on_poll_failed(began, began, &mut proxy.notes);
+                proxy.balancer.on_poll_failed(began, began, &mut proxy.host);
             }
             let from = asks(&mut proxy);
             for _ in 0..2 {
                 let began = proxy.now;
-                proxy.passes(1500);
-                proxy.balancer.on_poll_failed(began, proxy.now, &mut proxy.notes);
+                proxy.advance(1500);
+                proxy.balancer.on_poll_failed(began, proxy.now, &mut proxy.host);
                 asks(&mut proxy);
             }
             let took = (proxy.now + ANSWERED_IN).since(from);
@@ -129,18 +130,19 @@
 /// A spread in place of a pause: refused at the start or after a loss that all noticed, nobody asks again before all have
 /// asked once; and a fleet that hears nothing asks no more often, together, than its pauses say.
 #[test]
-fn no_proxy_asks_a_second_time_before_every_other_has_asked_once() {
+fn no_proxy_polls_twice_before_every_other_has_polled_once() {
     for proxies in [3usize, 24, 300] {
         let mut calls = Vec::new();
         for seed in 0..proxies as u64 {
-            let mut proxy = one_of(proxies, Some(MUST_ASK_IN), seed.wrapping_mul(0x9e37_79b9_7f4a_7c15));
+            let mut proxy =
+                one_of(proxies, Some(MAX_POLL_INTERVAL), seed.wrapping_mul(0x9e37_79b9_7f4a_7c15));
             let start = proxy.now;
-            proxy.balancer.start(&TWELVE.map(server), proxy.now, &mut proxy.notes);
+            proxy.balancer.start(&TWELVE.map(server), proxy.now, &mut proxy.host);
             let mut own = Vec::new();
             while proxy.now.since(start) < Duration::from_millis(30_000) {
                 let began = asks(&mut proxy);
                 own.push(began.since(start));
-                proxy.balancer.on_poll_failed(began, began, &mut proxy.notes);
+                proxy.balancer.on_poll_failed(began, began, &mut proxy.host);
             }
             calls.push(own);
         }
@@ -157,12 +159,12 @@
 
 /// Where there is little time to ask in, two tenths of a second and 0.8 of it were longer than that time.
 #[test]
-fn no_pause_is_longer_than_four_fifths_of_the_time_to_ask_in_however_short_that_is() {
+fn no_pause_exceeds_four_fifths_of_the_poll_interval() {
     for (ms, proxies) in [100, 300, 800, 10_000].into_iter().flat_map(|ms| [(ms, 3), (ms, 300)]) {
         for seed in 0..50 {
             let mut proxy = one_of(proxies, Some(Duration::from_millis(ms)), seed);
             let mut last = proxy.now;
-            proxy.balancer.start(&TWELVE.map(server), proxy.now, &mut proxy.notes);
+            proxy.balancer.start(&TWELVE.map(server), proxy.now, &mut proxy.host);
             for _ in 0..6 {
                 let began = asks(&mut proxy);
                 let pause = began.since(last);
@@ -171,7 +173,7 @@
                     "{ms}, {proxies}: {pause:?}"
                 );
                 last = began;
-                proxy.balancer.on_poll_failed(began, began, &mut proxy.notes);
+                proxy.balancer.on_poll_failed(began, began, &mut proxy.host);
             }
         }
     }
--- a/tests/scenarios/main.rs
+++ b/tests/scenarios/main.rs
@@ -1,14 +1,14 @@
-//! One short story for each failure met.
+//! Scenarios of the decisions, each on a recording host in virtual time.
 
-mod answers;
-mod books;
-mod cold;
-mod fake;
-mod gathering;
-mod jams;
-mod listing;
-mod order;
-mod ramp;
-mod relief;
-mod told;
-mod trust;
+mod concurrency_limit;
+mod final_answers;
+mod group_affinity;
+mod harness;
+mod list_freshness;
+mod outlier_detection;
+mod placement;
+mod poll_schedule;
+mod random_events;
+mod rebalancing;
+mod slow_start;
+mod slow_start_fleet;
--- a/tests/scenarios/listing.rs
+++ b/tests/scenarios/poll_schedule.rs
@@ -1,32 +1,32 @@
 //! Stories of asking for the list.
 
-use crate::fake::*;
+use crate::harness::*;
 use shelfgrade::time::DurationExt;
 use std::time::Duration;
 
 #[test]
-fn the_list_is_asked_for_at_start_and_again_after_failures_but_never_too_late() {
-    let mut proxy = Proxy::of_four();
-    proxy.lives(400);
-    assert_eq!(proxy.notes.subscribed, 1);
+fn the_list_is_polled_at_the_start_and_after_failures_within_the_poll_interval() {
+    let mut proxy = Proxy::with_four_servers();
+    proxy.run_for(400);
+    assert_eq!(proxy.host.subscribed, 1);
     for failures in 1..12 {
-        proxy.balancer.on_poll_failed(proxy.now, proxy.now, &mut proxy.notes);
-        let pause = proxy.notes.alarms.last().expect("an alarm").since(proxy.now);
+        proxy.balancer.on_poll_failed(proxy.now, proxy.now, &mut proxy.host);
+        let pause = proxy.host.wakeups.last().expect("an alarm").since(proxy.now);
         assert!(
-            pause > Duration::from_millis(200) && pause < MUST_ASK_IN.scaled(0.85),
+            pause > Duration::from_millis(200) && pause < MAX_POLL_INTERVAL.scaled(0.85),
             "{failures}: {pause:?}"
         );
-        proxy.lives(8500);
-        assert_eq!(proxy.notes.subscribed, 1 + failures);
+        proxy.run_for(8500);
+        assert_eq!(proxy.host.subscribed, 1 + failures);
     }
 }
 
 #[test]
-fn a_hundred_proxies_started_together_ask_for_the_list_one_after_the_other() {
+fn polls_of_a_hundred_proxies_started_together_are_spread() {
     let asked = |proxies: usize| -> Vec<Duration> {
         let first = |seed| {
-            let proxy = Proxy::among(proxies, None, seed, &TWELVE.map(server));
-            proxy.notes.alarms[0].since(proxy.now)
+            let proxy = Proxy::one_of(proxies, None, seed, &TWELVE.map(server));
+            proxy.host.wakeups[0].since(proxy.now)
         };
         (0..proxies as u64).map(first).collect()
     };
@@ -41,40 +41,40 @@
         pauses.iter().filter(|p| second.contains(p)).count()
     };
     assert!((0..5000).step_by(250).all(|from| in_second(from) <= 40), "{pauses:?}");
-    assert!(pauses.iter().all(|pause| *pause < MUST_ASK_IN));
+    assert!(pauses.iter().all(|pause| *pause < MAX_POLL_INTERVAL));
 }
 
 /// Watches that fall silent together are asked for anew at once, and most calls are refused: the pause after that was
 /// spread over up to eight seconds in a large fleet, where as many as four were left.
 #[test]
-fn after_a_silent_watch_no_pause_outlasts_half_of_what_is_left_until_its_news_counts_as_told() {
+fn after_a_lost_watch_no_pause_exceeds_half_of_the_time_until_changes_are_due() {
     for seed in 0..200 {
-        let mut proxy = Proxy::among(300, None, seed, &TWELVE.map(server));
+        let mut proxy = Proxy::one_of(300, None, seed, &TWELVE.map(server));
         let due = proxy.now + Duration::from_millis(3700);
-        proxy.balancer.on_watch_lost(due, &mut proxy.notes);
+        proxy.balancer.on_watch_lost(due, &mut proxy.host);
         for _ in 0..3 {
-            proxy.balancer.on_poll_failed(proxy.now, proxy.now, &mut proxy.notes);
+            proxy.balancer.on_poll_failed(proxy.now, proxy.now, &mut proxy.host);
             let (pause, left) =
-                (proxy.notes.alarms.last().expect("an alarm").since(proxy.now), due.since(proxy.now));
+                (proxy.host.wakeups.last().expect("an alarm").since(proxy.now), due.since(proxy.now));
             // And two tenths of a second.
             assert!(pause <= left.scaled(0.5) + Duration::from_millis(200), "{pause:?} of {left:?}");
             proxy.now = proxy.now + pause;
         }
         assert!(proxy.now < due, "three refusals leave time for another call");
         // A second silence puts it off no further, and past due it is asked for twice a second.
-        proxy.balancer.on_watch_lost(due + Duration::from_millis(9000), &mut proxy.notes);
+        proxy.balancer.on_watch_lost(due + Duration::from_millis(9000), &mut proxy.host);
         proxy.now = due;
         for _ in 0..9 {
-            proxy.balancer.on_poll_failed(proxy.now, proxy.now, &mut proxy.notes);
-            let pause = proxy.notes.alarms.last().expect("an alarm").since(proxy.now);
+            proxy.balancer.on_poll_failed(proxy.now, proxy.now, &mut proxy.host);
+            let pause = proxy.host.wakeups.last().expect("an alarm").since(proxy.now);
             assert!(pause <= Duration::from_millis(600), "{pause:?}");
             proxy.now = proxy.now + pause;
         }
         // With news in hand calls are spread again.
         proxy.balancer.on_endpoints(&[], false, proxy.now);
         let later = |proxy: &mut Proxy| {
-            proxy.balancer.on_poll_failed(proxy.now, proxy.now, &mut proxy.notes);
-            proxy.notes.alarms.last().expect("an alarm").since(proxy.now)
+            proxy.balancer.on_poll_failed(proxy.now, proxy.now, &mut proxy.host);
+            proxy.host.wakeups.last().expect("an alarm").since(proxy.now)
         };
         assert!((0..20).any(|_| later(&mut proxy) > Duration::from_millis(1500)));
     }
--- a/tests/scenarios/books.rs
+++ b/tests/scenarios/random_events.rs
@@ -1,7 +1,7 @@
 //! Random orders of all that can happen to sessions, attempts, signs of life and the list: one final answer each, no
 //! connect after the client left, none to a server that drains as heard by then, and nothing left on the books.
 
-use crate::fake::*;
+use crate::harness::*;
 use nanorand::{Rng, WyRand};
 use shelfgrade::balancer::LoadBalancer;
 use shelfgrade::host::*;
@@ -26,7 +26,7 @@
     list: BTreeMap<ServerId, EndpointState>,
     /// Connects that fail before they are begun, told as soon as the module has finished.
     at_once: VecDeque<u64>,
-    alarms: Vec<Timestamp>,
+    wakeups: Vec<Timestamp>,
     asked: Vec<ServerId>,
     migrated: Vec<u64>,
     may_probe: bool,
@@ -86,7 +86,7 @@
         self.may_probe
     }
     fn schedule_wakeup(&mut self, at: Timestamp) {
-        self.alarms.push(at);
+        self.wakeups.push(at);
     }
 }
 
@@ -102,13 +102,13 @@
         // Few proxies, many that see little and ask for signs of life, and many that may not ask.
         let proxies = [3, 300, 300][seed as usize % 3];
         let list = TWELVE.map(server);
-        let Proxy { balancer, now, .. } = Proxy::among(proxies, Some(8.0), seed, &list);
+        let Proxy { balancer, now, .. } = Proxy::one_of(proxies, Some(8.0), seed, &list);
         let model = Model {
             luck: WyRand::new_seed(seed),
             sessions: BTreeMap::new(),
             list: list.iter().map(|line| (line.server.clone(), line.state)).collect(),
             at_once: VecDeque::new(),
-            alarms: Vec::new(),
+            wakeups: Vec::new(),
             asked: Vec::new(),
             migrated: Vec::new(),
             may_probe: seed % 3 < 2,
@@ -125,7 +125,7 @@
     }
 
     /// As the host does once the module has finished.
-    fn settles(&mut self) {
+    fn establish(&mut self) {
         while let Some(session) = self.model.at_once.pop_front() {
             let outcome = [AttemptOutcome::NotSent, AttemptOutcome::Unreachable][self.model.draw(2)];
             self.on_attempt_ended(session, outcome, false);
@@ -146,7 +146,7 @@
         }
     }
 
-    fn arrives(&mut self) {
+    fn arrive(&mut self) {
         self.last += 1;
         let (key, group) = (format!("k{}", self.model.draw(40)), format!("g{}", self.model.draw(5)));
         let request_timeout = self.model.draw(2500) as u64;
@@ -157,7 +157,7 @@
             deadline: self.now + Duration::from_millis(request_timeout),
             mid_flow: self.model.draw(5) == 0,
             reconnected: self.model.draw(3) == 0,
-            ..plain(&key)
+            ..arrival(&key)
         };
         self.model.sessions.insert(self.last, (Stage::Waiting, 0));
         self.balancer.on_request(&arrival, self.now, &mut self.model);
@@ -194,7 +194,7 @@
 
     fn step(&mut self) {
         match self.model.draw(12) {
-            0..=2 => self.arrives(),
+            0..=2 => self.arrive(),
             3..=4 => {
                 if let Some(session) = self.model.one_of(|s| matches!(s, Stage::Out(_))) {
                     self.comes_back(session);
@@ -223,7 +223,7 @@
                     let slowest = [400, 100][self.model.draw(2)];
                     let took = Duration::from_millis(self.model.draw(slowest) as u64);
                     self.balancer.on_health_check(&server, took, self.now, &mut self.model);
-                    self.settles();
+                    self.establish();
                 }
             }
             9 => {
@@ -235,13 +235,13 @@
             10 if self.model.draw(60) == 0 => self.balancer.migrate_sessions(3, &mut self.model),
             _ => self.time_passes(),
         }
-        self.settles();
+        self.establish();
     }
 
     fn time_passes(&mut self) {
         self.now = self.now + Duration::from_millis(self.model.draw(300) as u64);
         let now = self.now;
-        let due = self.model.alarms.extract_if(.., |at| *at <= now).count();
+        let due = self.model.wakeups.extract_if(.., |at| *at <= now).count();
         if due > 0 {
             self.balancer.on_timer(now, &mut self.model);
         }
@@ -251,10 +251,10 @@
     fn winds_up(&mut self) {
         self.now = self.now + Duration::from_millis(5000);
         self.balancer.on_timer(self.now, &mut self.model);
-        self.settles();
+        self.establish();
         while let Some(session) = self.model.one_of(|s| matches!(s, Stage::Out(_))) {
             self.on_attempt_ended(session, AttemptOutcome::TimedOut, false);
-            self.settles();
+            self.establish();
         }
         for session in self.model.in_stage(|s| matches!(s, Stage::Established(_))) {
             self.on_attempt_ended(session, AttemptOutcome::Completed, true);
@@ -263,7 +263,7 @@
 }
 
 #[test]
-fn whatever_the_order_each_session_has_one_end_and_nothing_is_left_on_the_books() {
+fn in_any_order_of_events_each_session_ends_once_and_nothing_is_left_outstanding() {
     let (mut attempts, mut answers, mut stood) = (0, 0, 0);
     for seed in 0..300 {
         let mut play = Play::begin(seed);
@@ -276,7 +276,8 @@
         let open = play.model.in_stage(|s| *s != Stage::Over);
         assert!(open.is_empty(), "seed {seed}: never answered: {open:?}");
         attempts += play.model.attempts;
-        answers += play.model.sessions.values().map(|(_, answers)| answers).sum::<usize>();
+        answers +=
+            play.model.sessions.values().map(|(_, answers)| answers).sum::<usize>();
     }
     // The plays are no empty ones.
     assert!(attempts > 5000 && answers > 2000 && stood > 5, "{attempts} {answers} {stood}");
--- a/tests/scenarios/cold.rs
+++ b/tests/scenarios/slow_start.rs
@@ -1,23 +1,23 @@
 //! Stories of servers that have just started.
 
-use crate::fake::*;
+use crate::harness::*;
 use shelfgrade::host::*;
 
 #[test]
-fn a_cold_server_gets_little_until_it_is_warm() {
+fn a_warming_server_is_sent_few_sessions_until_it_is_warm() {
     let (mut while_cold, mut when_warm) = (0, 0);
     for seed in 0..10 {
         let mut proxy = Proxy::seeded(seed, &["a1", "a2", "b1", "b2"].map(server));
-        (0..40).for_each(|i| drop(proxy.settles(plain(&format!("early-{i}")))));
+        (0..40).for_each(|i| drop(proxy.establish(arrival(&format!("early-{i}")))));
         let cold = Endpoint { started: Some(proxy.now), ..server("a3") };
         proxy.balancer.on_endpoints(&[cold], false, proxy.now);
         let storm = |proxy: &mut Proxy, name: &str| {
-            let before = proxy.notes.attempts.len();
-            (0..100).for_each(|i| drop(proxy.settles(plain(&format!("{name}-{seed}-{i}")))));
-            proxy.notes.attempts[before..].iter().filter(|(_, place, _)| place == "a3").count()
+            let before = proxy.host.attempts.len();
+            (0..100).for_each(|i| drop(proxy.establish(arrival(&format!("{name}-{seed}-{i}")))));
+            proxy.host.attempts[before..].iter().filter(|(_, place, _)| place == "a3").count()
         };
         while_cold += storm(&mut proxy, "storm");
-        proxy.passes(8000);
+        proxy.advance(8000);
         when_warm += storm(&mut proxy, "warm");
     }
     // A fifth would be 200.
@@ -25,22 +25,22 @@
 }
 
 #[test]
-fn any_number_of_proxies_together_send_a_cold_server_its_share() {
+fn few_or_many_proxies_together_send_a_warming_server_its_share() {
     let mut sent = Vec::new();
     for proxies in [4, 40] {
         let mut total = 0;
         for seed in 0..proxies {
-            let mut proxy = Proxy::among(proxies as usize, None, seed, &TWELVE.map(server));
+            let mut proxy = Proxy::one_of(proxies as usize, None, seed, &TWELVE.map(server));
             // A fleet of twelve that holds 240.
-            (0..240 / proxies).for_each(|i| drop(proxy.settles(plain(&format!("early-{seed}-{i}")))));
+            (0..240 / proxies).for_each(|i| drop(proxy.establish(arrival(&format!("early-{seed}-{i}")))));
             proxy.balancer.on_endpoints(
                 &[Endpoint { started: Some(proxy.now), ..server("a7") }],
                 false,
                 proxy.now,
             );
-            let before = proxy.notes.attempts.len();
+            let before = proxy.host.attempts.len();
             for i in 0..400 {
-                proxy.arrives(plain(&format!("storm-{seed}-{i}")));
+                proxy.arrive(arrival(&format!("storm-{seed}-{i}")));
                 let session = SessionId(240 / proxies + 1 + i);
                 proxy.balancer.on_client_closed(session);
                 proxy.balancer.on_established(session, proxy.now);
@@ -49,11 +49,11 @@
                     AttemptOutcome::Completed,
                     true,
                     proxy.now,
-                    &mut proxy.notes,
+                    &mut proxy.host,
                 );
-                proxy.passes(20);
+                proxy.advance(20);
             }
-            total += proxy.notes.attempts[before..].iter().filter(|(_, place, _)| place == "a7").count();
+            total += proxy.host.attempts[before..].iter().filter(|(_, place, _)| place == "a7").count();
         }
         sent.push(total);
     }
@@ -62,22 +62,22 @@
 }
 
 #[test]
-fn of_a_hundred_proxies_that_see_next_to_nothing_a_cold_server_gets_its_part() {
+fn a_hundred_proxies_of_one_connection_each_send_a_warming_server_its_share() {
     // Every proxy holds one connection when a server comes back cold, and then sees so many clients at once.
     let sent = |part: Option<f64>, clients: u64| {
         let of_one = |seed: u64| {
-            let mut proxy = Proxy::among(100, part, seed, &TWELVE.map(server));
-            proxy.settles(plain(&format!("early-{seed}")));
-            proxy.passes(5000);
+            let mut proxy = Proxy::one_of(100, part, seed, &TWELVE.map(server));
+            proxy.establish(arrival(&format!("early-{seed}")));
+            proxy.advance(5000);
             proxy.balancer.on_endpoints(
                 &[Endpoint { started: Some(proxy.now), ..server("a7") }],
                 false,
                 proxy.now,
             );
             for i in 0..clients {
-                proxy.arrives(plain(&format!("back-{seed}-{i}")));
+                proxy.arrive(arrival(&format!("back-{seed}-{i}")));
             }
-            proxy.shares().get("a7").copied().unwrap_or(0)
+            proxy.attempts_by_server().get("a7").copied().unwrap_or(0)
         };
         (0..100).map(of_one).sum::<usize>()
     };
@@ -95,19 +95,19 @@
 /// Of thin proxies each let its first client in anywhere, as nobody had come just before: a cold server of a lost zone
 /// was sent 5.4 times what it could do, mostly mid-flow connections that it did not hold.
 #[test]
-fn proxies_that_see_one_client_each_keep_a_cold_server_within_its_part_together() {
+fn proxies_of_one_client_each_keep_warming_servers_within_their_budget_together() {
     let list: Vec<_> = (0..20).map(|i| server(&format!("a{i:02}"))).collect();
     let group = |i: usize| format!("g{}", i % 20);
     let sent = |mid_flow: bool| {
         let place_of = |i: usize| {
-            let mut proxy = Proxy::among(600, None, i as u64, &list);
-            proxy.notes.mute = true;
+            let mut proxy = Proxy::one_of(600, None, i as u64, &list);
+            proxy.host.health_checks_refused = true;
             let cold: Vec<_> =
                 list.iter().map(|l| Endpoint { started: Some(proxy.now), ..l.clone() }).take(10).collect();
             proxy.balancer.on_endpoints(&cold, false, proxy.now);
             let (key, group) = (format!("key{i}"), group(i));
-            let came = proxy.arrives(Arrival { group: Some(&group), mid_flow, ..plain(&key) });
-            proxy.sent_to(came).first().cloned()
+            let came = proxy.arrive(Arrival { group: Some(&group), mid_flow, ..arrival(&key) });
+            proxy.servers_tried(came).first().cloned()
         };
         let places: Vec<_> = (0..600).filter_map(place_of).collect();
         places.iter().filter(|place| place.as_str() < "a10").count()
@@ -120,12 +120,12 @@
 
 /// During a move some proxies know of few fellows and of what customers may have open, others of many and of no bound.
 #[test]
-fn old_and_new_proxies_before_the_same_servers_keep_a_cold_one_within_its_bound_and_both_get_in() {
+fn two_fleets_before_the_same_servers_keep_a_warming_one_within_its_bound_and_both_are_served() {
     let sent = |old: usize, new: usize| {
         let of_one = |i: usize| {
             let told = if i < old { (3, Some(40.0)) } else { (60, None) };
-            let mut proxy = Proxy::among(told.0, told.1, i as u64, &TWELVE.map(server));
-            proxy.notes.mute = i >= old;
+            let mut proxy = Proxy::one_of(told.0, told.1, i as u64, &TWELVE.map(server));
+            proxy.host.health_checks_refused = i >= old;
             proxy.balancer.on_endpoints(
                 &[Endpoint { started: Some(proxy.now), ..server("a1") }],
                 false,
@@ -135,7 +135,7 @@
             let clients = if i < old { 20 } else { 1 };
             let place = |c| {
                 let (key, group) = (format!("key{i}-{c}"), format!("g{}", (i + c) % 24));
-                proxy.settles(Arrival { group: Some(&group), ..plain(&key) })
+                proxy.establish(Arrival { group: Some(&group), ..arrival(&key) })
             };
             (0..clients).filter_map(place).collect::<Vec<_>>()
         };
@@ -151,19 +151,19 @@
 
 /// A group of some forty came back in a wave from a strained server to a cold one: 6.2 times what it could do in two seconds.
 #[test]
-fn a_group_that_comes_back_in_a_wave_is_let_into_a_cold_server_less_than_new_clients_are() {
+fn a_reconnecting_group_is_admitted_to_a_warming_server_less_than_new_clients() {
     let sent = |reconnected: bool| {
         let of_one = |seed: u64| {
-            let mut proxy = Proxy::among(100, None, seed, &TWELVE.map(server));
-            proxy.notes.mute = true;
+            let mut proxy = Proxy::one_of(100, None, seed, &TWELVE.map(server));
+            proxy.host.health_checks_refused = true;
             let cold: Vec<_> =
                 TWELVE.iter().map(|place| Endpoint { started: Some(proxy.now), ..server(place) }).collect();
             proxy.balancer.on_endpoints(&cold, false, proxy.now);
             // By then the share of one client at a time has no bound.
-            proxy.passes(6000);
+            proxy.advance(6000);
             let key = format!("key{seed}");
-            let came = proxy.arrives(Arrival { group: Some("g"), reconnected, ..plain(&key) });
-            proxy.sent_to(came).len()
+            let came = proxy.arrive(Arrival { group: Some("g"), reconnected, ..arrival(&key) });
+            proxy.servers_tried(came).len()
         };
         (0..300).map(of_one).sum::<usize>()
     };
@@ -174,22 +174,22 @@
 /// One draw let into a cold server if it was low, and past all that is distrusted: who was let in met at the cold servers
 /// alone, and one was sent 7.4 times what it could do.
 #[test]
-fn who_is_let_into_a_cold_server_is_not_who_passes_over_all_that_are_distrusted() {
+fn sessions_that_pass_over_outliers_are_not_those_admitted_to_a_warming_server() {
     let sent = |strained: u64| {
         let of_one = |seed: u64| {
-            let mut proxy = Proxy::among(100, None, seed, &TWELVE.map(server));
-            proxy.notes.mute = true;
+            let mut proxy = Proxy::one_of(100, None, seed, &TWELVE.map(server));
+            proxy.host.health_checks_refused = true;
             proxy.balancer.on_endpoints(
                 &[Endpoint { started: Some(proxy.now), ..server("a1") }],
                 false,
                 proxy.now,
             );
-            TWELVE[1..].iter().for_each(|place| proxy.strains(&[place], strained));
+            TWELVE[1..].iter().for_each(|place| proxy.overload(&[place], strained));
             // Four came just before, so that one in four is let in.
-            (0..4).for_each(|i| drop(proxy.settles(plain(&format!("just-before-{seed}-{i}")))));
+            (0..4).for_each(|i| drop(proxy.establish(arrival(&format!("just-before-{seed}-{i}")))));
             let key = format!("key{seed}");
-            let came = proxy.arrives(Arrival { group: Some(&key), reconnected: true, ..plain(&key) });
-            usize::from(proxy.sent_to(came).first().is_some_and(|place| place == "a1"))
+            let came = proxy.arrive(Arrival { group: Some(&key), reconnected: true, ..arrival(&key) });
+            usize::from(proxy.servers_tried(came).first().is_some_and(|place| place == "a1"))
         };
         (0..800).map(of_one).sum::<usize>()
     };
@@ -201,7 +201,7 @@
 /// told of the start: each cold server has to stay under N + 2 x root of N + 2 attempts in its two seconds, N being three
 /// times what fills it over its warm-up at its present strength.
 #[test]
-fn three_hundred_proxies_keep_ten_cold_servers_within_their_bound_when_a_zone_comes_back() {
+fn three_hundred_proxies_keep_a_restarted_zone_of_ten_servers_within_their_bound() {
     const SERVERS: usize = 81;
     const COLD: usize = 10;
     let ids: Vec<_> = (0..SERVERS).map(|i| format!("{}{i:02}", if i < COLD { "z" } else { "a" })).collect();
@@ -210,20 +210,20 @@
     for seed in 0..300u64 {
         let list: Vec<_> = ids.iter().map(|id| server(id)).collect();
         let part = holds * SERVERS as f64 / 300.0;
-        let mut proxy = Proxy::among(300, Some(part), seed.wrapping_mul(0x9e37_79b9_7f4a_7c15), &list);
-        (0..4).for_each(|i| drop(proxy.settles(plain(&format!("early-{seed}-{i}")))));
-        proxy.passes(5000);
+        let mut proxy = Proxy::one_of(300, Some(part), seed.wrapping_mul(0x9e37_79b9_7f4a_7c15), &list);
+        (0..4).for_each(|i| drop(proxy.establish(arrival(&format!("early-{seed}-{i}")))));
+        proxy.advance(5000);
         let started = Some(proxy.now);
         let back: Vec<_> = ids[..COLD].iter().map(|id| Endpoint { started, ..server(id) }).collect();
         proxy.balancer.on_endpoints(&back, false, proxy.now);
-        let before = proxy.notes.attempts.len();
+        let before = proxy.host.attempts.len();
         // A burst of what the zone held, and of as many who come anyway.
         for i in 0..8 {
             let (key, group) = (format!("back-{seed}-{i}"), format!("bank-{}", (seed + i) % 40));
-            proxy.settles(Arrival { group: Some(&group), reconnected: i % 2 == 0, ..plain(&key) });
-            proxy.passes(240);
+            proxy.establish(Arrival { group: Some(&group), reconnected: i % 2 == 0, ..arrival(&key) });
+            proxy.advance(240);
         }
-        for attempt in proxy.notes.attempts[before..].iter().filter(|c| c.1.starts_with('z')) {
+        for attempt in proxy.host.attempts[before..].iter().filter(|c| c.1.starts_with('z')) {
             *sent.entry(attempt.1.clone()).or_insert(0.0) += 1.0;
         }
     }
@@ -236,16 +236,16 @@
 /// The table sent all of them on, to a server that holds none of them any more, whatever it can take. Their ends are heard
 /// before the list tells of the restart, after it, or not at all.
 #[test]
-fn connections_from_before_a_servers_restart_are_not_looked_for_there() {
+fn mid_flow_sessions_are_not_sent_to_their_server_once_it_has_restarted() {
     for ends_heard in [None, Some(true), Some(false)] {
-        let mut proxy = Proxy::of_four();
+        let mut proxy = Proxy::with_four_servers();
         let keys: Vec<_> = (0..160).map(|i| format!("key-{i}")).collect();
-        let held: Vec<_> = keys.iter().map(|key| proxy.settles(plain(key)).expect("a server")).collect();
+        let held: Vec<_> = keys.iter().map(|key| proxy.establish(arrival(key)).expect("a server")).collect();
         let there: Vec<_> = (0..keys.len()).filter(|i| held[*i] == "a1").collect();
         let end = |proxy: &mut Proxy| {
-            there.iter().for_each(|i| proxy.attempt_ends(*i as u64 + 1, AttemptOutcome::ConnectionLost))
+            there.iter().for_each(|i| proxy.end_attempt(*i as u64 + 1, AttemptOutcome::ConnectionLost))
         };
-        proxy.passes(1000);
+        proxy.advance(1000);
         if ends_heard == Some(true) {
             end(&mut proxy);
         }
@@ -254,11 +254,11 @@
         if ends_heard == Some(false) {
             end(&mut proxy);
         }
-        let before = proxy.shares()["a1"];
+        let before = proxy.attempts_by_server()["a1"];
         for i in &there {
-            proxy.arrives(Arrival { mid_flow: true, ..plain(&keys[*i]) });
+            proxy.arrive(Arrival { mid_flow: true, ..arrival(&keys[*i]) });
         }
-        let sent = proxy.shares()["a1"] - before;
+        let sent = proxy.attempts_by_server()["a1"] - before;
         // N in two seconds of a server that holds 30 and begins with 0.3 of its strength.
         let bound = 6.75 + 2.0 * 6.75_f64.sqrt() + 2.0;
         assert!(there.len() > 25 && sent as f64 <= bound, "{sent} of {}, {ends_heard:?}", there.len());
--- a/tests/scenarios/ramp.rs
+++ b/tests/scenarios/slow_start_fleet.rs
@@ -13,7 +13,7 @@
 //! brackets what they got on the mean of all that the settings allow (N). For docs:
 //! `RAMP_SEEDS=60 cargo test --release --test stories ramp -- --nocapture`.
 
-use crate::fake::*;
+use crate::harness::*;
 use nanorand::{Rng, WyRand};
 use shelfgrade::balancer::SlowStart;
 use shelfgrade::host::*;
@@ -104,7 +104,7 @@
                     proxies: day.proxies as f64,
                 };
                 let mut proxy = Proxy::by(slow_start, luck.generate(), &list);
-                proxy.notes.mute = i % 5 == 4;
+                proxy.host.health_checks_refused = i % 5 == 4;
                 proxy
             })
             .collect();
@@ -193,38 +193,38 @@
                     reconnected: returned,
                     mid_flow: client.is_multiple_of(10),
                     class: Some([IDEMPOTENT, IDEMPOTENT, NON_IDEMPOTENT][(client % 3) as usize]),
-                    ..plain(&key)
+                    ..arrival(&key)
                 };
-                let session = self.proxies[proxy].arrives(arrival);
+                let session = self.proxies[proxy].arrive(arrival);
                 self.clients.insert((proxy, session), (client, tries, String::new()));
             }
             Event::Stands { session, place } => {
                 let late = place.ends_with('7');
                 self.proxies[at].balancer.on_established(SessionId(session), now);
                 if late {
-                    self.proxies[at].on_message_latency(session, 45);
+                    self.proxies[at].report_message_latency(session, 45);
                 }
                 self.clients.entry((at, session)).and_modify(|c| c.2 = place);
             }
             Event::Refused { session, outcome } => {
                 let outcome = if outcome { AttemptOutcome::Rejected } else { AttemptOutcome::Unreachable };
-                self.proxies[at].attempt_ends(session, outcome);
+                self.proxies[at].end_attempt(session, outcome);
             }
             Event::Breaks { session } => {
                 let Some((client, _, _)) = self.clients.remove(&(at, session)) else { return };
-                self.proxies[at].attempt_ends(session, AttemptOutcome::ConnectionLost);
+                self.proxies[at].end_attempt(session, AttemptOutcome::ConnectionLost);
                 self.again(client, 1, at, 300.0);
             }
             Event::Ends { session } => {
                 if self.clients.remove(&(at, session)).is_some() {
-                    self.proxies[at].attempt_ends(session, AttemptOutcome::Completed);
+                    self.proxies[at].end_attempt(session, AttemptOutcome::Completed);
                 }
             }
             Event::Wakes => {
                 let proxy = &mut self.proxies[at];
-                proxy.balancer.on_timer(now, &mut proxy.notes);
+                proxy.balancer.on_timer(now, &mut proxy.host);
             }
-            Event::Answers { place } => self.proxies[at].answers(&place, 3),
+            Event::Answers { place } => self.proxies[at].answer_health_check(&place, 3),
             Event::Lost => self.zone(None),
             Event::Back => self.zone(Some(now)),
         }
@@ -257,9 +257,9 @@
 
     /// Carries out what the proxy has asked for since it was last looked at.
     fn carries_out(&mut self, at: usize) {
-        let notes = std::mem::take(&mut self.proxies[at].notes);
-        self.proxies[at].notes.mute = notes.mute;
-        for (session, place, _) in notes.attempts {
+        let host = std::mem::take(&mut self.proxies[at].host);
+        self.proxies[at].host.health_checks_refused = host.health_checks_refused;
+        for (session, place, _) in host.attempts {
             let one_in = if self.day.seed.is_multiple_of(2) { 30.0 } else { 3.0 };
             let late = if self.below(one_in) < 1.0 { self.below(1500.0) } else { 5.0 };
             if place.starts_with('z') && self.now_ms >= BACK_MS {
@@ -274,20 +274,20 @@
                 self.at(self.now_ms + late + lasts, at, Event::Ends { session });
             }
         }
-        for place in notes.probed {
+        for place in host.health_checked {
             let answered = self.now_ms + 1.0 + self.below(4.0);
             self.at(answered, at, Event::Answers { place });
         }
-        let back = notes.rejected.iter().map(|p| (p.0, p.1.as_ms()));
-        let away = notes.migrated.iter().map(|c| (*c, 500.0));
+        let back = host.rejected.iter().map(|p| (p.0, p.1.as_ms()));
+        let away = host.migrated.iter().map(|c| (*c, 500.0));
         for (session, pause) in back.chain(away).collect::<Vec<_>>() {
             let Some((client, tries, place)) = self.clients.remove(&(at, session)) else { continue };
             if !place.is_empty() {
-                self.proxies[at].attempt_ends(session, AttemptOutcome::Completed);
+                self.proxies[at].end_attempt(session, AttemptOutcome::Completed);
             }
             self.again(client, tries + 1, at, pause);
         }
-        for alarm in notes.alarms {
+        for alarm in host.wakeups {
             self.at(alarm.as_ms(), at, Event::Wakes);
         }
     }
@@ -332,7 +332,7 @@
 /// A cold server may be first for many groups, and no proxy sees it: with shares alone the sum was over the bound with
 /// 3, 24, 30 and 300 proxies, by half at most.
 #[test]
-fn any_number_of_proxies_keep_cold_servers_within_the_bound_together() {
+fn any_number_of_proxies_keep_warming_servers_within_the_bound_together() {
     let many = std::env::var("RAMP_SEEDS").ok().and_then(|seeds| seeds.parse().ok());
     let seeds: Vec<u64> = many.map_or(SEEDS.to_vec(), |many| (0..many).collect());
     let mut over = Vec::new();
@@ -368,7 +368,7 @@
 /// The budget was counted in two seconds, whatever the settings say: a proxy that stands alone before large servers sent one
 /// 1.69 times what it can bear in half a second, and 1.05 times in a second.
 #[test]
-fn a_rush_keeps_to_the_budget_in_the_span_that_the_settings_name() {
+fn a_burst_keeps_to_the_budget_in_the_configured_overload_window() {
     let mut over = Vec::new();
     for (span_ms, proxies) in [500.0, 1000.0, 3000.0].into_iter().flat_map(|span| [(span, 1), (span, 30)]) {
         for (cold, seed) in [(4, 6), (12, 2), (12, 6)] {
