--- a/tests/scenarios/concurrency_limit.rs
+++ b/tests/scenarios/concurrency_limit.rs
@@ -8,8 +8,7 @@
 fn congestion_limits_a_hundred_proxies_of_one_client_each() {
     // Whatever is sent ends in an error, and the client comes straight back, as a new session each time.
     let sent_in_a_second_of_the_jam = |seed: u64| {
-        let mut proxy =
-            Proxy::one_of(100, None, seed.wrapping_mul(0x9e37_79b9_7f4a_7c15), &TWELVE.map(server));
+        let mut proxy = Proxy::one_of(100, None, seed.wrapping_mul(SEED_MULTIPLIER), &TWELVE.map(server));
         let mut before = 0;
         for i in 0..40 {
             if i == 30 {
@@ -84,7 +83,7 @@
     let mut proxy = Proxy::one_of(300, None, 1, &TWELVE.map(server));
     let wait = |proxy: &mut Proxy| {
         proxy.arrive(arrival("k"));
-        proxy.host.attempts.last().map(|c| c.2)
+        proxy.host.attempts.last().map(|attempt| attempt.timeout)
     };
     assert_eq!(wait(&mut proxy), Some(REQUEST_TIMEOUT.scaled(0.5)));
     wait(&mut proxy);
--- a/tests/scenarios/final_answers.rs
+++ b/tests/scenarios/final_answers.rs
@@ -41,7 +41,7 @@
     let mut proxy = Proxy::with_four_servers();
     let session = proxy.arrive(arrival("slow"));
     while proxy.host.rejected.is_empty() {
-        let time_out = proxy.host.attempts.last().expect("an attempt").2;
+        let time_out = proxy.host.attempts.last().expect("an attempt").timeout;
         proxy.now = proxy.now + time_out;
         proxy.end_attempt(session, AttemptOutcome::TimedOut);
     }
@@ -78,7 +78,7 @@
 fn an_attempt_has_the_full_deadline_where_long_silences_are_usual_everywhere() {
     let mut proxy = Proxy::with_four_servers();
     proxy.arrive(arrival("first"));
-    assert!(proxy.host.attempts[0].2 < REQUEST_TIMEOUT);
+    assert!(proxy.host.attempts[0].timeout < REQUEST_TIMEOUT);
     proxy.balancer.on_established(SessionId(1), proxy.now);
     for i in 0..6 {
         let session = proxy.arrive(arrival(&format!("jam-{i}")));
@@ -86,5 +86,5 @@
         proxy.balancer.on_established(SessionId(session), proxy.now);
     }
     proxy.arrive(arrival("later"));
-    assert_eq!(proxy.host.attempts.last().map(|c| c.2), Some(REQUEST_TIMEOUT));
+    assert_eq!(proxy.host.attempts.last().map(|attempt| attempt.timeout), Some(REQUEST_TIMEOUT));
 }
--- a/tests/scenarios/group_affinity.rs
+++ b/tests/scenarios/group_affinity.rs
@@ -13,8 +13,13 @@
         let (key, group) = (format!("back-{i}"), if i % 2 == 0 { "lifts" } else { &format!("other-{i}") });
         proxy.establish(Arrival { group: Some(group), reconnected: true, ..arrival(&key) });
     }
-    let servers: std::collections::BTreeSet<_> =
-        proxy.host.attempts.iter().filter(|c| c.0 % 2 == 1).map(|c| &c.1).collect();
+    let servers: std::collections::BTreeSet<_> = proxy
+        .host
+        .attempts
+        .iter()
+        .filter(|attempt| attempt.session % 2 == 1)
+        .map(|attempt| &attempt.server)
+        .collect();
     assert!(servers.len() >= 4, "{servers:?}");
 }
 
@@ -48,7 +53,8 @@
         after.now,
     );
     let groups: Vec<String> = (0..60).map(|i| format!("bank-{i}")).collect();
-    let homes: Vec<_> = groups.iter().map(|g| (home(&mut before, g), home(&mut after, g))).collect();
+    let homes: Vec<_> =
+        groups.iter().map(|g| (group_server(&mut before, g), group_server(&mut after, g))).collect();
     let moved = homes.iter().filter(|(was, is)| was != is).collect::<Vec<_>>();
     assert!(moved.iter().all(|(was, _)| was.as_deref() == Some("a3")) && !moved.is_empty(), "{moved:?}");
 }
@@ -158,7 +164,8 @@
 
 #[test]
 fn in_an_overloaded_fleet_new_sessions_meet_their_group_at_unobserved_servers_too() {
-    let at_b4 = |group: &String| home(&mut Proxy::with_twelve_servers(), group).as_deref() == Some("b4");
+    let at_b4 =
+        |group: &String| group_server(&mut Proxy::with_twelve_servers(), group).as_deref() == Some("b4");
     let group = (0..).map(|i| format!("bank-{i}")).find(at_b4).expect("a group");
     let places = |strained: &[&str]| {
         let new = |i| {
@@ -175,13 +182,13 @@
 #[test]
 fn in_an_overloaded_fleet_a_group_is_not_spread_over_the_remaining_servers() {
     let mut proxy = Proxy::with_twelve_servers();
-    let first = home(&mut proxy, "bank").expect("a home");
+    let first = group_server(&mut proxy, "bank").expect("a home");
     proxy.overload(&[&first], 500);
-    let second = home(&mut proxy, "bank").expect("the next in rank");
+    let second = group_server(&mut proxy, "bank").expect("the next in rank");
     proxy.overload(&[&second], 500);
-    let third = home(&mut proxy, "bank").expect("the one after");
+    let third = group_server(&mut proxy, "bank").expect("the one after");
     proxy.overload(&[&third], 500);
-    assert_eq!(home(&mut proxy, "bank"), None);
+    assert_eq!(group_server(&mut proxy, "bank"), None);
     assert_eq!(proxy.host.rejected.len(), 1);
 }
 
--- a/tests/scenarios/harness.rs
+++ b/tests/scenarios/harness.rs
@@ -1,4 +1,4 @@
-//! One proxy on a fake host that notes what it is asked to do.
+//! A load balancer in virtual time, on a host that records what it is asked for.
 
 use shelfgrade::balancer::{LoadBalancer, SlowStart};
 use shelfgrade::host::*;
@@ -6,26 +6,51 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
+/// Indices of the request classes.
+pub const IDEMPOTENT: usize = 0;
+pub const NON_IDEMPOTENT: usize = 1;
+pub const KEYED: usize = 2;
+
+pub const MAX_POLL_INTERVAL: Duration = Duration::from_millis(10_000);
+pub const REQUEST_TIMEOUT: Duration = Duration::from_millis(2000);
+pub const CONNECT_LATENCY_OBJECTIVE: Duration = Duration::from_millis(300);
+
+/// Spreads consecutive seeds, whose first draws would be alike.
+pub const SEED_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
+
+pub const TWELVE: [&str; 12] = ["a1", "a2", "a3", "a4", "a5", "a6", "b1", "b2", "b3", "b4", "b5", "b6"];
+
+pub struct RecordedAttempt {
+    pub session: u64,
+    pub server: String,
+    pub timeout: Duration,
+}
+
+pub struct Rejection {
+    pub session: u64,
+    pub retry_after: Duration,
+}
+
+/// Records every call of the load balancer.
 #[derive(Default)]
 pub struct RecordingHost {
-    /// Every connect, with the time-out it was given.
-    pub attempts: Vec<(u64, String, Duration)>,
-    pub rejected: Vec<(u64, Duration)>,
+    pub attempts: Vec<RecordedAttempt>,
+    pub rejected: Vec<Rejection>,
     pub failed: Vec<u64>,
     pub migrated: Vec<u64>,
     pub subscribed: usize,
     pub health_checked: Vec<String>,
-    /// Probes are not allowed.
     pub health_checks_refused: bool,
     pub wakeups: Vec<Timestamp>,
 }
 
 impl Host for RecordingHost {
-    fn connect(&mut self, session: SessionId, server: &ServerId, time_out: Duration) {
-        self.attempts.push((session.0, server.to_string(), time_out));
+    fn connect(&mut self, session: SessionId, server: &ServerId, timeout: Duration) {
+        let server = server.to_string();
+        self.attempts.push(RecordedAttempt { session: session.0, server, timeout });
     }
     fn reject(&mut self, session: SessionId, retry_after: Duration) {
-        self.rejected.push((session.0, retry_after));
+        self.rejected.push(Rejection { session: session.0, retry_after });
     }
     fn fail(&mut self, session: SessionId) {
         self.failed.push(session.0);
@@ -47,22 +72,7 @@
     }
 }
 
-pub const IDEMPOTENT: usize = 0;
-pub const NON_IDEMPOTENT: usize = 1;
-pub const KEYED: usize = 2;
-pub const MAX_POLL_INTERVAL: Duration = Duration::from_millis(10_000);
-pub const REQUEST_TIMEOUT: Duration = Duration::from_millis(2000);
-pub const CONNECT_LATENCY_OBJECTIVE: Duration = Duration::from_millis(300);
-
-pub const TWELVE: [&str; 12] = ["a1", "a2", "a3", "a4", "a5", "a6", "b1", "b2", "b3", "b4", "b5", "b6"];
-
-pub struct Proxy {
-    pub balancer: LoadBalancer,
-    pub host: RecordingHost,
-    pub now: Timestamp,
-    next: u64,
-}
-
+/// An active endpoint, in the zone that its id begins with.
 pub fn server(id: &str) -> Endpoint {
     let zone = id[..1].to_owned();
     Endpoint {
@@ -75,8 +85,8 @@
     }
 }
 
-/// A session with its own key and no group.
-pub fn arrival<'a>(key: &'a str) -> Arrival<'a> {
+/// An idempotent session without a group.
+pub fn arrival(key: &str) -> Arrival<'_> {
     Arrival {
         session: SessionId(0),
         class: Some(IDEMPOTENT),
@@ -90,6 +100,14 @@
     }
 }
 
+/// One proxy.
+pub struct Proxy {
+    pub balancer: LoadBalancer,
+    pub host: RecordingHost,
+    pub now: Timestamp,
+    last_session: u64,
+}
+
 impl Proxy {
     pub fn with(list: &[Endpoint]) -> Self {
         Self::seeded(7, list)
@@ -99,37 +117,35 @@
         Self::one_of(3, None, seed, list)
     }
 
-    /// One of so many, whose part of what the servers can hold is this, if the settings tell.
-    pub fn one_of(proxies: usize, part: Option<f64>, seed: u64, list: &[Endpoint]) -> Self {
-        let many = proxies as f64;
+    /// One of so many proxies, each with this much capacity if the settings say how much there is.
+    pub fn one_of(proxies: usize, proxy_capacity: Option<f64>, seed: u64, list: &[Endpoint]) -> Self {
+        let proxies = proxies as f64;
         let slow_start = SlowStart {
             initial_fraction: 0.3,
             duration: Duration::from_millis(8000),
             overload_factor: 3.0,
             overload_window: Duration::from_millis(2000),
-            total_capacity: part.map(|p| p * many),
+            total_capacity: proxy_capacity.map(|capacity| capacity * proxies),
             server_capacity: 30.0,
-            proxies: many,
+            proxies,
         };
-        Self::by(slow_start, seed, list)
+        Self::with_slow_start(slow_start, seed, list)
     }
 
-    /// One that goes by these terms on cold servers.
-    pub fn by(slow_start: SlowStart, seed: u64, list: &[Endpoint]) -> Self {
+    pub fn with_slow_start(slow_start: SlowStart, seed: u64, list: &[Endpoint]) -> Self {
         let keyed = Idempotency::Keyed { scope: KeyScope::Zone, window: Duration::from_millis(1500) };
-        let message_latency_objective = Some(Duration::from_millis(50));
-        let classes = [Idempotency::Idempotent, Idempotency::NonIdempotent, keyed];
-        let classes = classes
-            .map(|idempotency| RequestClass {
+        let classes =
+            [Idempotency::Idempotent, Idempotency::NonIdempotent, keyed].map(|idempotency| RequestClass {
                 idempotency,
                 connect_latency_objective: Some(CONNECT_LATENCY_OBJECTIVE),
-                message_latency_objective,
-            })
-            .to_vec();
-        let pause = Duration::from_millis(1000);
-        let balancer = LoadBalancer::new(seed, classes, 4, pause, Some(MAX_POLL_INTERVAL), slow_start);
-        let mut proxy =
-            Proxy { balancer, host: RecordingHost::default(), now: Timestamp::from_ms(60_000.0), next: 0 };
+                message_latency_objective: Some(Duration::from_millis(50)),
+            });
+        let max_retry_after = Duration::from_millis(1000);
+        let max_poll_interval = Some(MAX_POLL_INTERVAL);
+        let balancer =
+            LoadBalancer::new(seed, classes.to_vec(), 4, max_retry_after, max_poll_interval, slow_start);
+        let host = RecordingHost::default();
+        let mut proxy = Proxy { balancer, host, now: Timestamp::from_ms(60_000.0), last_session: 0 };
         proxy.balancer.start(list, proxy.now, &mut proxy.host);
         proxy
     }
@@ -139,77 +155,70 @@
         Self::with(&["a1", "a2", "b1", "b2"].map(server))
     }
 
-    /// Twelve of them.
+    /// Twelve servers in two zones, warm and active.
     pub fn with_twelve_servers() -> Self {
         Self::with(&TWELVE.map(server))
     }
 
-    /// Has every server of the list hold a session whose messages take this long.
-    pub fn overload(&mut self, places: &[&str], ms: u64) {
-        for place in places {
-            self.next += 1;
-            let open = Arrival { session: SessionId(self.next), ..arrival("any") };
-            self.balancer.restore_session(&open, place, self.now);
-            self.report_message_latency(self.next, ms);
+    /// Has each of these servers hold a session whose messages take this long.
+    pub fn overload(&mut self, servers: &[&str], ms: u64) {
+        for server in servers {
+            self.last_session += 1;
+            let open = Arrival { session: SessionId(self.last_session), ..arrival("any") };
+            self.balancer.restore_session(&open, server, self.now);
+            self.report_message_latency(self.last_session, ms);
         }
     }
 
-    /// Lets a session arrive and gives its number.
+    /// Lets a session arrive and returns its number.
     pub fn arrive(&mut self, arrival: Arrival) -> u64 {
-        self.next += 1;
-        let ends = if arrival.deadline == Timestamp::default() {
+        self.last_session += 1;
+        let deadline = if arrival.deadline == Timestamp::default() {
             self.now + REQUEST_TIMEOUT
         } else {
             arrival.deadline
         };
-        let arrival = Arrival { session: SessionId(self.next), deadline: ends, ..arrival };
+        let arrival = Arrival { session: SessionId(self.last_session), deadline, ..arrival };
         self.balancer.on_request(&arrival, self.now, &mut self.host);
-        self.next
+        self.last_session
     }
 
-    /// A server gives a sign of life after this long.
-    pub fn answer_health_check(&mut self, place: &str, ms: u64) {
-        self.balancer.on_health_check(place, Duration::from_millis(ms), self.now, &mut self.host);
+    /// A server answers a health check after this long.
+    pub fn answer_health_check(&mut self, server: &str, ms: u64) {
+        self.balancer.on_health_check(server, Duration::from_millis(ms), self.now, &mut self.host);
     }
 
-    /// Lets it arrive and its connection stand, if it was sent anywhere; says where. Of servers that are asked for
-    /// a sign of life the first answers.
+    /// Lets a session arrive and be established if it is sent anywhere; returns where. Of servers that are
+    /// health-checked for it the first answers.
     pub fn establish(&mut self, arrival: Arrival) -> Option<String> {
-        let asked = self.host.health_checked.len();
+        let checked = self.host.health_checked.len();
         let session = self.arrive(arrival);
-        if let Some(first) = self.host.health_checked.get(asked).cloned() {
+        if let Some(first) = self.host.health_checked.get(checked).cloned() {
             self.answer_health_check(&first, 3);
         }
-        let place = self.servers_tried(session).last().cloned();
+        let server = self.servers_tried(session).last().cloned();
         self.advance(20);
         self.balancer.on_established(SessionId(session), self.now);
-        place
+        server
     }
 
+    /// Ends a session's attempt, which is final where it completed.
     pub fn end_attempt(&mut self, session: u64, outcome: AttemptOutcome) {
-        self.balancer.on_attempt_ended(
-            SessionId(session),
-            outcome,
-            outcome == AttemptOutcome::Completed,
-            self.now,
-            &mut self.host,
-        );
+        let is_final = outcome == AttemptOutcome::Completed;
+        self.balancer.on_attempt_ended(SessionId(session), outcome, is_final, self.now, &mut self.host);
     }
 
     pub fn report_message_latency(&mut self, session: u64, ms: u64) {
-        self.balancer.on_message_latency(
-            SessionId(session),
-            Duration::from_millis(ms),
-            self.now,
-            &mut self.host,
-        );
+        let latency = Duration::from_millis(ms);
+        self.balancer.on_message_latency(SessionId(session), latency, self.now, &mut self.host);
     }
 
+    /// Lets time pass without wakeups.
     pub fn advance(&mut self, ms: u64) {
         self.now = self.now + Duration::from_millis(ms);
     }
 
-    /// Lets time pass, ringing each alarm when it is due.
+    /// Lets time pass, with each wakeup when it is due.
     pub fn run_for(&mut self, ms: u64) {
         let end = self.now + Duration::from_millis(ms);
         while let Some(i) = self.host.wakeups.iter().position(|at| *at <= end) {
@@ -219,37 +228,41 @@
         self.now = end;
     }
 
+    /// The servers of a session's attempts.
     pub fn servers_tried(&self, session: u64) -> Vec<String> {
-        self.host.attempts.iter().filter(|(c, ..)| *c == session).map(|(_, s, _)| s.clone()).collect()
+        let attempts = self.host.attempts.iter().filter(|attempt| attempt.session == session);
+        attempts.map(|attempt| attempt.server.clone()).collect()
     }
 
+    /// The server of the last attempt.
     pub fn last_server(&self) -> &str {
-        &self.host.attempts.last().expect("an attempt").1
+        &self.host.attempts.last().expect("an attempt").server
     }
 
-    /// How many attempts each server got.
+    /// How many attempts each server was sent.
     pub fn attempts_by_server(&self) -> BTreeMap<String, usize> {
-        let mut attempts_by_server = BTreeMap::new();
-        self.host
-            .attempts
-            .iter()
-            .for_each(|(_, s, _)| *attempts_by_server.entry(s.clone()).or_default() += 1);
-        attempts_by_server
+        let mut counts = BTreeMap::new();
+        for attempt in &self.host.attempts {
+            *counts.entry(attempt.server.clone()).or_default() += 1;
+        }
+        counts
     }
 }
 
-/// A client key whose sessions go to `place` in an untroubled proxy of four.
-pub fn key_for(place: &str) -> String {
-    let lands = |key: &String| Proxy::with_four_servers().establish(arrival(key)).as_deref() == Some(place);
-    (0..).map(|i| format!("key-{i}")).find(lands).expect("some key")
+/// A client key whose sessions go to `server` in a calm fleet of four servers.
+pub fn key_for(server: &str) -> String {
+    let goes_there =
+        |key: &String| Proxy::with_four_servers().establish(arrival(key)).as_deref() == Some(server);
+    (0..).map(|i| format!("key-{i}")).find(goes_there).expect("some key")
 }
 
-/// Where a session of the group goes that came back.
-pub fn home(proxy: &mut Proxy, group: &str) -> Option<String> {
+/// Where a reconnecting session of the group goes.
+pub fn group_server(proxy: &mut Proxy, group: &str) -> Option<String> {
     proxy.establish(Arrival { group: Some(group), reconnected: true, ..arrival("k") })
 }
 
-/// One of three hundred proxies, whose servers can hold 2,400 connections as far as the settings tell.
+/// One of three hundred proxies, whose eighty servers can hold 2,400 connections as far as the settings say: too few
+/// for each proxy to observe the servers' load.
 pub fn one_of_many(seed: u64) -> Proxy {
     let list: Vec<_> = (0..80).map(|i| server(&format!("a{i:02}"))).collect();
     Proxy::one_of(300, Some(8.0), seed, &list)
--- a/tests/scenarios/list_freshness.rs
+++ b/tests/scenarios/list_freshness.rs
@@ -134,8 +134,7 @@
     for proxies in [3usize, 24, 300] {
         let mut calls = Vec::new();
         for seed in 0..proxies as u64 {
-            let mut proxy =
-                one_of(proxies, Some(MAX_POLL_INTERVAL), seed.wrapping_mul(0x9e37_79b9_7f4a_7c15));
+            let mut proxy = one_of(proxies, Some(MAX_POLL_INTERVAL), seed.wrapping_mul(SEED_MULTIPLIER));
             let start = proxy.now;
             proxy.balancer.start(&TWELVE.map(server), proxy.now, &mut proxy.host);
             let mut own = Vec::new();
--- a/tests/scenarios/outlier_detection.rs
+++ b/tests/scenarios/outlier_detection.rs
@@ -23,7 +23,7 @@
         proxy.report_message_latency(session, 500);
     }
     let session = proxy.arrive(arrival("one more"));
-    assert_eq!(proxy.host.rejected.iter().map(|(c, _)| *c).collect::<Vec<_>>(), [session]);
+    assert_eq!(proxy.host.rejected.iter().map(|rejection| rejection.session).collect::<Vec<_>>(), [session]);
 }
 
 #[test]
@@ -66,11 +66,11 @@
         assert_eq!(proxy.servers_tried(bad).len(), 4, "it may still be the servers");
     }
     let before = proxy.host.attempts.len();
-    let first = proxy.host.attempts[0].1.clone();
+    let first = proxy.host.attempts[0].server.clone();
     for i in 0..100 {
         proxy.establish(arrival(&format!("good-{i}")));
     }
-    let elsewhere = proxy.host.attempts[before..].iter().filter(|c| c.1 != first).count();
+    let elsewhere = proxy.host.attempts[before..].iter().filter(|attempt| attempt.server != first).count();
     assert!(elsewhere >= 100 * 11 / 12 - 5, "the others keep theirs: {elsewhere}");
     assert!(proxy.host.rejected.len() <= 5, "{:?}", proxy.host.rejected.len());
 }
@@ -109,7 +109,7 @@
     let tried = |proxies: usize| {
         let tries = |seed: &u64| {
             let mut proxy = Proxy::one_of(proxies, Some(1000.0), *seed, &nine);
-            let home = home(&mut proxy, "bank").expect("a home");
+            let home = group_server(&mut proxy, "bank").expect("a home");
             proxy.overload(&[&home], 500);
             proxy.advance(15_000);
             proxy.establish(Arrival { group: Some("bank"), reconnected: true, ..arrival("back") })
--- a/tests/scenarios/placement.rs
+++ b/tests/scenarios/placement.rs
@@ -29,7 +29,7 @@
     for i in 0..50 {
         proxy.establish(arrival(&format!("after-{i}")));
     }
-    assert!(proxy.host.attempts[1..].iter().all(|(_, place, _)| place.starts_with('b')));
+    assert!(proxy.host.attempts[1..].iter().all(|attempt| attempt.server.starts_with('b')));
 }
 
 #[test]
@@ -88,7 +88,7 @@
     );
     assert_eq!(proxy.establish(arrival("any")), None);
     assert_eq!(proxy.host.rejected.len(), 2);
-    assert!(proxy.host.rejected.iter().all(|(_, pause)| *pause > Duration::ZERO));
+    assert!(proxy.host.rejected.iter().all(|rejection| rejection.retry_after > Duration::ZERO));
     proxy.end_attempt(77, AttemptOutcome::Completed);
     proxy.report_message_latency(77, 500);
     proxy.balancer.on_client_closed(SessionId(77));
@@ -108,9 +108,9 @@
         let key = format!("back-{i}");
         proxy.arrive(Arrival { group: Some("lifts"), reconnected: true, ..arrival(&key) });
     }
-    let under_way = &proxy.host.attempts[before..];
-    let most = under_way.iter().map(|c| under_way.iter().filter(|d| d.1 == c.1).count()).max();
-    assert_eq!(under_way.len(), 12);
+    let pending = &proxy.host.attempts[before..];
+    let most = pending.iter().map(|a| pending.iter().filter(|b| b.server == a.server).count()).max();
+    assert_eq!(pending.len(), 12);
     assert!(most.is_some_and(|most| most <= 6), "{most:?}");
 }
 
--- a/tests/scenarios/random_events.rs
+++ b/tests/scenarios/random_events.rs
@@ -276,8 +276,7 @@
         let open = play.model.in_stage(|s| *s != Stage::Over);
         assert!(open.is_empty(), "seed {seed}: never answered: {open:?}");
         attempts += play.model.attempts;
-        answers +=
-            play.model.sessions.values().map(|(_, answers)| answers).sum::<usize>();
+        answers += play.model.sessions.values().map(|(_, answers)| answers).sum::<usize>();
     }
     // The plays are no empty ones.
     assert!(attempts > 5000 && answers > 2000 && stood > 5, "{attempts} {answers} {stood}");
--- a/tests/scenarios/rebalancing.rs
+++ b/tests/scenarios/rebalancing.rs
@@ -9,7 +9,7 @@
 fn a_hundred_proxies_that_learn_of_an_overload_do_not_empty_the_server_at_once() {
     let strained = |seed: u64| {
         // Seeds that follow each other begin with draws that are alike.
-        let mut proxy = Proxy::seeded(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15), &TWELVE.map(server));
+        let mut proxy = Proxy::seeded(seed.wrapping_mul(SEED_MULTIPLIER), &TWELVE.map(server));
         proxy.establish(arrival("lift-1"));
         proxy.report_message_latency(1, 500);
         proxy.host.migrated.len()
@@ -41,7 +41,7 @@
 #[test]
 fn where_work_has_piled_up_sessions_at_their_groups_server_are_migrated_too() {
     let mut proxy = Proxy::with_four_servers();
-    home(&mut proxy, "bank");
+    group_server(&mut proxy, "bank");
     (0..50).for_each(|_| proxy.report_message_latency(1, 100));
     assert!(proxy.host.migrated.is_empty());
     (0..50).for_each(|_| proxy.report_message_latency(1, 500));
@@ -53,7 +53,7 @@
 fn migrations_increase_where_the_other_servers_are_overloaded_too() {
     let away = |others: u64| {
         let strained = |seed: u64| {
-            let mut proxy = Proxy::seeded(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15), &TWELVE.map(server));
+            let mut proxy = Proxy::seeded(seed.wrapping_mul(SEED_MULTIPLIER), &TWELVE.map(server));
             proxy.overload(&["a2", "a3", "a4"], others);
             let before = proxy.host.migrated.len();
             proxy.overload(&["a1"], 500);
--- a/tests/scenarios/slow_start.rs
+++ b/tests/scenarios/slow_start.rs
@@ -14,7 +14,7 @@
         let storm = |proxy: &mut Proxy, name: &str| {
             let before = proxy.host.attempts.len();
             (0..100).for_each(|i| drop(proxy.establish(arrival(&format!("{name}-{seed}-{i}")))));
-            proxy.host.attempts[before..].iter().filter(|(_, place, _)| place == "a3").count()
+            proxy.host.attempts[before..].iter().filter(|attempt| attempt.server == "a3").count()
         };
         while_cold += storm(&mut proxy, "storm");
         proxy.advance(8000);
@@ -53,7 +53,7 @@
                 );
                 proxy.advance(20);
             }
-            total += proxy.host.attempts[before..].iter().filter(|(_, place, _)| place == "a7").count();
+            total += proxy.host.attempts[before..].iter().filter(|attempt| attempt.server == "a7").count();
         }
         sent.push(total);
     }
@@ -210,7 +210,7 @@
     for seed in 0..300u64 {
         let list: Vec<_> = ids.iter().map(|id| server(id)).collect();
         let part = holds * SERVERS as f64 / 300.0;
-        let mut proxy = Proxy::one_of(300, Some(part), seed.wrapping_mul(0x9e37_79b9_7f4a_7c15), &list);
+        let mut proxy = Proxy::one_of(300, Some(part), seed.wrapping_mul(SEED_MULTIPLIER), &list);
         (0..4).for_each(|i| drop(proxy.establish(arrival(&format!("early-{seed}-{i}")))));
         proxy.advance(5000);
         let started = Some(proxy.now);
@@ -223,8 +223,9 @@
             proxy.establish(Arrival { group: Some(&group), reconnected: i % 2 == 0, ..arrival(&key) });
             proxy.advance(240);
         }
-        for attempt in proxy.host.attempts[before..].iter().filter(|c| c.1.starts_with('z')) {
-            *sent.entry(attempt.1.clone()).or_insert(0.0) += 1.0;
+        for attempt in proxy.host.attempts[before..].iter().filter(|attempt| attempt.server.starts_with('z'))
+        {
+            *sent.entry(attempt.server.clone()).or_insert(0.0) += 1.0;
         }
     }
     // Two seconds of eight, at three tenths of its strength and somewhat more.
--- a/tests/scenarios/slow_start_fleet.rs
+++ b/tests/scenarios/slow_start_fleet.rs
@@ -103,7 +103,7 @@
                     server_capacity: day.holds,
                     proxies: day.proxies as f64,
                 };
-                let mut proxy = Proxy::by(slow_start, luck.generate(), &list);
+                let mut proxy = Proxy::with_slow_start(slow_start, luck.generate(), &list);
                 proxy.host.health_checks_refused = i % 5 == 4;
                 proxy
             })
@@ -259,7 +259,7 @@
     fn carries_out(&mut self, at: usize) {
         let host = std::mem::take(&mut self.proxies[at].host);
         self.proxies[at].host.health_checks_refused = host.health_checks_refused;
-        for (session, place, _) in host.attempts {
+        for RecordedAttempt { session, server: place, .. } in host.attempts {
             let one_in = if self.day.seed.is_multiple_of(2) { 30.0 } else { 3.0 };
             let late = if self.below(one_in) < 1.0 { self.below(1500.0) } else { 5.0 };
             if place.starts_with('z') && self.now_ms >= BACK_MS {
@@ -278,7 +278,7 @@
             let answered = self.now_ms + 1.0 + self.below(4.0);
             self.at(answered, at, Event::Answers { place });
         }
-        let back = host.rejected.iter().map(|p| (p.0, p.1.as_ms()));
+        let back = host.rejected.iter().map(|rejection| (rejection.session, rejection.retry_after.as_ms()));
         let away = host.migrated.iter().map(|c| (*c, 500.0));
         for (session, pause) in back.chain(away).collect::<Vec<_>>() {
             let Some((client, tries, place)) = self.clients.remove(&(at, session)) else { continue };
