--- a/src/balancer/placement.rs
+++ b/src/balancer/placement.rs
@@ -3,6 +3,7 @@
 use super::failure_domains::DomainScore;
 use super::filter::{Filter, Flow, Selection};
 use super::fleet_load::FleetLoad;
+use super::group_affinity::EXTRA_SERVERS;
 use super::slow_start::{AdmissionLoad, SlowStart};
 use crate::host::Host;
 use crate::state::{Attempt, ProxyState, Server, Session};
@@ -13,11 +14,6 @@
 
 /// How long a client's draw stays the same, so that asking again at once does not change the answer.
 const DRAW_LIFETIME: Duration = Duration::from_millis(2000);
-/// How many servers beyond its group's own a session may go to.
-const EXTRA_SERVERS: usize = 2;
-/// The part of the quota that is admitted by group: a warming server may rank first for many groups.
-const GROUP_QUOTA_FRACTION: f64 = 0.65;
-
 /// Third filter: selects a server, unless an earlier filter has.
 pub(super) struct Placement {
     pub(super) state: Rc<ProxyState>,
@@ -57,30 +53,24 @@
     }
 }
 
-/// A server and its rendezvous rank.
-struct RankedServer<'a> {
-    rank: u64,
-    server: &'a Rc<Server>,
-}
-
 /// One placement of a session, and what it goes by.
-struct Decision<'a> {
-    state: &'a ProxyState,
-    slow_start: &'a SlowStart,
-    session: &'a Rc<Session>,
+pub(super) struct Decision<'a> {
+    pub(super) state: &'a ProxyState,
+    pub(super) slow_start: &'a SlowStart,
+    pub(super) session: &'a Rc<Session>,
     /// The servers that the session may go to, in the order of the list.
-    servers: &'a [Rc<Server>],
-    now: Timestamp,
-    fleet: FleetLoad,
+    pub(super) servers: &'a [Rc<Server>],
+    pub(super) now: Timestamp,
+    pub(super) fleet: FleetLoad,
     /// The client's draw, from 0 to 1: servers with a higher outlier score are passed over.
     draw: f64,
     /// From 0 to 1: warming servers that admit a smaller fraction are passed over.
     admission_draw: f64,
-    admission: AdmissionLoad,
+    pub(super) admission: AdmissionLoad,
     /// Whether the session is placed as if no server's load were observed.
-    load_unobserved: bool,
+    pub(super) load_unobserved: bool,
     /// The group by which it may be placed.
-    group: Option<u64>,
+    pub(super) group: Option<u64>,
     suspicion_timeout: Option<Duration>,
     domains: Vec<DomainScore>,
 }
@@ -129,71 +119,8 @@
         (is_mid_flow || self.is_trusted(server) && self.is_fleet_calm()).then(|| server.clone())
     }
 
-    /// A server of the session's group, or of its key where there is none: the first that is not overfull, or the first.
-    fn server_by_affinity(&self, host: &mut dyn Host) -> Option<Rc<Server>> {
-        let ranked = self.affinity_order();
-        let trusted: Vec<_> =
-            ranked.iter().map(|r| r.server).filter(|server| self.is_trusted(server)).collect();
-        self.request_health_checks(&trusted, host);
-        let has_room = trusted.iter().find(|server| !self.fleet.is_overfull(server));
-        has_room.or(trusted.first()).map(|server| Rc::clone(server))
-    }
-
-    /// The servers that the session may be placed at by affinity: its group's, in the order of the key, and a few more.
-    fn affinity_order(&self) -> Vec<RankedServer<'a>> {
-        let mut ranked = self.ranked_servers();
-        let width = self.group_width(&ranked);
-        if width + EXTRA_SERVERS < ranked.len() {
-            ranked.select_nth_unstable_by_key(width + EXTRA_SERVERS, |r| r.rank);
-            ranked.truncate(width + EXTRA_SERVERS);
-        }
-        ranked.sort_unstable_by_key(|r| r.rank);
-        ranked[..width].sort_unstable_by_key(|r| r.server.rendezvous_rank(self.session.key));
-        ranked
-    }
-
-    /// The servers that take part in the ranking. One that refused or broke the last attempt and holds nothing is gone,
-    /// though still listed.
-    fn ranked_servers(&self) -> Vec<RankedServer<'a>> {
-        let hash = self.group.unwrap_or(self.session.key);
-        let factor = if self.group.is_some() { GROUP_QUOTA_FRACTION } else { 1.0 };
-        let admission = AdmissionLoad { quota: self.admission.quota * factor, ..self.admission };
-        let is_present = |server: &&Rc<Server>| {
-            self.is_usable(server, &admission)
-                && (!server.last_attempt_broke.get()
-                    || server.open_connections() > 0.0
-                    || self.is_trusted(server))
-        };
-        let ranked = |server: &'a Rc<Server>| RankedServer { rank: server.rendezvous_rank(hash), server };
-        self.servers.iter().filter(is_present).map(ranked).collect()
-    }
-
-    /// How many of the ranked servers are the group's own. More where no load is observed, to spread what a single
-    /// server would get; reconnecting clients spread only past a warming server, as each server that holds any member
-    /// of a group does the group's work.
-    fn group_width(&self, ranked: &[RankedServer]) -> usize {
-        let is_first_warming = || {
-            let first = ranked.iter().min_by_key(|r| r.rank);
-            first.is_some_and(|r| self.slow_start.warm_fraction(r.server, self.now) < 1.0)
-        };
-        let is_spread = self.load_unobserved && (!self.session.reconnected || is_first_warming());
-        let extra = if is_spread { EXTRA_SERVERS } else { 0 };
-        let width = |group| self.state.arrivals.servers_for_group(group, ranked.len()) + extra;
-        self.group.map_or(0, width).min(ranked.len())
-    }
-
-    /// Has the first servers answer a health check where no load is observed: the first to answer has the least to do.
-    fn request_health_checks(&self, servers: &[&Rc<Server>], host: &mut dyn Host) {
-        let is_useful = self.load_unobserved && !self.session.mid_flow && servers.len() > 1;
-        if is_useful && !self.session.health_checked.replace(true) {
-            for server in servers.iter().take(1 + EXTRA_SERVERS) {
-                server.request_health_check(self.session, host);
-            }
-        }
-    }
-
     /// Whether the session may be sent to this server now.
-    fn is_usable(&self, server: &Rc<Server>, admission: &AdmissionLoad) -> bool {
+    pub(super) fn is_usable(&self, server: &Rc<Server>, admission: &AdmissionLoad) -> bool {
         server.is_active()
             && self.session.may_go_to(server, self.now)
             && !self.session.has_tried(server)
@@ -201,7 +128,7 @@
     }
 
     /// Whether neither the server's outlier score nor its silence nor its failure domains pass it over.
-    fn is_trusted(&self, server: &Rc<Server>) -> bool {
+    pub(super) fn is_trusted(&self, server: &Rc<Server>) -> bool {
         self.session.mid_flow
             || self.draw >= server.outlier_score(self.now)
                 && !server.is_suspected(self.suspicion_timeout, self.now)
--- a/tests/scenarios/random_events.rs
+++ b/tests/scenarios/random_events.rs
@@ -19,10 +19,15 @@
     Over,
 }
 
+struct ModelSession {
+    stage: Stage,
+    final_answers: usize,
+}
+
 /// A host that checks the rules at each call, and fails some attempts at once.
 struct Model {
     rng: WyRand,
-    sessions: BTreeMap<u64, (Stage, usize)>,
+    sessions: BTreeMap<u64, ModelSession>,
     list: BTreeMap<ServerId, EndpointState>,
     /// Attempts that fail before they begin, reported once the call that started them returns.
     immediate_failures: VecDeque<u64>,
@@ -39,7 +44,7 @@
     }
 
     fn in_stage(&self, wanted: impl Fn(&Stage) -> bool) -> Vec<u64> {
-        self.sessions.iter().filter(|(_, (stage, _))| wanted(stage)).map(|(id, _)| *id).collect()
+        self.sessions.iter().filter(|(_, session)| wanted(&session.stage)).map(|(id, _)| *id).collect()
     }
 
     fn one_of(&mut self, wanted: impl Fn(&Stage) -> bool) -> Option<u64> {
@@ -48,13 +53,14 @@
     }
 
     fn set_stage(&mut self, session: u64, stage: Stage) -> Stage {
-        std::mem::replace(&mut self.sessions.get_mut(&session).expect("a session that arrived").0, stage)
+        let session = self.sessions.get_mut(&session).expect("a session that arrived");
+        std::mem::replace(&mut session.stage, stage)
     }
 
     fn answered(&mut self, session: SessionId) {
         let was = self.set_stage(session.0, Stage::Over);
         assert_eq!(was, Stage::Waiting, "answered while an attempt is open: {session:?}");
-        let answers = &mut self.sessions.get_mut(&session.0).expect("a session").1;
+        let answers = &mut self.sessions.get_mut(&session.0).expect("a session").final_answers;
         *answers += 1;
         assert_eq!(*answers, 1, "one final answer: {session:?}");
     }
@@ -77,7 +83,7 @@
         self.answered(session);
     }
     fn migrate(&mut self, session: SessionId) {
-        assert!(matches!(self.sessions[&session.0].0, Stage::Established(_)), "{session:?}");
+        assert!(matches!(self.sessions[&session.0].stage, Stage::Established(_)), "{session:?}");
         self.migrated.push(session.0);
     }
     fn subscribe(&mut self) {}
@@ -90,11 +96,12 @@
     }
 }
 
+/// One run of random events.
 struct Run {
     balancer: LoadBalancer,
     model: Model,
     now: Timestamp,
-    last: u64,
+    last_session: u64,
 }
 
 impl Run {
@@ -106,7 +113,7 @@
         let model = Model {
             rng: WyRand::new_seed(seed),
             sessions: BTreeMap::new(),
-            list: list.iter().map(|line| (line.server.clone(), line.state)).collect(),
+            list: list.iter().map(|endpoint| (endpoint.server.clone(), endpoint.state)).collect(),
             immediate_failures: VecDeque::new(),
             wakeups: Vec::new(),
             health_checks: Vec::new(),
@@ -114,14 +121,14 @@
             health_checks_allowed: seed % 3 < 2,
             attempts: 0,
         };
-        let mut run = Run { balancer, model, now, last: 0 };
+        let mut run = Run { balancer, model, now, last_session: 0 };
         run.balancer.start_periodic_checks(seed.is_multiple_of(2), now, &mut run.model);
         run
     }
 
-    fn on_attempt_ended(&mut self, session: u64, outcome: AttemptOutcome, done: bool) {
-        self.model.set_stage(session, if done { Stage::Over } else { Stage::Waiting });
-        self.balancer.on_attempt_ended(SessionId(session), outcome, done, self.now, &mut self.model);
+    fn on_attempt_ended(&mut self, session: u64, outcome: AttemptOutcome, is_final: bool) {
+        self.model.set_stage(session, if is_final { Stage::Over } else { Stage::Waiting });
+        self.balancer.on_attempt_ended(SessionId(session), outcome, is_final, self.now, &mut self.model);
     }
 
     /// Reports what the host has done since, as it does once a call returns.
@@ -131,7 +138,7 @@
             self.on_attempt_ended(session, outcome, false);
         }
         for session in std::mem::take(&mut self.model.migrated) {
-            if matches!(self.model.sessions[&session].0, Stage::Established(_)) {
+            if matches!(self.model.sessions[&session].stage, Stage::Established(_)) {
                 self.on_attempt_ended(session, AttemptOutcome::Cancelled, true);
             }
         }
@@ -147,11 +154,11 @@
     }
 
     fn arrive(&mut self) {
-        self.last += 1;
+        self.last_session += 1;
         let (key, group) = (format!("k{}", self.model.draw(40)), format!("g{}", self.model.draw(5)));
         let request_timeout = self.model.draw(2500) as u64;
         let arrival = Arrival {
-            session: SessionId(self.last),
+            session: SessionId(self.last_session),
             class: [Some(IDEMPOTENT), Some(NON_IDEMPOTENT), Some(KEYED), None][self.model.draw(4)],
             group: (self.model.draw(3) > 0).then_some(&*group),
             deadline: self.now + Duration::from_millis(request_timeout),
@@ -159,7 +166,9 @@
             reconnected: self.model.draw(3) == 0,
             ..arrival(&key)
         };
-        self.model.sessions.insert(self.last, (Stage::Waiting, 0));
+        self.model
+            .sessions
+            .insert(self.last_session, ModelSession { stage: Stage::Waiting, final_answers: 0 });
         self.balancer.on_request(&arrival, self.now, &mut self.model);
     }
 
@@ -175,7 +184,7 @@
         match self.model.draw(outcomes.len() * 2) {
             i if i < outcomes.len() => self.on_attempt_ended(session, outcomes[i], false),
             _ => {
-                let Stage::Pending(server) = self.model.sessions[&session].0.clone() else { return };
+                let Stage::Pending(server) = self.model.sessions[&session].stage.clone() else { return };
                 self.model.set_stage(session, Stage::Established(server));
                 self.balancer.on_established(SessionId(session), self.now);
             }
@@ -277,7 +286,7 @@
         let open = run.model.in_stage(|s| *s != Stage::Over);
         assert!(open.is_empty(), "seed {seed}: never answered: {open:?}");
         attempts += run.model.attempts;
-        answers += run.model.sessions.values().map(|(_, answers)| answers).sum::<usize>();
+        answers += run.model.sessions.values().map(|session| session.final_answers).sum::<usize>();
     }
     // The runs exercise what they check.
     assert!(
--- a/tests/scenarios/simulated_fleet.rs
+++ b/tests/scenarios/simulated_fleet.rs
@@ -25,6 +25,8 @@
 const LOST_MS: f64 = 63_000.0;
 const BACK_MS: f64 = 65_000.0;
 const WARM_UP_MS: f64 = 8000.0;
+/// A client that is rejected or migrated more often than this stays away.
+const MAX_RETRIES: u32 = 4;
 /// The usual overload window.
 pub const WINDOW_MS: f64 = 2000.0;
 pub const SERVER_CAPACITY: f64 = 30.0;
@@ -53,7 +55,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Arrive { client: u64, proxy: usize, reconnected: bool, attempt: u32 },
+    Arrive { client: u64, proxy: usize, reconnected: bool, retries: u32 },
     Establish { session: u64, place: String },
     Refuse { session: u64, is_rejection: bool },
     Break { session: u64 },
@@ -64,16 +66,34 @@
     ZoneBack,
 }
 
+/// Ordered by time, then in the order of scheduling.
+#[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
+struct ScheduledEvent {
+    at_us: u64,
+    number: u64,
+    proxy: usize,
+    event: Event,
+}
+
+/// A client with an open session.
+struct Client {
+    id: u64,
+    /// How often it has been rejected or migrated.
+    retries: u32,
+    /// Where its session is established; empty before.
+    server: String,
+}
+
 /// All proxies of a fleet, on one clock.
 pub struct Fleet {
     scenario: Scenario,
     rng: WyRand,
     proxies: Vec<Proxy>,
     traffic_weights: Vec<f64>,
-    /// By proxy and session: the client, the number of its attempt, and the server where its session is established.
-    clients: BTreeMap<(usize, u64), (u64, u32, String)>,
-    queue: BinaryHeap<Reverse<(u64, u64, usize, Event)>>,
-    number: u64,
+    /// By proxy and session.
+    clients: BTreeMap<(usize, u64), Client>,
+    queue: BinaryHeap<Reverse<ScheduledEvent>>,
+    scheduled: u64,
     now_ms: f64,
     /// By restarted server: when its attempts arrived.
     attempts: BTreeMap<String, Vec<f64>>,
@@ -114,15 +134,16 @@
             traffic_weights,
             clients: BTreeMap::new(),
             queue: BinaryHeap::new(),
-            number: 0,
+            scheduled: 0,
             now_ms: START_MS,
             attempts: BTreeMap::new(),
         }
     }
 
     fn at(&mut self, ms: f64, proxy: usize, event: Event) {
-        self.number += 1;
-        self.queue.push(Reverse(((ms * 1000.0) as u64, self.number, proxy, event)));
+        self.scheduled += 1;
+        let at_us = (ms * 1000.0) as u64;
+        self.queue.push(Reverse(ScheduledEvent { at_us, number: self.scheduled, proxy, event }));
     }
 
     fn random_below(&mut self, top: f64) -> f64 {
@@ -140,7 +161,7 @@
         for _ in 0..clients as usize {
             let at = from_ms + self.random_below(within_ms);
             let (client, proxy) = (self.rng.generate(), self.random_proxy());
-            self.at(at, proxy, Event::Arrive { client, proxy, reconnected, attempt: 0 });
+            self.at(at, proxy, Event::Arrive { client, proxy, reconnected, retries: 0 });
         }
     }
 
@@ -160,8 +181,8 @@
         }
         self.at(LOST_MS, 0, Event::ZoneLost);
         self.at(BACK_MS, 0, Event::ZoneBack);
-        while let Some(Reverse((at, _, proxy, event))) = self.queue.pop() {
-            self.now_ms = at as f64 / 1000.0;
+        while let Some(Reverse(ScheduledEvent { at_us, proxy, event, .. })) = self.queue.pop() {
+            self.now_ms = at_us as f64 / 1000.0;
             if self.now_ms > end {
                 break;
             }
@@ -174,7 +195,7 @@
         let now = Timestamp::from_ms(self.now_ms);
         self.proxies[at].now = now;
         match event {
-            Event::Arrive { client, proxy, reconnected, attempt } => {
+            Event::Arrive { client, proxy, reconnected, retries } => {
                 let key = format!("key-{client}");
                 // Few groups are large: the first has a tenth of the clients, half of them have under a hundredth.
                 let drawn = (client >> 8) as f64 / (1_u64 << 56) as f64;
@@ -188,7 +209,7 @@
                     ..arrival(&key)
                 };
                 let session = self.proxies[proxy].arrive(arrival);
-                self.clients.insert((proxy, session), (client, attempt, String::new()));
+                self.clients.insert((proxy, session), Client { id: client, retries, server: String::new() });
             }
             Event::Establish { session, place } => {
                 let is_slow = place.ends_with('7');
@@ -196,7 +217,7 @@
                 if is_slow {
                     self.proxies[at].report_message_latency(session, 45);
                 }
-                self.clients.entry((at, session)).and_modify(|c| c.2 = place);
+                self.clients.entry((at, session)).and_modify(|client| client.server = place);
             }
             Event::Refuse { session, is_rejection } => {
                 let outcome =
@@ -204,9 +225,9 @@
                 self.proxies[at].end_attempt(session, outcome);
             }
             Event::Break { session } => {
-                let Some((client, _, _)) = self.clients.remove(&(at, session)) else { return };
+                let Some(client) = self.clients.remove(&(at, session)) else { return };
                 self.proxies[at].end_attempt(session, AttemptOutcome::ConnectionLost);
-                self.schedule_retry(client, 1, at, 300.0);
+                self.schedule_retry(client.id, 1, at, 300.0);
             }
             Event::End { session } => {
                 if self.clients.remove(&(at, session)).is_some() {
@@ -233,18 +254,23 @@
             self.proxies[proxy].now = Timestamp::from_ms(self.now_ms);
             self.proxies[proxy].balancer.on_endpoints(&endpoints, false, Timestamp::from_ms(self.now_ms));
         }
-        let lost: Vec<_> = self.clients.iter().filter(|c| warming.contains(&c.1 .2)).map(|c| *c.0).collect();
+        let lost: Vec<_> = self
+            .clients
+            .iter()
+            .filter(|(_, client)| warming.contains(&client.server))
+            .map(|(session, _)| *session)
+            .collect();
         for (proxy, session) in lost {
             self.at(self.now_ms + 10.0, proxy, Event::Break { session });
         }
     }
 
     /// Lets the client reconnect, one in five at the same proxy.
-    fn schedule_retry(&mut self, client: u64, attempt: u32, at: usize, pause: f64) {
-        if attempt < 4 {
+    fn schedule_retry(&mut self, client: u64, retries: u32, at: usize, pause: f64) {
+        if retries < MAX_RETRIES {
             let proxy = if client.is_multiple_of(5) { at } else { self.random_proxy() };
             let pause = pause * 0.5 + self.random_below(pause);
-            let arrive = Event::Arrive { client, proxy, reconnected: true, attempt };
+            let arrive = Event::Arrive { client, proxy, reconnected: true, retries };
             self.at(self.now_ms + pause, proxy, arrive);
         }
     }
@@ -275,11 +301,11 @@
         let back = host.rejected.iter().map(|rejection| (rejection.session, rejection.retry_after.as_ms()));
         let away = host.migrated.iter().map(|c| (*c, 500.0));
         for (session, pause) in back.chain(away).collect::<Vec<_>>() {
-            let Some((client, attempt, place)) = self.clients.remove(&(at, session)) else { continue };
-            if !place.is_empty() {
+            let Some(client) = self.clients.remove(&(at, session)) else { continue };
+            if !client.server.is_empty() {
                 self.proxies[at].end_attempt(session, AttemptOutcome::Completed);
             }
-            self.schedule_retry(client, attempt + 1, at, pause);
+            self.schedule_retry(client.id, client.retries + 1, at, pause);
         }
         for alarm in host.wakeups {
             self.at(alarm.as_ms(), at, Event::Wakeup);
