--- a/src/balancer/flow_table.rs
+++ b/src/balancer/flow_table.rs
@@ -4,6 +4,7 @@
 use crate::host::Host;
 use crate::state::{Attempt, ProxyState, Server, Session};
 use crate::time::Timestamp;
+use crate::warm_restart::FlowEntry;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::{Rc, Weak};
@@ -45,9 +46,14 @@
 }
 
 impl FlowTable {
-    /// The server of a key's connection, in the order of the keys.
-    pub(crate) fn servers(&self) -> Vec<(u64, Rc<Server>)> {
-        self.flows.borrow().iter().filter_map(|(key, flow)| Some((*key, flow.server()?))).collect()
+    /// The entries whose servers have not restarted, in the order of the keys.
+    pub(crate) fn entries(&self) -> Vec<FlowEntry> {
+        let flows = self.flows.borrow();
+        let entry = |(key, flow): (&u64, &TrackedFlow)| {
+            let server = flow.server()?;
+            Some(FlowEntry { key: *key, server: server.id.to_string(), started: server.started.get() })
+        };
+        flows.iter().filter_map(entry).collect()
     }
 
     /// Adds an entry for a key that has none.
--- a/src/warm_restart.rs
+++ b/src/warm_restart.rs
@@ -1,8 +1,9 @@
 //! What a host carries over a restart, and the quota that it assigns.
 
 use crate::balancer::LoadBalancer;
-use crate::host::EndpointState;
+use crate::state::Server;
 use crate::time::Timestamp;
+use std::rc::Rc;
 use std::time::Duration;
 
 /// Which server holds, or recently held, a client key's connection.
@@ -29,23 +30,14 @@
 
     /// The flow table, in the order of the keys' hashes.
     pub fn flow_entries(&self) -> Vec<FlowEntry> {
-        let flows = self.state.flows.servers().into_iter();
-        flows
-            .map(|(key, server)| FlowEntry {
-                key,
-                server: server.id.to_string(),
-                started: server.started.get(),
-            })
-            .collect()
+        self.state.flows.entries()
     }
 
     /// Restores a flow of an earlier incarnation, for `lifetime`. True where its server is active and has not restarted
     /// since.
     pub fn restore_flow(&mut self, entry: &FlowEntry, lifetime: Duration, now: Timestamp) -> bool {
-        let server = self.state.servers.find(&entry.server).filter(|server| {
-            server.started.get() == entry.started && server.state.get() == EndpointState::Active
-        });
-        let Some(server) = server else { return false };
+        let is_same = |server: &Rc<Server>| server.started.get() == entry.started && server.is_active();
+        let Some(server) = self.state.servers.find(&entry.server).filter(is_same) else { return false };
         self.state.flows.restore(entry.key, &server, now + lifetime);
         true
     }
