--- a/crates/maintenance/src/plan.rs
+++ b/crates/maintenance/src/plan.rs
@@ -1,172 +1,208 @@
-//! What a schedule means at a moment, for all sites together: which empty, which are without traffic, which come back,
-//! and which are held back and why.
+//! The phase of each site at a moment, worked out by each process alone from the schedule, the clock and the endpoint
+//! list.
 //!
-//! Times are taken in the order in which they begin, and by name where they begin together. A site empties only where no
-//! more sites than the schedule allows are without traffic, enough servers are left by those that are there, and another
-//! site is open. One that was empty when its window began stays so until it ends, whatever fails meanwhile: it is not
-//! there to be used. Windows of the version before count too, so that who has heard of a new version and who has not
-//! never empty two sites that either schedule does not allow together: a time that would meet one of those is held back
-//! whole.
-
-use crate::schedule::{Schedule, ScheduleError, Time, MARGIN_MS};
+//! Occurrences are taken in the order in which they begin. A site drains only while no more sites than the schedule
+//! allows are without traffic, the other sites have enough servers, and one of them is open. A site that was without
+//! traffic as its window began stays closed until the window ends, whatever fails elsewhere, as work on it may have
+//! begun.
+//!
+//! The windows of the version before count too: processes with the old and the new version then never close more sites
+//! together than either allows. An occurrence that overlaps with such a window is blocked from its start to its end.
+
+use crate::drain::DrainPeriod;
+use crate::error::ScheduleError;
+use crate::occurrence::{Occurrence, CLOCK_MARGIN_MS};
+use crate::schedule::Schedule;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A site as it is now.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+/// A site of the endpoint list.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Site {
-    /// Servers that may be sent to, whatever the schedule says.
-    pub servers: usize,
+    /// Servers that are active, whatever the schedule says.
+    pub active_servers: usize,
 }
 
+/// What the schedule makes of a site.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Phase {
+    /// It takes traffic.
     Open,
-    /// Its servers go one after the other, so that none is left at `begins`.
-    Emptying {
-        since: i64,
-        begins: i64,
-    },
-    /// Without traffic.
+    /// Its servers stop taking sessions one after the other, before its window begins.
+    Draining(DrainPeriod),
+    /// Its window has begun: it has no traffic.
     Closed {
-        until: i64,
+        /// When the window ends.
+        until_ms: i64,
     },
-    /// Its window is to come or has begun, and it is open all the same.
-    HeldBack {
-        why: String,
+    /// Its window is near or has begun, but the site has to keep its traffic.
+    Blocked {
+        /// Why, for the operator.
+        reason: String,
     },
 }
 
+/// An occurrence, across evaluations.
+#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
+struct OccurrenceId {
+    site: String,
+    begins_ms: i64,
+}
+
+impl OccurrenceId {
+    fn of(occurrence: &Occurrence) -> Self {
+        OccurrenceId { site: occurrence.site.clone(), begins_ms: occurrence.begins_ms }
+    }
+}
+
+/// Sites without traffic, as found so far in one evaluation.
+#[derive(Default)]
+struct Evaluation<'a> {
+    sites_without_traffic: BTreeSet<&'a str>,
+    closed: BTreeSet<OccurrenceId>,
+    draining: BTreeSet<OccurrenceId>,
+}
+
+/// The schedule in force, and what has become of its windows.
 pub struct Plan {
     schedule: Schedule,
-    /// Times whose site was empty as they began, by site and beginning.
-    kept: BTreeSet<(String, i64)>,
-    /// Times that were emptying when last looked at.
-    emptying: BTreeSet<(String, i64)>,
-    /// When each site's last window ended, for as long as that matters.
-    ended: BTreeMap<String, i64>,
+    /// Occurrences whose site was closed in the last evaluation.
+    closed: BTreeSet<OccurrenceId>,
+    /// Occurrences whose site was draining in the last evaluation.
+    draining: BTreeSet<OccurrenceId>,
+    /// When each site was last found closed.
+    last_closed_ms: BTreeMap<String, i64>,
 }
 
 impl Plan {
+    /// A plan that starts with this schedule.
     pub fn new(schedule: Schedule) -> Self {
-        Plan { schedule, kept: BTreeSet::new(), emptying: BTreeSet::new(), ended: BTreeMap::new() }
+        Plan { schedule, closed: BTreeSet::new(), draining: BTreeSet::new(), last_closed_ms: BTreeMap::new() }
     }
 
+    /// Version of the schedule in force.
     pub fn version(&self) -> u64 {
         self.schedule.version
     }
 
-    /// Goes by a newer schedule from now on; one that is not newer changes nothing. What is under way by the last one
-    /// goes on as that has it: a window that is moved or called off in its midst lets its site come back.
-    pub fn follow(&mut self, next: Schedule) {
+    /// Brings a newer schedule into force; one that is not newer changes nothing. A site whose window it moves or
+    /// removes is open again at the next evaluation.
+    pub fn update(&mut self, next: Schedule) {
         if next.version > self.schedule.version {
-            self.schedule = self.schedule.followed_by(next);
+            self.schedule = self.schedule.succeeded_by(next);
         }
     }
 
-    /// What every site is in. `sites` are those that the list has, with what is there of each; a window for a site that
-    /// nobody has heard of does nothing.
-    pub fn at(
+    /// The phase of each of `sites`, which are those of the endpoint list. Windows of other sites have no effect.
+    ///
+    /// # Errors
+    ///
+    /// Those of [`Schedule::occurrences`]; the plan is then unchanged.
+    pub fn evaluate(
         &mut self,
-        now: i64,
+        now_ms: i64,
         sites: &BTreeMap<String, Site>,
     ) -> Result<BTreeMap<String, Phase>, ScheduleError> {
-        let under_way = |time: &Time| time.empties <= now && now < time.ends;
-        let mine = self.schedule.times(&self.schedule.windows, now - MARGIN_MS, now + MARGIN_MS)?;
-        let all: usize = sites.values().map(|site| site.servers).sum();
-        let mut phases: BTreeMap<String, Phase> =
-            sites.keys().map(|site| (site.clone(), Phase::Open)).collect();
-        let mut without: BTreeSet<&str> = BTreeSet::new();
-        let (mut kept, mut emptying) = (BTreeSet::new(), BTreeSet::new());
-        for time in mine.iter().filter(|time| under_way(time) && sites.contains_key(&time.site)) {
-            let this = (time.site.clone(), time.begins);
-            let stays = now >= time.begins && (self.kept.contains(&this) || self.emptying.contains(&this));
-            let why = if stays { None } else { self.objection(time, sites, all, &without)? };
-            let phase = match why {
-                Some(why) => Phase::HeldBack { why },
-                None => {
-                    without.insert(&time.site);
-                    if now >= time.begins {
-                        kept.insert(this);
-                        Phase::Closed { until: time.ends }
-                    } else {
-                        emptying.insert(this);
-                        Phase::Emptying { since: time.empties, begins: time.begins }
-                    }
-                }
-            };
-            let held = phases.get(&time.site).cloned().unwrap_or(Phase::Open);
-            // Of several windows of one site the strongest word counts.
-            if !matches!(held, Phase::Closed { .. }) {
-                phases.insert(time.site.clone(), phase);
+        let (from_ms, to_ms) = (now_ms - CLOCK_MARGIN_MS, now_ms + CLOCK_MARGIN_MS);
+        let occurrences = self.schedule.occurrences(&self.schedule.windows, from_ms, to_ms)?;
+        let mut phases: BTreeMap<_, _> = sites.keys().map(|site| (site.clone(), Phase::Open)).collect();
+        let mut evaluation = Evaluation::default();
+        for occurrence in occurrences.iter().filter(|occurrence| occurrence.is_under_way(now_ms)) {
+            let Some(site_phase) = phases.get_mut(&occurrence.site) else { continue };
+            let phase = self.phase_of(occurrence, now_ms, sites, &mut evaluation)?;
+            // Of several windows of one site, one that has closed it prevails.
+            if !matches!(site_phase, Phase::Closed { .. }) {
+                *site_phase = phase;
             }
         }
-        for (site, phase) in &phases {
-            if matches!(phase, Phase::Closed { .. }) {
-                self.ended.insert(site.clone(), now);
+        (self.closed, self.draining) = (evaluation.closed, evaluation.draining);
+        let closed_sites = phases.iter().filter(|(_, phase)| matches!(phase, Phase::Closed { .. }));
+        self.last_closed_ms.extend(closed_sites.map(|(site, _)| (site.clone(), now_ms)));
+        Ok(phases)
+    }
+
+    fn phase_of<'a>(
+        &self,
+        occurrence: &'a Occurrence,
+        now_ms: i64,
+        sites: &BTreeMap<String, Site>,
+        evaluation: &mut Evaluation<'a>,
+    ) -> Result<Phase, ScheduleError> {
+        let id = OccurrenceId::of(occurrence);
+        let has_begun = now_ms >= occurrence.begins_ms;
+        let stays_closed = has_begun && (self.closed.contains(&id) || self.draining.contains(&id));
+        if !stays_closed {
+            if let Some(reason) = self.objection(occurrence, sites, &evaluation.sites_without_traffic)? {
+                return Ok(Phase::Blocked { reason });
             }
         }
-        (self.kept, self.emptying) = (kept, emptying);
-        Ok(phases)
+        evaluation.sites_without_traffic.insert(&occurrence.site);
+        if has_begun {
+            evaluation.closed.insert(id);
+            return Ok(Phase::Closed { until_ms: occurrence.ends_ms });
+        }
+        evaluation.draining.insert(id);
+        Ok(Phase::Draining(DrainPeriod {
+            begins_ms: occurrence.drains_from_ms,
+            ends_ms: occurrence.begins_ms,
+        }))
     }
 
+    /// Why the site of an occurrence has to keep its traffic; none where it may go.
     fn objection(
         &self,
-        time: &Time,
+        occurrence: &Occurrence,
         sites: &BTreeMap<String, Site>,
-        all: usize,
-        without: &BTreeSet<&str>,
+        without_traffic: &BTreeSet<&str>,
     ) -> Result<Option<String>, ScheduleError> {
-        if without.contains(time.site.as_str()) {
+        if without_traffic.contains(occurrence.site.as_str()) {
             return Ok(None);
         }
-        let most = self.schedule.most_at_once;
-        // Guards against who has only the version before: from its own start to its end this time may meet none of those
-        // that such a process goes by, or both would have a site empty.
-        let theirs =
-            self.schedule.times(&self.schedule.before, time.empties - MARGIN_MS, time.ends + MARGIN_MS)?;
-        let meets = theirs.iter().filter(|their| their.meets(time)).map(|their| their.site.as_str());
-        let mut together: BTreeSet<&str> = without.iter().copied().chain(meets).collect();
-        together.remove(time.site.as_str());
-        if together.len() >= most {
-            let first = together.first().copied().unwrap_or_default();
-            let why = format!("{first} is without traffic, or may be by the schedule before; {most} may be");
-            return Ok(Some(why));
+        let previous = self.overlapping_previous(occurrence)?;
+        let mut unavailable: BTreeSet<&str> = previous.iter().map(|other| other.site.as_str()).collect();
+        unavailable.extend(without_traffic);
+        unavailable.remove(occurrence.site.as_str());
+        let max_closed = self.schedule.max_closed_sites;
+        if unavailable.len() >= max_closed {
+            let first = unavailable.first().copied().unwrap_or_default();
+            return Ok(Some(format!(
+                "{first} is without traffic, or may be by the schedule before; {max_closed} may be"
+            )));
         }
-        let open = sites.iter().filter(|(site, now)| {
-            **site != time.site && !together.contains(site.as_str()) && now.servers > 0
-        });
-        let left: usize = open.map(|(_, now)| now.servers).sum();
-        if left == 0 {
-            return Ok(Some("it is the last site with servers".to_owned()));
-        }
-        let part = left as f64 / all.max(1) as f64;
-        let least = self.schedule.least_left;
-        Ok((part < least).then(|| format!("{part:.2} of the servers would be left, and {least} have to be")))
+        unavailable.insert(&occurrence.site);
+        Ok(self.capacity_objection(sites, &unavailable))
     }
 
-    /// Since when a site comes back from its last window: its servers count as started then, so that they are let in on
-    /// step by step.
-    pub fn back_since(&self, site: &str) -> Option<i64> {
-        self.ended.get(site).copied()
+    /// Occurrences of the version before that a process without this version may have under way together with this one.
+    fn overlapping_previous(&self, occurrence: &Occurrence) -> Result<Vec<Occurrence>, ScheduleError> {
+        let from_ms = occurrence.drains_from_ms - CLOCK_MARGIN_MS;
+        let to_ms = occurrence.ends_ms + CLOCK_MARGIN_MS;
+        let mut previous = self.schedule.occurrences(&self.schedule.previous_windows, from_ms, to_ms)?;
+        previous.retain(|other| other.overlaps(occurrence));
+        Ok(previous)
     }
-}
 
-/// Whether the server at this place of an emptying site, in the order of ids, takes nothing new any more and sends away
-/// what it has: they go one after the other over the first part of the lead, what is left of it is for the last one's
-/// clients. The same at every process, from the schedule alone.
-pub fn goes(place: usize, servers: usize, (since, begins): (i64, i64), now: i64) -> bool {
-    // A draining server of twenty is empty in five seconds; the rest is for clients that come back slowly.
-    const PART: f64 = 0.7;
-    let due = (begins - since) as f64 * PART * place as f64 / servers.max(1) as f64;
-    now - since >= due as i64
-}
+    /// Why the servers of the sites that stay available are too few.
+    fn capacity_objection(
+        &self,
+        sites: &BTreeMap<String, Site>,
+        unavailable: &BTreeSet<&str>,
+    ) -> Option<String> {
+        let all: usize = sites.values().map(|site| site.active_servers).sum();
+        let available = sites.iter().filter(|(site, _)| !unavailable.contains(site.as_str()));
+        let left: usize = available.map(|(_, site)| site.active_servers).sum();
+        if left == 0 {
+            return Some("it is the last site with servers".to_owned());
+        }
+        let fraction_left = left as f64 / all.max(1) as f64;
+        let min_fraction = self.schedule.min_active_fraction;
+        (fraction_left < min_fraction).then(|| {
+            format!("{fraction_left:.2} of the servers would be left, and {min_fraction} have to be")
+        })
+    }
 
-/// By how much the lead is too short, in milliseconds, for so many sessions at so many a second that the other sites bear.
-pub fn short_by(sessions: usize, a_second: f64, lead_ms: i64) -> Option<i64> {
-    let needed = (sessions as f64 / a_second.max(1e-9) * 1000.0).min(i64::MAX as f64) as i64;
-    (needed > lead_ms).then_some(needed - lead_ms)
+    /// When a site was last found closed, in Unix milliseconds: its servers count as started then, so that they get
+    /// their sessions back by a slow start.
+    pub fn last_closed_ms(&self, site: &str) -> Option<i64> {
+        self.last_closed_ms.get(site).copied()
+    }
 }
-
-#[cfg(test)]
-#[path = "../tests/unit/plan.rs"]
-mod tests;
--- a/crates/maintenance/tests/stored_bytes.rs
+++ b/crates/maintenance/tests/stored_bytes.rs
@@ -1,4 +1,4 @@
-//! A schedule keeps its bytes in what a fleet shares: it is compared with what an earlier release wrote.
+//! A schedule keeps its bytes in the replicated map: it is compared with what an earlier release wrote.
 
 use recorded::{hex, Recorded};
 use shelfgrade_maintenance::schedule::Schedule;
@@ -30,9 +30,9 @@
 
 #[test]
 fn a_schedule_is_written_and_read_as_an_earlier_release_wrote_it() {
-    let before = Schedule::parse(SCHEDULE).unwrap();
-    let next = Schedule { version: 301, ..before.clone() };
-    let schedule = before.followed_by(next);
+    let previous = Schedule::parse(SCHEDULE).unwrap();
+    let next = Schedule { version: 301, ..previous.clone() };
+    let schedule = previous.succeeded_by(next);
     assert_eq!(hex(&postcard::to_stdvec(&schedule).unwrap()), RECORDED.digits("schedule"));
     assert_eq!(postcard::from_bytes::<Schedule>(&RECORDED.bytes("schedule")).unwrap(), schedule);
 }
--- a/crates/proxy/src/tenants/maintenance_windows.rs
+++ b/crates/proxy/src/tenants/maintenance_windows.rs
@@ -1,87 +1,79 @@
-//! Maintenance windows in one process: read from a file, spread over the fleet, and put on the list of servers: for the
-//! decisions a site in its window drains, and comes back as cold.
+//! Maintenance windows in one process: the schedule is loaded from a file, replicated over the fleet, and applied to the
+//! endpoint list. For the load balancers the servers of a site in its window drain, and are in slow start after it.
 //!
-//! The file is the fleet file's `maintenance`. Whoever has a newer version spreads it; it comes into force whole.
+//! The file is the fleet file's `maintenance`. A process that loads a newer version replicates it.
 
-use crate::tenants::replicated_store::{get_chunked, put_chunked, ReplicatedStore};
+use crate::tenants::replicated_store::{get_chunked, put_chunked, LoadError, ReplicatedStore};
 use shelfgrade::host::{Endpoint, EndpointState, ServerId};
 use shelfgrade::time::Timestamp;
-use shelfgrade_maintenance::plan::{goes, short_by, Phase, Plan, Site};
-use shelfgrade_maintenance::schedule::{shown, Schedule};
+use shelfgrade_maintenance::drain::lead_shortfall_ms;
+use shelfgrade_maintenance::occurrence::format_utc;
+use shelfgrade_maintenance::plan::{Phase, Plan, Site};
+use shelfgrade_maintenance::schedule::Schedule;
 use std::collections::BTreeMap;
 use std::path::Path;
 use std::time::Duration;
 
-/// Under which all share it.
+/// Key of the schedule in the replicated map.
 pub const SCHEDULE_KEY: &str = "windows";
-/// What one process moves off a site in a second: four rounds, in each of which a server that drains sends one away.
-const A_SECOND: f64 = 4.0;
+/// Rate at which one process migrates sessions off a site: a draining server migrates one in each of four rounds a
+/// second.
+const MIGRATIONS_PER_S: f64 = 4.0;
 
+/// The schedule in force, and what it makes of sites and servers.
 #[derive(Default)]
 pub struct MaintenanceWindows {
     plan: Option<Plan>,
+    /// Of each site, at the last evaluation.
     phases: BTreeMap<String, Phase>,
-    /// What each server was put to last.
-    put: BTreeMap<ServerId, EndpointState>,
+    /// Of each server, at the last evaluation.
+    states: BTreeMap<ServerId, EndpointState>,
 }
 
-/// What a changes at the clock brought.
+/// What has changed since the last evaluation.
 #[derive(Default)]
 pub struct WindowChanges {
-    /// Servers whose lines are others than before.
+    /// A server's state has changed.
     pub endpoints_changed: bool,
-    /// Sites whose window begins now: what is left there is told to move.
+    /// Sites whose window begins now: the sessions that are left there are to migrate.
     pub closing_sites: Vec<String>,
 }
 
 impl MaintenanceWindows {
-    /// Reads the file and spreads it, if it can be used.
-    pub fn load(&self, path: &Path, now_ms: i64, shared: &impl ReplicatedStore) {
-        let read = || {
-            let text = std::fs::read_to_string(path).map_err(|error| error.to_string())?;
-            let schedule = Schedule::parse(&text).map_err(|error| error.to_string())?;
-            schedule.check(now_ms).map_err(|error| error.to_string())?;
-            put_chunked(SCHEDULE_KEY, schedule.version, &schedule, shared).map_err(|error| error.to_string())
-        };
-        if let Err(error) = read() {
-            log::error!("{}: {error}; the schedule before stays", path.display());
+    /// Loads a schedule and replicates it. One that cannot be used is logged.
+    pub fn load(&self, path: &Path, now_ms: i64, store: &impl ReplicatedStore) {
+        if let Err(error) = load_schedule(path, now_ms, store) {
+            log::error!("{}: {error}; the version before stays in force", path.display());
         }
     }
 
-    /// The schedule has changed in what all share.
-    pub fn on_schedule_changed(&mut self, now_ms: i64, shared: &impl ReplicatedStore) {
-        let Some(schedule) = get_chunked::<Schedule>(SCHEDULE_KEY, shared) else { return };
-        let held = self.plan.as_ref().map_or(0, Plan::version);
-        if schedule.version <= held {
+    /// The schedule in the replicated map has changed: a newer version that is complete comes into force.
+    pub fn on_schedule_changed(&mut self, now_ms: i64, store: &impl ReplicatedStore) {
+        let Some(schedule) = get_chunked::<Schedule>(SCHEDULE_KEY, store) else { return };
+        let version = schedule.version;
+        if version <= self.plan.as_ref().map_or(0, Plan::version) {
             return;
         }
         if let Err(error) = schedule.check(now_ms) {
-            return log::error!(
-                "maintenance: version {}: {error}; the schedule before stays",
-                schedule.version
-            );
+            return log::error!("maintenance: version {version}: {error}; the version before stays in force");
         }
-        log::info!("maintenance: version {} is in force", schedule.version);
+        log::info!("maintenance: version {version} is in force");
         match &mut self.plan {
-            Some(plan) => plan.follow(schedule),
+            Some(plan) => plan.update(schedule),
             None => self.plan = Some(Plan::new(schedule)),
         }
     }
 
-    /// Looks at the clock; `list` is the list as discovery has it, `held` how many sessions this process has at a site.
+    /// Works out the phase of each site. `endpoints` is the list as discovery has it, and `sessions_at` gives how many
+    /// sessions this process has at a site.
     pub fn evaluate(
         &mut self,
         now_ms: i64,
-        list: &[Endpoint],
-        held: impl Fn(&str) -> usize,
+        endpoints: &[Endpoint],
+        sessions_at: impl Fn(&str) -> usize,
     ) -> WindowChanges {
         let Some(plan) = &mut self.plan else { return WindowChanges::default() };
-        let mut sites: BTreeMap<String, Site> = BTreeMap::new();
-        for line in list {
-            let site = sites.entry(line.zone.clone()).or_insert(Site { servers: 0 });
-            site.servers += usize::from(line.state == EndpointState::Active);
-        }
-        let phases = match plan.at(now_ms, &sites) {
+        let phases = match plan.evaluate(now_ms, &sites(endpoints)) {
             Ok(phases) => phases,
             Err(error) => {
                 log::error!("maintenance: {error}");
@@ -93,60 +85,82 @@
             if self.phases.get(site).unwrap_or(&Phase::Open) == phase {
                 continue;
             }
-            match phase {
-                Phase::Open => log::info!("site {site}: open again"),
-                Phase::Emptying { begins, .. } => {
-                    log::info!("site {site}: emptying, until its window begins at {}", shown(*begins));
-                    if let Some(short) = short_by(held(site), A_SECOND, begins - now_ms) {
-                        log::warn!(
-                            "site {site}: the lead is {} s too short for what stands here",
-                            short / 1000
-                        );
-                    }
-                }
-                Phase::Closed { until } => {
-                    log::info!("site {site}: without traffic, until {}", shown(*until));
-                    changes.closing_sites.push(site.clone());
-                }
-                Phase::HeldBack { why } => log::warn!("site {site}: its window is held back: {why}"),
+            log_phase(site, phase, now_ms, &sessions_at);
+            if matches!(phase, Phase::Closed { .. }) {
+                changes.closing_sites.push(site.clone());
             }
         }
         self.phases = phases;
-        let now: BTreeMap<_, _> =
-            list.iter().map(|line| (line.server.clone(), self.state(line, list, now_ms))).collect();
-        changes.endpoints_changed = now != self.put;
-        self.put = now;
+        let states = endpoints
+            .iter()
+            .map(|endpoint| (endpoint.server.clone(), self.state_in_window(endpoint, endpoints, now_ms)));
+        let states = states.collect();
+        changes.endpoints_changed = states != self.states;
+        self.states = states;
         changes
     }
 
-    /// What a server is for the decisions.
-    fn state(&self, line: &Endpoint, list: &[Endpoint], now_ms: i64) -> EndpointState {
-        let mates = || list.iter().filter(|other| other.zone == line.zone);
-        let drains = match self.phases.get(&line.zone) {
+    fn state_in_window(&self, endpoint: &Endpoint, endpoints: &[Endpoint], now_ms: i64) -> EndpointState {
+        let is_draining = match self.phases.get(&endpoint.zone) {
             Some(Phase::Closed { .. }) => true,
-            Some(Phase::Emptying { since, begins }) => {
-                let place = mates().filter(|other| other.server < line.server).count();
-                goes(place, mates().count(), (*since, *begins), now_ms)
+            Some(Phase::Draining(period)) => {
+                let of_site = || endpoints.iter().filter(|other| other.zone == endpoint.zone);
+                let index = of_site().filter(|other| other.server < endpoint.server).count();
+                period.is_server_draining(index, of_site().count(), now_ms)
             }
-            _ => false,
+            Some(Phase::Open | Phase::Blocked { .. }) | None => false,
         };
-        if drains && line.state == EndpointState::Active {
+        if is_draining && endpoint.state == EndpointState::Active {
             EndpointState::Draining
         } else {
-            line.state
+            endpoint.state
         }
     }
 
-    /// A line of the list as the decisions get it: draining in its site's window, and cold after it.
-    pub fn apply_to(&self, line: &Endpoint, slow_start: Duration, now: Timestamp) -> Endpoint {
-        let Some(plan) = &self.plan else { return line.clone() };
-        let state = self.put.get(&line.server).copied().unwrap_or(line.state);
-        let back = plan.back_since(&line.zone).map(|ms| Timestamp::from_ms(ms as f64));
-        let back = back.filter(|back| now.since(*back) < slow_start && state == EndpointState::Active);
-        Endpoint { state, started: line.started.max(back), ..line.clone() }
+    /// An endpoint as the load balancers get it: draining in its site's window, and started anew after it.
+    pub fn apply_to(&self, endpoint: &Endpoint, slow_start: Duration, now: Timestamp) -> Endpoint {
+        let Some(plan) = &self.plan else { return endpoint.clone() };
+        let state = self.states.get(&endpoint.server).copied().unwrap_or(endpoint.state);
+        let reopened = plan.last_closed_ms(&endpoint.zone).map(|ms| Timestamp::from_ms(ms as f64));
+        let reopened = reopened.filter(|at| now.since(*at) < slow_start && state == EndpointState::Active);
+        Endpoint { state, started: endpoint.started.max(reopened), ..endpoint.clone() }
     }
 
+    /// Whether a schedule is in force.
     pub fn has_schedule(&self) -> bool {
         self.plan.is_some()
     }
 }
+
+fn load_schedule(path: &Path, now_ms: i64, store: &impl ReplicatedStore) -> Result<(), LoadError> {
+    let text = std::fs::read_to_string(path)?;
+    let schedule = Schedule::parse(&text)?;
+    schedule.check(now_ms)?;
+    put_chunked(SCHEDULE_KEY, schedule.version, &schedule, store)
+}
+
+fn sites(endpoints: &[Endpoint]) -> BTreeMap<String, Site> {
+    let mut sites: BTreeMap<String, Site> = BTreeMap::new();
+    for endpoint in endpoints {
+        let site = sites.entry(endpoint.zone.clone()).or_default();
+        site.active_servers += usize::from(endpoint.state == EndpointState::Active);
+    }
+    sites
+}
+
+fn log_phase(site: &str, phase: &Phase, now_ms: i64, sessions_at: &impl Fn(&str) -> usize) {
+    match phase {
+        Phase::Open => log::info!("site {site}: open again"),
+        Phase::Draining(period) => {
+            log::info!("site {site}: draining, until its window begins at {}", format_utc(period.ends_ms));
+            let lead_ms = period.ends_ms - now_ms;
+            if let Some(short_ms) = lead_shortfall_ms(sessions_at(site), MIGRATIONS_PER_S, lead_ms) {
+                log::warn!("site {site}: the lead is {} s too short for the sessions here", short_ms / 1000);
+            }
+        }
+        Phase::Closed { until_ms } => {
+            log::info!("site {site}: without traffic, until {}", format_utc(*until_ms));
+        }
+        Phase::Blocked { reason } => log::warn!("site {site}: its window is held back: {reason}"),
+    }
+}
--- a/crates/proxy/src/tenants/replicated_store.rs
+++ b/crates/proxy/src/tenants/replicated_store.rs
@@ -1,7 +1,7 @@
 //! Namespaces and schedules in the map that the fleet replicates: each value is written and read in chunks.
 
 use serde::{de::DeserializeOwned, Serialize};
-use shelfgrade_maintenance::schedule::ScheduleError;
+use shelfgrade_maintenance::error::ScheduleError;
 use shelfgrade_namespaces::chunks::{chunk_key, reassemble, split, ChunkHeader, ChunkedValue, TooLargeError};
 use shelfgrade_namespaces::error::NamespaceError;
 
--- a/crates/testkit/tests/windows.rs
+++ b/crates/testkit/tests/windows.rs
@@ -41,7 +41,7 @@
     trial.processes[1].signal(Signal::HUP);
     let says =
         |trial: &mut Trial, word: &str| trial.processes.iter().all(|process| process.log().contains(word));
-    trial.until(Duration::from_secs(6), "all empty it", |trial| says(trial, "site b: emptying")).await;
+    trial.until(Duration::from_secs(6), "all empty it", |trial| says(trial, "site b: draining")).await;
     sleep(begins.saturating_sub(trial.record.now() + Duration::from_millis(300))).await;
     let left = held(&trial, "b");
     assert!(left <= 2, "{left} are left as it begins");
