--- a/crates/proxy/src/tenants/tenant_balancers.rs
+++ b/crates/proxy/src/tenants/tenant_balancers.rs
@@ -1,5 +1,5 @@
-//! The decisions of one process: one set for all sessions, and one for each customer that has a namespace, so that no
-//! customer's storm, jam or strain is another's. Each is the same decision module.
+//! The load balancers of one process: the default one, and one for each customer that has a namespace, so that overload
+//! by one customer does not change the decisions for another. All of them are the same decision module.
 
 use crate::tenants::tenant_namespaces::NamespaceUpdate;
 use shelfgrade::choice::LoadBalancer;
@@ -10,146 +10,188 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Makes decisions for one more customer, from a seed.
+/// A customer's load balancer is dropped when the customer has had no session for this long. Its flow table has then
+/// no entry left.
+const TENANT_IDLE_TIMEOUT: Duration = Duration::from_millis(60_000);
+
+/// Builds a load balancer with the settings of the process, from a seed; none where the settings cannot be used.
 pub type BalancerFactory = Box<dyn Fn(u64) -> Option<LoadBalancer>>;
 
-struct Own {
+/// A customer's load balancer.
+struct TenantBalancer {
     balancer: LoadBalancer,
-    /// What its customer is granted, in the order of the ids, and the part of the whole.
-    granted: Rc<[ServerId]>,
-    share: f64,
-    /// Since when it has had no session.
+    /// In the order of their ids.
+    granted_servers: Rc<[ServerId]>,
+    quota_share: f64,
+    /// Since when the customer has no session.
     idle_since: Option<Timestamp>,
 }
 
+/// A flow entry of an earlier incarnation.
+struct RestoredFlow {
+    entry: FlowEntry,
+    expires_at: Timestamp,
+}
+
+/// All load balancers of one process. Each event goes to the one that decides the session, or to all of them.
 pub struct TenantBalancers {
-    common: LoadBalancer,
-    common_share: f64,
-    make: BalancerFactory,
+    default_balancer: LoadBalancer,
+    default_quota_share: f64,
+    factory: BalancerFactory,
     seed: u64,
-    /// By customer, for those that had a session since their namespace came.
-    own: BTreeMap<Rc<str>, Own>,
-    /// Whose sessions are not the common ones'.
-    owner: BTreeMap<SessionId, Rc<str>>,
-    list: BTreeMap<ServerId, Endpoint>,
-    /// What an earlier life remembered, and until when that is of use.
-    remembered: Vec<(FlowEntry, Timestamp)>,
-    probing: bool,
-    part: f64,
+    /// Of customers with a namespace that have had a session recently.
+    tenants: BTreeMap<Rc<str>, TenantBalancer>,
+    /// Customers of the sessions that the default balancer does not decide.
+    session_tenants: BTreeMap<SessionId, Rc<str>>,
+    endpoints: BTreeMap<ServerId, Endpoint>,
+    /// For customers whose load balancer is built later.
+    restored_flows: Vec<RestoredFlow>,
+    health_checks_enabled: bool,
+    /// As it was set last; 0 before that.
+    quota_fraction: f64,
 }
 
 impl TenantBalancers {
-    pub fn new(common: LoadBalancer, make: BalancerFactory, seed: u64) -> Self {
+    /// The default balancer alone. `factory` and `seed` build those of customers.
+    pub fn new(default_balancer: LoadBalancer, factory: BalancerFactory, seed: u64) -> Self {
         TenantBalancers {
-            common,
-            common_share: 1.0,
-            make,
+            default_balancer,
+            default_quota_share: 1.0,
+            factory,
             seed,
-            own: BTreeMap::new(),
-            owner: BTreeMap::new(),
-            list: BTreeMap::new(),
-            remembered: Vec::new(),
-            probing: false,
-            part: 0.0,
+            tenants: BTreeMap::new(),
+            session_tenants: BTreeMap::new(),
+            endpoints: BTreeMap::new(),
+            restored_flows: Vec::new(),
+            health_checks_enabled: false,
+            quota_fraction: 0.0,
         }
     }
 
-    pub fn start(&mut self, last_held: &[Endpoint], now: Timestamp, host: &mut dyn Host) {
-        self.keep(last_held, true);
-        self.common.start(last_held, now, host);
+    /// Starts with the endpoint list known from before.
+    pub fn start(&mut self, known: &[Endpoint], now: Timestamp, host: &mut dyn Host) {
+        self.store_endpoints(known, true);
+        self.default_balancer.start(known, now, host);
     }
 
-    fn keep(&mut self, lines: &[Endpoint], whole: bool) {
-        if whole {
-            self.list.clear();
+    fn store_endpoints(&mut self, endpoints: &[Endpoint], is_complete: bool) {
+        if is_complete {
+            self.endpoints.clear();
         }
-        self.list.extend(lines.iter().map(|line| (line.server.clone(), line.clone())));
-        self.list.retain(|_, line| line.state != EndpointState::Removed);
+        let changed = endpoints.iter().map(|endpoint| (endpoint.server.clone(), endpoint.clone()));
+        self.endpoints.extend(changed);
+        self.endpoints.retain(|_, endpoint| endpoint.state != EndpointState::Removed);
     }
 
+    /// The current endpoint list.
     pub fn endpoints(&self) -> Vec<Endpoint> {
-        self.list.values().cloned().collect()
+        self.endpoints.values().cloned().collect()
     }
 
-    pub fn on_endpoints(&mut self, lines: &[Endpoint], whole: bool, now: Timestamp) {
-        self.keep(lines, whole);
-        self.common.on_endpoints(lines, whole, now);
-        for own in self.own.values_mut() {
-            own.balancer.on_endpoints(&granted(&self.list, &own.granted), true, now);
+    /// Applies a change of the endpoint list; a server that is absent from a complete list is removed.
+    pub fn on_endpoints(&mut self, endpoints: &[Endpoint], is_complete: bool, now: Timestamp) {
+        self.store_endpoints(endpoints, is_complete);
+        self.default_balancer.on_endpoints(endpoints, is_complete, now);
+        for tenant in self.tenants.values_mut() {
+            let granted = granted_endpoints(&self.endpoints, &tenant.granted_servers);
+            tenant.balancer.on_endpoints(&granted, true, now);
         }
     }
 
+    /// The watch of the endpoint list was lost: the default balancer polls for the list now. What the lost watch may have
+    /// missed counts as received at `due`.
     pub fn on_watch_lost(&mut self, due: Timestamp, host: &mut dyn Host) {
-        self.common.on_watch_lost(due, host);
+        self.default_balancer.on_watch_lost(due, host);
     }
 
+    /// A poll for the endpoint list, sent at `since`, failed: the default balancer schedules the next one.
     pub fn on_poll_failed(&mut self, since: Timestamp, now: Timestamp, host: &mut dyn Host) {
-        self.common.on_poll_failed(since, now, host);
+        self.default_balancer.on_poll_failed(since, now, host);
     }
 
-    /// Customers that have decisions of their own now.
+    /// Customers that have a load balancer now.
     pub fn customers(&self) -> Vec<Rc<str>> {
-        self.own.keys().cloned().collect()
+        self.tenants.keys().cloned().collect()
     }
 
-    /// What a customer with decisions of its own is granted has changed.
-    pub fn update_tenant(&mut self, update: &NamespaceUpdate, now: Timestamp) {
-        if let Some(own) = self.own.get_mut(&update.customer) {
-            (own.granted, own.share) = (update.servers.clone(), update.quota_share);
-            own.balancer.on_endpoints(&granted(&self.list, &update.servers), true, now);
-            self.set_quota_fraction(self.part);
-        }
+    /// Whether a customer has a load balancer now.
+    pub fn has_tenant(&self, customer: &str) -> bool {
+        self.tenants.contains_key(customer)
     }
 
-    pub fn has_tenant(&self, customer: &str) -> bool {
-        self.own.contains_key(customer)
+    /// What a customer is granted has changed.
+    pub fn update_tenant(&mut self, update: &NamespaceUpdate, now: Timestamp) {
+        let Some(tenant) = self.tenants.get_mut(&update.customer) else { return };
+        tenant.granted_servers = update.servers.clone();
+        tenant.quota_share = update.quota_share;
+        let granted = granted_endpoints(&self.endpoints, &update.servers);
+        tenant.balancer.on_endpoints(&granted, true, now);
+        self.apply_quota();
     }
 
-    /// A customer with a namespace has its first session in a while: from here on it has decisions of its own, over what
-    /// it is granted. Guards against ten thousand namespaces taking memory for customers who never come.
+    /// Builds the load balancer of a customer. Called with its first session, as the memory of one for each namespace
+    /// would not be bounded by the load.
     pub fn add_tenant(&mut self, update: NamespaceUpdate, now: Timestamp, host: &mut dyn Host) {
-        let NamespaceUpdate { customer, servers, quota_share: share } = update;
-        let seed = self.seed ^ xxhash_rust::xxh3::xxh3_64(customer.as_bytes());
-        // The settings made the common ones, so they make these.
-        let Some(mut balancer) = (self.make)(seed) else { return };
-        balancer.on_endpoints(&granted(&self.list, &servers), true, now);
-        balancer.start_periodic_checks(self.probing, now, host);
-        self.remembered.retain(|(_, until)| now < *until);
-        for (remembered, until) in &self.remembered {
-            balancer.restore_flow(remembered, until.since(now), now);
+        let seed = self.seed ^ xxhash_rust::xxh3::xxh3_64(update.customer.as_bytes());
+        // The settings were valid for the default balancer, so they are for this one.
+        let Some(mut balancer) = (self.factory)(seed) else { return };
+        balancer.on_endpoints(&granted_endpoints(&self.endpoints, &update.servers), true, now);
+        balancer.start_periodic_checks(self.health_checks_enabled, now, host);
+        self.restored_flows.retain(|flow| now < flow.expires_at);
+        for flow in &self.restored_flows {
+            balancer.restore_flow(&flow.entry, flow.expires_at.since(now), now);
         }
-        self.own.insert(customer, Own { balancer, granted: servers, share, idle_since: None });
-        self.set_quota_fraction(self.part);
+        let tenant = TenantBalancer {
+            balancer,
+            granted_servers: update.servers,
+            quota_share: update.quota_share,
+            idle_since: None,
+        };
+        self.tenants.insert(update.customer, tenant);
+        self.apply_quota();
     }
 
-    /// The part of the whole for those without a namespace.
-    pub fn set_default_quota_share(&mut self, share: f64) {
-        self.common_share = share;
-        self.set_quota_fraction(self.part);
+    /// Sets the fraction of this process's quota for sessions whose customer has no namespace.
+    pub fn set_default_quota_share(&mut self, quota_share: f64) {
+        self.default_quota_share = quota_share;
+        self.apply_quota();
     }
 
-    /// What this process may do of what the fleet may, in parts of one proxy's; 0 where nobody has said.
-    pub fn set_quota_fraction(&mut self, part: f64) {
-        self.part = part;
-        let part = if part > 0.0 { part } else { 1.0 };
-        self.common.set_quota_fraction(part * self.common_share);
-        self.own.values().for_each(|own| own.balancer.set_quota_fraction(part * own.share));
+    /// Sets this process's quota of what the fleet may send to warming servers, as a multiple of an equal share of all
+    /// proxies. 0 stands for an unknown quota: an equal share is then assumed.
+    pub fn set_quota_fraction(&mut self, quota_fraction: f64) {
+        self.quota_fraction = quota_fraction;
+        self.apply_quota();
     }
 
+    fn apply_quota(&mut self) {
+        let quota_fraction = if self.quota_fraction > 0.0 { self.quota_fraction } else { 1.0 };
+        self.default_balancer.set_quota_fraction(quota_fraction * self.default_quota_share);
+        for tenant in self.tenants.values() {
+            tenant.balancer.set_quota_fraction(quota_fraction * tenant.quota_share);
+        }
+    }
+
+    /// Number of proxies that share the servers, by the settings.
     pub fn proxies(&self) -> f64 {
-        self.common.proxies()
+        self.default_balancer.proxies()
     }
 
-    fn of(&mut self, session: SessionId) -> &mut LoadBalancer {
-        let own = self.owner.get(&session).and_then(|customer| self.own.get_mut(customer));
-        own.map_or(&mut self.common, |own| &mut own.balancer)
+    fn balancer_of(&mut self, session: SessionId) -> &mut LoadBalancer {
+        let customer = self.session_tenants.get(&session);
+        match customer.and_then(|customer| self.tenants.get_mut(customer)) {
+            Some(tenant) => &mut tenant.balancer,
+            None => &mut self.default_balancer,
+        }
     }
 
-    fn all(&mut self) -> impl Iterator<Item = &mut LoadBalancer> {
-        std::iter::once(&mut self.common).chain(self.own.values_mut().map(|own| &mut own.balancer))
+    /// The default balancer, then those of customers in the order of their names.
+    fn balancers(&mut self) -> impl Iterator<Item = &mut LoadBalancer> {
+        let tenants = self.tenants.values_mut().map(|tenant| &mut tenant.balancer);
+        std::iter::once(&mut self.default_balancer).chain(tenants)
     }
 
-    /// `customer`: whose decisions it is for, where not the common ones'.
+    /// A session asks for a server. `customer`: whose load balancer decides it; none for the default one.
     pub fn on_request(
         &mut self,
         customer: Option<&Rc<str>>,
@@ -158,23 +200,27 @@
         host: &mut dyn Host,
     ) {
         if let Some(customer) = customer {
-            self.owner.insert(arrival.session, customer.clone());
+            self.session_tenants.insert(arrival.session, customer.clone());
         }
-        self.of(arrival.session).on_request(arrival, now, host);
+        self.balancer_of(arrival.session).on_request(arrival, now, host);
     }
 
+    /// Takes over a session that was established before this process started.
     pub fn restore_session(&mut self, arrival: &Arrival, server: &str, now: Timestamp) {
-        self.of(arrival.session).restore_session(arrival, server, now);
+        self.balancer_of(arrival.session).restore_session(arrival, server, now);
     }
 
+    /// A session is established with its server.
     pub fn on_established(&mut self, session: SessionId, now: Timestamp) {
-        self.of(session).on_established(session, now);
+        self.balancer_of(session).on_established(session, now);
     }
 
+    /// Whether the request of a session may be sent to the server of its attempt.
     pub fn may_send_request(&mut self, session: SessionId, now: Timestamp) -> bool {
-        self.of(session).may_send_request(session, now)
+        self.balancer_of(session).may_send_request(session, now)
     }
 
+    /// An attempt of a session has ended. `done`: the session has its final answer.
     pub fn on_attempt_ended(
         &mut self,
         session: SessionId,
@@ -183,70 +229,91 @@
         now: Timestamp,
         host: &mut dyn Host,
     ) {
-        self.of(session).on_attempt_ended(session, outcome, done, now, host);
+        self.balancer_of(session).on_attempt_ended(session, outcome, done, now, host);
     }
 
+    /// The client of a session has closed its connection.
     pub fn on_client_closed(&mut self, session: SessionId) {
-        self.of(session).on_client_closed(session);
+        self.balancer_of(session).on_client_closed(session);
     }
 
+    /// The server of a session has reported the session's load.
     pub fn on_load_report(&mut self, session: SessionId, load: f64) {
-        self.of(session).on_load_report(session, load);
+        self.balancer_of(session).on_load_report(session, load);
     }
 
+    /// A message of a session took this long.
     pub fn on_message_latency(
         &mut self,
         session: SessionId,
-        took: Duration,
+        latency: Duration,
         now: Timestamp,
         host: &mut dyn Host,
     ) {
-        self.of(session).on_message_latency(session, took, now, host);
+        self.balancer_of(session).on_message_latency(session, latency, now, host);
     }
 
+    /// A wakeup that a load balancer scheduled is due. Which one is not recorded, so all of them look at the time.
     pub fn on_timer(&mut self, now: Timestamp, host: &mut dyn Host) {
-        self.all().for_each(|balancer| balancer.on_timer(now, host));
+        self.balancers().for_each(|balancer| balancer.on_timer(now, host));
     }
 
-    pub fn start_periodic_checks(&mut self, probing: bool, now: Timestamp, host: &mut dyn Host) {
-        self.probing = probing;
-        self.common.start_periodic_checks(probing, now, host);
+    /// Starts the periodic checks of all load balancers, also of those that are built later.
+    pub fn start_periodic_checks(
+        &mut self,
+        health_checks_enabled: bool,
+        now: Timestamp,
+        host: &mut dyn Host,
+    ) {
+        self.health_checks_enabled = health_checks_enabled;
+        self.default_balancer.start_periodic_checks(health_checks_enabled, now, host);
     }
 
-    pub fn on_health_check(&mut self, server: &str, took: Duration, now: Timestamp, host: &mut dyn Host) {
-        self.all().for_each(|balancer| balancer.on_health_check(server, took, now, host));
+    /// A health check of a server took this long.
+    pub fn on_health_check(&mut self, server: &str, latency: Duration, now: Timestamp, host: &mut dyn Host) {
+        self.balancers().for_each(|balancer| balancer.on_health_check(server, latency, now, host));
     }
 
+    /// Migrates an equal part of the established sessions with each call, as the process shuts down. `calls_left`: calls
+    /// until all sessions are to be gone, this one included.
     pub fn migrate_sessions(&mut self, calls_left: usize, host: &mut dyn Host) {
-        self.all().for_each(|balancer| balancer.migrate_sessions(calls_left, host));
+        self.balancers().for_each(|balancer| balancer.migrate_sessions(calls_left, host));
     }
 
+    /// The flow tables of all load balancers.
     pub fn flow_entries(&self) -> Vec<FlowEntry> {
-        let own = self.own.values().flat_map(|own| own.balancer.flow_entries());
-        self.common.flow_entries().into_iter().chain(own).collect()
+        let mut entries = self.default_balancer.flow_entries();
+        entries.extend(self.tenants.values().flat_map(|tenant| tenant.balancer.flow_entries()));
+        entries
     }
 
-    pub fn restore_flow(&mut self, remembered: &FlowEntry, within: Duration, now: Timestamp) -> bool {
-        self.remembered.push((remembered.clone(), now + within));
-        self.all().fold(false, |known, balancer| balancer.restore_flow(remembered, within, now) | known)
+    /// Restores a flow entry of an earlier incarnation for `lifetime`. Returns whether a load balancer took it.
+    pub fn restore_flow(&mut self, entry: &FlowEntry, lifetime: Duration, now: Timestamp) -> bool {
+        self.restored_flows.push(RestoredFlow { entry: entry.clone(), expires_at: now + lifetime });
+        self.balancers()
+            .fold(false, |restored, balancer| balancer.restore_flow(entry, lifetime, now) | restored)
     }
 
-    /// Called once a second: forgets whose sessions those were that are no more, and the decisions of who has had none
-    /// for as long as their table would know a connection.
-    pub fn evict_idle(&mut self, there: impl Fn(&SessionId) -> bool, now: Timestamp) {
-        const IDLE: Duration = Duration::from_millis(60_000);
-        if self.own.is_empty() {
+    /// Forgets the customers of sessions that have ended, and drops the load balancers of idle customers. Called once a
+    /// second.
+    pub fn evict_idle(&mut self, is_open: impl Fn(&SessionId) -> bool, now: Timestamp) {
+        if self.tenants.is_empty() {
             return;
         }
-        self.owner.retain(|session, _| there(session));
-        let busy: BTreeSet<Rc<str>> = self.owner.values().cloned().collect();
-        self.own.retain(|customer, own| {
-            own.idle_since = own.idle_since.or(Some(now)).filter(|_| !busy.contains(customer));
-            own.idle_since.is_none_or(|since| now.since(since) < IDLE)
+        self.session_tenants.retain(|session, _| is_open(session));
+        let busy: BTreeSet<&Rc<str>> = self.session_tenants.values().collect();
+        self.tenants.retain(|customer, tenant| {
+            if busy.contains(customer) {
+                tenant.idle_since = None;
+                return true;
+            }
+            let idle_since = *tenant.idle_since.get_or_insert(now);
+            now.since(idle_since) < TENANT_IDLE_TIMEOUT
         });
     }
 }
 
-fn granted(list: &BTreeMap<ServerId, Endpoint>, servers: &[ServerId]) -> Vec<Endpoint> {
-    servers.iter().filter_map(|server| list.get(server)).cloned().collect()
+/// The endpoints of these servers that are on the endpoint list.
+fn granted_endpoints(endpoints: &BTreeMap<ServerId, Endpoint>, servers: &[ServerId]) -> Vec<Endpoint> {
+    servers.iter().filter_map(|server| endpoints.get(server)).cloned().collect()
 }
