--- a/crates/cells/src/apply.rs
+++ b/crates/cells/src/apply.rs
@@ -1,244 +1,242 @@
-//! The log's changes, applied in their order by each alike.
+//! Applies the changes of the log to a state, in the same way at each replica.
 
+use crate::change::{Action, Batch, Change, ChangeError, MAX_BATCH_CHANGES, MAX_ENTRIES};
 use crate::rank;
-use crate::record::{
-    Action, Batch, Cell, CellId, Change, ChangeError, Key, Member, Record, Value, Version, MOST_ENTRIES,
-    MOST_IN_BATCH, WHOLE,
-};
+use crate::record::{Cell, CellId, Key, Member, Record, Value, Version};
 use crate::state::State;
-use std::net::SocketAddr;
 
-/// How many slots what is gone is remembered: about a day of the plan's changes, were each in a slot of its own.
-pub const HORIZON: u64 = 4096;
+/// For how many slots deleted records and ids of changes are kept: about a day of the planned changes, one in a slot.
+pub const DEFAULT_HORIZON_SLOTS: u64 = 4096;
+/// Addresses of a cell's members in its record.
+const CONTACTS: usize = 2;
+/// A change leaves three records at most; the last version is that of its id.
+const VERSIONS_PER_CHANGE: u64 = 4;
+const ID_VERSION: u64 = VERSIONS_PER_CHANGE - 1;
+
+/// Slots between two compactions, the same at each replica.
+pub(crate) fn compaction_interval(horizon_slots: u64) -> u64 {
+    (horizon_slots / 4).max(1)
+}
 
 impl State {
-    /// Applies what was chosen for the slot after the last, and tells of each change what it came to.
-    pub fn apply(&mut self, slot: u64, batch: &Batch, horizon: u64) -> Vec<(u64, Result<(), ChangeError>)> {
+    /// Applies the batch that was chosen for the next slot. Returns the outcome of each change.
+    pub fn apply(
+        &mut self,
+        slot: u64,
+        batch: &Batch,
+        horizon_slots: u64,
+    ) -> Vec<(u64, Result<(), ChangeError>)> {
         let mut outcomes = Vec::new();
-        for (index, change) in batch.iter().take(MOST_IN_BATCH).enumerate() {
-            let at = |place: u64| Version::at(slot, 4 * index as u64 + place);
-            let outcome = match self.get(&Key::Done(change.id)) {
-                Some(_) => Err(ChangeError::Again),
-                None => self.carry_out(change, at(0)),
-            };
-            if outcome != Err(ChangeError::Again) {
-                let done = Record { key: Key::Done(change.id), version: at(3), value: Some(Value::Done) };
-                self.set(done);
-            }
-            outcomes.push((change.id, outcome));
+        for (index, change) in (0..).zip(batch.iter().take(MAX_BATCH_CHANGES)) {
+            let first_version = Version::at(slot, VERSIONS_PER_CHANGE * index);
+            let id_version = Version::at(slot, VERSIONS_PER_CHANGE * index + ID_VERSION);
+            outcomes.push((change.id, self.apply_once(change, first_version, id_version)));
         }
-        self.reach(Version::end_of(slot));
-        let pause = (horizon / 4).max(1);
-        if slot.is_multiple_of(pause) && slot > horizon {
-            self.forget(Version::end_of(slot - horizon));
+        self.set_complete_to(Version::end_of(slot));
+        if slot.is_multiple_of(compaction_interval(horizon_slots)) && slot > horizon_slots {
+            self.compact(Version::end_of(slot - horizon_slots));
         }
         outcomes
     }
 
-    pub fn cell(&self, cell: CellId) -> Option<&Cell> {
-        match self.get(&Key::Cell(cell))?.value.as_ref()? {
-            Value::Cell(cell) => Some(cell),
-            _ => None,
-        }
-    }
-
-    pub fn cells(&self) -> impl Iterator<Item = (CellId, &Cell)> {
-        self.records().map_while(|record| match (&record.key, &record.value) {
-            (Key::Cell(id), Some(Value::Cell(cell))) => Some((*id, cell)),
-            _ => None,
-        })
-    }
-
-    pub fn member(&self, cell: CellId, name: &str) -> Option<&Member> {
-        match self.get(&Key::Member(cell, name.to_owned()))?.value.as_ref()? {
-            Value::Member(member) => Some(member),
-            _ => None,
-        }
-    }
-
-    /// The members of a cell with a place, removed ones included, in the order of their names.
-    pub fn holders(&self, cell: CellId) -> impl Iterator<Item = (&str, &Member)> {
-        let records = self.from(&Key::Member(cell, String::new()));
-        let own = records.map_while(move |record| match &record.key {
-            Key::Member(of, name) if *of == cell => Some((name.as_str(), record.value.as_ref())),
-            _ => None,
-        });
-        own.filter_map(|(name, value)| match value {
-            Some(Value::Member(member)) => Some((name, member)),
-            _ => None,
-        })
-    }
-
-    /// The members of a cell that are to be reckoned with, in the order of their names.
-    pub fn members(&self, cell: CellId) -> impl Iterator<Item = (&str, &Member)> {
-        self.holders(cell).filter(|(_, member)| !member.removed)
-    }
-
-    /// The value of an entry.
-    pub fn entry(&self, key: &str) -> Option<&[u8]> {
-        match self.get(&Key::Entry(key.to_owned()))?.value.as_ref()? {
-            Value::Entry(value) => Some(value),
-            _ => None,
+    fn apply_once(
+        &mut self,
+        change: &Change,
+        version: Version,
+        id_version: Version,
+    ) -> Result<(), ChangeError> {
+        let key = Key::Applied(change.id);
+        if self.get(&key).is_some() {
+            return Err(ChangeError::AlreadyApplied);
         }
+        let outcome = self.apply_change(change, version);
+        self.insert(Record { key, version: id_version, value: Some(Value::Applied) });
+        outcome
     }
 
-    /// What no cell has.
-    pub fn free(&self) -> u32 {
-        let given: u64 = self.cells().map(|(_, cell)| u64::from(cell.quota) + u64::from(cell.escrow)).sum();
-        u64::from(WHOLE).saturating_sub(given) as u32
-    }
-
-    fn carry_out(&mut self, change: &Change, at: Version) -> Result<(), ChangeError> {
-        if !change.within_bounds() {
-            return Err(ChangeError::OverBound);
+    fn apply_change(&mut self, change: &Change, version: Version) -> Result<(), ChangeError> {
+        if !change.is_within_bounds() {
+            return Err(ChangeError::OutOfBounds);
         }
         match &change.action {
             Action::AddCell { cell, region, places, quota } => {
-                self.add_cell(*cell, *region, *places, *quota, at)
+                let new = Cell {
+                    region: *region,
+                    quota: *quota,
+                    escrow: 0,
+                    shrunk_at: Version(0),
+                    places: *places,
+                    members: 0,
+                    contacts: Vec::new(),
+                };
+                self.add_cell(*cell, new, version)
             }
             Action::Add { cell, name, address, incarnation } => {
-                self.add(*cell, name, *address, *incarnation, at)
+                let new = Member { address: *address, incarnation: *incarnation, place: 0, removed: false };
+                self.add_member(*cell, name, new, version)
             }
             Action::Replace { cell, name, address, incarnation } => {
-                let held = self.member(*cell, name).ok_or(ChangeError::NoMember)?;
-                if held.incarnation >= *incarnation {
-                    return Err(ChangeError::NoMember);
-                }
-                let place = held.place;
-                let member = Member { address: *address, incarnation: *incarnation, place, removed: false };
-                self.write_member(*cell, name, Some(member), at);
-                Ok(())
-            }
-            Action::Remove { cell, name } => {
-                let held = self.member(*cell, name).filter(|held| !held.removed);
-                let member = Member { removed: true, ..held.ok_or(ChangeError::NoMember)?.clone() };
-                self.write_member(*cell, name, Some(member), at);
-                Ok(())
-            }
-            Action::Ended { cell, name, incarnation } => {
-                let held = self.member(*cell, name).filter(|held| held.incarnation == *incarnation);
-                held.ok_or(ChangeError::NoMember)?;
-                self.write_member(*cell, name, None, at);
-                Ok(())
-            }
-            Action::Put { key, value } => {
-                let key = Key::Entry(key.clone());
-                let new = self.get(&key).is_none_or(|held| held.value.is_none());
-                if new && self.entries() >= MOST_ENTRIES {
-                    return Err(ChangeError::OverBound);
-                }
-                self.set(Record { key, version: at, value: Some(Value::Entry(value.clone())) });
-                Ok(())
+                let new = Member { address: *address, incarnation: *incarnation, place: 0, removed: false };
+                self.replace_member(*cell, name, new, version)
             }
-            Action::Delete { key } => {
-                let key = Key::Entry(key.clone());
-                if self.get(&key).is_some_and(|held| held.value.is_some()) {
-                    self.set(Record { key, version: at, value: None });
-                }
-                Ok(())
-            }
-            Action::Grow { cell, by } => {
-                if *by > self.free() {
-                    return Err(ChangeError::NotFree);
-                }
-                self.change_cell(*cell, at, |held| {
-                    held.quota += by;
-                    Ok(())
-                })
-            }
-            Action::Shrink { cell, by } => self.change_cell(*cell, at, |held| {
-                if held.escrow > 0 {
-                    return Err(ChangeError::Pending);
-                }
-                let by = (*by).min(held.quota);
-                held.quota -= by;
-                held.escrow = by;
-                held.shrunk = at;
-                Ok(())
-            }),
-            Action::Release { cell, at: given_up } => self.change_cell(*cell, at, |held| {
-                if held.escrow == 0 || held.shrunk != *given_up {
-                    return Err(ChangeError::NothingGivenUp);
-                }
-                held.escrow = 0;
-                Ok(())
-            }),
+            Action::Remove { cell, name } => self.remove_member(*cell, name, version),
+            Action::Ended { cell, name, incarnation } => self.end_member(*cell, name, *incarnation, version),
+            Action::Put { key, value } => self.put_entry(key, value, version),
+            Action::Delete { key } => self.delete_entry(key, version),
+            Action::Grow { cell, by } => self.grow(*cell, *by, version),
+            Action::Shrink { cell, by } => self.shrink(*cell, *by, version),
+            Action::Release { cell, at } => self.release(*cell, *at, version),
+        }
+    }
+
+    fn add_cell(&mut self, cell: CellId, new: Cell, version: Version) -> Result<(), ChangeError> {
+        if self.cell(cell).is_some() {
+            return Err(ChangeError::CellExists);
         }
+        if new.quota > self.free_quota() {
+            return Err(ChangeError::QuotaNotFree);
+        }
+        self.insert(Record { key: Key::Cell(cell), version, value: Some(Value::Cell(new)) });
+        Ok(())
     }
 
-    fn add_cell(
+    /// Gives the new member the first place that is free.
+    fn add_member(
         &mut self,
         cell: CellId,
-        region: u8,
-        places: u16,
-        quota: u32,
-        at: Version,
+        name: &str,
+        new: Member,
+        version: Version,
     ) -> Result<(), ChangeError> {
-        if self.cell(cell).is_some() {
-            return Err(ChangeError::CellTwice);
+        let places = self.cell(cell).ok_or(ChangeError::UnknownCell)?.places;
+        if self.cells().any(|(cell, _)| self.member(cell, name).is_some()) {
+            return Err(ChangeError::MemberExists);
         }
-        if quota > self.free() {
-            return Err(ChangeError::NotFree);
+        let mut is_taken = vec![false; usize::from(places)];
+        for (_, holder) in self.place_holders(cell) {
+            if let Some(is_taken) = is_taken.get_mut(usize::from(holder.place)) {
+                *is_taken = true;
+            }
         }
-        let value =
-            Cell { region, quota, escrow: 0, shrunk: Version(0), places, members: 0, contacts: Vec::new() };
-        self.set(Record { key: Key::Cell(cell), version: at, value: Some(Value::Cell(value)) });
+        let place = is_taken.iter().position(|is_taken| !is_taken).ok_or(ChangeError::CellFull)? as u16;
+        self.write_member(cell, name, Some(Member { place, ..new }), version);
         Ok(())
     }
 
-    fn add(
+    fn replace_member(
+        &mut self,
+        cell: CellId,
+        name: &str,
+        new: Member,
+        version: Version,
+    ) -> Result<(), ChangeError> {
+        let held = self.member(cell, name).filter(|held| held.incarnation < new.incarnation);
+        let place = held.ok_or(ChangeError::UnknownMember)?.place;
+        self.write_member(cell, name, Some(Member { place, ..new }), version);
+        Ok(())
+    }
+
+    fn remove_member(&mut self, cell: CellId, name: &str, version: Version) -> Result<(), ChangeError> {
+        let held = self.member(cell, name).filter(|held| !held.removed);
+        let member = Member { removed: true, ..held.ok_or(ChangeError::UnknownMember)?.clone() };
+        self.write_member(cell, name, Some(member), version);
+        Ok(())
+    }
+
+    fn end_member(
         &mut self,
         cell: CellId,
         name: &str,
-        address: SocketAddr,
         incarnation: u32,
-        at: Version,
+        version: Version,
     ) -> Result<(), ChangeError> {
-        let places = self.cell(cell).ok_or(ChangeError::NoCell)?.places;
-        let cells: Vec<_> = self.cells().map(|(id, _)| id).collect();
-        if cells.iter().any(|of| self.member(*of, name).is_some()) {
-            return Err(ChangeError::Twice);
+        let held = self.member(cell, name).filter(|held| held.incarnation == incarnation);
+        held.ok_or(ChangeError::UnknownMember)?;
+        self.write_member(cell, name, None, version);
+        Ok(())
+    }
+
+    fn put_entry(&mut self, key: &str, value: &[u8], version: Version) -> Result<(), ChangeError> {
+        let is_new = self.entry(key).is_none();
+        if is_new && self.entries() >= MAX_ENTRIES {
+            return Err(ChangeError::OutOfBounds);
         }
-        let mut taken = vec![false; usize::from(places)];
-        for (_, holder) in self.holders(cell) {
-            if let Some(place) = taken.get_mut(usize::from(holder.place)) {
-                *place = true;
-            }
+        let value = Some(Value::Entry(value.to_vec()));
+        self.insert(Record { key: Key::Entry(key.to_owned()), version, value });
+        Ok(())
+    }
+
+    fn delete_entry(&mut self, key: &str, version: Version) -> Result<(), ChangeError> {
+        if self.entry(key).is_some() {
+            self.insert(Record { key: Key::Entry(key.to_owned()), version, value: None });
         }
-        let place = taken.iter().position(|taken| !taken).ok_or(ChangeError::NoPlace)? as u16;
-        let member = Member { address, incarnation, place, removed: false };
-        self.write_member(cell, name, Some(member), at);
         Ok(())
     }
 
-    /// The cell's own record follows where what it says of its members changes.
-    fn write_member(&mut self, cell: CellId, name: &str, member: Option<Member>, at: Version) {
+    fn grow(&mut self, cell: CellId, by: u32, version: Version) -> Result<(), ChangeError> {
+        if by > self.free_quota() {
+            return Err(ChangeError::QuotaNotFree);
+        }
+        self.update_cell(cell, version, |cell| {
+            cell.quota += by;
+            Ok(())
+        })
+    }
+
+    fn shrink(&mut self, cell: CellId, by: u32, version: Version) -> Result<(), ChangeError> {
+        self.update_cell(cell, version, |cell| {
+            if cell.escrow > 0 {
+                return Err(ChangeError::ShrinkPending);
+            }
+            let by = by.min(cell.quota);
+            cell.quota -= by;
+            cell.escrow = by;
+            cell.shrunk_at = version;
+            Ok(())
+        })
+    }
+
+    fn release(&mut self, cell: CellId, shrunk_at: Version, version: Version) -> Result<(), ChangeError> {
+        self.update_cell(cell, version, |cell| {
+            if cell.escrow == 0 || cell.shrunk_at != shrunk_at {
+                return Err(ChangeError::NothingToRelease);
+            }
+            cell.escrow = 0;
+            Ok(())
+        })
+    }
+
+    /// Writes a member's record and, where it changes what the cell's record says of its members, that record too.
+    fn write_member(&mut self, cell: CellId, name: &str, member: Option<Member>, version: Version) {
         let key = Key::Member(cell, name.to_owned());
-        self.set(Record { key, version: at, value: member.map(Value::Member) });
+        self.insert(Record { key, version, value: member.map(Value::Member) });
         let mut ranked: Vec<_> =
             self.members(cell).map(|(name, member)| (rank(cell, name), member.address)).collect();
         ranked.sort_unstable();
-        let contacts: Vec<_> = ranked.iter().rev().take(2).map(|(_, address)| *address).collect();
+        let contacts: Vec<_> = ranked.iter().rev().take(CONTACTS).map(|(_, address)| *address).collect();
         let members = ranked.len() as u16;
-        let held = self.cell(cell).map(|held| (held.members, held.contacts.clone()));
-        if held != Some((members, contacts.clone())) {
-            let _ = self.change_cell(cell, at.next(), |held| {
-                held.members = members;
-                held.contacts = contacts;
-                Ok(())
-            });
+        let is_unchanged =
+            self.cell(cell).is_some_and(|held| held.members == members && held.contacts == contacts);
+        if is_unchanged {
+            return;
         }
+        // A member of a cell that was never added has no cell record to follow it.
+        let _ = self.update_cell(cell, version.next(), |cell| {
+            cell.members = members;
+            cell.contacts = contacts;
+            Ok(())
+        });
     }
 
-    fn change_cell(
+    fn update_cell(
         &mut self,
         cell: CellId,
-        at: Version,
-        change: impl FnOnce(&mut Cell) -> Result<(), ChangeError>,
+        version: Version,
+        update: impl FnOnce(&mut Cell) -> Result<(), ChangeError>,
     ) -> Result<(), ChangeError> {
-        let mut held = self.cell(cell).ok_or(ChangeError::NoCell)?.clone();
-        change(&mut held)?;
-        self.set(Record { key: Key::Cell(cell), version: at, value: Some(Value::Cell(held)) });
+        let mut value = self.cell(cell).ok_or(ChangeError::UnknownCell)?.clone();
+        update(&mut value)?;
+        self.insert(Record { key: Key::Cell(cell), version, value: Some(Value::Cell(value)) });
         Ok(())
     }
 }
--- /dev/null
+++ b/crates/cells/src/pending_changes.rs
@@ -0,0 +1,61 @@
+//! Changes that a process has submitted and that are not decided.
+
+use crate::change::Change;
+use shelfgrade::time::Timestamp;
+use std::collections::BTreeMap;
+use std::time::Duration;
+
+/// A change without an answer goes to the next replica after this.
+const SUBMIT_TIMEOUT: Duration = Duration::from_millis(500);
+
+struct PendingChange {
+    change: Change,
+    retry_at: Timestamp,
+    replica_cursor: usize,
+}
+
+/// A change that is to be sent again.
+pub struct Retry {
+    /// The change.
+    pub change: Change,
+    /// Index of the replica, not reduced by their number.
+    pub replica: usize,
+}
+
+/// Pending changes by their ids.
+#[derive(Default)]
+pub struct PendingChanges(BTreeMap<u64, PendingChange>);
+
+impl PendingChanges {
+    /// Whether a change is pending.
+    pub fn contains(&self, id: u64) -> bool {
+        self.0.contains_key(&id)
+    }
+
+    /// Adds a change that was sent to a replica.
+    pub fn insert(&mut self, change: Change, replica: usize, now: Timestamp) {
+        let pending = PendingChange { retry_at: now + SUBMIT_TIMEOUT, replica_cursor: replica + 1, change };
+        self.0.insert(pending.change.id, pending);
+    }
+
+    /// Removes a change that is decided. Returns whether it was pending.
+    pub fn remove(&mut self, id: u64) -> bool {
+        self.0.remove(&id).is_some()
+    }
+
+    /// The changes that are due to be sent again, each to its next replica.
+    pub fn take_due(&mut self, now: Timestamp) -> Vec<Retry> {
+        let due = self.0.values_mut().filter(|pending| now >= pending.retry_at);
+        let retries = due.map(|pending| {
+            pending.retry_at = now + SUBMIT_TIMEOUT;
+            pending.replica_cursor += 1;
+            Retry { change: pending.change.clone(), replica: pending.replica_cursor }
+        });
+        retries.collect()
+    }
+
+    /// When the next change is due.
+    pub fn next_retry_at(&self) -> Timestamp {
+        self.0.values().map(|pending| pending.retry_at).min().unwrap_or(Timestamp::NEVER)
+    }
+}
--- a/crates/cells/src/state.rs
+++ b/crates/cells/src/state.rs
@@ -1,70 +1,34 @@
-//! What the log came to: the latest record under each key, in the order of versions too, and who has which of them.
+//! The state that the log has left: the latest record under each key, also in the order of versions.
 
+use crate::delta::{Delta, DeltaError, Merged};
 use crate::record::{Key, Record, Scope, Value, Version};
-use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// The records that one holds, and up to where they are all there are.
+/// The records of a scope that a process or a replica holds.
 ///
-/// For every key of its scope the record held is the latest of those up to `to`, or a later one, or there is a later one
-/// by `head` still to come.
+/// For every key of the scope the record held is the latest one up to [`State::complete_to`] or a later one, unless a
+/// later one up to [`State::head`] is still missing.
 #[derive(Clone, Debug)]
 pub struct State {
     scope: Scope,
     records: BTreeMap<Key, Rc<Record>>,
     by_version: BTreeMap<Version, Rc<Record>>,
-    to: Version,
-    /// The latest version heard of.
+    complete_to: Version,
     head: Version,
     horizon: Version,
     digest: u64,
     entries: usize,
 }
 
-/// Records with versions after one and up to another: all of the scope that there are, in their order.
-#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Delta {
-    pub after: Version,
-    pub to: Version,
-    /// The latest version that the sender heard of; until that is reached, a record that it has in a later version may lack.
-    pub head: Version,
-    /// What is gone since before then is forgotten.
-    pub horizon: Version,
-    /// Of all that the sender holds, where it holds all up to `head`.
-    pub digest: u64,
-    pub records: Vec<Record>,
-}
-
-/// Why a delta changes nothing.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum DeltaError {
-    #[error("a gap before it: what lies between is asked for")]
-    Gap,
-    #[error("a record that is not in its span or out of order: see that all processes run one version")]
-    Disorder,
-    #[error(
-        "two values for one version: a process or acceptor holds another log; start it with an empty state"
-    )]
-    Fork,
-}
-
-/// What merging brought.
-#[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Merged {
-    /// Those that are new here.
-    pub news: Vec<Record>,
-    /// True where more is held all through than before.
-    pub further: bool,
-}
-
 impl State {
+    /// A state without records.
     pub fn new(scope: Scope) -> Self {
         State {
             scope,
             records: BTreeMap::new(),
             by_version: BTreeMap::new(),
-            to: Version(0),
+            complete_to: Version(0),
             head: Version(0),
             horizon: Version(0),
             digest: 0,
@@ -72,131 +36,139 @@
         }
     }
 
+    /// Which records it holds.
     pub fn scope(&self) -> Scope {
         self.scope
     }
 
-    /// All up to here is held.
-    pub fn to(&self) -> Version {
-        self.to
+    /// No record up to this version is missing.
+    pub fn complete_to(&self) -> Version {
+        self.complete_to
     }
 
+    /// The latest version that is known to exist.
     pub fn head(&self) -> Version {
         self.head
     }
 
+    /// Up to this version, deleted records and ids of changes are dropped.
     pub fn horizon(&self) -> Version {
         self.horizon
     }
 
-    /// True where nothing is known to be missing.
-    pub fn whole(&self) -> bool {
-        self.to >= self.head
+    /// Whether no record is known to be missing.
+    pub fn is_complete(&self) -> bool {
+        self.complete_to >= self.head
     }
 
-    /// One number for all that is there: equal where two that are whole hold the same.
+    /// Hash of all records: equal in two states that are complete and hold the same records.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
+    /// The record of a key.
     pub fn get(&self, key: &Key) -> Option<&Record> {
         self.records.get(key).map(Rc::as_ref)
     }
 
-    /// All records, those without a value included, in the order of the keys.
+    /// All records in the order of their keys, those without a value included.
     pub fn records(&self) -> impl Iterator<Item = &Record> {
         self.records.values().map(Rc::as_ref)
     }
 
-    pub fn from(&self, first: &Key) -> impl Iterator<Item = &Record> {
+    /// The records from a key on, in the order of their keys.
+    pub fn records_from(&self, first: &Key) -> impl Iterator<Item = &Record> {
         self.records.range(first.clone()..).map(|(_, record)| record.as_ref())
     }
 
+    /// Number of records, those without a value included.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
+    /// Whether it holds no record.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// How many entries have a value.
+    /// Number of entries with a value.
     pub fn entries(&self) -> usize {
         self.entries
     }
 
-    fn count(&mut self, record: &Record, add: bool) {
+    fn account(&mut self, record: &Record, is_added: bool) {
         self.digest ^= record.digest();
         if matches!(record.value, Some(Value::Entry(_))) {
-            self.entries = if add { self.entries + 1 } else { self.entries.saturating_sub(1) };
+            self.entries = if is_added { self.entries + 1 } else { self.entries.saturating_sub(1) };
         }
     }
 
-    /// Takes a record in where it is later than what is held.
-    pub(crate) fn set(&mut self, record: Record) -> bool {
+    /// Stores a record, unless one of the same or a later version is held under its key. Returns whether it was stored.
+    pub(crate) fn insert(&mut self, record: Record) -> bool {
         if let Some(held) = self.records.get(&record.key).cloned() {
             if held.version >= record.version {
                 return false;
             }
             self.by_version.remove(&held.version);
-            self.count(&held, false);
+            self.account(&held, false);
         }
         let record = Rc::new(record);
-        self.count(&record, true);
+        self.account(&record, true);
         self.by_version.insert(record.version, record.clone());
         self.head = self.head.max(record.version);
         self.records.insert(record.key.clone(), record);
         true
     }
 
-    pub(crate) fn reach(&mut self, to: Version) {
-        self.to = self.to.max(to);
-        self.head = self.head.max(to);
+    /// No record up to this version is missing any more.
+    pub(crate) fn set_complete_to(&mut self, version: Version) {
+        self.complete_to = self.complete_to.max(version);
+        self.head = self.head.max(version);
     }
 
-    /// Somebody holds all up to there.
-    pub fn heard_of(&mut self, head: Version) {
+    /// A version up to this one is known to exist.
+    pub fn observe_head(&mut self, head: Version) {
         self.head = self.head.max(head);
     }
 
-    /// Forgets what was gone, or counted, by then: who holds less than that is given a snapshot.
-    pub(crate) fn forget(&mut self, horizon: Version) {
-        let horizon = horizon.min(self.to);
+    /// Drops deleted records and ids of changes up to the horizon. A state that is complete only up to an earlier version
+    /// then needs a snapshot.
+    pub(crate) fn compact(&mut self, horizon: Version) {
+        let horizon = horizon.min(self.complete_to);
         if horizon <= self.horizon {
             return;
         }
         let old: Vec<_> = self.by_version.range(..=horizon).map(|(_, record)| record.clone()).collect();
-        for record in old.iter().filter(|record| matches!(record.value, None | Some(Value::Done))) {
+        for record in old.iter().filter(|record| record.is_dropped_by_compaction()) {
             self.by_version.remove(&record.version);
             self.records.remove(&record.key);
         }
         self.horizon = horizon;
     }
 
-    /// True where who holds all up to there needs all anew: what went since is forgotten here.
+    /// Whether a state that is complete up to this version needs a snapshot, as records deleted since are dropped here.
     pub fn needs_snapshot(&self, after: Version) -> bool {
         after < self.horizon && after > Version(0)
     }
 
-    /// What is newer than `after`, up to `until`, within so many bytes.
-    pub fn newer(&self, scope: Scope, after: Version, until: Version, room: usize) -> Delta {
-        let last = until.min(self.to);
+    /// The records of a scope after a version, within so many bytes. A record that is larger goes alone.
+    pub fn delta_after(&self, scope: Scope, after: Version, max_bytes: usize) -> Delta {
+        let last = self.complete_to;
         let mut delta = Delta {
             after,
             to: last.max(after),
             head: self.head,
             horizon: self.horizon,
-            digest: if self.whole() && scope == self.scope { self.digest } else { 0 },
+            digest: if self.is_complete() && scope == self.scope { self.digest } else { 0 },
             records: Vec::new(),
         };
         if after >= last {
             return delta;
         }
-        let (mut left, mut before) = (room, after);
+        let (mut left, mut before) = (max_bytes, after);
         for (version, record) in self.by_version.range(after.next()..=last) {
-            if scope.has(&record.key) {
-                let size = record.size();
-                // One that is longer than the room goes alone.
+            if scope.contains(&record.key) {
+                let size = record.estimated_bytes();
                 if size > left && !delta.records.is_empty() {
                     delta.to = before;
                     return delta;
@@ -209,73 +181,61 @@
         delta
     }
 
-    /// Versions that cut what is newer than `after` into parts of so many bytes, the last one `to`.
-    pub fn cuts(&self, scope: Scope, after: Version, room: usize, most: usize) -> Vec<Version> {
-        let mut cuts = Vec::new();
-        if after >= self.to {
-            return cuts;
+    /// Applies a delta of another holder.
+    ///
+    /// # Errors
+    ///
+    /// [`DeltaError`]; except for a gap, nothing has changed then.
+    pub fn merge(&mut self, delta: &Delta) -> Result<Merged, DeltaError> {
+        self.check_order(delta)?;
+        if delta.records.iter().any(|record| self.is_forked_by(record)) || self.differs_from(delta) {
+            return Err(DeltaError::Fork);
         }
-        let (mut left, mut before) = (room, after);
-        for (version, record) in self.by_version.range(after.next()..=self.to) {
-            if scope.has(&record.key) {
-                if record.size() > left && before > after {
-                    cuts.push(before);
-                    if cuts.len() == most {
-                        return cuts;
-                    }
-                    left = room;
-                }
-                left = left.saturating_sub(record.size());
+        let mut merged = Merged::default();
+        let complete_to = self.complete_to;
+        for record in delta.records.iter().filter(|record| record.version > complete_to) {
+            if self.insert(record.clone()) {
+                merged.new_records.push(record.clone());
             }
-            before = *version;
         }
-        cuts.push(self.to);
-        cuts
+        self.head = self.head.max(delta.head);
+        if delta.after > self.complete_to {
+            return if merged.new_records.is_empty() { Err(DeltaError::Gap) } else { Ok(merged) };
+        }
+        merged.is_advanced = delta.to > self.complete_to;
+        self.complete_to = self.complete_to.max(delta.to);
+        self.compact(delta.horizon);
+        Ok(merged)
     }
 
-    /// Takes in what another holds.
-    pub fn merge(&mut self, delta: &Delta) -> Result<Merged, DeltaError> {
+    fn check_order(&self, delta: &Delta) -> Result<(), DeltaError> {
         let mut last = delta.after;
         for record in &delta.records {
-            if record.version <= last || record.version > delta.to || !self.scope.has(&record.key) {
-                return Err(DeltaError::Disorder);
+            if record.version <= last || record.version > delta.to || !self.scope.contains(&record.key) {
+                return Err(DeltaError::OutOfOrder);
             }
             last = record.version;
         }
-        // Who holds less than the asker has nothing to give.
-        let gives = delta.to > delta.after;
-        if (gives && delta.head < delta.to) || delta.horizon > delta.head {
-            return Err(DeltaError::Disorder);
+        // The delta of a holder that is behind is empty, and its head may be behind too.
+        let is_ahead = delta.to > delta.after;
+        if (is_ahead && delta.head < delta.to) || delta.horizon > delta.head {
+            return Err(DeltaError::OutOfOrder);
         }
-        if delta.records.iter().any(|record| self.forks(record)) || self.differs(delta) {
-            return Err(DeltaError::Fork);
-        }
-        let to = self.to;
-        let newer = delta.records.iter().filter(|record| record.version > to);
-        let mut merged = Merged::default();
-        for record in newer {
-            if self.set(record.clone()) {
-                merged.news.push(record.clone());
-            }
-        }
-        self.head = self.head.max(delta.head);
-        if delta.after > self.to {
-            return if merged.news.is_empty() { Err(DeltaError::Gap) } else { Ok(merged) };
-        }
-        merged.further = delta.to > self.to;
-        self.to = self.to.max(delta.to);
-        self.forget(delta.horizon);
-        Ok(merged)
+        Ok(())
     }
 
-    /// Two values for one version: one log has only one.
-    fn forks(&self, record: &Record) -> bool {
+    /// Whether another record is held under the version, which is unique in one log.
+    fn is_forked_by(&self, record: &Record) -> bool {
         self.by_version.get(&record.version).is_some_and(|held| held.as_ref() != record)
     }
 
-    /// Both hold all up to the same version, and not the same.
-    fn differs(&self, delta: &Delta) -> bool {
-        let same_place = self.whole() && delta.head == self.to && delta.to == self.to && delta.digest != 0;
-        same_place && delta.after == self.to && delta.digest != self.digest
+    /// Whether both are complete up to the same version, and hold different records.
+    fn differs_from(&self, delta: &Delta) -> bool {
+        let is_comparable = self.is_complete()
+            && delta.head == self.complete_to
+            && delta.to == self.complete_to
+            && delta.after == self.complete_to
+            && delta.digest != 0;
+        is_comparable && delta.digest != self.digest
     }
 }
--- a/crates/cells/src/swim.rs
+++ b/crates/cells/src/swim.rs
@@ -1,4 +1,4 @@
-//! Who of a cell is alive: SWIM with suspicion, by the library `foca`, which does no I/O.
+//! Failure detection in a cell: SWIM with suspicion, by the library `foca`, which does no I/O.
 
 use foca::{
     AccumulatingRuntime, Config, Foca, Identity, NoCustomBroadcast, PeriodicParams, PostcardCodec, Timer,
@@ -11,20 +11,22 @@
 use std::num::{NonZeroU8, NonZeroUsize};
 use std::time::Duration;
 
-/// A process in a place of its cell.
+/// A process, addressed by its place in the cell.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Id {
+pub struct SwimId {
+    /// Place in the cell.
     pub place: u16,
+    /// Incarnation of the process.
     pub incarnation: u32,
-    /// How often it was taken for dead and was not.
-    pub again: u16,
+    /// How often it was declared dead while it was alive.
+    pub refutations: u16,
 }
 
-impl Identity for Id {
+impl Identity for SwimId {
     type Addr = u16;
 
     fn renew(&self) -> Option<Self> {
-        Some(Id { again: self.again.saturating_add(1), ..*self })
+        Some(SwimId { refutations: self.refutations.saturating_add(1), ..*self })
     }
 
     fn addr(&self) -> u16 {
@@ -32,14 +34,14 @@
     }
 
     fn win_addr_conflict(&self, other: &Self) -> bool {
-        (self.incarnation, self.again) > (other.incarnation, other.again)
+        (self.incarnation, self.refutations) > (other.incarnation, other.refutations)
     }
 }
 
-/// The library's chance, from the given seed.
-struct Dice(WyRand);
+/// Random numbers of the library, from the given seed.
+struct SwimRng(WyRand);
 
-impl rand::TryRng for Dice {
+impl rand::TryRng for SwimRng {
     type Error = Infallible;
     fn try_next_u32(&mut self) -> Result<u32, Infallible> {
         Ok(self.0.generate())
@@ -53,19 +55,28 @@
     }
 }
 
-/// How often one asks another that it takes for dead, in milliseconds, where the cell is small. Guards against one that
-/// starts having to answer all of a large cell at once: those ask together four times a second.
-pub const SELDOM: u64 = 10_000;
+/// Shortest period in which a process announces itself to a member that it takes for dead.
+const MIN_ANNOUNCE_PERIOD_MS: u64 = 10_000;
+/// Added for each member, so that all of a cell together announce themselves to one member four times a second.
+const ANNOUNCE_PERIOD_PER_MEMBER_MS: u64 = 250;
+/// Datagrams of the library, without the header.
+const MAX_SWIM_BYTES: usize = 350;
 
-/// One probe a second and a gossip to one, whatever the cell's size; who answers nobody is suspected within a second
-/// and a half and dead three later. Dead ones are asked again, so that two halves find each other.
+/// Period in which a process announces itself to a member that it takes for dead, by the size of the cell.
+pub fn announce_period_ms(members: usize) -> u64 {
+    MIN_ANNOUNCE_PERIOD_MS.max(ANNOUNCE_PERIOD_PER_MEMBER_MS * members as u64)
+}
+
+/// One probe and one gossip a second, whatever the size of the cell. A member that does not answer is suspected within
+/// 1.5 seconds and declared dead 3 seconds later. Dead members get announcements, so that the halves of a partition
+/// find each other again.
 fn config(size: usize, seed: u64) -> Config {
-    // Not all of a cell that started together at the same moment.
-    let seldom = SELDOM.max(250 * size as u64);
-    let seldom = seldom * 3 / 4 + WyRand::new_seed(seed).generate_range(0..seldom / 2);
+    // Jitter, as the processes of a cell may start together.
+    let period_ms = announce_period_ms(size);
+    let period_ms = period_ms * 3 / 4 + WyRand::new_seed(seed).generate_range(0..period_ms / 2);
     let periodic =
         |ms| Some(PeriodicParams { frequency: Duration::from_millis(ms), num_members: NonZeroUsize::MIN });
-    // News has reached all when each has told it to so many: the library's figure.
+    // After which an update has reached all members, by the library.
     let transmissions = (4.0 * (size as f64 + 1.0).log10()).ceil() as u8;
     Config {
         probe_period: Duration::from_millis(1000),
@@ -73,91 +84,101 @@
         max_transmissions: NonZeroU8::new(transmissions).unwrap_or(NonZeroU8::MIN),
         suspect_to_down_after: Duration::from_secs(3),
         remove_down_after: Some(Duration::from_secs(600)),
-        max_packet_size: NonZeroUsize::new(350).unwrap_or(NonZeroUsize::MIN),
+        max_packet_size: NonZeroUsize::new(MAX_SWIM_BYTES).unwrap_or(NonZeroUsize::MIN),
         notify_down_members: true,
         periodic_announce: periodic(20_000),
-        periodic_announce_to_down_members: periodic(seldom),
+        periodic_announce_to_down_members: periodic(period_ms),
         periodic_gossip: periodic(1000),
         ..Config::simple()
     }
 }
 
+/// The failure detector of one process.
 pub struct Swim {
-    foca: Foca<Id, PostcardCodec, Dice, NoCustomBroadcast>,
-    runtime: AccumulatingRuntime<Id>,
-    /// What is due when; a number tells apart what is due at once.
-    timers: BTreeMap<(Timestamp, u64), Timer<Id>>,
+    foca: Foca<SwimId, PostcardCodec, SwimRng, NoCustomBroadcast>,
+    runtime: AccumulatingRuntime<SwimId>,
+    /// By when they are due, and a number that keeps those apart that are due together.
+    timers: BTreeMap<(Timestamp, u64), Timer<SwimId>>,
     last_timer: u64,
-    /// True where who is there has changed since it was asked last.
-    changed: bool,
+    has_changed: bool,
 }
 
-/// Datagrams to places of the cell.
-pub type Sends = Vec<(u16, Vec<u8>)>;
+/// A datagram to a member of the cell.
+pub struct SwimDatagram {
+    /// Place of the member.
+    pub place: u16,
+    /// The message.
+    pub bytes: Vec<u8>,
+}
 
 impl Swim {
-    pub fn new(me: Id, size: usize, seed: u64) -> Self {
-        let dice = Dice(WyRand::new_seed(seed));
+    /// A detector that knows no other member yet.
+    pub fn new(me: SwimId, size: usize, seed: u64) -> Self {
+        let rng = SwimRng(WyRand::new_seed(seed));
         Swim {
-            foca: Foca::new(me, config(size, seed), dice, PostcardCodec),
+            foca: Foca::new(me, config(size, seed), rng, PostcardCodec),
             runtime: AccumulatingRuntime::new(),
             timers: BTreeMap::new(),
             last_timer: 0,
-            changed: true,
+            has_changed: true,
         }
     }
 
-    /// Who is there besides this process.
-    pub fn alive(&self) -> impl Iterator<Item = Id> + '_ {
+    /// Members that are alive, besides this process.
+    pub fn alive(&self) -> impl Iterator<Item = SwimId> + '_ {
         self.foca.iter_members().map(|member| *member.id())
     }
 
-    pub fn changed(&mut self) -> bool {
-        std::mem::take(&mut self.changed)
+    /// Whether the members that are alive have changed since the last call.
+    pub fn take_changed(&mut self) -> bool {
+        std::mem::take(&mut self.has_changed)
     }
 
-    /// Asks one that it has not met, by its place alone.
-    pub fn invite(&mut self, place: u16, now: Timestamp, sends: &mut Sends) {
-        let _ = self.foca.announce(Id { place, incarnation: 0, again: 0 }, &mut self.runtime);
-        self.settle(now, sends);
+    /// Announces this process to a member of which only the place is known.
+    pub fn announce(&mut self, place: u16, now: Timestamp, sends: &mut Vec<SwimDatagram>) {
+        let _ = self.foca.announce(SwimId { place, incarnation: 0, refutations: 0 }, &mut self.runtime);
+        self.drain_runtime(now, sends);
     }
 
-    /// True where the message could be read.
-    pub fn on_datagram(&mut self, bytes: &[u8], now: Timestamp, sends: &mut Sends) -> bool {
+    /// Handles a message. Returns whether it could be read.
+    pub fn on_datagram(&mut self, bytes: &[u8], now: Timestamp, sends: &mut Vec<SwimDatagram>) -> bool {
         let read = self.foca.handle_data(bytes, &mut self.runtime).is_ok();
-        self.settle(now, sends);
+        self.drain_runtime(now, sends);
         read
     }
 
-    pub fn on_timer(&mut self, now: Timestamp, sends: &mut Sends) {
+    /// Handles the timers that are due.
+    pub fn on_timer(&mut self, now: Timestamp, sends: &mut Vec<SwimDatagram>) {
         while let Some(due) = self.timers.first_entry().filter(|due| due.key().0 <= now) {
             let timer = due.remove();
-            // A timer that the library no longer knows is none of its concern.
+            // The library refuses timers that it has cancelled.
             let _ = self.foca.handle_timer(timer, &mut self.runtime);
-            self.settle(now, sends);
+            self.drain_runtime(now, sends);
         }
     }
 
+    /// When the next timer is due.
     pub fn next_wakeup(&self) -> Timestamp {
         self.timers.first_key_value().map_or(Timestamp::NEVER, |first| first.0 .0)
     }
 
-    pub fn leave(&mut self, now: Timestamp, sends: &mut Sends) {
+    /// Announces that this process leaves.
+    pub fn leave(&mut self, now: Timestamp, sends: &mut Vec<SwimDatagram>) {
         let _ = self.foca.leave_cluster(&mut self.runtime);
-        self.settle(now, sends);
+        self.drain_runtime(now, sends);
     }
 
-    fn settle(&mut self, now: Timestamp, sends: &mut Sends) {
+    fn drain_runtime(&mut self, now: Timestamp, sends: &mut Vec<SwimDatagram>) {
         while let Some((after, timer)) = self.runtime.to_schedule() {
             self.last_timer += 1;
             let at = now + Duration::from_ms(after.as_secs_f64() * 1000.0);
             self.timers.insert((at, self.last_timer), timer);
         }
         while let Some((to, bytes)) = self.runtime.to_send() {
-            sends.push((to.place, bytes.to_vec()));
+            sends.push(SwimDatagram { place: to.place, bytes: bytes.to_vec() });
         }
         while self.runtime.to_notify().is_some() {
-            self.changed = true;
+            self.has_changed = true;
         }
     }
 }
--- a/crates/cells/tests/agreement.rs
+++ b/crates/cells/tests/agreement.rs
@@ -1,4 +1,4 @@
-//! One value for each version, in drawn courses of kills, lost disks, cuts and a bad network.
+//! Each slot has one value, in random sequences of kills, lost disks, partitions and bad networks.
 
 use nanorand::{Rng, WyRand};
 use proptest::prelude::*;
@@ -6,7 +6,7 @@
 use shelfgrade_cells::{Action, Change, Stored};
 use shelfgrade_testkit::cells::{OneValue, World, CALM, ROUGH};
 
-/// The same cases every time.
+/// The seed is fixed, so that the cases are the same in every run.
 fn cases(cases: u32) -> ProptestConfig {
     ProptestConfig {
         cases,
@@ -20,18 +20,18 @@
     Change { id, action: Action::Put { key: key.to_owned(), value: vec![value] } }
 }
 
-/// All that run and may vote hold the same.
+/// Whether all replicas that run and may vote hold the same records.
 fn agree(world: &World) -> bool {
     let mut states = (0..world.replicas).filter_map(|node| world.replica(node)).map(|replica| {
         let state = replica.state();
-        (state.whole(), state.to(), state.digest())
+        (state.is_complete(), state.complete_to(), state.digest())
     });
     let first = states.next();
     states.all(|state| Some(state) == first && state.0)
 }
 
 #[test]
-fn the_check_for_one_value_catches_two() {
+fn the_check_for_one_value_finds_two() {
     let mut one_value = OneValue::default();
     one_value.chosen(1, &vec![put(1, "k", 1)]);
     one_value.chosen(1, &vec![put(1, "k", 1)]);
@@ -40,7 +40,7 @@
     assert_eq!(one_value.breaches, [1]);
 }
 
-/// Five replicas that are killed, lose their disks one at a time, and are cut in drawn ways.
+/// Five replicas that are killed, lose their disks one at a time, and are partitioned at random.
 fn never_two_values(steps: &[(u8, usize, u64)], seed: u64, forgets: bool) -> World {
     let mut world = World::founded(&[0, 0, 1, 1, 2], ROUGH, seed).with_horizon(16);
     let mut id = 0;
@@ -52,14 +52,14 @@
             2 => world.nodes[node].group = 1,
             3 => world.nodes.iter_mut().for_each(|node| node.group = 0),
             4 if forgets => {
-                // A planted breach: a disk that is lost, and nobody says so.
+                // A deliberate breach: a disk is lost, and the replica starts as if it were not.
                 world.kill(node);
                 world.nodes[node].stored = vec![Stored::Founded];
                 world.start(node);
             }
             4 => {
-                // One disk at a time: with a majority of disks gone nobody knows what was chosen.
-                let voting = |node: usize| world.replica(node).is_some_and(|replica| replica.votes());
+                // One disk at a time: without a majority of disks the chosen values are lost.
+                let voting = |node: usize| world.replica(node).is_some_and(|replica| replica.can_vote());
                 if (0..5).filter(|other| *other != node && voting(*other)).count() == 4 {
                     world.kill(node);
                     world.nodes[node].stored.clear();
@@ -84,7 +84,7 @@
     #![proptest_config(cases(256))]
 
     #[test]
-    fn no_version_ever_has_two_values_and_all_agree_after_meeting_again(steps in steps(), seed in any::<u64>()) {
+    fn no_slot_ever_has_two_values_and_all_replicas_converge_after_a_partition(steps in steps(), seed in any::<u64>()) {
         let mut world = never_two_values(&steps, seed, false);
         prop_assert!(world.one_value.breaches.is_empty(), "{:?}", world.one_value.breaches);
         for node in 0..5 {
@@ -99,7 +99,7 @@
         let agreed = world.until(30_000, 100, all);
         let each: Vec<_> = (0..5).filter_map(|node| world.replica(node)).map(|replica| {
             let state = replica.state();
-            (replica.votes(), replica.slot(), state.to(), state.head(), state.digest())
+            (replica.can_vote(), replica.slot(), state.complete_to(), state.head(), state.digest())
         }).collect();
         prop_assert!(agreed, "they never agreed: {each:?}, {:?}", world.outcomes.get(&9999));
         prop_assert!(world.one_value.breaches.is_empty(), "{:?}", world.one_value.breaches);
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn disks_that_are_lost_unsaid_are_found_by_the_same_check() {
+fn the_same_check_finds_disks_that_are_lost_without_recovery() {
     let mut chance = WyRand::new_seed(3);
     let breaks = (0..200u64).any(|seed| {
         let mut step = || {
--- a/crates/cells/tests/spread.rs
+++ b/crates/cells/tests/dissemination.rs
@@ -1,9 +1,9 @@
-//! How what was chosen gets to every process, and what is refused on the way.
+//! How chosen changes reach every process, and which datagrams are refused.
 
 use shelfgrade::time::{DurationExt, Timestamp};
 use shelfgrade_cells::{
-    fleet, write, Action, CellId, Change, Delta, DeltaError, Follower, Key, Message, Record, Scope, State,
-    Value, Version,
+    encode, fleet_id, Action, CellId, Change, Delta, DeltaError, Key, LogFollower, Message, Record, Scope,
+    State, Value, Version,
 };
 use shelfgrade_testkit::cells::fleet::{percentile, put};
 use shelfgrade_testkit::cells::{address, World, CALM, FLEET};
@@ -13,7 +13,7 @@
     Change { id, action: Action::Delete { key: key.to_owned() } }
 }
 
-/// A fleet that has found together, so many processes in four cells.
+/// A fleet whose processes, in four cells, have all found each other.
 fn settled(processes: usize, entries: usize, seed: u64) -> World {
     let mut world = World::whole_fleet(processes, 4, entries, CALM, seed);
     assert!(world.until(60_000, 50, World::agrees), "all have all");
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn one_change_is_in_force_everywhere_within_six_seconds_and_in_its_region_within_three() {
+fn a_change_is_applied_everywhere_within_six_seconds_and_in_its_region_within_three() {
     let mut world = settled(48, 50, 1);
     let (mut all, mut own) = (Vec::new(), Vec::new());
     for id in 1..=20 {
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn what_a_process_sends_at_rest_does_not_grow_with_its_cell() {
+fn the_idle_send_rate_of_a_process_does_not_grow_with_its_cell() {
     let small = {
         let mut world = settled(40, 50, 2);
         world.passes(30_000);
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn nobody_sends_over_four_kilobytes_in_a_second_while_a_thousand_entries_change() {
+fn no_process_sends_over_four_kilobytes_in_a_second_while_a_thousand_entries_change() {
     let mut world = settled(80, 1000, 3);
     for entry in 0..1000 {
         world.submit(0, put(20_000 + entry, &format!("server/{entry:05}"), "10.0.0.2:8080 cold weight 3"));
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_process_that_starts_has_all_within_two_seconds() {
+fn a_process_that_starts_is_up_to_date_within_two_seconds() {
     let mut world = settled(48, 500, 4);
     let mut took = Vec::new();
     for start in 0..20 {
@@ -77,7 +77,7 @@
         world.replace(500 + start as u64, node, 500);
         // Also one whose disk is empty.
         let at = world.now;
-        let holds = |world: &World| world.process(node).is_some_and(|process| process.active());
+        let holds = |world: &World| world.process(node).is_some_and(|process| process.is_active());
         assert!(world.until(20_000, 10, holds));
         took.push(world.now.since(at).as_ms());
     }
@@ -85,16 +85,16 @@
 }
 
 #[test]
-fn a_region_that_was_cut_off_serves_on_and_agrees_soon_after() {
+fn a_region_that_is_cut_off_keeps_its_quota_and_converges_soon_after() {
     let mut world = settled(48, 50, 5);
     let cut = |world: &mut World, group: u8| {
         world.nodes.iter_mut().filter(|node| node.site.region == 2).for_each(|node| node.group = group);
     };
-    let before = world.rights();
+    let before = world.quota_in_use();
     cut(&mut world, 1);
     world.submit(0, put(1, "far", "1"));
     world.passes(300_000);
-    assert_eq!(world.rights(), before, "who hears nobody serves by its floor");
+    assert_eq!(world.quota_in_use(), before, "processes without contact keep their quotas");
     let known = |world: &World| world.processes().filter(|(_, p)| p.state().entry("far").is_some()).count();
     assert_eq!(known(&world), 36);
     cut(&mut world, 0);
@@ -103,20 +103,23 @@
 }
 
 #[test]
-fn with_all_replicas_gone_nothing_new_comes_and_nothing_that_runs_stops() {
+fn without_replicas_nothing_changes_and_running_processes_go_on() {
     let mut world = settled(48, 50, 6);
-    let (rights, digests): (u64, Vec<u64>) =
-        (world.rights(), world.processes().map(|(_, process)| process.state().digest()).collect());
+    let (quota, digests): (u64, Vec<u64>) =
+        (world.quota_in_use(), world.processes().map(|(_, process)| process.state().digest()).collect());
     (0..world.replicas).for_each(|node| world.kill(node));
     world.passes(120_000);
-    assert_eq!(world.rights(), rights);
+    assert_eq!(world.quota_in_use(), quota);
     let now: Vec<u64> = world.processes().map(|(_, process)| process.state().digest()).collect();
     assert_eq!(now, digests);
-    assert!(world.processes().all(|(_, process)| process.unmet() == 0), "the cells see themselves");
+    assert!(
+        world.processes().all(|(_, process)| process.unreachable_members() == 0),
+        "the cells see themselves"
+    );
 }
 
 #[test]
-fn a_process_that_comes_back_after_days_drops_what_is_gone() {
+fn a_process_that_restarts_after_days_drops_deleted_records() {
     let mut world = World::whole_fleet(12, 4, 10, CALM, 7).with_horizon(16);
     assert!(world.until(60_000, 50, World::agrees));
     let node = world.replicas + 5;
@@ -135,7 +138,7 @@
 }
 
 #[test]
-fn a_fleet_whose_processes_are_all_replaced_is_no_larger_after() {
+fn replacing_all_processes_leaves_no_more_records() {
     let mut world = World::whole_fleet(24, 4, 20, CALM, 8).with_horizon(16);
     assert!(world.until(60_000, 50, World::agrees));
     let records = |world: &World| world.processes().map(|(_, process)| process.state().len()).max();
@@ -151,22 +154,22 @@
 }
 
 #[test]
-fn a_replacement_counts_while_the_fleet_runs() {
+fn a_replaced_process_is_a_member_while_the_fleet_runs() {
     let mut world = settled(24, 20, 9);
-    // A new process in a cell, on a machine that nobody knew of.
+    // A new process in a cell, on a new machine.
     let node = world.machine("late".to_owned(), CellId(1), 1);
     let change = world.addition(7, node);
     world.submit(0, change);
     world.start(node);
     assert!(world.until(20_000, 50, World::agrees));
-    let mates = |world: &World| {
+    let observers = |world: &World| {
         let own = world.processes().filter(|(of, _)| world.nodes[*of].site.cell == Some(CellId(1)));
-        own.filter(|(_, process)| process.alive().any(|name| name == "late")).count()
+        own.filter(|(_, process)| process.alive_members().any(|name| name == "late")).count()
     };
-    assert!(world.until(20_000, 50, |world| mates(world) == 6), "{} see it", mates(&world));
+    assert!(world.until(20_000, 50, |world| observers(world) == 6), "{} see it", observers(&world));
     let remove = Action::Remove { cell: CellId(1), name: "late".to_owned() };
     world.submit(0, Change { id: 8, action: remove });
-    assert!(world.until(20_000, 50, |world| mates(world) == 0), "no longer reckoned with");
+    assert!(world.until(20_000, 50, |world| observers(world) == 0), "it is no longer a member");
 }
 
 fn record(key: &str, slot: u64, value: &str) -> Record {
@@ -179,64 +182,66 @@
     Delta { after, to, head: to, horizon: Version(0), digest: 0, records }
 }
 
-/// What somebody holds after slots 1 to 3, each of which wrote one entry.
-fn held() -> Follower {
+/// A follower after slots 1 to 3, each of which wrote one entry.
+fn follower() -> LogFollower {
     let mut state = State::new(Scope::All);
     for slot in 1..=3 {
         state.apply(slot, &vec![put(slot, &format!("k{slot}"), "v")], 64);
     }
-    Follower::new(state)
+    LogFollower::new(state)
 }
 
 #[test]
-fn records_that_come_ahead_late_twice_or_not_at_all_come_to_the_same() {
-    let mut held = held();
+fn deltas_that_arrive_ahead_late_twice_or_not_at_all_lead_to_the_same_state() {
+    let mut held = follower();
     let before = held.state().digest();
     let late = Record { key: Key::Entry("gone".into()), ..record("k", 2, "old") };
-    assert!(held.take(&delta(1, 2, vec![])).is_ok_and(|merged| !merged.further));
+    assert!(held.on_delta(&delta(1, 2, vec![])).is_ok_and(|merged| !merged.is_advanced));
     let old = Record { version: Version::at(2, 1), ..late };
     assert!(
-        held.take(&delta(1, 2, vec![old])).is_ok_and(|merged| merged.news.is_empty()),
+        held.on_delta(&delta(1, 2, vec![old])).is_ok_and(|merged| merged.new_records.is_empty()),
         "it is over already"
     );
     assert_eq!(held.state().digest(), before);
     let ahead = record("k1", 6, "ahead");
-    assert!(held.take(&delta(5, 6, vec![ahead.clone()])).is_ok_and(|merged| merged.news == [ahead]));
-    assert!(!held.state().whole(), "slots 4 and 5 are missing");
-    assert_eq!(held.take(&delta(5, 6, vec![])), Err(DeltaError::Gap));
-    assert!(held.take(&delta(3, 6, vec![record("k2", 4, "x")])).is_ok_and(|merged| merged.further));
-    assert!(held.state().whole());
+    assert!(held
+        .on_delta(&delta(5, 6, vec![ahead.clone()]))
+        .is_ok_and(|merged| merged.new_records == [ahead]));
+    assert!(!held.state().is_complete(), "slots 4 and 5 are missing");
+    assert_eq!(held.on_delta(&delta(5, 6, vec![])), Err(DeltaError::Gap));
+    assert!(held.on_delta(&delta(3, 6, vec![record("k2", 4, "x")])).is_ok_and(|merged| merged.is_advanced));
+    assert!(held.state().is_complete());
 }
 
 #[test]
-fn who_is_given_less_than_there_is_knows_so() {
-    let mut gives = held();
-    // It holds a later record of k1, and so doesn't give the one that it had.
-    assert!(gives.take(&delta(5, 6, vec![record("k1", 6, "ahead")])).is_ok());
-    let answer = gives.state().answer(Scope::All, Version(0), true);
+fn a_follower_knows_that_a_delta_lacks_a_record() {
+    let mut sender = follower();
+    // The sender has a later record of k1, so that the delta lacks the one before.
+    assert!(sender.on_delta(&delta(5, 6, vec![record("k1", 6, "ahead")])).is_ok());
+    let answer = sender.state().answer(Scope::All, Version(0), true);
     assert!(answer.records.iter().all(|record| record.key != Key::Entry("k1".into())));
-    let mut takes = Follower::new(State::new(Scope::All));
-    takes.take(&answer).expect("in order");
-    assert!(!takes.state().whole() || takes.renews(), "k1 is still to come");
+    let mut receiver = LogFollower::new(State::new(Scope::All));
+    receiver.on_delta(&answer).expect("in order");
+    assert!(!receiver.state().is_complete() || receiver.is_transferring_snapshot(), "k1 is still to come");
 }
 
 #[test]
-fn a_snapshot_never_takes_back_what_came_ahead_of_it() {
-    let mut held = held();
+fn a_snapshot_never_reverts_records_that_arrived_ahead_of_it() {
+    let mut held = follower();
     let ahead = record("k1", 9, "ahead");
-    assert!(held.take(&delta(8, 9, vec![ahead.clone()])).is_ok());
-    // Its sender has forgotten what went since slot 3, and holds less than was heard of.
+    assert!(held.on_delta(&delta(8, 9, vec![ahead.clone()])).is_ok());
+    // The sender has dropped records deleted since slot 3, and is behind the known head.
     let older = delta(0, 5, vec![record("k1", 5, "older")]);
     let older = Delta { after: Version(0), horizon: Version::end_of(4), ..older };
-    assert!(held.take(&older).is_ok());
+    assert!(held.on_delta(&older).is_ok());
     assert_eq!(held.state().get(&ahead.key), Some(&ahead), "a cell's record that was acknowledged went back");
-    assert!(held.take(&delta(5, 9, vec![ahead.clone()])).is_ok());
-    assert!(!held.renews() && held.state().to() == Version::end_of(9));
+    assert!(held.on_delta(&delta(5, 9, vec![ahead.clone()])).is_ok());
+    assert!(!held.is_transferring_snapshot() && held.state().complete_to() == Version::end_of(9));
     assert_eq!(held.state().get(&ahead.key), Some(&ahead));
 }
 
 #[test]
-fn what_a_process_holds_grows_with_its_cell_and_not_with_the_fleet() {
+fn the_records_of_a_process_grow_with_its_cell_and_not_with_the_fleet() {
     let records = |processes, cells| {
         let mut world = World::whole_fleet(processes, cells, 50, CALM, 12);
         assert!(world.until(60_000, 50, World::agrees));
@@ -248,53 +253,55 @@
 }
 
 #[test]
-fn what_is_out_of_order_or_forked_changes_nothing() {
-    let mut held = held();
-    let before = (held.state().digest(), held.state().to());
+fn deltas_out_of_order_or_of_another_log_change_nothing() {
+    let mut held = follower();
+    let before = (held.state().digest(), held.state().complete_to());
     let twice = vec![record("a", 5, "x"), record("b", 4, "x")];
-    assert_eq!(held.take(&delta(3, 5, twice)), Err(DeltaError::Disorder));
+    assert_eq!(held.on_delta(&delta(3, 5, twice)), Err(DeltaError::OutOfOrder));
     assert_eq!(
-        held.take(&delta(3, 4, vec![record("a", 9, "x")])),
-        Err(DeltaError::Disorder),
+        held.on_delta(&delta(3, 4, vec![record("a", 9, "x")])),
+        Err(DeltaError::OutOfOrder),
         "not in its span"
     );
     let fork = record("other", 2, "x");
-    assert_eq!(held.take(&delta(1, 2, vec![fork])), Err(DeltaError::Fork), "slot 2 wrote something else");
+    assert_eq!(held.on_delta(&delta(1, 2, vec![fork])), Err(DeltaError::Fork), "slot 2 wrote something else");
     let other = Delta { digest: before.0 ^ 1, ..delta(3, 3, vec![]) };
-    assert_eq!(held.take(&other), Err(DeltaError::Fork), "all up to the same version, and not the same");
-    assert_eq!((held.state().digest(), held.state().to()), before);
+    assert_eq!(held.on_delta(&other), Err(DeltaError::Fork), "all up to the same version, and not the same");
+    assert_eq!((held.state().digest(), held.state().complete_to()), before);
 }
 
 #[test]
-fn datagrams_of_strangers_and_other_cells_change_nothing_and_are_counted() {
+fn datagrams_from_unknown_senders_and_other_cells_change_nothing_and_are_counted() {
     let mut world = settled(12, 10, 10);
     world.refused.clear();
     let node = world.replicas + 1;
     let what = |world: &World| {
-        world.process(node).map(|of| (of.state().digest(), of.right(), of.state().head(), of.state().to()))
+        world
+            .process(node)
+            .map(|of| (of.state().digest(), of.quota(), of.state().head(), of.state().complete_to()))
     };
     let before = what(&world);
-    let own = fleet(FLEET);
-    let pull = Message::Pull { scope: Scope::Cell(CellId(3)), after: Version(0), anew: false };
+    let own = fleet_id(FLEET);
+    let pull = Message::Pull { scope: Scope::Cell(CellId(3)), after: Version(0), snapshot: false };
     let ack = Message::Ack { cell: CellId(3), name: "x".into(), incarnation: 1, version: Version(1) };
-    let mut older = write(own, &pull);
+    let mut older = encode(own, &pull);
     older[0] = 0;
     let far = address(9999);
-    world.inject(far, node, &write(own, &pull));
-    world.inject(far, node, &write(own, &ack));
-    let mate = world.nodes.iter().position(|of| of.name == "n00005").expect("of the same cell");
-    world.inject(address(mate), node, &write(own, &ack));
-    // Who says to hold what nobody wrote, and who gives it.
+    world.inject(far, node, &encode(own, &pull));
+    world.inject(far, node, &encode(own, &ack));
+    let member = world.nodes.iter().position(|of| of.name == "n00005").expect("of the same cell");
+    world.inject(address(member), node, &encode(own, &ack));
+    // A pull with a version that nobody wrote, and records that nobody wrote.
     let after = Version::end_of(900_000);
-    let ahead = Message::Pull { scope: Scope::Cell(CellId(1)), after, anew: false };
-    world.inject(far, node, &write(own, &ahead));
-    let news =
+    let ahead = Message::Pull { scope: Scope::Cell(CellId(1)), after, snapshot: false };
+    world.inject(far, node, &encode(own, &ahead));
+    let push =
         Delta { after: Version(0), to: after, head: after, horizon: Version(0), digest: 0, records: vec![] };
-    world.inject(far, node, &write(own, &Message::Push(news.clone())));
-    world.inject(far, node, &write(own, &Message::Delta(news)));
-    world.inject(far, node, &write(own, &Message::Swim(vec![1, 2, 3])));
-    world.inject(far, node, &write(own, &Message::Submit(put(1, "k", "v"))));
-    world.inject(far, node, &write(own ^ 1, &pull));
+    world.inject(far, node, &encode(own, &Message::Push(push.clone())));
+    world.inject(far, node, &encode(own, &Message::Delta(push)));
+    world.inject(far, node, &encode(own, &Message::Swim(vec![1, 2, 3])));
+    world.inject(far, node, &encode(own, &Message::Submit(put(1, "k", "v"))));
+    world.inject(far, node, &encode(own ^ 1, &pull));
     world.inject(far, node, &older);
     world.inject(far, node, &[0; 3]);
     world.inject(far, node, &vec![0; 5000]);
@@ -316,7 +323,7 @@
 }
 
 #[test]
-fn the_same_seed_gives_the_same_course() {
+fn the_same_seed_gives_the_same_run() {
     let course = || {
         let mut world = settled(24, 20, 11);
         world.passes(5000);
--- a/crates/cells/tests/log.rs
+++ b/crates/cells/tests/log.rs
@@ -1,8 +1,8 @@
-//! The log: what its changes come to, what a replica may do with the disk it has, and what is refused.
+//! The log: the outcomes of changes, what a replica may do after a loss of its storage, and what is refused.
 
 use shelfgrade_cells::{
-    write, Action, Ballot, CellId, Change, ChangeError, Message, Paxos, Peer, Peers, RosterError, Scope,
-    State, Stored, Version, Vote,
+    encode, Action, Ballot, CellId, Change, ChangeError, Message, Paxos, ReplicaAddress, ReplicaSet,
+    ReplicaSetError, Scope, State, Stored, Version, Vote,
 };
 use shelfgrade_testkit::cells::fleet::{percentile, TEN};
 use shelfgrade_testkit::cells::{address, World, CALM, FLEET};
@@ -20,18 +20,18 @@
     Change { id, action: Action::AddCell { cell: CellId(cell), region: 0, places, quota } }
 }
 
-/// All that run and may vote hold the same.
+/// Whether all replicas that run and may vote hold the same records.
 fn agree(world: &World) -> bool {
     let mut states = (0..world.replicas).filter_map(|node| world.replica(node)).map(|replica| {
         let state = replica.state();
-        (state.whole(), state.to(), state.digest())
+        (state.is_complete(), state.complete_to(), state.digest())
     });
     let first = states.next();
     states.all(|state| Some(state) == first && state.0)
 }
 
 #[test]
-fn what_one_replica_is_given_all_come_to_hold() {
+fn a_change_submitted_to_one_replica_reaches_all() {
     let mut world = World::founded(&[0, 1, 2], CALM, 1);
     for id in 1..=40 {
         world.submit(id as usize % 3, put(id, &format!("k{id}"), 1));
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn replicas_that_all_propose_do_not_undo_each_other() {
+fn replicas_that_all_propose_make_progress() {
     let mut world = World::founded(&TEN, CALM, 11);
     let mut took = Vec::new();
     let mut waits: Vec<(u64, u64)> = Vec::new();
@@ -67,16 +67,16 @@
 }
 
 #[test]
-fn a_change_that_is_sent_again_counts_once() {
+fn a_change_that_is_submitted_again_is_applied_once() {
     let mut world = World::founded(&[0, 0, 0], CALM, 2);
     world.submit(0, put(1, "k", 1));
     world.passes(2000);
     world.submit(1, put(2, "k", 2));
     world.passes(2000);
-    // Its writer never heard of it, and asks another replica.
+    // Its writer got no answer, and asks another replica.
     world.submit(2, put(1, "k", 1));
     world.passes(2000);
-    assert_eq!(world.outcomes.get(&1), Some(&Err(ChangeError::Again)));
+    assert_eq!(world.outcomes.get(&1), Some(&Err(ChangeError::AlreadyApplied)));
     for node in 0..3 {
         let state = world.replica(node).expect("runs").state();
         assert_eq!(state.entry("k"), Some(&[2][..]), "the older change undid the newer one");
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_majority_is_needed_and_enough() {
+fn a_majority_is_necessary_and_sufficient() {
     let mut world = World::founded(&[0, 0, 1, 1, 2], CALM, 3);
     world.kill(3);
     world.kill(4);
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn changes_that_cannot_be_change_nothing_and_say_why() {
+fn invalid_changes_have_no_effect_and_report_why() {
     let mut state = State::new(Scope::All);
     let mut slot = 0;
     let mut outcome = |change: Change| {
@@ -107,52 +107,52 @@
         state.apply(slot, &vec![change], 64).pop().map(|(_, outcome)| outcome).expect("one")
     };
     assert_eq!(outcome(cell(1, 1, 2, 600_000)), Ok(()));
-    assert_eq!(outcome(cell(2, 1, 2, 0)), Err(ChangeError::CellTwice));
-    assert_eq!(outcome(cell(3, 2, 2, 400_001)), Err(ChangeError::NotFree), "over the whole");
+    assert_eq!(outcome(cell(2, 1, 2, 0)), Err(ChangeError::CellExists));
+    assert_eq!(outcome(cell(3, 2, 2, 400_001)), Err(ChangeError::QuotaNotFree), "more than the total");
     assert_eq!(outcome(cell(4, 2, 2, 400_000)), Ok(()));
     assert_eq!(outcome(add(5, 1, "a")), Ok(()));
-    assert_eq!(outcome(add(6, 1, "a")), Err(ChangeError::Twice));
-    assert_eq!(outcome(add(7, 2, "a")), Err(ChangeError::Twice), "in another cell");
-    assert_eq!(outcome(add(8, 3, "b")), Err(ChangeError::NoCell));
+    assert_eq!(outcome(add(6, 1, "a")), Err(ChangeError::MemberExists));
+    assert_eq!(outcome(add(7, 2, "a")), Err(ChangeError::MemberExists), "in another cell");
+    assert_eq!(outcome(add(8, 3, "b")), Err(ChangeError::UnknownCell));
     assert_eq!(outcome(add(9, 1, "b")), Ok(()));
-    assert_eq!(outcome(add(10, 1, "c")), Err(ChangeError::NoPlace));
+    assert_eq!(outcome(add(10, 1, "c")), Err(ChangeError::CellFull));
     let own = CellId(1);
     let of = |name: &str| (own, name.to_owned());
     let (cell, name) = of("a");
     assert_eq!(outcome(Change { id: 11, action: Action::Remove { cell, name } }), Ok(()));
-    assert_eq!(outcome(add(12, 1, "c")), Err(ChangeError::NoPlace), "nobody said that it ended");
+    assert_eq!(outcome(add(12, 1, "c")), Err(ChangeError::CellFull), "nobody said that it ended");
     let (cell, name) = of("a");
     let ended =
         |id, incarnation| Change { id, action: Action::Ended { cell, name: name.clone(), incarnation } };
-    assert_eq!(outcome(ended(13, 2)), Err(ChangeError::NoMember), "another incarnation");
+    assert_eq!(outcome(ended(13, 2)), Err(ChangeError::UnknownMember), "another incarnation");
     assert_eq!(outcome(ended(14, 1)), Ok(()));
     assert_eq!(outcome(add(15, 1, "c")), Ok(()));
     let grow = |id, by| Change { id, action: Action::Grow { cell: own, by } };
     let shrink = |id, by| Change { id, action: Action::Shrink { cell: own, by } };
-    assert_eq!(outcome(grow(16, 1)), Err(ChangeError::NotFree));
+    assert_eq!(outcome(grow(16, 1)), Err(ChangeError::QuotaNotFree));
     assert_eq!(outcome(shrink(17, 100)), Ok(()));
-    assert_eq!(outcome(grow(18, 1)), Err(ChangeError::NotFree), "it may be in use still");
-    assert_eq!(outcome(shrink(19, 100)), Err(ChangeError::Pending));
+    assert_eq!(outcome(grow(18, 1)), Err(ChangeError::QuotaNotFree), "it may be in use still");
+    assert_eq!(outcome(shrink(19, 100)), Err(ChangeError::ShrinkPending));
     let at = Version::at(17, 0);
     let release = |id, at| Change { id, action: Action::Release { cell: own, at } };
-    assert_eq!(outcome(release(20, Version::at(16, 0))), Err(ChangeError::NothingGivenUp));
-    // The number of the slot is the number of the change here.
+    assert_eq!(outcome(release(20, Version::at(16, 0))), Err(ChangeError::NothingToRelease));
+    // Each slot has one change here, of the same number.
     assert_eq!(outcome(release(21, at)), Ok(()));
-    assert_eq!(outcome(release(22, at)), Err(ChangeError::NothingGivenUp), "once");
+    assert_eq!(outcome(release(22, at)), Err(ChangeError::NothingToRelease), "once");
     assert_eq!(outcome(grow(23, 100)), Ok(()));
-    assert_eq!(outcome(put(24, &"k".repeat(97), 1)), Err(ChangeError::OverBound));
+    assert_eq!(outcome(put(24, &"k".repeat(97), 1)), Err(ChangeError::OutOfBounds));
 }
 
 #[test]
-fn replicas_that_are_named_twice_are_refused() {
-    let peer = |id| Peer { address: address(id), region: 0 };
-    assert_eq!(Peers::new(vec![peer(1), peer(2), peer(1)]), Err(RosterError::Twice(address(1))));
-    assert_eq!(Peers::new(vec![]), Err(RosterError::Empty));
-    assert_eq!(Peers::new((0..40).map(peer).collect()), Err(RosterError::TooMany(40)));
+fn duplicate_replicas_are_refused() {
+    let peer = |id| ReplicaAddress { address: address(id), region: 0 };
+    assert_eq!(ReplicaSet::new(vec![peer(1), peer(2), peer(1)]), Err(ReplicaSetError::Duplicate(address(1))));
+    assert_eq!(ReplicaSet::new(vec![]), Err(ReplicaSetError::Empty));
+    assert_eq!(ReplicaSet::new((0..40).map(peer).collect()), Err(ReplicaSetError::TooMany(40)));
 }
 
 #[test]
-fn a_replica_that_lost_its_disk_does_not_vote_until_it_has_caught_up() {
+fn a_replica_that_lost_its_storage_does_not_vote_until_it_has_caught_up() {
     let mut world = World::founded(&[0, 0, 0], CALM, 4);
     for id in 1..=5 {
         world.submit(0, put(id, "k", id as u8));
@@ -165,22 +165,22 @@
     world.submit(0, put(6, "k", 6));
     world.passes(20_000);
     let lost = world.replica(2).expect("runs");
-    assert!(!lost.votes() && !world.outcomes.contains_key(&6), "it cannot know what it voted for");
+    assert!(!lost.can_vote() && !world.outcomes.contains_key(&6), "it cannot know what it voted for");
     assert_eq!(lost.state().entry("k"), Some(&[5][..]), "it learns all the same");
     assert!(world.refused["cells storage lost, empty or with a gap"] == 1);
     world.start(1);
     assert!(world.until(10_000, 50, |world| world.outcomes.get(&6) == Some(&Ok(()))), "two with their disks");
-    // It votes again when the others have gone one slot on.
+    // It votes again once the others have chosen another slot.
     world.submit(0, put(7, "k", 7));
     world.passes(3000);
-    assert!(world.replica(2).is_some_and(|lost| lost.votes()));
+    assert!(world.replica(2).is_some_and(|lost| lost.can_vote()));
     world.kill(1);
     world.submit(0, put(8, "k", 8));
     assert!(world.until(10_000, 50, |world| world.outcomes.get(&8) == Some(&Ok(()))), "it counts again");
 }
 
 #[test]
-fn a_change_given_to_a_replica_that_lost_its_disk_is_chosen_by_the_others() {
+fn a_change_submitted_to_a_replica_that_lost_its_storage_is_chosen_by_the_others() {
     let mut world = World::founded(&[0, 0, 0], CALM, 10);
     world.submit(0, put(1, "k", 1));
     world.passes(1000);
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn a_replica_that_restarts_while_it_recovers_goes_on_recovering() {
+fn a_replica_that_restarts_during_recovery_continues_it() {
     let mut world = World::founded(&[0, 0, 0], CALM, 5);
     world.submit(0, put(1, "k", 1));
     world.passes(1000);
@@ -205,13 +205,13 @@
     for _ in 0..3 {
         world.start(2);
         world.passes(2000);
-        assert!(!world.replica(2).is_some_and(|lost| lost.votes()));
+        assert!(!world.replica(2).is_some_and(|lost| lost.can_vote()));
         world.kill(2);
     }
 }
 
 #[test]
-fn storage_with_a_gap_is_a_lost_disk() {
+fn storage_with_a_gap_counts_as_lost() {
     let mut world = World::founded(&[0, 0, 0], CALM, 6);
     for id in 1..=4 {
         world.submit(0, put(id, "k", id as u8));
@@ -223,23 +223,23 @@
     world.nodes[0].stored.remove(at);
     world.start(0);
     assert!(world.refused.contains_key("cells storage lost, empty or with a gap"));
-    assert!(!world.replica(0).is_some_and(|replica| replica.votes()));
+    assert!(!world.replica(0).is_some_and(|replica| replica.can_vote()));
     assert!(world.until(5000, 50, agree), "it learns from the others");
 }
 
 #[test]
-fn a_vote_is_kept_over_a_restart() {
+fn a_vote_survives_a_restart() {
     let mut world = World::founded(&[0, 0, 0], CALM, 7);
     let send = |world: &mut World, from: usize, to: usize, message: Paxos| {
-        let bytes = write(shelfgrade_cells::fleet(FLEET), &Message::Paxos(message));
+        let bytes = encode(shelfgrade_cells::fleet_id(FLEET), &Message::Paxos(message));
         world.inject(address(from), to, &bytes);
     };
-    let late = Ballot { round: 9, by: 1 };
-    send(&mut world, 1, 0, Paxos::Prepare { slot: 1, ballot: late });
+    let higher = Ballot { round: 9, proposer: 1 };
+    send(&mut world, 1, 0, Paxos::Prepare { slot: 1, ballot: higher });
     world.kill(0);
     world.start(0);
-    let early = Ballot { round: 8, by: 2 };
-    send(&mut world, 2, 0, Paxos::Accept { slot: 1, ballot: early, batch: vec![put(1, "k", 1)] });
+    let lower = Ballot { round: 8, proposer: 2 };
+    send(&mut world, 2, 0, Paxos::Accept { slot: 1, ballot: lower, batch: vec![put(1, "k", 1)] });
     let held = |world: &World| {
         world.nodes[0].stored.iter().rev().find_map(|stored| match stored {
             Stored::Vote(vote) => Some(vote.clone()),
@@ -248,34 +248,34 @@
     };
     assert_eq!(
         held(&world),
-        Some(Vote { slot: 1, promised: late, accepted: None }),
+        Some(Vote { slot: 1, promised: higher, accepted: None }),
         "it had promised a later one"
     );
 }
 
 #[test]
-fn a_fork_a_gap_and_votes_of_nobody_change_nothing_and_are_counted() {
+fn forks_gaps_and_votes_from_no_replica_change_nothing_and_are_counted() {
     let mut world = World::founded(&[0, 0, 0], CALM, 8);
     world.submit(0, put(1, "k", 1));
     world.passes(1000);
-    let fleet = shelfgrade_cells::fleet(FLEET);
+    let fleet = shelfgrade_cells::fleet_id(FLEET);
     let chosen =
-        |slot, id| write(fleet, &Message::Paxos(Paxos::Chosen { slot, batch: vec![put(id, "k", 9)] }));
+        |slot, id| encode(fleet, &Message::Paxos(Paxos::Chosen { slot, batch: vec![put(id, "k", 9)] }));
     let before = world.replica(0).expect("runs").state().digest();
     world.inject(address(1), 0, &chosen(1, 77));
     world.inject(address(1), 0, &chosen(9, 78));
     world.inject(address(400), 0, &chosen(2, 79));
-    let other = Paxos::Prepare { slot: 2, ballot: Ballot { round: 1, by: 2 } };
-    world.inject(address(1), 0, &write(fleet, &Message::Paxos(other)));
-    world.inject(address(1), 0, &write(fleet ^ 1, &Message::Submit(put(5, "k", 5))));
-    let mut older = write(fleet, &Message::Submit(put(5, "k", 5)));
+    let other = Paxos::Prepare { slot: 2, ballot: Ballot { round: 1, proposer: 2 } };
+    world.inject(address(1), 0, &encode(fleet, &Message::Paxos(other)));
+    world.inject(address(1), 0, &encode(fleet ^ 1, &Message::Submit(put(5, "k", 5))));
+    let mut older = encode(fleet, &Message::Submit(put(5, "k", 5)));
     older[0] = 0;
     world.inject(address(1), 0, &older);
-    let mut damaged = write(fleet, &Message::Submit(put(5, "k", 5)));
+    let mut damaged = encode(fleet, &Message::Submit(put(5, "k", 5)));
     *damaged.last_mut().expect("some") ^= 1;
     world.inject(address(1), 0, &damaged);
     world.inject(address(1), 0, &[7; 5]);
-    world.inject(address(1), 0, &write(fleet, &Message::Submit(put(6, &"k".repeat(200), 5))));
+    world.inject(address(1), 0, &encode(fleet, &Message::Submit(put(6, &"k".repeat(200), 5))));
     assert_eq!(world.replica(0).expect("runs").state().digest(), before);
     for why in [
         "cells log with a fork",
@@ -293,7 +293,7 @@
 }
 
 #[test]
-fn who_comes_back_after_days_gets_a_snapshot_and_drops_what_is_not_in_it() {
+fn a_replica_that_restarts_after_days_gets_a_snapshot_and_drops_what_is_not_in_it() {
     let mut world = World::founded(&[0, 0, 0], CALM, 9).with_horizon(16);
     world.submit(0, put(1, "gone", 1));
     world.submit(0, put(2, "stays", 1));
@@ -308,7 +308,7 @@
     assert!(
         state.horizon() > Version(0) && state.get(&shelfgrade_cells::Key::Entry("gone".into())).is_none()
     );
-    assert!(state.len() < 40, "ids and what is gone are forgotten: {}", state.len());
+    assert!(state.len() < 40, "ids and deleted records are dropped: {}", state.len());
     world.start(2);
     assert!(world.until(5000, 50, agree), "it holds what the others hold");
     let back = world.replica(2).expect("runs").state();
--- a/crates/cells/tests/rights.rs
+++ b/crates/cells/tests/quota.rs
@@ -1,15 +1,15 @@
-//! The sum of what all may do: never over the whole, in drawn cuts, with processes and replicas that die and come back.
+//! The quotas in use never exceed the total, in random partitions, with processes and replicas that die and restart.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use shelfgrade_cells::{
-    fleet, write, Action, CellId, Change, Delta, Key, Member, Message, Record, Scope, State, Value, Version,
-    WHOLE,
+    encode, fleet_id, Action, CellId, Change, Delta, Key, Member, Message, Record, Scope, State, Value,
+    Version, TOTAL_QUOTA,
 };
 use shelfgrade_testkit::cells::fleet::put;
 use shelfgrade_testkit::cells::{address, World, CALM, FLEET, ROUGH};
 
-/// The same cases every time.
+/// The seed is fixed, so that the cases are the same in every run.
 fn cases(cases: u32) -> ProptestConfig {
     ProptestConfig {
         cases,
@@ -21,8 +21,8 @@
 
 const PROCESSES: usize = 10;
 
-/// Two cells that hold the whole between them, with just as many places as members.
-fn full(seed: u64) -> World {
+/// Two cells that have all quota between them, and as many places as members.
+fn fully_granted(seed: u64) -> World {
     let mut world = World::founded(&[0, 0, 1], CALM, seed);
     let mut id = 1_000_000;
     let mut submit = |world: &mut World, action: Action| {
@@ -30,7 +30,7 @@
         world.submit(0, Change { id, action });
     };
     for cell in 0..2 {
-        let quota = WHOLE / 2;
+        let quota = TOTAL_QUOTA / 2;
         submit(&mut world, Action::AddCell { cell: CellId(cell), region: cell as u8, places: 5, quota });
     }
     for process in 0..PROCESSES {
@@ -43,14 +43,14 @@
     for node in 3..world.nodes.len() {
         world.start(node);
     }
-    assert!(world.until(60_000, 50, World::agrees), "all have all");
+    assert!(world.until(60_000, 50, World::agrees), "all processes are up to date");
     world
 }
 
 fn cell(world: &World, cell: u16) -> (u32, u32, Version) {
     let state = world.replica(0).expect("runs").state();
     let held = state.cell(CellId(cell)).expect("there");
-    (held.quota, held.escrow, held.shrunk)
+    (held.quota, held.escrow, held.shrunk_at)
 }
 
 fn submit(world: &mut World, id: u64, action: Action) {
@@ -58,38 +58,38 @@
 }
 
 #[test]
-fn quota_goes_from_one_cell_to_another_when_all_have_let_go() {
-    let mut world = full(1);
-    let whole = u64::from(WHOLE);
-    assert_eq!(world.rights(), whole, "all places are held");
-    submit(&mut world, 1, Action::Shrink { cell: CellId(0), by: WHOLE / 4 });
+fn quota_moves_from_one_cell_to_another_once_all_members_acknowledge_the_shrink() {
+    let mut world = fully_granted(1);
+    let total = u64::from(TOTAL_QUOTA);
+    assert_eq!(world.quota_in_use(), total, "all places are taken");
+    submit(&mut world, 1, Action::Shrink { cell: CellId(0), by: TOTAL_QUOTA / 4 });
     let released = |world: &World| {
         let (quota, escrow, _) = cell(world, 0);
-        (quota, escrow) == (WHOLE / 4, 0)
+        (quota, escrow) == (TOTAL_QUOTA / 4, 0)
     };
     assert!(world.until(20_000, 50, released), "{:?}", cell(&world, 0));
-    submit(&mut world, 2, Action::Grow { cell: CellId(1), by: WHOLE / 4 });
+    submit(&mut world, 2, Action::Grow { cell: CellId(1), by: TOTAL_QUOTA / 4 });
     world.passes(5000);
-    assert_eq!(cell(&world, 1).0, WHOLE / 4 * 3);
-    assert_eq!(world.rights(), whole);
+    assert_eq!(cell(&world, 1).0, TOTAL_QUOTA / 4 * 3);
+    assert_eq!(world.quota_in_use(), total);
 }
 
 #[test]
-fn what_a_cell_gave_up_is_not_given_on_while_one_of_its_members_was_not_heard() {
-    let mut world = full(2);
+fn quota_in_escrow_is_not_released_while_a_member_has_not_acknowledged_the_shrink() {
+    let mut world = fully_granted(2);
     let apart = world.nodes.len() - 2;
     assert_eq!(world.nodes[apart].site.cell, Some(CellId(0)));
     world.nodes[apart].group = 1;
-    let right = world.process(apart).map(|process| process.right());
-    submit(&mut world, 1, Action::Shrink { cell: CellId(0), by: WHOLE / 2 });
+    let quota = world.process(apart).map(|process| process.quota());
+    submit(&mut world, 1, Action::Shrink { cell: CellId(0), by: TOTAL_QUOTA / 2 });
     world.passes(300_000);
-    assert_eq!(cell(&world, 0).1, WHOLE / 2, "it may use its part still");
+    assert_eq!(cell(&world, 0).1, TOTAL_QUOTA / 2, "it may still use its part");
     submit(&mut world, 2, Action::Grow { cell: CellId(1), by: 1 });
     world.passes(5000);
-    assert!(world.outcomes[&2].is_err(), "nothing is free");
-    assert_eq!(world.process(apart).map(|process| process.right()), right, "it serves by its floor");
-    assert!(world.rights() <= u64::from(WHOLE));
-    // Its end is said: nobody is waited for.
+    assert!(world.outcomes[&2].is_err(), "no quota is free");
+    assert_eq!(world.process(apart).map(|process| process.quota()), quota, "it keeps its quota");
+    assert!(world.quota_in_use() <= u64::from(TOTAL_QUOTA));
+    // Its end is recorded: the release waits for nobody.
     world.kill(apart);
     let name = world.nodes[apart].name.clone();
     submit(&mut world, 3, Action::Ended { cell: CellId(0), name, incarnation: 1 });
@@ -97,8 +97,8 @@
 }
 
 #[test]
-fn a_place_is_not_free_until_the_end_of_who_had_it_is_said() {
-    let mut world = full(3);
+fn a_place_is_not_free_until_the_end_of_its_holder_is_recorded() {
+    let mut world = fully_granted(3);
     let (gone, other) = (world.nodes.len() - 2, CellId(0));
     let name = world.nodes[gone].name.clone();
     world.nodes[gone].group = 1;
@@ -107,34 +107,34 @@
     let addition = world.addition(2, node);
     world.submit(0, addition);
     world.passes(20_000);
-    assert!(world.outcomes[&2].is_err(), "it runs on, cut off, by its floor");
-    assert!(world.process(gone).is_some_and(|process| process.right() > 0));
+    assert!(world.outcomes[&2].is_err(), "it runs on, cut off, with its quota");
+    assert!(world.process(gone).is_some_and(|process| process.quota() > 0));
     world.kill(gone);
     submit(&mut world, 3, Action::Ended { cell: other, name, incarnation: 1 });
     world.passes(2000);
     let addition = world.addition(4, node);
     world.submit(0, addition);
     world.start(node);
-    assert!(world.until(20_000, 50, |world| world.process(node).is_some_and(|process| process.right() > 0)));
-    assert!(world.rights() <= u64::from(WHOLE));
+    assert!(world.until(20_000, 50, |world| world.process(node).is_some_and(|process| process.quota() > 0)));
+    assert!(world.quota_in_use() <= u64::from(TOTAL_QUOTA));
 }
 
 #[test]
-fn who_comes_back_after_days_has_no_right_by_what_it_kept() {
-    let mut world = full(4);
+fn a_process_that_restarts_after_days_has_no_quota_by_its_snapshot() {
+    let mut world = fully_granted(4);
     let node = world.nodes.len() - 1;
     world.kill(node);
     world.nodes[node].group = 1;
     world.start(node);
     world.passes(60_000);
     let process = world.process(node).expect("runs");
-    assert!(!process.state().is_empty(), "it kept what it knew");
-    assert_eq!(process.right(), 0, "its cell may have given up what it had, and its place another owner");
+    assert!(!process.state().is_empty(), "it has its snapshot");
+    assert_eq!(process.quota(), 0, "its cell may have given up quota, and its place may have another owner");
 }
 
 #[test]
-fn who_has_its_own_record_but_not_all_before_it_has_no_right_yet() {
-    let mut world = full(7);
+fn a_process_with_its_own_record_but_an_incomplete_log_has_no_quota() {
+    let mut world = fully_granted(7);
     let node = world.nodes.len() - 1;
     (0..3).for_each(|replica| world.kill(replica));
     world.kill(node);
@@ -143,7 +143,7 @@
     let (to, held) = {
         let state = world.process(node).expect("runs").state();
         let key = Key::Member(CellId(1), world.nodes[node].name.clone());
-        (state.to(), state.get(&key).expect("kept").clone())
+        (state.complete_to(), state.get(&key).expect("kept").clone())
     };
     let slot = to.slot();
     let Some(Value::Member(member)) = held.value else { panic!("a member") };
@@ -153,19 +153,19 @@
     let give = |world: &mut World, after, upto, head, records: Vec<Record>| {
         let (to, head) = (Version::end_of(upto), Version::end_of(head));
         let delta = Delta { after, to, head, horizon: Version(0), digest: 0, records };
-        world.inject(address(0), node, &write(fleet(FLEET), &Message::Delta(delta)));
+        world.inject(address(0), node, &encode(fleet_id(FLEET), &Message::Delta(delta)));
     };
     give(&mut world, to, slot + 1, slot + 9, vec![own]);
-    let right = |world: &World| world.process(node).map(|process| process.right());
-    assert_eq!(right(&world), Some(0), "its cell may have given up something in what is still to come");
+    let quota = |world: &World| world.process(node).map(|process| process.quota());
+    assert_eq!(quota(&world), Some(0), "a record that is still missing may have taken quota from its cell");
     give(&mut world, Version::end_of(slot + 1), slot + 9, slot + 9, vec![]);
-    assert_eq!(right(&world), Some(WHOLE / 10));
+    assert_eq!(quota(&world), Some(TOTAL_QUOTA / 10));
 }
 
-/// Two processes of one machine's name, the older one still there, cut off: told to the log as one that ended.
+/// Two processes of one name: the older one is cut off, still runs, and is recorded as ended.
 #[test]
-fn the_sum_catches_an_end_that_was_none() {
-    let mut world = full(5);
+fn the_check_of_the_sum_finds_a_member_wrongly_recorded_as_ended() {
+    let mut world = fully_granted(5);
     let alive = world.nodes.len() - 2;
     let name = world.nodes[alive].name.clone();
     world.nodes[alive].group = 1;
@@ -174,35 +174,35 @@
     let addition = world.addition(2, node);
     world.submit(0, addition);
     world.start(node);
-    let over = |world: &World| world.rights() > u64::from(WHOLE);
-    assert!(world.until(20_000, 50, over), "the check sees nothing: {}", world.rights());
+    let over = |world: &World| world.quota_in_use() > u64::from(TOTAL_QUOTA);
+    assert!(world.until(20_000, 50, over), "the check finds nothing: {}", world.quota_in_use());
 }
 
-/// A speaker that puts in a release before all were heard.
+/// A delegate that submits a release before all members have acknowledged the shrink.
 #[test]
-fn the_sum_catches_a_release_that_came_too_early() {
-    let mut world = full(6);
+fn the_check_of_the_sum_finds_a_release_without_acknowledgements() {
+    let mut world = fully_granted(6);
     let apart = world.nodes.len() - 2;
     world.nodes[apart].group = 1;
-    submit(&mut world, 1, Action::Shrink { cell: CellId(0), by: WHOLE / 2 });
+    submit(&mut world, 1, Action::Shrink { cell: CellId(0), by: TOTAL_QUOTA / 2 });
     world.passes(3000);
     let (_, _, at) = cell(&world, 0);
     submit(&mut world, 2, Action::Release { cell: CellId(0), at });
-    submit(&mut world, 3, Action::Grow { cell: CellId(1), by: WHOLE / 2 });
-    let over = |world: &World| world.rights() > u64::from(WHOLE);
-    assert!(world.until(20_000, 50, over), "the check sees nothing: {}", world.rights());
+    submit(&mut world, 3, Action::Grow { cell: CellId(1), by: TOTAL_QUOTA / 2 });
+    let over = |world: &World| world.quota_in_use() > u64::from(TOTAL_QUOTA);
+    assert!(world.until(20_000, 50, over), "the check finds nothing: {}", world.quota_in_use());
 }
 
 proptest! {
     #![proptest_config(cases(192))]
 
-    /// Whatever is cut, lost, killed, started, shrunk and grown: looked at four times a second.
+    /// Random partitions, losses, kills, starts, shrinks and grows, with a check four times a second.
     #[test]
-    fn rights_never_sum_over_the_whole_and_all_agree_after_meeting_again(
+    fn quotas_in_use_never_exceed_the_total_and_all_processes_converge_after_a_partition(
         steps in prop::collection::vec((0..12u8, 0..26usize, 1..4000u64), 10..50),
         seed in any::<u64>(),
     ) {
-        let mut world = full(seed).with_horizon(16);
+        let mut world = fully_granted(seed).with_horizon(16);
         world.net = ROUGH;
         let mut id = 0;
         for (what, node, ms) in &steps {
@@ -217,7 +217,7 @@
                 2 | 3 => world.nodes[node].group = 1 + node as u8 % 2,
                 4 => world.nodes.iter_mut().for_each(|node| node.group = 0),
                 5 => {
-                    // A process that ends and says so; another comes in its place.
+                    // A process ends and reports that; another one replaces it.
                     world.kill(process);
                     let (name, incarnation) = (world.nodes[process].name.clone(), world.nodes[process].incarnation);
                     let cell = world.nodes[process].site.cell.unwrap_or_default();
@@ -236,7 +236,7 @@
                 let step = left.min(250);
                 world.passes(step);
                 left -= step;
-                prop_assert!(world.rights() <= u64::from(WHOLE), "{} of {WHOLE}", world.rights());
+                prop_assert!(world.quota_in_use() <= u64::from(TOTAL_QUOTA), "{} of {TOTAL_QUOTA}", world.quota_in_use());
             }
         }
         prop_assert!(world.one_value.breaches.is_empty());
@@ -248,27 +248,27 @@
             }
         }
         let agree = |world: &World| {
-            let to: Vec<_> = world.processes().map(|(_, process)| (process.state().whole(), process.state().to())).collect();
-            let first = world.replica(0).map(|replica| replica.state().to());
-            to.iter().all(|(whole, to)| *whole && Some(*to) == first) && world.rights() <= u64::from(WHOLE)
+            let to: Vec<_> = world.processes().map(|(_, process)| (process.state().is_complete(), process.state().complete_to())).collect();
+            let first = world.replica(0).map(|replica| replica.state().complete_to());
+            to.iter().all(|(is_complete, to)| *is_complete && Some(*to) == first) && world.quota_in_use() <= u64::from(TOTAL_QUOTA)
         };
         world.passes(2000);
-        prop_assert!(world.until(30_000, 250, agree), "they never agreed");
+        prop_assert!(world.until(30_000, 250, agree), "the processes do not converge");
         let digests: std::collections::BTreeSet<_> = world.processes()
             .map(|(node, process)| (world.nodes[node].site.cell.map(|cell| cell.0), process.state().digest())).collect();
         prop_assert_eq!(digests.len(), 2, "one for each cell");
     }
 }
 
-/// What the log says is free is what is left of the whole, whatever is asked of it in whatever order.
+/// The free quota is the total without what cells have, after any changes in any order.
 #[test]
-fn the_log_itself_never_gives_out_more_than_the_whole() {
+fn the_log_never_grants_more_than_the_total() {
     use nanorand::{Rng, WyRand};
     let mut chance = WyRand::new_seed(9);
     let mut state = State::new(Scope::All);
     for slot in 1..=4000u64 {
         let (cell, by) = (CellId(chance.generate_range(0..4u16)), chance.generate_range(0..400_000u32));
-        let at = state.cell(cell).map_or(Version(0), |cell| cell.shrunk);
+        let at = state.cell(cell).map_or(Version(0), |cell| cell.shrunk_at);
         let action = match chance.generate_range(0..4u32) {
             0 => Action::AddCell { cell, region: 0, places: 3, quota: by },
             1 => Action::Grow { cell, by },
@@ -277,7 +277,9 @@
         };
         state.apply(slot, &vec![Change { id: slot, action }], 64);
         let given: u64 = state.cells().map(|(_, cell)| u64::from(cell.quota) + u64::from(cell.escrow)).sum();
-        assert!(given <= u64::from(WHOLE) && state.free() as u64 == u64::from(WHOLE) - given);
-        assert!(state.get(&Key::Done(slot)).is_some());
+        assert!(
+            given <= u64::from(TOTAL_QUOTA) && state.free_quota() as u64 == u64::from(TOTAL_QUOTA) - given
+        );
+        assert!(state.get(&Key::Applied(slot)).is_some());
     }
 }
--- a/crates/cells/tests/stored_bytes.rs
+++ b/crates/cells/tests/stored_bytes.rs
@@ -4,8 +4,8 @@
 use recorded::{hex, Recorded};
 use serde::{de::DeserializeOwned, Serialize};
 use shelfgrade_cells::{
-    fleet, read, write, Action, Ballot, Cell, CellId, Change, ChangeError, Delta, Kept, Key, Member, Message,
-    Paxos, Record, Scope, Stored, Value, Version, Vote,
+    decode, encode, fleet_id, Action, Ballot, Cell, CellId, Change, ChangeError, Delta, Key, Member, Message,
+    Paxos, ProcessSnapshot, Record, Scope, Stored, Value, Version, Vote,
 };
 use std::fmt::Debug;
 
@@ -13,7 +13,7 @@
 mod recorded;
 
 const RECORDED: Recorded = Recorded(include_str!("fixtures/stored.hex"));
-const BALLOT: Ballot = Ballot { round: 300, by: 4 };
+const BALLOT: Ballot = Ballot { round: 300, proposer: 4 };
 
 /// One of each kind of change.
 fn batch() -> Vec<Change> {
@@ -40,7 +40,7 @@
         region: 2,
         quota: 100_000,
         escrow: 6,
-        shrunk: Version::at(9, 2),
+        shrunk_at: Version::at(9, 2),
         places: 40,
         members: 1,
         contacts: vec![address],
@@ -48,7 +48,7 @@
     let member = Member { address, incarnation: 70_000, place: 3, removed: true };
     let values = [
         (Key::Cell(CellId(300)), Some(Value::Cell(cell))),
-        (Key::Done(1 << 40), Some(Value::Done)),
+        (Key::Applied(1 << 40), Some(Value::Applied)),
         (Key::Entry("k".into()), Some(Value::Entry(vec![1, 255]))),
         (Key::Entry("gone".into()), None),
         (Key::Member(CellId(300), "n1".into()), Some(Value::Member(member))),
@@ -76,10 +76,10 @@
     let slot = 70_000;
     let kinds = [
         ("swim", Message::Swim(vec![1, 2, 255])),
-        ("pull all", Message::Pull { scope: Scope::All, after: Version(0), anew: true }),
+        ("pull all", Message::Pull { scope: Scope::All, after: Version(0), snapshot: true }),
         (
             "pull cell",
-            Message::Pull { scope: Scope::Cell(CellId(300)), after: Version::at(8, 0), anew: false },
+            Message::Pull { scope: Scope::Cell(CellId(300)), after: Version::at(8, 0), snapshot: false },
         ),
         ("delta", Message::Delta(delta())),
         ("push", Message::Push(delta())),
@@ -94,7 +94,7 @@
         ),
         ("submit", Message::Submit(batch()[0].clone())),
         ("outcome done", Message::Outcome { id: 1 << 40, outcome: Ok(()) }),
-        ("outcome refused", Message::Outcome { id: 1 << 40, outcome: Err(ChangeError::OverBound) }),
+        ("outcome refused", Message::Outcome { id: 1 << 40, outcome: Err(ChangeError::OutOfBounds) }),
         ("prepare", Message::Paxos(Paxos::Prepare { slot, ballot: BALLOT })),
         (
             "promise",
@@ -104,17 +104,17 @@
         ("accepted", Message::Paxos(Paxos::Accepted { slot, ballot: BALLOT })),
         ("conflict", Message::Paxos(Paxos::Conflict { slot, promised: BALLOT })),
         ("chosen", Message::Paxos(Paxos::Chosen { slot, batch: batch() })),
-        ("ask part", Message::Paxos(Paxos::AskPart { number: 300 })),
-        ("took part", Message::Paxos(Paxos::TookPart { number: 300, slot })),
+        ("ask part", Message::Paxos(Paxos::AskHighestSlot { recovery: 300 })),
+        ("took part", Message::Paxos(Paxos::HighestSlot { recovery: 300, slot })),
     ];
-    let dar = fleet("dar");
+    let dar = fleet_id("dar");
     for (name, message) in kinds {
-        assert_eq!(hex(&write(dar, &message)), RECORDED.digits(name), "{name}");
-        assert_eq!(read(dar, &RECORDED.bytes(name)), Ok(message), "{name}");
+        assert_eq!(hex(&encode(dar, &message)), RECORDED.digits(name), "{name}");
+        assert_eq!(decode(dar, &RECORDED.bytes(name)), Ok(message), "{name}");
     }
 }
 
-fn keeps<T: Serialize + DeserializeOwned + Debug>(name: &str, value: &T) {
+fn assert_bytes_kept<T: Serialize + DeserializeOwned + Debug>(name: &str, value: &T) {
     assert_eq!(hex(&postcard::to_stdvec(value).unwrap()), RECORDED.digits(name), "{name}");
     let read = postcard::from_bytes::<T>(&RECORDED.bytes(name)).unwrap();
     assert_eq!(format!("{read:?}"), format!("{value:?}"), "{name}");
@@ -124,14 +124,14 @@
 fn what_is_stored_is_written_and_read_as_an_earlier_release_wrote_it() {
     let vote = || Vote { slot: 70_000, promised: BALLOT, accepted: Some((BALLOT, batch())) };
     let (to, horizon) = (Version::end_of(9), Version::at(3, 0));
-    keeps("stored founded", &Stored::Founded);
-    keeps("stored recovering", &Stored::Recovering);
-    keeps("stored votes from", &Stored::VotesFrom(70_000));
-    keeps("stored vote", &Stored::Vote(vote()));
-    keeps("stored chosen", &Stored::Chosen { slot: 70_000, batch: batch() });
+    assert_bytes_kept("stored founded", &Stored::Founded);
+    assert_bytes_kept("stored recovering", &Stored::Recovering);
+    assert_bytes_kept("stored votes from", &Stored::VotesFrom(70_000));
+    assert_bytes_kept("stored vote", &Stored::Vote(vote()));
+    assert_bytes_kept("stored chosen", &Stored::Chosen { slot: 70_000, batch: batch() });
     let records = records();
     let checkpoint =
         Stored::Checkpoint { records: records.clone(), to, horizon, votes_from: Some(7), vote: vote() };
-    keeps("stored checkpoint", &checkpoint);
-    keeps("kept", &Kept { records, to, horizon });
+    assert_bytes_kept("stored checkpoint", &checkpoint);
+    assert_bytes_kept("kept", &ProcessSnapshot { records, to, horizon });
 }
--- a/crates/testkit/examples/cells.rs
+++ b/crates/testkit/examples/cells.rs
@@ -1,7 +1,7 @@
 //! A fleet in cells in virtual time, measured: `cells PROCESSES [ENTRIES]` prints a line of JSON for each point.
 
 use shelfgrade::time::DurationExt;
-use shelfgrade_cells::WHOLE;
+use shelfgrade_cells::TOTAL_QUOTA;
 use shelfgrade_testkit::cells::fleet::{percentile, put};
 use shelfgrade_testkit::cells::{World, CALM};
 use std::time::Duration;
@@ -72,7 +72,8 @@
         let sizes = self.world.processes().map(|(_, process)| process.state().len());
         let (least, most) = sizes.fold((usize::MAX, 0), |(a, b), n| (a.min(n), b.max(n)));
         let replica = self.world.replica(0).map_or(0, |replica| replica.state().len());
-        let unmet = self.world.processes().map(|(_, process)| process.unmet()).max().unwrap_or(0);
+        let unmet =
+            self.world.processes().map(|(_, process)| process.unreachable_members()).max().unwrap_or(0);
         format!(",\"most_unmet\":{unmet},\"records_least\":{least},\"records_most\":{most},\"replica_records\":{replica}")
     }
 
@@ -96,7 +97,7 @@
                 left -= step;
                 let world = &self.world;
                 waits.retain(|(node, at)| {
-                    let holds = world.process(*node).is_some_and(|process| process.active());
+                    let holds = world.process(*node).is_some_and(|process| process.is_active());
                     if holds {
                         took.push(world.now.since(*at).as_ms());
                     }
@@ -157,7 +158,7 @@
     let mut over = 0;
     for _ in 0..280 {
         trial.world.passes(1000);
-        over += usize::from(trial.world.rights() > u64::from(WHOLE));
+        over += usize::from(trial.world.quota_in_use() > u64::from(TOTAL_QUOTA));
     }
     trial.point("a region is cut off", 280_000, &format!(",\"times_over_the_whole\":{over}"));
     trial.changes("one change while a region is cut off", 3001, 5);
--- a/crates/testkit/src/cells.rs
+++ b/crates/testkit/src/cells.rs
@@ -2,7 +2,9 @@
 
 use nanorand::{Rng, WyRand};
 use shelfgrade::time::{DurationExt, Timestamp};
-use shelfgrade_cells::{CellId, Change, ChangeError, Key, Peer, Peers, Process, Replica, Start, Stored};
+use shelfgrade_cells::{
+    CellId, Change, ChangeError, Key, Process, ProcessConfig, Replica, ReplicaAddress, ReplicaSet, Stored,
+};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use std::net::SocketAddr;
@@ -27,7 +29,7 @@
     /// The entry whose arrival is noted, and when each node had it.
     pub watched: Option<String>,
     pub arrivals: BTreeMap<usize, Timestamp>,
-    peers: Peers,
+    peers: ReplicaSet,
     events: BinaryHeap<Reverse<Event>>,
     number: u64,
     seeds: u64,
@@ -38,19 +40,20 @@
     /// A fleet that was just founded, with one replica for each entry, in those regions.
     pub fn founded(replicas: &[u8], net: Net, seed: u64) -> Self {
         let peers = replicas.iter().enumerate();
-        let peers = peers.map(|(id, region)| Peer { address: address(id), region: *region }).collect();
+        let peers =
+            peers.map(|(id, region)| ReplicaAddress { address: address(id), region: *region }).collect();
         let mut world = World {
             now: Timestamp::from_ms(1000.0),
             nodes: Vec::new(),
             replicas: replicas.len(),
             net,
-            horizon: shelfgrade_cells::HORIZON,
+            horizon: shelfgrade_cells::DEFAULT_HORIZON_SLOTS,
             one_value: OneValue::default(),
             refused: BTreeMap::new(),
             outcomes: BTreeMap::new(),
             watched: None,
             arrivals: BTreeMap::new(),
-            peers: Peers::new(peers).expect("addresses of their own"),
+            peers: ReplicaSet::new(peers).expect("addresses of their own"),
             events: BinaryHeap::new(),
             number: 0,
             seeds: seed,
@@ -125,8 +128,9 @@
                 let (name, incarnation) = (of.name.clone(), of.incarnation);
                 let (fleet, kept, region) = (FLEET.to_owned(), of.kept.take(), of.site.region);
                 let replicas = peers;
-                let start = Start { fleet, cell, region, name, incarnation, replicas, kept, seed };
-                Core::Process(Box::new(Process::new(start, now)))
+                let config =
+                    ProcessConfig { fleet, cell, region, name, incarnation, replicas, snapshot: kept, seed };
+                Core::Process(Box::new(Process::new(config, now)))
             }
         };
         of.core = Some(core);
@@ -136,7 +140,7 @@
     /// A process keeps what it knows; a replica has on disk what it stored.
     pub fn kill(&mut self, node: usize) {
         if let Some(Core::Process(core)) = &self.nodes[node].core {
-            self.nodes[node].kept = Some(core.kept());
+            self.nodes[node].kept = Some(core.snapshot());
         }
         self.nodes[node].core = None;
     }
@@ -164,8 +168,8 @@
     }
 
     /// What all that run may do together.
-    pub fn rights(&self) -> u64 {
-        self.processes().map(|(_, process)| u64::from(process.right())).sum()
+    pub fn quota_in_use(&self) -> u64 {
+        self.processes().map(|(_, process)| u64::from(process.quota())).sum()
     }
 
     /// Writes a change at a node, as a replica's or process's own.
@@ -240,7 +244,7 @@
     }
 
     fn send(&mut self, from: usize, to: SocketAddr, bytes: Vec<u8>) {
-        assert!(bytes.len() <= shelfgrade_cells::LONGEST, "a datagram of {} bytes", bytes.len());
+        assert!(bytes.len() <= shelfgrade_cells::MAX_DATAGRAM_BYTES, "a datagram of {} bytes", bytes.len());
         let second = self.now.periods(Duration::from_millis(1000));
         let of = &mut self.nodes[from];
         of.bytes += bytes.len() as u64;
--- a/crates/testkit/src/cells/fleet.rs
+++ b/crates/testkit/src/cells/fleet.rs
@@ -2,7 +2,7 @@
 
 use super::{address, Net, World};
 use shelfgrade::time::{DurationExt, Timestamp};
-use shelfgrade_cells::{Action, CellId, Change, WHOLE};
+use shelfgrade_cells::{Action, CellId, Change, TOTAL_QUOTA};
 use std::time::Duration;
 
 /// The machines set aside, by region.
@@ -31,7 +31,7 @@
         for cell in 0..cells {
             let region = (cell % REGIONS) as u8;
             let places = places(processes, cells);
-            let quota = WHOLE / u32::from(cells);
+            let quota = TOTAL_QUOTA / u32::from(cells);
             let action = Action::AddCell { cell: CellId(cell), region, places, quota };
             world.submit(0, Change { id: next(), action });
         }
@@ -77,9 +77,12 @@
 
     /// Whoever runs holds all there is, the same in each cell.
     pub fn agrees(&self) -> bool {
-        let to = (0..self.replicas).filter_map(|node| self.replica(node)).map(|held| held.state().to()).max();
+        let to = (0..self.replicas)
+            .filter_map(|node| self.replica(node))
+            .map(|held| held.state().complete_to())
+            .max();
         self.processes().all(|(_, process)| {
-            process.active() && process.state().whole() && Some(process.state().to()) == to
+            process.is_active() && process.state().is_complete() && Some(process.state().complete_to()) == to
         })
     }
 
--- a/crates/testkit/src/cells/parts.rs
+++ b/crates/testkit/src/cells/parts.rs
@@ -2,7 +2,7 @@
 
 use shelfgrade::time::Timestamp;
 use shelfgrade_cells::{
-    Batch, CellId, ChangeError, Environment, Kept, Key, Process, Record, Replica, Stored,
+    Batch, CellId, ChangeError, Environment, Key, Process, ProcessSnapshot, Record, Replica, Stored,
 };
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddr};
@@ -40,7 +40,7 @@
     /// Nodes of unequal groups do not hear each other.
     pub group: u8,
     pub stored: Vec<Stored>,
-    pub kept: Option<Kept>,
+    pub kept: Option<ProcessSnapshot>,
     pub(super) armed: Timestamp,
     pub bytes: u64,
     pub datagrams: u64,
