--- a/crates/testkit/examples/cells.rs
+++ b/crates/testkit/examples/cells.rs
@@ -1,7 +1,7 @@
 //! A fleet in cells in virtual time, measured: `cells PROCESSES [ENTRIES]` prints a line of JSON for each point.
 
 use shelfgrade::time::DurationExt;
-use shelfgrade_cells::WHOLE;
+use shelfgrade_cells::TOTAL_QUOTA;
 use shelfgrade_testkit::cells::fleet::{percentile, put};
 use shelfgrade_testkit::cells::{CellsSimulation, CALM};
 use std::time::Duration;
@@ -72,7 +72,8 @@
         let sizes = self.simulation.processes().map(|(_, process)| process.state().len());
         let (least, most) = sizes.fold((usize::MAX, 0), |(a, b), n| (a.min(n), b.max(n)));
         let replica = self.simulation.replica(0).map_or(0, |replica| replica.state().len());
-        let unmet = self.simulation.processes().map(|(_, process)| process.unmet()).max().unwrap_or(0);
+        let unmet =
+            self.simulation.processes().map(|(_, process)| process.unreachable_members()).max().unwrap_or(0);
         format!(",\"most_unmet\":{unmet},\"records_least\":{least},\"records_most\":{most},\"replica_records\":{replica}")
     }
 
@@ -96,7 +97,7 @@
                 left -= step;
                 let simulation = &self.simulation;
                 waits.retain(|(node, at)| {
-                    let holds = simulation.process(*node).is_some_and(|process| process.active());
+                    let holds = simulation.process(*node).is_some_and(|process| process.is_active());
                     if holds {
                         took.push(simulation.now.since(*at).as_ms());
                     }
@@ -158,7 +159,7 @@
     let mut over = 0;
     for _ in 0..280 {
         trial.simulation.passes(1000);
-        over += usize::from(trial.simulation.rights() > u64::from(WHOLE));
+        over += usize::from(trial.simulation.quota_in_use() > u64::from(TOTAL_QUOTA));
     }
     trial.point("a region is cut off", 280_000, &format!(",\"times_over_the_whole\":{over}"));
     trial.changes("one change while a region is cut off", 3001, 5);
