--- a/src/time.rs
+++ b/src/time.rs
@@ -84,7 +84,5 @@
 }
 
 fn as_micros_u64(duration: Duration) -> u64 {
-    const MICROS_PER_SECOND: u64 = 1_000_000;
-    let seconds = duration.as_secs().saturating_mul(MICROS_PER_SECOND);
-    seconds.saturating_add(u64::from(duration.subsec_micros()))
+    u64::try_from(duration.as_micros()).unwrap_or(u64::MAX)
 }
