--- a/Makefile
+++ b/Makefile
@@ -11,16 +11,17 @@
 lint:
 	cargo fmt --all --check
 	cargo clippy --workspace --all-targets --locked -- -D warnings
+	RUSTDOCFLAGS="-D warnings" cargo doc --workspace --no-deps --lib --locked
 
 # CONFIG names the start-up file; README.md shows one.
 run: build
 	RELAY_CONFIG=$(CONFIG) target/release/shelfgrade
 
-# What the bench wants beside the site files of our own; KIT names its folder, and nothing of it is committed.
+# Files of the bench that have to stand beside our own site files; KIT names its folder, and nothing of it is committed.
 KIT ?= ../given/kit
 sites:
 	cp -f $(addprefix $(KIT)/more/mass/other/,real.json wire.json unlock.txt) deploy/sites/
 
-# A small fleet from shipped files against stand-ins: places clients, survives a loss of power, says what happened.
+# Runs a small fleet from shipped files against stand-ins, cuts its power, and prints what happened.
 try:
 	cargo run --release --locked --quiet -p shelfgrade-testkit --example try
