--- a/src/balancer/attempt_timeout.rs
+++ b/src/balancer/attempt_timeout.rs
@@ -1,6 +1,6 @@
-//! Sends attempts, decides how long each may take, and measures how they go.
+//! Sends attempts, sets their timeouts and measures how long they take.
 
-use super::filter::{Filter, Flow, Selection};
+use super::filter::{Filter, FilterStatus, Selection};
 use crate::host::{AttemptOutcome, Host, Idempotency};
 use crate::state::{Attempt, ProxyState, Session};
 use crate::time::{DurationExt, Timestamp};
@@ -13,22 +13,24 @@
 }
 
 impl AttemptDispatch {
-    /// The timeout of a session's next attempt: by the failure detector, from a quarter to a half of the time left.
+    /// Returns the timeout of the session's next attempt: the failure detector's suspicion timeout, but at least 1/4
+    /// and at most 1/2 of the time until the deadline. The full time is given where a retry would not help.
     fn timeout(&self, session: &Session, now: Timestamp) -> Duration {
-        let left = session.deadline.since(now);
-        let half = left.scaled(0.5);
+        let time_left = session.deadline.since(now);
+        let half = time_left.scaled(0.5);
         if self.has_no_alternative(session, now) {
-            return left;
+            return time_left;
         }
         match self.state.establish_latencies.suspicion_timeout() {
             None => half,
-            // Long silences are usual everywhere: another server would do no better.
-            Some(suspicion) if suspicion > half => left,
+            // Long silences are usual at all servers, so that another server would not respond sooner.
+            Some(suspicion) if suspicion > half => time_left,
             Some(suspicion) => half.scaled(0.5).max(suspicion),
         }
     }
 
-    /// Whether giving up the next attempt would gain nothing: no other may follow, or all servers are congested.
+    /// Whether nothing would be gained by giving up the next attempt: no retry may follow it, or all servers are
+    /// congested.
     fn has_no_alternative(&self, session: &Session, now: Timestamp) -> bool {
         let is_last = session.attempts.borrow().len() + 1 >= self.state.max_attempts;
         is_last
@@ -44,14 +46,14 @@
         selection: &mut Selection,
         now: Timestamp,
         host: &mut dyn Host,
-    ) -> Flow {
-        let Some(server) = selection.server.take() else { return Flow::Finish };
+    ) -> FilterStatus {
+        let Some(server) = selection.server.take() else { return FilterStatus::Finish };
         host.connect(session.id, &server.id, self.timeout(session, now));
         server.record_attempt(now);
         server.silent_since.set(server.silent_since.get().or(Some(now)));
         session.attempts.borrow_mut().push(Attempt { server, sent_at: now, outcome: None });
         session.health_checked.set(false);
-        Flow::Hold
+        FilterStatus::Wait
     }
 
     fn on_outcome(&self, session: &Rc<Session>, attempt: &Attempt, now: Timestamp) {
@@ -67,7 +69,7 @@
         }
         if attempt.outcome.is_none() {
             server.sessions.borrow_mut().insert(session.id, Rc::downgrade(session));
-            // A connection restored at the start says nothing of the time it took.
+            // The latency of a connection that was restored at startup is unknown.
             if now > attempt.sent_at {
                 self.state.establish_latencies.record(now.since(attempt.sent_at));
             }
--- a/src/balancer/drain.rs
+++ b/src/balancer/drain.rs
@@ -1,11 +1,11 @@
-//! Moves this proxy's clients away before it shuts down.
+//! Migrates this proxy's clients away before it shuts down.
 
 use super::LoadBalancer;
 use crate::host::Host;
 
 impl LoadBalancer {
-    /// Migrates an equal part of the established sessions with each call; `calls_left` counts this one. All at once,
-    /// they would reconnect at once.
+    /// Migrates an equal share of the established sessions with each call, where `calls_left` includes this call. If
+    /// all sessions were migrated at once, their clients would reconnect at once.
     pub fn migrate_sessions(&mut self, calls_left: usize, host: &mut dyn Host) {
         let remaining = || {
             let sessions = self.sessions.values();
--- a/src/balancer/failure_detector.rs
+++ b/src/balancer/failure_detector.rs
@@ -4,13 +4,13 @@
 use crate::time::{DurationExt, Timestamp};
 use std::time::Duration;
 
-/// Fewer samples say too little of what is usual.
+/// Fewer samples do not show the usual latency.
 const MIN_SAMPLES: usize = 5;
-/// The suspicion level: with an exponential tail, one silence in 10^4 lasts as long by chance.
+/// The suspicion level phi. With exponentially distributed latencies, one silence in 10^4 lasts this long by chance.
 const PHI_THRESHOLD: f64 = 4.0;
 
 impl LatencySamples {
-    /// The silence after which a server is suspected; none while there are too few samples.
+    /// Returns the duration of silence after which a server is suspected; `None` while there are too few samples.
     pub(super) fn suspicion_timeout(&self) -> Option<Duration> {
         let mean_ms = self.mean_ms();
         (self.len() >= MIN_SAMPLES)
@@ -19,7 +19,7 @@
 }
 
 impl Server {
-    /// Whether it has been silent for longer than the suspicion timeout.
+    /// Whether the server has been silent for longer than the suspicion timeout.
     pub(super) fn is_suspected(&self, suspicion_timeout: Option<Duration>, now: Timestamp) -> bool {
         let silence = self.silent_since.get().zip(suspicion_timeout);
         silence.is_some_and(|(since, timeout)| now.since(since) > timeout)
--- a/src/balancer/failure_domains.rs
+++ b/src/balancer/failure_domains.rs
@@ -1,11 +1,11 @@
-//! Outlier scores of failure domains, for servers where this proxy holds nothing: a zone or a kind that fails is met
-//! once, not server by server.
+//! Outlier scores of failure domains, for servers to which this proxy has no connections: the failure of a zone or of
+//! a kind of machine is discovered once instead of server by server.
 
 use crate::state::{ProxyState, Server};
 use crate::time::Timestamp;
 use std::collections::BTreeMap;
 
-/// A sum of scores and how many there are.
+/// The sum and the number of some scores.
 #[derive(Clone, Copy, Default)]
 struct ScoreSum {
     total: f64,
@@ -18,33 +18,33 @@
         self.count += 1.0;
     }
 
-    /// How far the mean of these is above that of the others among `all`. One server more counts as trusted, as a
-    /// single one says as much of itself as of its domain.
+    /// Returns by how much the mean of these scores exceeds the mean of the other scores in `all`. One fully trusted
+    /// server is added to these, because the score of a single server says as much about itself as about its domain.
     fn excess_over_others(self, all: ScoreSum) -> f64 {
         self.total / (self.count + 1.0) - (all.total - self.total) / (all.count - self.count).max(1.0)
     }
 }
 
-/// A failure domain, and how far its outlier score is above that of the other servers.
+/// A failure domain, and by how much its mean outlier score exceeds that of the other servers.
 pub(super) struct DomainScore {
     pub(super) domain: u64,
     pub(super) excess: f64,
 }
 
 impl ProxyState {
-    /// The failure domains in which some server has an outlier score.
+    /// Returns the failure domains in which some server has an outlier score.
     pub(super) fn failure_domain_scores(&self, now: Timestamp) -> Vec<DomainScore> {
         let servers = self.servers.all();
         let mut domains: BTreeMap<u64, ScoreSum> = BTreeMap::new();
         let mut all = ScoreSum::default();
         for server in servers.iter() {
             let score = server.outlier_score(now);
-            if server.open_connections() > 0.0 || score > Server::DECAYED_OUTLIER_SCORE {
+            if server.open_connections() > 0.0 || score > Server::NEGLIGIBLE_OUTLIER_SCORE {
                 all.add(score);
                 server.failure_domains().iter().for_each(|id| domains.entry(*id).or_default().add(score));
             }
         }
-        // A domain that all servers share tells none of them from the others.
+        // A domain that all servers share does not distinguish any of them.
         let is_shared_by_all = |id: &u64| servers.iter().all(|server| server.failure_domains().contains(id));
         domains.retain(|id, sum| sum.total > 0.0 && !is_shared_by_all(id));
         let score =
--- a/src/balancer/flow_table.rs
+++ b/src/balancer/flow_table.rs
@@ -1,6 +1,6 @@
-//! The flow table: which server holds, or held, the connection of a client key.
+//! The flow table: which server holds, or recently held, the connection of a client key.
 
-use super::filter::{Filter, Flow, Selection};
+use super::filter::{Filter, FilterStatus, Selection};
 use crate::host::Host;
 use crate::state::{Attempt, ProxyState, Server, Session};
 use crate::time::Timestamp;
@@ -10,15 +10,15 @@
 use std::rc::{Rc, Weak};
 use std::time::Duration;
 
-/// How long an entry outlives its connection.
+/// How long an entry is kept after its connection has ended.
 const FLOW_TIMEOUT: Duration = Duration::from_millis(30_000);
-/// Bounds the memory of the table to some megabytes.
+/// Limits the memory of the table to a few megabytes.
 const MAX_FLOWS: usize = 100_000;
 
-/// Where a client key's connection is established, or was until recently.
+/// The server at which the connection of a client key is established, or was until recently.
 pub(crate) struct TrackedFlow {
     server: Weak<Server>,
-    /// When the server had started, as known when the connection was established.
+    /// The start time of the server as known when the connection was established.
     server_started: Option<Timestamp>,
     expires_at: Timestamp,
 }
@@ -28,17 +28,18 @@
         TrackedFlow { server: Rc::downgrade(server), server_started: server.started.get(), expires_at }
     }
 
-    fn is_at(&self, server: &Rc<Server>) -> bool {
+    fn is_on(&self, server: &Rc<Server>) -> bool {
         std::ptr::eq(self.server.as_ptr(), Rc::as_ptr(server))
     }
 
-    /// The server, unless it has restarted since: then it holds no earlier connection.
+    /// Returns the server, unless it has restarted since: then it holds no earlier connection.
     fn server(&self) -> Option<Rc<Server>> {
         self.server.upgrade().filter(|server| server.started.get() == self.server_started)
     }
 }
 
-/// A bounded table by client key, whose entries age once their connections have ended.
+/// A bounded table, keyed by the hash of the client key, whose entries expire some time after their connections have
+/// ended.
 #[derive(Default)]
 pub(crate) struct FlowTable {
     flows: RefCell<BTreeMap<u64, TrackedFlow>>,
@@ -46,7 +47,7 @@
 }
 
 impl FlowTable {
-    /// The entries whose servers have not restarted, in the order of the keys.
+    /// Returns the entries whose servers have not restarted, sorted by the hash of the key.
     pub(crate) fn entries(&self) -> Vec<FlowEntry> {
         let flows = self.flows.borrow();
         let entry = |(key, flow): (&u64, &TrackedFlow)| {
@@ -56,7 +57,7 @@
         flows.iter().filter_map(entry).collect()
     }
 
-    /// Adds an entry for a key that has none.
+    /// Adds an entry for a key unless it already has one.
     pub(crate) fn restore(&self, key: u64, server: &Rc<Server>, expires_at: Timestamp) {
         self.flows.borrow_mut().entry(key).or_insert_with(|| TrackedFlow::new(server, expires_at));
     }
@@ -72,14 +73,15 @@
         }
     }
 
-    /// Records that a session's connection is established, or has ended.
+    /// Records that the connection of a session is established or has ended.
     fn record(&self, session: &Session, attempt: &Attempt, now: Timestamp) {
         let expires_at = attempt.outcome.map_or(Timestamp::NEVER, |_| now + FLOW_TIMEOUT);
         let mut flows = self.flows.borrow_mut();
         let has_room = flows.len() < MAX_FLOWS;
         match flows.get_mut(&session.key) {
-            // Keeps the recorded start: the list may have announced a restart that ended this connection.
-            Some(flow) if session.established.get() && flow.is_at(&attempt.server) => {
+            // Keeps the recorded start time: the endpoint list may already have announced the restart that ended this
+            // connection.
+            Some(flow) if session.established.get() && flow.is_on(&attempt.server) => {
                 flow.expires_at = expires_at
             }
             _ if (attempt.outcome.is_none() || session.established.get()) && has_room => {
@@ -90,7 +92,7 @@
     }
 }
 
-/// First filter: selects the server that holds a mid-flow session's connection.
+/// First filter: selects the server that holds the connection of a mid-flow session.
 pub(super) struct FlowLookup {
     pub(super) state: Rc<ProxyState>,
 }
@@ -102,12 +104,12 @@
         selection: &mut Selection,
         now: Timestamp,
         _: &mut dyn Host,
-    ) -> Flow {
+    ) -> FilterStatus {
         if session.mid_flow && session.attempts.borrow().is_empty() {
             let server = self.state.flows.find(session.key, now);
             selection.server = server.filter(|server| server.is_active());
         }
-        Flow::Continue
+        FilterStatus::Continue
     }
 
     fn on_outcome(&self, session: &Rc<Session>, attempt: &Attempt, now: Timestamp) {
--- a/src/balancer/group_affinity.rs
+++ b/src/balancer/group_affinity.rs
@@ -1,14 +1,16 @@
-//! Group affinity: sessions of one group meet on few servers, chosen by rendezvous (highest random weight) hashing.
+//! Group affinity: sessions of one group are sent to few servers, chosen by rendezvous (highest random weight)
+//! hashing.
 
-use super::placement::Decision;
-use super::slow_start::AdmissionLoad;
+use super::placement::PlacementContext;
+use super::slow_start::AdmissionInputs;
 use crate::host::Host;
 use crate::state::{ArrivalHistory, Server};
 use std::rc::Rc;
 
-/// How many servers beyond its group's own a session may go to.
+/// How many servers beyond its group's own a session may be sent to.
 pub(super) const EXTRA_SERVERS: usize = 2;
-/// The part of the quota that is admitted by group: a warming server may rank first for many groups.
+/// The fraction of the quota that is admitted to warming servers by group, because a warming server may rank first
+/// for many groups.
 const GROUP_QUOTA_FRACTION: f64 = 0.65;
 
 /// A server and its rendezvous rank.
@@ -18,17 +20,18 @@
 }
 
 impl ArrivalHistory {
-    /// How many of `servers` a group needs, by its share of the recent clients.
-    pub(super) fn servers_for_group(&self, group: u64, servers: usize) -> usize {
-        // Fewer samples say little about a share.
+    /// Returns how many of `server_count` servers a group needs, given its share of the recent clients.
+    pub(super) fn servers_for_group(&self, group: u64, server_count: usize) -> usize {
+        // A share among fewer samples is not reliable.
         const MIN_SAMPLES: usize = 16;
         let others = self.clients_of(group).saturating_sub(1);
-        (1 + others * servers / self.grouped_clients().max(MIN_SAMPLES)).min(servers)
+        (1 + others * server_count / self.grouped_clients().max(MIN_SAMPLES)).min(server_count)
     }
 }
 
 impl Server {
-    /// Its rendezvous rank for a group or a key, lowest first: the same at every proxy, whatever else is listed.
+    /// Returns the server's rendezvous rank for the hash of a group or key, where the lowest rank is first. It is the
+    /// same at every proxy and independent of the other listed servers.
     pub(super) fn rendezvous_rank(&self, hash: u64) -> u64 {
         /// 2^64 divided by the golden ratio.
         const MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
@@ -37,39 +40,41 @@
     }
 }
 
-impl<'a> Decision<'a> {
-    /// A server of the session's group, or of its key where there is none: the first that is not overfull, or the first.
+impl<'a> PlacementContext<'a> {
+    /// Selects a server by the session's group, or by its key if it has no group: the first one that is not overfull,
+    /// or else the first one.
     pub(super) fn server_by_affinity(&self, host: &mut dyn Host) -> Option<Rc<Server>> {
         let ranked = self.affinity_order();
         let trusted: Vec<_> =
             ranked.iter().map(|r| r.server).filter(|server| self.is_trusted(server)).collect();
         self.request_health_checks(&trusted, host);
-        let has_room = trusted.iter().find(|server| !self.fleet.is_overfull(server));
-        has_room.or(trusted.first()).map(|server| Rc::clone(server))
+        let with_room = trusted.iter().find(|server| !self.totals.is_overfull(server));
+        with_room.or(trusted.first()).map(|server| Rc::clone(server))
     }
 
-    /// The servers that the session may be placed at by affinity: its group's, in the order of the key, and a few more.
+    /// Returns the servers at which the session may be placed by affinity: its group's, ordered by the key's rank,
+    /// followed by a few extra ones.
     fn affinity_order(&self) -> Vec<RankedServer<'a>> {
         let mut ranked = self.ranked_servers();
-        let width = self.group_width(&ranked);
-        if width + EXTRA_SERVERS < ranked.len() {
-            ranked.select_nth_unstable_by_key(width + EXTRA_SERVERS, |r| r.rank);
-            ranked.truncate(width + EXTRA_SERVERS);
+        let group_servers = self.group_server_count(&ranked);
+        if group_servers + EXTRA_SERVERS < ranked.len() {
+            ranked.select_nth_unstable_by_key(group_servers + EXTRA_SERVERS, |r| r.rank);
+            ranked.truncate(group_servers + EXTRA_SERVERS);
         }
         ranked.sort_unstable_by_key(|r| r.rank);
-        ranked[..width].sort_unstable_by_key(|r| r.server.rendezvous_rank(self.session.key));
+        ranked[..group_servers].sort_unstable_by_key(|r| r.server.rendezvous_rank(self.session.key));
         ranked
     }
 
-    /// The servers that take part in the ranking. One that refused or broke the last attempt and holds nothing is gone,
-    /// though still listed.
+    /// Returns the servers that take part in the ranking. Excludes servers that refused or lost the last connection,
+    /// hold none and are not trusted: they are probably down though still listed.
     fn ranked_servers(&self) -> Vec<RankedServer<'a>> {
         let hash = self.group.unwrap_or(self.session.key);
         let factor = if self.group.is_some() { GROUP_QUOTA_FRACTION } else { 1.0 };
-        let admission = AdmissionLoad { quota: self.admission.quota * factor, ..self.admission };
+        let admission = AdmissionInputs { quota: self.admission.quota * factor, ..self.admission };
         let is_present = |server: &&Rc<Server>| {
             self.is_usable(server, &admission)
-                && (!server.last_attempt_broke.get()
+                && (!server.last_connection_failed.get()
                     || server.open_connections() > 0.0
                     || self.is_trusted(server))
         };
@@ -77,21 +82,21 @@
         self.servers.iter().filter(is_present).map(ranked).collect()
     }
 
-    /// How many of the ranked servers are the group's own. More where no load is observed, to spread what a single
-    /// server would get; reconnecting clients spread only past a warming server, as each server that holds any member
-    /// of a group does the group's work.
-    fn group_width(&self, ranked: &[RankedServer]) -> usize {
+    /// Returns how many of the ranked servers are the group's own. Where no load is observed there are extra ones, to
+    /// spread the load that a single server would get. Reconnecting clients are spread only if the first server is
+    /// warming up, because each server that holds any member of a group does the group's work.
+    fn group_server_count(&self, ranked: &[RankedServer]) -> usize {
         let is_first_warming = || {
             let first = ranked.iter().min_by_key(|r| r.rank);
             first.is_some_and(|r| self.slow_start.warm_fraction(r.server, self.now) < 1.0)
         };
-        let is_spread = self.load_unobserved && (!self.session.reconnected || is_first_warming());
-        let extra = if is_spread { EXTRA_SERVERS } else { 0 };
-        let width = |group| self.state.arrivals.servers_for_group(group, ranked.len()) + extra;
-        self.group.map_or(0, width).min(ranked.len())
+        let needs_extra_servers = self.load_unobserved && (!self.session.reconnected || is_first_warming());
+        let extra = if needs_extra_servers { EXTRA_SERVERS } else { 0 };
+        let group_servers = |group| self.state.arrivals.servers_for_group(group, ranked.len()) + extra;
+        self.group.map_or(0, group_servers).min(ranked.len())
     }
 
-    /// Has the first servers answer a health check where no load is observed: the first to answer has the least to do.
+    /// Health-checks the first servers where no load is observed: the first one to answer is the least loaded.
     fn request_health_checks(&self, servers: &[&Rc<Server>], host: &mut dyn Host) {
         let is_useful = self.load_unobserved && !self.session.mid_flow && servers.len() > 1;
         if is_useful && !self.session.health_checked.replace(true) {
--- a/src/balancer/health_checks.rs
+++ b/src/balancer/health_checks.rs
@@ -1,4 +1,4 @@
-//! Periodic checks of servers, and health checks by which sessions choose among servers.
+//! Periodic health checks of servers, and health checks by which a session's server is chosen.
 
 use super::LoadBalancer;
 use crate::host::{EndpointState, Host};
@@ -7,24 +7,25 @@
 use std::rc::{Rc, Weak};
 use std::time::Duration;
 
-/// The time between two rounds of checks: a draining server of twenty connections is empty in five seconds.
+/// The time between two rounds of checks. At this interval, a draining server with twenty connections is empty within
+/// five seconds.
 const ROUND_INTERVAL: Duration = Duration::from_millis(250);
-/// The time between two health checks of a server.
+/// The time between two periodic health checks of a server.
 const CHECK_INTERVAL: Duration = Duration::from_millis(1000);
-/// The time between two health checks of a server with an outlier score.
+/// The time between two periodic health checks of a server with an outlier score.
 const OUTLIER_CHECK_INTERVAL: Duration = Duration::from_millis(500);
-/// With fewer connections than this, a server is checked less often, as there is less to move away from it.
-const FULL_RATE_CONNECTIONS: f64 = 4.0;
-/// A health check that takes this many times the shortest recent one is late.
+/// A server with fewer connections than this is checked less often, because there are fewer to migrate away from it.
+const FULL_RATE_MIN_CONNECTIONS: f64 = 4.0;
+/// A health check is late if it takes this many times the shortest recent latency.
 const LATE_RATIO: f64 = 1.6;
-/// A health check that takes this many times the shortest recent one is as late as can be borne.
+/// A health check that takes this many times the shortest recent latency shows an overloaded server.
 const OVERLOADED_RATIO: f64 = 2.1;
 
 /// The next round of periodic checks.
 pub(super) struct PeriodicCheck {
     pub(super) at: Timestamp,
-    /// Whether it health-checks servers.
-    pub(super) probes: bool,
+    /// Whether the round includes health checks.
+    pub(super) with_health_checks: bool,
 }
 
 /// A session that waits for the answer to a health check.
@@ -34,23 +35,24 @@
 }
 
 impl LoadBalancer {
-    /// Starts the periodic checks, which schedule themselves from then on; for a host on sockets. A round moves clients
-    /// away from draining servers and, where `probing`, health-checks the servers that this proxy uses.
-    pub fn start_periodic_checks(&mut self, probing: bool, now: Timestamp, host: &mut dyn Host) {
+    /// Starts the periodic checks, which reschedule themselves from then on. For hosts that run on sockets. Each
+    /// round migrates clients away from draining servers and, if `with_health_checks`, health-checks the servers to
+    /// which this proxy has connections.
+    pub fn start_periodic_checks(&mut self, with_health_checks: bool, now: Timestamp, host: &mut dyn Host) {
         let at = now + ROUND_INTERVAL;
-        self.next_check = Some(PeriodicCheck { at, probes: probing });
+        self.next_check = Some(PeriodicCheck { at, with_health_checks });
         host.schedule_wakeup(at);
         for server in self.state.servers.all().iter() {
             if server.state.get() == EndpointState::Draining {
                 self.rebalance(server, true, 1.0, host);
-            } else if probing && server.is_check_due(now) {
+            } else if with_health_checks && server.is_check_due(now) {
                 server.last_health_check.set(now);
                 host.check_health(&server.id);
             }
         }
     }
 
-    /// A health check has been answered, or given up, after `latency`.
+    /// Handles a health check that was answered, or given up, after `latency`.
     pub fn on_health_check(&mut self, server: &str, latency: Duration, now: Timestamp, host: &mut dyn Host) {
         let Some(server) = self.state.servers.find(server) else { return };
         // A check that was given up has taken longer than the objective.
@@ -66,15 +68,15 @@
         self.record_lateness(&server, lateness, now, host);
     }
 
-    /// Has a session wait for the answer to a health check, for a bounded time.
-    pub(super) fn hold_for_health_check(
+    /// Makes a session wait for the answer to a health check, for a limited time.
+    pub(super) fn wait_for_health_check(
         &mut self,
         session: &Rc<Session>,
         now: Timestamp,
         host: &mut dyn Host,
     ) {
-        let half_left = session.deadline.since(now).scaled(0.5);
-        let until = now + self.message_latency_objective.min(half_left);
+        let half_time_left = session.deadline.since(now).scaled(0.5);
+        let until = now + self.message_latency_objective.min(half_time_left);
         self.health_check_waits.push(HealthCheckWait { until, session: Rc::downgrade(session) });
         host.schedule_wakeup(until);
     }
@@ -92,15 +94,15 @@
 
 impl Server {
     fn is_check_due(&self, now: Timestamp) -> bool {
-        let is_outlier = self.outlier_score(now) > Server::DECAYED_OUTLIER_SCORE;
+        let is_outlier = self.outlier_score(now) > Server::NEGLIGIBLE_OUTLIER_SCORE;
         let interval = if is_outlier { OUTLIER_CHECK_INTERVAL } else { CHECK_INTERVAL };
         let connections = self.open_connections();
-        let slowdown = (FULL_RATE_CONNECTIONS / connections.max(1.0)).max(1.0);
+        let slowdown = (FULL_RATE_MIN_CONNECTIONS / connections.max(1.0)).max(1.0);
         connections > 0.0 && now.since(self.last_health_check.get()) >= interval.scaled(slowdown)
     }
 
-    /// Has a session wait for this server's answer to a health check, which other sessions may wait for already. Does
-    /// nothing where the host allows no health checks.
+    /// Makes a session wait for this server's answer to a health check, which it shares with other waiting sessions.
+    /// Does nothing if the host does not allow health checks.
     pub(super) fn request_health_check(&self, session: &Rc<Session>, host: &mut dyn Host) {
         let mut waiting = self.awaiting_health_check.borrow_mut();
         waiting.retain(|session| session.upgrade().is_some_and(|s| s.awaits_health_check.get()));
--- a/src/balancer/mod.rs
+++ b/src/balancer/mod.rs
@@ -1,24 +1,27 @@
-//! All decisions of the balancer.
+//! The load balancing decisions.
 //!
-//! Make a [`LoadBalancer`], call [`LoadBalancer::start`] with the last known endpoint list, then one method for each
-//! event, with the present [`Timestamp`](crate::time::Timestamp) and the [`Host`](crate::host::Host), which carries out
-//! at once what is decided.
+//! Create a [`LoadBalancer`], call [`LoadBalancer::start`] with the last known endpoint list, and then one method for
+//! each event, with the current [`Timestamp`](crate::time::Timestamp) and the [`Host`](crate::host::Host), which
+//! performs each decided action immediately.
 //!
-//! A new session goes to hash(client key) modulo the id-sorted server list; a draining, gone or overfull server passes
-//! it to the next in order; an aged table answers mid-flow sessions. See `docs/design.md`. Besides this there are six
-//! mechanisms at most:
-//! 1. slow start: a server that just started gets only its share of what it can bear (`slow_start.rs`);
-//! 2. outlier detection: a decaying score from failed attempts and lateness (`outlier_detection.rs`), and for servers
-//!    where this proxy holds nothing, that of their zone and kind (`failure_domains.rs`);
-//! 3. a failure detector: an attempt is given up, and its server passed over, when the silence has become improbable
+//! A new session is sent to the server at index hash(client key) modulo the number of servers, in the list sorted by
+//! id. A server that is draining, removed or overfull is passed over for the next one in the list. Mid-flow sessions
+//! are sent to the server that the flow table has for their key. See `docs/design.md`. By design there are no more
+//! than six mechanisms beyond this:
+//! 1. slow start: a server that has just started is sent only its share of what it can handle (`slow_start.rs`);
+//! 2. outlier detection: a decaying score, raised by failed attempts and high latencies (`outlier_detection.rs`); a
+//!    server to which this proxy has no connections is judged by the scores of its zone and kind
+//!    (`failure_domains.rs`);
+//! 3. a failure detector: an attempt is given up, and its server passed over, once its silence has become improbable
 //!    (`failure_detector.rs`, `attempt_timeout.rs`);
-//! 4. group affinity: a session that reconnects, or whose server or fleet is overloaded or unobserved, meets its group
-//!    (`group_affinity.rs`, `health_checks.rs`);
-//! 5. rebalancing: an overloaded server has connections migrated, first those outside their group (`rebalancing.rs`);
-//! 6. a concurrency limit: failed attempts narrow how many may be pending at once (`concurrency_limit.rs`).
+//! 4. group affinity: a session is sent to the servers of its group if it reconnects, or if its server or the servers
+//!    as a whole are overloaded or their load is not observed (`group_affinity.rs`, `health_checks.rs`);
+//! 5. rebalancing: connections are migrated away from an overloaded server, first those of sessions outside their
+//!    group's servers (`rebalancing.rs`);
+//! 6. a concurrency limit: failed attempts reduce how many may be pending at once (`concurrency_limit.rs`).
 //!
-//! A session passes a chain of filters: `FlowLookup`, `ConcurrencyLimit`, `Placement` and `AttemptDispatch`.
-//! Outcomes of its attempts pass the chain in reverse.
+//! A session passes through a chain of filters: `FlowLookup`, `ConcurrencyLimit`, `Placement` and `AttemptDispatch`.
+//! The outcomes of its attempts pass through the chain in reverse order.
 
 mod attempt_timeout;
 mod concurrency_limit;
--- a/src/balancer/placement.rs
+++ b/src/balancer/placement.rs
@@ -1,10 +1,10 @@
-//! Which server gets a session: the server of its key's hash, or else one of its group's servers.
+//! Selects the server of a session: the server of its key's hash, or else one of its group's servers.
 
 use super::failure_domains::DomainScore;
-use super::filter::{Filter, Flow, Selection};
-use super::fleet_load::FleetLoad;
+use super::filter::{Filter, FilterStatus, Selection};
+use super::fleet_load::ConnectionTotals;
 use super::group_affinity::EXTRA_SERVERS;
-use super::slow_start::{AdmissionLoad, SlowStart};
+use super::slow_start::{AdmissionInputs, SlowStart};
 use crate::host::Host;
 use crate::state::{Attempt, ProxyState, Server, Session};
 use crate::time::Timestamp;
@@ -12,9 +12,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long a client's draw stays the same, so that asking again at once does not change the answer.
+/// How long the random draw of a client stays the same, so that an immediate retry does not change the decision.
 const DRAW_LIFETIME: Duration = Duration::from_millis(2000);
-/// Third filter: selects a server, unless an earlier filter has.
+
+/// Third filter: selects a server, unless an earlier filter has selected one.
 pub(super) struct Placement {
     pub(super) state: Rc<ProxyState>,
     pub(super) slow_start: SlowStart,
@@ -23,9 +24,9 @@
 impl Placement {
     fn select(&self, session: &Rc<Session>, now: Timestamp, host: &mut dyn Host) -> Option<Rc<Server>> {
         let all = self.state.servers.all();
-        let allowed = session.restrict(&all);
-        let decision = Decision::new(self, session, allowed.as_ref().unwrap_or(&all), now);
-        decision.server_by_hash().or_else(|| decision.server_by_affinity(host))
+        let allowed = session.allowed_among(&all);
+        let context = PlacementContext::new(self, session, allowed.as_ref().unwrap_or(&all), now);
+        context.server_by_hash().or_else(|| context.server_by_affinity(host))
     }
 }
 
@@ -36,15 +37,15 @@
         selection: &mut Selection,
         now: Timestamp,
         host: &mut dyn Host,
-    ) -> Flow {
+    ) -> FilterStatus {
         let selected = selection.server.take().filter(|server| server.is_active());
         selection.server = selected.or_else(|| self.select(session, now, host));
         if session.awaits_health_check.get() {
-            Flow::Hold
+            FilterStatus::Wait
         } else if selection.server.is_some() {
-            Flow::Continue
+            FilterStatus::Continue
         } else {
-            Flow::Finish
+            FilterStatus::Finish
         }
     }
 
@@ -53,29 +54,29 @@
     }
 }
 
-/// One placement of a session, and what it goes by.
-pub(super) struct Decision<'a> {
+/// The inputs to the placement of one session.
+pub(super) struct PlacementContext<'a> {
     pub(super) state: &'a ProxyState,
     pub(super) slow_start: &'a SlowStart,
     pub(super) session: &'a Rc<Session>,
-    /// The servers that the session may go to, in the order of the list.
+    /// The servers that the session may be sent to, sorted by id.
     pub(super) servers: &'a [Rc<Server>],
     pub(super) now: Timestamp,
-    pub(super) fleet: FleetLoad,
-    /// The client's draw, from 0 to 1: servers with a higher outlier score are passed over.
+    pub(super) totals: ConnectionTotals,
+    /// The random draw of the client, from 0 to 1. Servers with a higher outlier score are passed over.
     draw: f64,
-    /// From 0 to 1: warming servers that admit a smaller fraction are passed over.
+    /// From 0 to 1. Warming servers that admit a smaller fraction of the sessions are passed over.
     admission_draw: f64,
-    pub(super) admission: AdmissionLoad,
-    /// Whether the session is placed as if no server's load were observed.
+    pub(super) admission: AdmissionInputs,
+    /// Whether the session is placed as if this proxy observed no server's load.
     pub(super) load_unobserved: bool,
-    /// The group by which it may be placed.
+    /// The group by which the session may be placed.
     pub(super) group: Option<u64>,
     suspicion_timeout: Option<Duration>,
     domains: Vec<DomainScore>,
 }
 
-impl<'a> Decision<'a> {
+impl<'a> PlacementContext<'a> {
     fn new(
         placement: &'a Placement,
         session: &'a Rc<Session>,
@@ -83,13 +84,14 @@
         now: Timestamp,
     ) -> Self {
         let Placement { state, slow_start } = placement;
-        let fleet = FleetLoad::of(servers);
+        let totals = ConnectionTotals::of(servers);
         let draw = client_draw(state, session, now);
         let load_unobserved =
             session.group.is_some() && slow_start.is_load_unobserved(session.key, servers.len());
-        Decision {
-            admission: admission_load(placement, session, servers.len(), load_unobserved, fleet, now),
-            // The opposite of the draw: else who passes outliers over would meet at the warming servers.
+        PlacementContext {
+            admission: admission_inputs(placement, session, servers.len(), load_unobserved, totals, now),
+            // The complement of the draw. With the same draw, the sessions that pass over outliers would all be sent
+            // to the warming servers.
             admission_draw: session.admission_turn.map_or(1.0 - draw, |turn| turn.fraction_ahead),
             group: session.group.filter(|_| !session.mid_flow || load_unobserved),
             suspicion_timeout: state.establish_latencies.suspicion_timeout(),
@@ -99,35 +101,36 @@
             session,
             servers,
             now,
-            fleet,
+            totals,
             draw,
             load_unobserved,
         }
     }
 
-    /// The ordinary path: the server of the key's hash, or the next one in order that is usable and not overfull. None
-    /// where the session is to be placed by its group.
+    /// Selects a server by hash, the normal case: the server of the key's hash, or the next one in the list that is
+    /// usable and not overfull. Returns `None` if the session is to be placed by its group instead.
     fn server_by_hash(&self) -> Option<Rc<Server>> {
         if self.session.reconnected && self.group.is_some() {
             return None;
         }
         let start = self.session.key as usize % self.servers.len().max(1);
-        let is_eligible =
-            |server: &&Rc<Server>| self.is_usable(server, &self.admission) && !self.fleet.is_overfull(server);
+        let is_eligible = |server: &&Rc<Server>| {
+            self.is_usable(server, &self.admission) && !self.totals.is_overfull(server)
+        };
         let server = self.servers[start..].iter().chain(&self.servers[..start]).find(is_eligible)?;
         let is_mid_flow = self.group.is_none() && self.session.mid_flow;
-        (is_mid_flow || self.is_trusted(server) && self.is_fleet_calm()).then(|| server.clone())
+        (is_mid_flow || self.is_trusted(server) && self.is_overall_load_low()).then(|| server.clone())
     }
 
     /// Whether the session may be sent to this server now.
-    pub(super) fn is_usable(&self, server: &Rc<Server>, admission: &AdmissionLoad) -> bool {
+    pub(super) fn is_usable(&self, server: &Rc<Server>, admission: &AdmissionInputs) -> bool {
         server.is_active()
-            && self.session.may_go_to(server, self.now)
+            && self.session.may_be_sent_to(server, self.now)
             && !self.session.has_tried(server)
             && self.admission_draw <= self.slow_start.admitted_fraction(server, admission, self.now)
     }
 
-    /// Whether neither the server's outlier score nor its silence nor its failure domains pass it over.
+    /// Whether the server is not passed over because of its outlier score, its silence or its failure domains.
     pub(super) fn is_trusted(&self, server: &Rc<Server>) -> bool {
         self.session.mid_flow
             || self.draw >= server.outlier_score(self.now)
@@ -135,40 +138,41 @@
                 && !self.is_in_failing_domain(server)
     }
 
-    /// Whether its zone or kind passes over a server where this proxy has no connection to tell by.
+    /// Whether the server is passed over because of its zone or kind. Applies only to servers to which this proxy has
+    /// no connection that would show their state.
     fn is_in_failing_domain(&self, server: &Server) -> bool {
         let fails = |d: &DomainScore| server.failure_domains().contains(&d.domain) && self.draw < d.excess;
         server.open_connections() == 0.0 && self.domains.iter().any(fails)
     }
 
-    /// Whether the fleet's load is observed and low enough to place sessions by hash.
-    fn is_fleet_calm(&self) -> bool {
-        !self.load_unobserved && self.draw >= self.state.fleet_overload(|_| true, self.now)
+    /// Whether the load of the servers as a whole is observed and low enough to place sessions by hash.
+    fn is_overall_load_low(&self) -> bool {
+        !self.load_unobserved && self.draw >= self.state.mean_overload(|_| true, self.now)
     }
 }
 
-/// The draw of a client, the same for all that it asks within a draw's lifetime.
+/// Returns the random draw of a client, which is the same for all its requests within the lifetime of a draw.
 fn client_draw(state: &ProxyState, session: &Session, now: Timestamp) -> f64 {
     let seed = state.seed ^ session.key ^ now.periods(DRAW_LIFETIME);
     f64::from(WyRand::new_seed(seed).generate::<f32>())
 }
 
-fn admission_load(
+fn admission_inputs(
     placement: &Placement,
     session: &Session,
-    servers: usize,
+    server_count: usize,
     load_unobserved: bool,
-    fleet: FleetLoad,
+    totals: ConnectionTotals,
     now: Timestamp,
-) -> AdmissionLoad {
+) -> AdmissionInputs {
     let Placement { state, slow_start } = placement;
-    // A group reconnects at once to one server, where new clients spread over its extra servers too.
-    let is_wave = session.reconnected && load_unobserved;
-    AdmissionLoad {
-        // The session itself will be open, too.
-        quota: (slow_start.proxy_capacity(servers) * state.quota_fraction.get()).max(fleet.open + 1.0),
+    // A group reconnects at once and to one server, whereas new clients are spread over its extra servers too.
+    let is_reconnecting_group = session.reconnected && load_unobserved;
+    AdmissionInputs {
+        // Includes the connection of the session itself.
+        quota: (slow_start.proxy_capacity(server_count) * state.quota_fraction.get()).max(totals.open + 1.0),
         recent_arrivals: state.arrivals.recent_count(now),
-        max_fraction: if is_wave { 1.0 / (1.0 + EXTRA_SERVERS as f64) } else { 1.0 },
-        servers: servers as f64,
+        max_fraction: if is_reconnecting_group { 1.0 / (1.0 + EXTRA_SERVERS as f64) } else { 1.0 },
+        server_count: server_count as f64,
     }
 }
--- a/src/balancer/rebalancing.rs
+++ b/src/balancer/rebalancing.rs
@@ -1,4 +1,4 @@
-//! Moves connections away from overloaded servers, to meet their groups elsewhere.
+//! Migrates connections away from overloaded servers, so that they rejoin their groups at other servers.
 
 use super::LoadBalancer;
 use crate::host::{Host, SessionId};
@@ -7,24 +7,24 @@
 use std::rc::{Rc, Weak};
 use std::time::Duration;
 
-/// A message without an answer for this long is lost: longer than any takes at a server that still works.
+/// A message that has not been answered for this long counts as lost: no working server takes so long.
 const MESSAGE_LOST_AFTER: Duration = Duration::from_millis(3000);
-/// A message is late from this fraction of its latency objective on.
+/// A message is late if it takes more than this fraction of its latency objective.
 const LATE_FRACTION: f64 = 0.25;
-/// Work has piled up where a message takes three times its objective: group affinity alone no longer helps.
+/// A server has a backlog if a message takes three times its objective. Group affinity alone no longer helps then.
 const BACKLOG_LATENESS: f64 = (3.0 - LATE_FRACTION) / (1.0 - LATE_FRACTION);
-/// The probability to move one connection away, for each that the server holds.
+/// The probability of migrating one connection away from a server, per connection that the server holds.
 const MIGRATION_PROBABILITY: f64 = 0.35;
 
-/// A session that may be moved away.
-struct Candidate {
+/// A session that may be migrated.
+struct MigrationCandidate {
     session: Rc<Session>,
-    /// Whether it is outside its group's servers.
+    /// Whether its server is not one of its group's servers.
     is_misplaced: bool,
 }
 
 impl LoadBalancer {
-    /// A message of an established session takes, or has taken, this long at its server.
+    /// Handles a report that a message of an established session takes, or has taken, this long at its server.
     pub fn on_message_latency(
         &mut self,
         session: SessionId,
@@ -33,18 +33,19 @@
         host: &mut dyn Host,
     ) {
         let Some(session) = self.sessions.get(&session) else { return };
-        // Its server is gone without a word, or does no useful work.
+        // Its server failed silently or makes no progress.
         if latency > MESSAGE_LOST_AFTER && session.established.get() && !session.closing.replace(true) {
             host.migrate(session.id);
         }
         let attempts = session.attempts.borrow();
         let Some(attempt) = attempts.last() else { return };
-        let objectives = latency.ratio_to(self.message_latency_objective);
-        let lateness = (objectives - LATE_FRACTION) / (1.0 - LATE_FRACTION);
+        let latency_ratio = latency.ratio_to(self.message_latency_objective);
+        let lateness = (latency_ratio - LATE_FRACTION) / (1.0 - LATE_FRACTION);
         self.record_lateness(&attempt.server, lateness, now, host);
     }
 
-    /// Work at a server takes long: `lateness` is 0 where it is not yet late, 1 where it is as late as can be borne.
+    /// Handles slow work at a server. `lateness` is 0 at the latency from which work is late, and 1 at the latency of
+    /// an overloaded server.
     pub(super) fn record_lateness(
         &self,
         server: &Rc<Server>,
@@ -54,17 +55,17 @@
     ) {
         if lateness > 0.0 {
             server.set_outlier_score(lateness.min(1.0).max(server.outlier_score(now)), now);
-            // What is moved away should be admitted when it reconnects.
+            // A session is migrated only if it is likely to be admitted when it reconnects.
             if self.state.may_start_attempt(now) {
-                let overload = self.state.fleet_overload(|other| !Rc::ptr_eq(other, server), now);
-                self.rebalance(server, lateness > BACKLOG_LATENESS, 1.0 + overload, host);
+                let others_overload = self.state.mean_overload(|other| !Rc::ptr_eq(other, server), now);
+                self.rebalance(server, lateness > BACKLOG_LATENESS, 1.0 + others_overload, host);
             }
         }
     }
 
-    /// Moves away the server's heaviest session outside its group's servers, or where `any_session` the heaviest of all
-    /// if there is none. At random, as all proxies hear of an overload at once and would empty the server together;
-    /// `urgency` raises the probability.
+    /// Migrates the server's heaviest session that is outside its group's servers, or, if `any_session` and there is
+    /// none, its heaviest session. Does so with a probability that increases with `urgency`, because all proxies
+    /// observe an overload at the same time and would together empty the server.
     pub(super) fn rebalance(
         &self,
         server: &Rc<Server>,
@@ -77,17 +78,18 @@
             return;
         }
         let candidate = self.migration_candidate(server);
-        if let Some(Candidate { session, .. }) = candidate.filter(|c| c.is_misplaced || any_session) {
+        if let Some(MigrationCandidate { session, .. }) = candidate.filter(|c| c.is_misplaced || any_session)
+        {
             session.closing.set(true);
             host.migrate(session.id);
         }
     }
 
-    /// The session to move away first: one outside its group's servers before others, then the heaviest.
-    fn migration_candidate(&self, server: &Rc<Server>) -> Option<Candidate> {
+    /// Returns the session to migrate first: sessions outside their group's servers before others, then the heaviest.
+    fn migration_candidate(&self, server: &Rc<Server>) -> Option<MigrationCandidate> {
         let sessions = server.sessions.borrow();
         let movable = sessions.values().filter_map(Weak::upgrade).filter(|session| !session.closing.get());
-        let candidates = movable.map(|session| Candidate {
+        let candidates = movable.map(|session| MigrationCandidate {
             is_misplaced: session.group.is_some_and(|group| self.is_outside_group(server, group)),
             session,
         });
@@ -97,7 +99,7 @@
         })
     }
 
-    /// Whether a server is not one of the group's.
+    /// Whether the server is not one of the group's servers.
     fn is_outside_group(&self, server: &Server, group: u64) -> bool {
         let servers = self.state.servers.all();
         let active = || servers.iter().filter(|other| other.is_active());
--- a/src/host.rs
+++ b/src/host.rs
@@ -1,53 +1,55 @@
-//! The interface between the decisions and whatever carries them out: the trait [`Host`], and the plain types that both
-//! sides share. Nothing is decided here.
+//! The interface between the load balancer and its host, the program that performs I/O for it: the trait [`Host`] and
+//! the plain types that both sides share. It contains no decision logic.
 
 use crate::time::Timestamp;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Carries out decisions. Each call takes effect at once and in order.
+/// Performs the actions that the load balancer decides on. Each call takes effect immediately and in order.
 pub trait Host {
-    /// Starts an attempt; a session's attempts are numbered 0, 1, 2 … in the order of these calls.
+    /// Starts an attempt. The attempts of a session are numbered 0, 1, 2 … in the order of these calls.
     fn connect(&mut self, session: SessionId, server: &ServerId, timeout: Duration);
-    /// Final answer: the request has not run, and the client may retry it anywhere after `retry_after`.
+    /// Sends the client its final answer: it may safely retry the request at any server after `retry_after`, because
+    /// the request was not executed or may be executed again.
     fn reject(&mut self, session: SessionId, retry_after: Duration);
-    /// Final answer: the request has not succeeded, and may have run.
+    /// Sends the client its final answer: the request did not succeed and may have been executed.
     fn fail(&mut self, session: SessionId);
-    /// Asks the client of an established session to close it and to connect again as a new session.
+    /// Asks the client of an established session to close its connection and to reconnect as a new session.
     fn migrate(&mut self, session: SessionId);
-    /// Polls the endpoint list and subscribes to its changes; nothing to do for a host to which the list is pushed.
+    /// Polls the endpoint list and subscribes to its changes. A no-op for a host to which the list is pushed.
     fn subscribe(&mut self);
-    /// Health-checks a server; its latency comes as `on_health_check`. False where health checks are not allowed.
+    /// Sends a health check to a server; its latency is reported through `on_health_check`. Returns false where the
+    /// host does not allow health checks.
     fn check_health(&mut self, server: &ServerId) -> bool;
-    /// Asks for a call of `on_timer` at `at`.
+    /// Schedules a call of `on_timer` at `at`.
     fn schedule_wakeup(&mut self, at: Timestamp);
 }
 
-/// Identifies a session at one proxy.
+/// Identifies a session within one proxy.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SessionId(pub u64);
 
-/// A server's id, by which endpoint lists are ordered.
+/// The id of a server. Endpoint lists are sorted by it.
 pub type ServerId = Rc<str>;
 
-/// Whether a request may run more than once.
+/// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Idempotency {
-    /// It may run any number of times.
+    /// The request may be executed any number of times.
     Idempotent,
-    /// It carries an idempotency key.
+    /// The request carries an idempotency key.
     Keyed {
-        /// The servers that drop repeats of a key.
+        /// The servers among which requests with a repeated key are dropped.
         scope: KeyScope,
-        /// How long they drop them after the first attempt.
+        /// How long after the first attempt they drop repeats.
         window: Duration,
     },
-    /// It may run once at most; assumed where nothing is known.
+    /// The request must be executed at most once. Assumed if nothing is known about it.
     #[default]
     NonIdempotent,
 }
 
-/// Which servers share their record of idempotency keys.
+/// Which servers share their record of seen idempotency keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeyScope {
     /// All servers.
@@ -58,10 +60,10 @@
     Cell,
 }
 
-/// What a class of requests demands.
+/// The requirements of a class of requests.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestClass {
-    /// Whether its requests may run more than once.
+    /// Whether requests of this class may be executed more than once.
     pub idempotency: Idempotency,
     /// The time within which a connection should be established.
     pub connect_latency_objective: Option<Duration>,
@@ -69,47 +71,48 @@
     pub message_latency_objective: Option<Duration>,
 }
 
-/// A session as it arrives.
+/// A newly arrived session.
 #[derive(Clone, Copy, Debug)]
 pub struct Arrival<'a> {
-    /// Its id, unique among the open sessions.
+    /// The session's id, unique among the open sessions.
     pub session: SessionId,
-    /// Index into the request classes given at the start; none if unknown.
+    /// Index into the request classes given to the load balancer; `None` if the class is unknown.
     pub class: Option<usize>,
     /// The client key, whose hash selects the server.
     pub key: Option<&'a str>,
-    /// The group of connections that share work where they share a server.
+    /// The group of connections that share work if they are on the same server.
     pub group: Option<&'a str>,
-    /// When the session needs its final answer, unless it is established by then.
+    /// When the session must have its final answer, unless it is established by then.
     pub deadline: Timestamp,
-    /// Packets of a connection that some server already holds.
+    /// The arrival consists of packets of a connection that some server already holds.
     pub mid_flow: bool,
-    /// The client connects again after its connection broke or was migrated.
+    /// The client reconnects after its connection broke or was migrated.
     pub reconnected: bool,
-    /// Its turn while many clients reconnect at once and admission is ordered outside.
+    /// The session's admission turn while many clients reconnect at once, if the host orders admission.
     pub admission_turn: Option<AdmissionTurn>,
-    /// The servers that it may go to, in the order of their ids; none where it may go to all.
+    /// The servers that the session may be sent to, sorted by id; `None` if it may be sent to all.
     pub allowed_servers: Option<&'a Rc<[ServerId]>>,
 }
 
-/// A session's turn while many clients reconnect at once.
+/// A session's position in the order of admission while many clients reconnect at once.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdmissionTurn {
-    /// The fraction of the clients that go first, from 0 to 1; beyond 1 it is not admitted yet.
+    /// The fraction of the clients that are admitted before this one, from 0 to 1. A value above 1 means that it is
+    /// not admitted yet.
     pub fraction_ahead: f64,
-    /// When it is to come again, where it is not admitted.
+    /// When the client is to retry if it is not admitted.
     pub retry_after: Duration,
 }
 
 /// Whether a server may be sent sessions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointState {
-    /// It may.
+    /// It may be sent sessions.
     #[default]
     Active,
-    /// It may not, and its clients are to be migrated.
+    /// It may not be sent sessions, and its clients are to be migrated.
     Draining,
-    /// It has left the list.
+    /// It is no longer in the endpoint list.
     Removed,
 }
 
@@ -118,41 +121,41 @@
 pub struct Endpoint {
     /// The server's id.
     pub server: ServerId,
-    /// Its zone, a failure domain.
+    /// The server's zone, a failure domain.
     pub zone: String,
-    /// The kind of its machine, a failure domain.
+    /// The kind of machine that it runs on, a failure domain.
     pub kind: String,
-    /// The cell in which it shares its record of idempotency keys.
+    /// The cell within which it shares its record of idempotency keys.
     pub cell: u64,
-    /// When it last started; none for long ago.
+    /// When the server last started; `None` if it started long ago.
     pub started: Option<Timestamp>,
-    /// Whether it may be sent sessions.
+    /// Whether the server may be sent sessions.
     pub state: EndpointState,
 }
 
-/// How an attempt ended.
+/// The outcome of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// Its connection ended as intended.
+    /// The connection ended normally.
     Completed,
     /// The server answered with an error.
     Failed,
-    /// The server turned it away before it ran.
+    /// The server rejected the request before executing it.
     Rejected,
-    /// It was not established within its timeout.
+    /// The attempt was not established within its timeout.
     TimedOut,
     /// No connection to the server could be opened.
     Unreachable,
-    /// Its connection broke.
+    /// The connection broke.
     ConnectionLost,
-    /// It was given up, for reasons that say nothing of the server.
+    /// The attempt was cancelled for reasons unrelated to the server.
     Cancelled,
-    /// It ended before anything was sent.
+    /// The attempt ended before anything was sent.
     NotSent,
 }
 
 impl AttemptOutcome {
-    /// Whether this proves that the request did not run.
+    /// Whether this outcome proves that the request was not executed.
     pub fn is_safe_to_retry(self) -> bool {
         matches!(self, AttemptOutcome::Rejected | AttemptOutcome::Unreachable | AttemptOutcome::NotSent)
     }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,8 +1,9 @@
-//! Decides at which server a proxy places each long-lived connection.
+//! Decides to which server a proxy sends each long-lived connection.
 //!
-//! The crate does no I/O and reads no clock. [`balancer`] makes every decision, [`host`] is the interface to whatever
-//! carries them out, [`time`] has the types of time, [`warm_restart`] what outlives a restart, and [`outstanding`]
-//! counts what is open. A host implements [`host::Host`] and calls a [`balancer::LoadBalancer`]:
+//! The crate performs no I/O and reads no clock. [`balancer`] makes every decision, [`host`] is the interface to the
+//! program that carries them out, [`time`] defines the time types, [`warm_restart`] saves and restores state across
+//! restarts, and [`outstanding`] counts open attempts and sessions. A host implements [`host::Host`] and calls the
+//! methods of a [`balancer::LoadBalancer`]:
 //!
 //! ```
 //! use shelfgrade::balancer::{LoadBalancer, SlowStart};
--- a/src/outstanding.rs
+++ b/src/outstanding.rs
@@ -1,20 +1,20 @@
-//! Counts of what is outstanding, by which a host can check that nothing is left over.
+//! Counts of open attempts and sessions, by which a host can check that none are leaked.
 
 use crate::balancer::LoadBalancer;
 
-/// What is outstanding in the decisions of one proxy.
+/// Counts of the open attempts and sessions of one load balancer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Outstanding {
     /// Attempts that are neither established nor ended.
     pub pending_attempts: usize,
-    /// Sessions whose connections are established at some server.
+    /// Sessions whose connection to a server is established.
     pub established_sessions: usize,
-    /// Sessions that are neither answered nor over, established ones included.
+    /// Sessions that have neither been given a final answer nor ended, including the established ones.
     pub open_sessions: usize,
 }
 
 impl LoadBalancer {
-    /// Counts what is outstanding.
+    /// Counts the open attempts and sessions.
     pub fn outstanding(&self) -> Outstanding {
         let servers = self.state.servers.all();
         Outstanding {
--- a/src/state/server_set.rs
+++ b/src/state/server_set.rs
@@ -12,23 +12,24 @@
 pub(crate) struct ServerSet(RefCell<Vec<Rc<Server>>>);
 
 impl ServerSet {
-    /// All servers in the order of their ids.
+    /// Returns all servers, sorted by id.
     pub(crate) fn all(&self) -> Ref<'_, Vec<Rc<Server>>> {
         self.0.borrow()
     }
 
-    /// The server with this id.
+    /// Returns the server with this id.
     pub(crate) fn find(&self, id: &str) -> Option<Rc<Server>> {
         let servers = self.0.borrow();
         servers.binary_search_by(|server| server.id.as_ref().cmp(id)).ok().map(|i| servers[i].clone())
     }
 
-    /// Attempts that are pending at all servers together.
+    /// Returns the number of attempts pending at all servers together.
     pub(crate) fn pending_attempts(&self) -> u32 {
         self.0.borrow().iter().map(|server| server.pending_attempts.get()).sum()
     }
 
-    /// Applies endpoints; a server that a complete list lacks is removed. Removed servers are forgotten.
+    /// Applies a complete endpoint list, or changes to it. Servers that a complete list lacks count as removed, and
+    /// removed servers are forgotten.
     pub(crate) fn update(&self, endpoints: &[Endpoint], is_complete: bool, now: Timestamp) {
         for endpoint in endpoints {
             let server = self.find(&endpoint.server).unwrap_or_else(|| self.insert(endpoint));
--- a/src/state/session.rs
+++ b/src/state/session.rs
@@ -12,11 +12,11 @@
 pub(crate) struct Attempt {
     pub(crate) server: Rc<Server>,
     pub(crate) sent_at: Timestamp,
-    /// None while it is pending or established.
+    /// `None` while the attempt is pending or established.
     pub(crate) outcome: Option<AttemptOutcome>,
 }
 
-/// A session from its arrival to its final answer or, once established, to its end.
+/// A session from its arrival to its final answer or, if it is established, to its end.
 #[derive(Default)]
 pub(crate) struct Session {
     pub(crate) id: SessionId,
@@ -33,21 +33,21 @@
     pub(crate) admission_turn: Option<AdmissionTurn>,
     pub(crate) allowed_servers: Option<Rc<[ServerId]>>,
     pub(crate) established: Cell<bool>,
-    /// Its client has left or been asked to migrate: it is neither sent on nor migrated again.
+    /// Its client has closed the connection or been asked to migrate, so it is neither retried nor migrated again.
     pub(crate) closing: Cell<bool>,
-    /// It waits for the first of its servers to answer a health check.
+    /// It waits until the first of its candidate servers answers a health check.
     pub(crate) awaits_health_check: Cell<bool>,
-    /// Its servers have been health-checked since its last attempt.
+    /// Its candidate servers have been health-checked since its last attempt.
     pub(crate) health_checked: Cell<bool>,
     /// A server has answered it with an error.
     pub(crate) errored: Cell<bool>,
-    /// Work that its connection asks for, in microseconds a second, once its server has reported it.
+    /// Load that its connection causes, in microseconds of work per second, once its server has reported it.
     pub(crate) load: Cell<f64>,
     pub(crate) attempts: RefCell<Vec<Attempt>>,
 }
 
 impl Session {
-    /// A session that arrives; one of an unknown request class counts as not idempotent.
+    /// Creates the state of a newly arrived session. A session of an unknown request class counts as non-idempotent.
     pub(crate) fn new(arrival: &Arrival, class: Option<&RequestClass>) -> Self {
         Session {
             id: arrival.session,
@@ -64,14 +64,15 @@
         }
     }
 
-    /// The servers that it may go to, in the order of the list; none where it may go to all.
-    pub(crate) fn restrict(&self, servers: &[Rc<Server>]) -> Option<Vec<Rc<Server>>> {
+    /// Returns those of `servers` that the session may be sent to, in the same order; `None` if it may be sent to
+    /// all.
+    pub(crate) fn allowed_among(&self, servers: &[Rc<Server>]) -> Option<Vec<Rc<Server>>> {
         let allowed = self.allowed_servers.as_ref()?;
         let is_allowed = |server: &&Rc<Server>| allowed.binary_search(&server.id).is_ok();
         Some(servers.iter().filter(is_allowed).cloned().collect())
     }
 
-    /// Whether an attempt has been sent to this server.
+    /// Whether an attempt of this session has been sent to this server.
     pub(crate) fn has_tried(&self, server: &Rc<Server>) -> bool {
         self.attempts.borrow().iter().any(|attempt| Rc::ptr_eq(&attempt.server, server))
     }
--- a/src/time.rs
+++ b/src/time.rs
@@ -1,12 +1,12 @@
-//! Timestamps on the host's clock, and what [`Duration`] lacks for them.
+//! Timestamps on the host's clock, and extensions of [`Duration`].
 //!
-//! All times are integral numbers of microseconds: what is computed from a fraction is rounded here, so that a run gives
-//! the same decisions on every machine.
+//! All times are whole microseconds. Results of floating-point arithmetic are rounded here, so that a run makes the
+//! same decisions on every machine.
 
 use std::ops::{Add, Sub};
 use std::time::Duration;
 
-/// A moment on the host's clock, in microseconds.
+/// A point in time on the host's clock, in microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Timestamp(u64);
 
@@ -14,22 +14,22 @@
     /// Later than every other timestamp.
     pub const NEVER: Timestamp = Timestamp(u64::MAX);
 
-    /// A timestamp from milliseconds, rounded to microseconds.
+    /// Converts milliseconds to a timestamp, rounded to microseconds.
     pub fn from_ms(ms: f64) -> Self {
         Timestamp(micros_from_ms(ms))
     }
 
-    /// This timestamp in milliseconds.
+    /// Returns this timestamp in milliseconds.
     pub fn as_ms(self) -> f64 {
         self.0 as f64 / 1000.0
     }
 
-    /// How many complete periods of this length lie before this timestamp.
+    /// Returns the number of complete periods of this length since the clock's zero.
     pub fn periods(self, period: Duration) -> u64 {
         self.0 / as_micros_u64(period).max(1)
     }
 
-    /// The time elapsed since `earlier`; zero if that is still to come.
+    /// Returns the time elapsed since `earlier`, or zero if `earlier` is in the future.
     pub fn since(self, earlier: Timestamp) -> Duration {
         Duration::from_micros(self.0.saturating_sub(earlier.0))
     }
@@ -49,15 +49,15 @@
     }
 }
 
-/// Conversions and arithmetic of durations in integral microseconds.
+/// Conversions and arithmetic of durations in whole microseconds.
 pub trait DurationExt {
-    /// A duration from milliseconds, rounded to microseconds; negative values give zero.
+    /// Converts milliseconds to a duration, rounded to microseconds; negative values give zero.
     fn from_ms(ms: f64) -> Self;
-    /// This duration in milliseconds.
+    /// Returns this duration in milliseconds.
     fn as_ms(&self) -> f64;
-    /// This duration multiplied by a factor, truncated to microseconds.
+    /// Returns this duration multiplied by `factor`, truncated to microseconds.
     fn scaled(self, factor: f64) -> Self;
-    /// This duration as a fraction of `total`, which counts as one microsecond at least.
+    /// Returns this duration as a fraction of `total`, which is taken to be at least one microsecond.
     fn ratio_to(self, total: Self) -> f64;
 }
 
