--- a/crates/simulator-adapter/src/adapter.rs
+++ b/crates/simulator-adapter/src/adapter.rs
@@ -1,4 +1,4 @@
-//! Reads batches of events, passes them to their instances, and writes the decisions of each batch.
+//! Reads batches of events, passes each event to its load balancer instance, and writes the decisions of each batch.
 
 use crate::wire::event::{endpoint, Event, ListKind};
 use crate::wire::line::Line;
@@ -11,7 +11,7 @@
 use std::collections::BTreeMap;
 use std::io::{BufRead, Write};
 
-/// One load balancer, and what its settings say of its host.
+/// A load balancer, and what its settings say about its host.
 struct Instance {
     balancer: LoadBalancer,
     /// The names of the request classes, in their order.
@@ -19,15 +19,15 @@
     capabilities: HostCapabilities,
 }
 
-/// An endpoint list whose entries are still coming in.
+/// An endpoint list whose entries are still being read.
 struct PartialList {
     instance: u64,
     kind: ListKind,
-    missing: usize,
+    entries_missing: usize,
     endpoints: Vec<Endpoint>,
 }
 
-/// All instances, and the batch that is being read.
+/// All instances, and the state of the batch that is being read.
 #[derive(Default)]
 pub struct Adapter {
     instances: BTreeMap<u64, Instance>,
@@ -35,7 +35,7 @@
     /// The sequence number of the open batch.
     batch: Option<u64>,
     now: Timestamp,
-    /// The instance that events are for.
+    /// The instance that events are addressed to.
     current: Option<u64>,
     list: Option<PartialList>,
 }
@@ -44,13 +44,13 @@
     /// Reads batches until the input ends, and writes the reply to each.
     pub fn run(mut self, mut input: impl BufRead, mut output: impl Write) -> Result<()> {
         let mut text = String::new();
-        let mut number = 0u64;
+        let mut line_number = 0u64;
         loop {
             text.clear();
-            number += 1;
-            if input.read_line(&mut text).with_context(|| format!("line {number}"))? == 0 {
+            line_number += 1;
+            if input.read_line(&mut text).with_context(|| format!("line {line_number}"))? == 0 {
                 if self.batch.is_some() {
-                    bail!("line {number}: the input ends inside a batch");
+                    bail!("line {line_number}: input ended inside a batch");
                 }
                 return Ok(());
             }
@@ -58,7 +58,8 @@
             if line.is_empty() {
                 continue;
             }
-            let ends_batch = self.read(&Line::parse(line)).with_context(|| format!("line {number}"))?;
+            let ends_batch =
+                self.handle_line(&Line::parse(line)).with_context(|| format!("line {line_number}"))?;
             if ends_batch {
                 output.write_all(self.reply.text().as_bytes())?;
                 output.flush()?;
@@ -67,10 +68,14 @@
         }
     }
 
-    /// Handles one line; true where it ends a batch.
-    fn read(&mut self, line: &Line) -> Result<bool> {
+    /// Handles one line. Returns whether it ends a batch.
+    fn handle_line(&mut self, line: &Line) -> Result<bool> {
         if let Some(list) = self.list.as_ref().filter(|_| line.name != "ENTRY") {
-            bail!("{} in place of one of {} list entries still due", line.name, list.missing);
+            bail!(
+                "{} received while {} entries of an endpoint list are missing",
+                line.name,
+                list.entries_missing
+            );
         }
         match (line.name, self.batch) {
             ("SYNC", None) => {
@@ -88,15 +93,15 @@
             ("ABOUT", _) => self.current = Some(line.integer("who")?),
             ("ENTRY", _) => self.add_entry(line)?,
             (name, _) => {
-                let instance = self.current.with_context(|| format!("{name} before any ABOUT"))?;
-                self.handle(instance, line)?;
+                let instance = self.current.with_context(|| format!("{name} before the first ABOUT"))?;
+                self.handle_instance_line(instance, line)?;
             }
         }
         Ok(false)
     }
 
     /// Handles a line for an instance: its start, its stop, or an event.
-    fn handle(&mut self, id: u64, line: &Line) -> Result<()> {
+    fn handle_instance_line(&mut self, id: u64, line: &Line) -> Result<()> {
         match line.name {
             "BORN" => {
                 self.instances.insert(id, start_instance(line)?);
@@ -120,16 +125,17 @@
     fn on_event(&mut self, id: u64, event: Event) {
         let now = self.now;
         let Some(Instance { balancer, classes, capabilities }) = self.instances.get_mut(&id) else { return };
-        let host = self.reply.host_of(id, *capabilities);
+        let host = self.reply.host_for(id, *capabilities);
         match event {
             Event::EndpointList { kind, entries } => {
-                self.list = Some(PartialList { instance: id, kind, missing: entries, endpoints: Vec::new() });
+                self.list =
+                    Some(PartialList { instance: id, kind, entries_missing: entries, endpoints: Vec::new() });
                 self.apply_complete_list();
             }
             Event::ListUnavailable if capabilities.list_is_pushed => {}
             Event::ListUnavailable => balancer.on_poll_failed(now, now, host),
             Event::Request(request) => balancer.on_request(&request.arrival(classes), now, host),
-            Event::OpenSession { request, server } => {
+            Event::PreexistingSession { request, server } => {
                 balancer.restore_session(&request.arrival(classes), server, now)
             }
             Event::Established(session) => balancer.on_established(session, now),
@@ -148,21 +154,21 @@
     }
 
     fn add_entry(&mut self, line: &Line) -> Result<()> {
-        let list = self.list.as_mut().context("ENTRY outside a list")?;
+        let list = self.list.as_mut().context("ENTRY outside an endpoint list")?;
         list.endpoints.push(endpoint(line)?);
-        list.missing = list.missing.saturating_sub(1);
+        list.entries_missing = list.entries_missing.saturating_sub(1);
         self.apply_complete_list();
         Ok(())
     }
 
-    /// Applies the list at its instance once all its entries are there.
+    /// Applies the list to its instance once all its entries have been read.
     fn apply_complete_list(&mut self) {
-        let Some(list) = self.list.take_if(|list| list.missing == 0) else { return };
+        let Some(list) = self.list.take_if(|list| list.entries_missing == 0) else { return };
         let Some(Instance { balancer, capabilities, .. }) = self.instances.get_mut(&list.instance) else {
             return;
         };
         if list.kind == ListKind::Restored {
-            let host = self.reply.host_of(list.instance, *capabilities);
+            let host = self.reply.host_for(list.instance, *capabilities);
             balancer.start(&list.endpoints, self.now, host);
         } else {
             balancer.on_endpoints(&list.endpoints, list.kind == ListKind::Complete, self.now);
@@ -171,7 +177,8 @@
 }
 
 fn start_instance(line: &Line) -> Result<Instance> {
-    let settings = shelfgrade_settings::parse(line.integer("salt")?, line.required("env")?).context("env")?;
+    let settings =
+        shelfgrade_settings::parse(line.integer("salt")?, line.required("env")?).context("invalid env")?;
     let Settings { balancer, classes, health_checks_allowed, list_is_pushed, .. } = settings;
     let capabilities = HostCapabilities { health_checks_allowed, list_is_pushed };
     Ok(Instance { balancer, classes, capabilities })
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,4 +1,5 @@
-//! Hosts any number of separate load balancers for the simulator, which speaks on standard input and output.
+//! Hosts any number of independent load balancers for the simulator, which communicates over standard input and
+//! output.
 
 #![deny(unsafe_code)]
 
--- a/crates/simulator-adapter/src/wire/event.rs
+++ b/crates/simulator-adapter/src/wire/event.rs
@@ -1,4 +1,4 @@
-//! Events of an instance, and the entries of an endpoint list.
+//! The events of an instance, and the entries of an endpoint list.
 
 use super::line::Line;
 use anyhow::{bail, Result};
@@ -8,21 +8,21 @@
 
 /// An event of one instance.
 pub enum Event<'a> {
-    /// An endpoint list follows, in so many entries.
+    /// An endpoint list follows, with this many entries.
     EndpointList { kind: ListKind, entries: usize },
-    /// The endpoint list cannot be reached.
+    /// The endpoint list is unavailable.
     ListUnavailable,
     /// A session has arrived.
     Request(Request<'a>),
     /// A connection was already open when the instance started.
-    OpenSession { request: Request<'a>, server: &'a str },
-    /// An attempt is established.
+    PreexistingSession { request: Request<'a>, server: &'a str },
+    /// The connection of an attempt is established.
     Established(SessionId),
     /// An attempt has ended.
     AttemptEnded { session: SessionId, outcome: AttemptOutcome, is_final: bool },
-    /// Work that an established session asks for, in microseconds a second.
+    /// The load of an established session, in microseconds of work per second.
     LoadReport { session: SessionId, load: f64 },
-    /// How long messages of an established session take.
+    /// The latency of messages of an established session.
     MessageLatency { session: SessionId, latency: Duration },
     /// The client has closed its connection.
     ClientClosed(SessionId),
@@ -30,41 +30,43 @@
     Timer,
     /// A health check was answered.
     HealthCheck { server: &'a str, latency: Duration },
-    /// Well-formed, and without a meaning for the decisions.
+    /// A well-formed event that does not affect decisions.
     Ignored,
 }
 
-/// What an endpoint list says of the servers that it lacks.
+/// What an endpoint list means for the servers that it does not contain.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub enum ListKind {
-    /// Changes only: the others stay as they are.
+    /// Changes only: the other servers stay as they are.
     Changes,
-    /// A complete list: the others are removed.
+    /// A complete list: the other servers are removed.
     Complete,
-    /// The complete list that was last known before the instance started.
+    /// The last complete list known before the instance started.
     Restored,
 }
 
-/// A session as it arrives, with its request class by name.
+/// A newly arrived session, with its request class by name.
 pub struct Request<'a> {
     class: &'a str,
     arrival: Arrival<'a>,
 }
 
 impl<'a> Request<'a> {
-    /// The arrival, with its request class by its index among these names.
+    /// Returns the arrival, with its request class as an index into these names.
     pub fn arrival(&self, classes: &[String]) -> Arrival<'a> {
         Arrival { class: classes.iter().position(|name| name == self.class), ..self.arrival }
     }
 }
 
 impl<'a> Event<'a> {
-    /// Reads the event that a line of the wire stands for.
+    /// Parses the event that a line encodes.
     pub fn parse(line: &Line<'a>) -> Result<Self> {
         Ok(match line.name {
             "TARGETS" => endpoint_list(line)?,
             "REQUEST" => Event::Request(request(line)?),
-            "PREEXISTING" => Event::OpenSession { request: request(line)?, server: line.required("server")? },
+            "PREEXISTING" => {
+                Event::PreexistingSession { request: request(line)?, server: line.required("server")? }
+            }
             "FLOWING" => Event::Established(line.session()?),
             "FINISHED" => Event::AttemptEnded {
                 session: line.session()?,
@@ -82,12 +84,12 @@
                 Event::Ignored
             }
             "STATUS_BACK" => health_check(line)?,
-            name => bail!("{name} is no message of this wire"),
+            name => bail!("unknown message {name}"),
         })
     }
 }
 
-/// Reads an entry of an endpoint list.
+/// Parses an entry of an endpoint list.
 pub fn endpoint(line: &Line) -> Result<Endpoint> {
     Ok(Endpoint {
         server: line.required("server")?.into(),
@@ -102,7 +104,7 @@
             "active" => EndpointState::Active,
             "leaving" => EndpointState::Draining,
             "left" => EndpointState::Removed,
-            status => bail!("status={status} is unknown"),
+            status => bail!("unknown status={status}"),
         },
     })
 }
@@ -115,7 +117,7 @@
         "replace" => ListKind::Complete,
         "restored" => ListKind::Restored,
         "unavailable" => return Ok(Event::ListUnavailable),
-        _ => bail!("form={form} is unknown"),
+        _ => bail!("unknown form={form}"),
     };
     Ok(Event::EndpointList { kind, entries })
 }
@@ -144,7 +146,7 @@
     })
 }
 
-/// Only a health check that was served says how long work takes.
+/// Only a health check that the server processed shows its latency.
 fn health_check<'a>(line: &Line<'a>) -> Result<Event<'a>> {
     const SERVED: u64 = 1;
     if line.integer("result")? != SERVED {
@@ -164,6 +166,6 @@
         6 => AttemptOutcome::ConnectionLost,
         7 => AttemptOutcome::Cancelled,
         8 => AttemptOutcome::NotSent,
-        code => bail!("result={code} is unknown"),
+        code => bail!("unknown result={code}"),
     })
 }
--- a/crates/simulator-adapter/src/wire/line.rs
+++ b/crates/simulator-adapter/src/wire/line.rs
@@ -1,4 +1,4 @@
-//! The wire's lines: a name, then `name=value` fields separated by single spaces.
+//! The lines of the protocol: a name, followed by `name=value` fields separated by single spaces.
 
 use anyhow::{bail, Context, Result};
 use shelfgrade::host::SessionId;
@@ -6,34 +6,34 @@
 use std::str::FromStr;
 use std::time::Duration;
 
-/// The field whose value runs to the end of its line.
-const TEXT_FIELD: &str = "env";
+/// The field whose value extends to the end of its line.
+const TRAILING_FIELD: &str = "env";
 
-/// A line of the wire, whose fields are read by name.
+/// A line of the protocol, whose fields are read by name.
 pub struct Line<'a> {
-    /// What the line is.
+    /// The name of the message.
     pub name: &'a str,
-    rest: &'a str,
+    fields: &'a str,
 }
 
 impl<'a> Line<'a> {
-    /// Splits the name from the fields.
+    /// Splits a line into its name and its fields.
     pub fn parse(text: &'a str) -> Self {
-        let (name, rest) = text.split_once(' ').unwrap_or((text, ""));
-        Line { name, rest }
+        let (name, fields) = text.split_once(' ').unwrap_or((text, ""));
+        Line { name, fields }
     }
 
-    /// The value of a field, where the line has it.
+    /// Returns the value of a field, or `None` if the line does not have it.
     pub fn optional(&self, wanted: &str) -> Option<&'a str> {
-        let mut rest = self.rest;
+        let mut rest = self.fields;
         while !rest.is_empty() {
             let (part, after) = rest.split_once(' ').unwrap_or((rest, ""));
             let (name, value) = part.split_once('=').unwrap_or((part, ""));
-            let is_text = name == TEXT_FIELD;
+            let is_trailing = name == TRAILING_FIELD;
             if name == wanted {
-                return Some(if is_text { &rest[name.len() + 1..] } else { value });
+                return Some(if is_trailing { &rest[name.len() + 1..] } else { value });
             }
-            if is_text {
+            if is_trailing {
                 return None;
             }
             rest = after;
@@ -41,18 +41,20 @@
         None
     }
 
-    /// The value of a field that must be there and not be empty.
+    /// Returns the value of a field that must be present and not empty.
     pub fn required(&self, name: &str) -> Result<&'a str> {
-        self.optional(name).filter(|v| !v.is_empty()).with_context(|| format!("{} lacks {name}", self.name))
+        self.optional(name)
+            .filter(|v| !v.is_empty())
+            .with_context(|| format!("{} is missing field {name}", self.name))
     }
 
-    /// A numeric field.
+    /// Parses a numeric field.
     pub fn number<T: FromStr>(&self, name: &str) -> Result<T> {
         let value = self.required(name)?;
-        value.parse().ok().with_context(|| format!("{name}={value} is not a number that fits"))
+        value.parse().ok().with_context(|| format!("{name}={value} is not a valid number"))
     }
 
-    /// A field that is an unsigned integer.
+    /// Parses a field that is an unsigned integer.
     pub fn integer(&self, name: &str) -> Result<u64> {
         self.number(name)
     }
@@ -60,22 +62,22 @@
     fn milliseconds(&self, name: &str) -> Result<f64> {
         let ms: f64 = self.number(name)?;
         if !ms.is_finite() || ms < 0.0 {
-            bail!("{name}={ms} is no time");
+            bail!("{name}={ms} is not a valid time");
         }
         Ok(ms)
     }
 
-    /// A timestamp in milliseconds.
+    /// Parses a timestamp in milliseconds.
     pub fn timestamp(&self, name: &str) -> Result<Timestamp> {
         self.milliseconds(name).map(Timestamp::from_ms)
     }
 
-    /// A duration in milliseconds.
+    /// Parses a duration in milliseconds.
     pub fn duration(&self, name: &str) -> Result<Duration> {
         self.milliseconds(name).map(Duration::from_ms)
     }
 
-    /// A field that is 0 or 1; false where the line lacks it.
+    /// Parses a field that is 0 or 1; false if the line does not have it.
     pub fn flag(&self, name: &str) -> Result<bool> {
         match self.optional(name) {
             None | Some("0") => Ok(false),
@@ -84,7 +86,7 @@
         }
     }
 
-    /// The session that the line is about.
+    /// Parses the id of the session that the line is about.
     pub fn session(&self) -> Result<SessionId> {
         let value = self.required("ref")?;
         let id = u64::from_str_radix(value, 16).ok().filter(|_| value.len() == 16);
--- a/crates/simulator-adapter/src/wire/mod.rs
+++ b/crates/simulator-adapter/src/wire/mod.rs
@@ -1,5 +1,5 @@
-//! The simulator's wire, mapped to the terms of the decisions: lines in `line.rs`, what they mean in `event.rs`, and the
-//! lines written for decisions in `reply.rs`.
+//! The simulator's line protocol, mapped to the types of the load balancer: lines in `line.rs`, the events that they
+//! encode in `event.rs`, and the lines written for decisions in `reply.rs`.
 
 pub mod event;
 pub mod line;
--- a/crates/simulator-adapter/src/wire/reply.rs
+++ b/crates/simulator-adapter/src/wire/reply.rs
@@ -1,32 +1,32 @@
-//! The lines that decisions become.
+//! The lines that are written for decisions.
 
 use shelfgrade::host::{Host, ServerId, SessionId};
 use shelfgrade::time::{DurationExt, Timestamp};
 use std::fmt::{Arguments, Write as _};
 use std::time::Duration;
 
-/// What an instance's host may do.
+/// The capabilities of an instance's host.
 #[derive(Clone, Copy, Default)]
 pub struct HostCapabilities {
-    /// Whether it may health-check servers.
+    /// Whether it is allowed to health-check servers.
     pub health_checks_allowed: bool,
-    /// Whether the endpoint list comes unasked.
+    /// Whether the endpoint list is pushed to it without a request.
     pub list_is_pushed: bool,
 }
 
-/// The reply to a batch, as it is written. As a [`Host`] it writes for the instance named last.
+/// The reply to a batch, as it is written. Implements [`Host`] for the instance last given to [`Reply::host_for`].
 #[derive(Default)]
 pub struct Reply {
     text: String,
     /// The instance that the last line was written for.
-    last_writer: Option<u64>,
+    last_instance: Option<u64>,
     instance: u64,
     capabilities: HostCapabilities,
 }
 
 impl Reply {
-    /// The host of an instance.
-    pub fn host_of(&mut self, instance: u64, capabilities: HostCapabilities) -> &mut Self {
+    /// Returns this reply as the host of an instance.
+    pub fn host_for(&mut self, instance: u64, capabilities: HostCapabilities) -> &mut Self {
         self.instance = instance;
         self.capabilities = capabilities;
         self
@@ -37,14 +37,14 @@
         writeln!(self.text, "READY seq={sequence}").expect("writing to a String does not fail");
     }
 
-    /// All lines written.
+    /// Returns all lines written.
     pub fn text(&self) -> &str {
         &self.text
     }
 
     fn write(&mut self, line: Arguments) {
         let instance = self.instance;
-        let written = if self.last_writer.replace(instance) == Some(instance) {
+        let written = if self.last_instance.replace(instance) == Some(instance) {
             writeln!(self.text, "{line}")
         } else {
             writeln!(self.text, "FROM who={instance}\n{line}")
