--- a/tests/scenarios/harness.rs
+++ b/tests/scenarios/harness.rs
@@ -1,4 +1,4 @@
-//! A load balancer in virtual time, on a host that records what it is asked for.
+//! A load balancer in virtual time, with a host that records its calls.
 
 use shelfgrade::balancer::{LoadBalancer, SlowStart};
 use shelfgrade::host::*;
@@ -15,10 +15,11 @@
 pub const REQUEST_TIMEOUT: Duration = Duration::from_millis(2000);
 pub const CONNECT_LATENCY_OBJECTIVE: Duration = Duration::from_millis(300);
 
-/// Spreads consecutive seeds, whose first draws would be alike.
+/// Multiplier for consecutive seeds, whose first random numbers would otherwise be similar.
 pub const SEED_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
-pub const TWELVE: [&str; 12] = ["a1", "a2", "a3", "a4", "a5", "a6", "b1", "b2", "b3", "b4", "b5", "b6"];
+pub const TWELVE_SERVERS: [&str; 12] =
+    ["a1", "a2", "a3", "a4", "a5", "a6", "b1", "b2", "b3", "b4", "b5", "b6"];
 
 pub struct RecordedAttempt {
     pub session: u64,
@@ -72,8 +73,8 @@
     }
 }
 
-/// An active endpoint, in the zone that its id begins with.
-pub fn server(id: &str) -> Endpoint {
+/// Returns an active endpoint, in the zone named by the first letter of its id.
+pub fn endpoint(id: &str) -> Endpoint {
     let zone = id[..1].to_owned();
     Endpoint {
         server: id.into(),
@@ -85,7 +86,7 @@
     }
 }
 
-/// An idempotent session without a group.
+/// Returns the arrival of an idempotent session without a group.
 pub fn arrival(key: &str) -> Arrival<'_> {
     Arrival {
         session: SessionId(0),
@@ -109,16 +110,17 @@
 }
 
 impl Proxy {
-    pub fn with(list: &[Endpoint]) -> Self {
-        Self::seeded(7, list)
+    pub fn with_servers(list: &[Endpoint]) -> Self {
+        Self::with_seed(7, list)
     }
 
-    pub fn seeded(seed: u64, list: &[Endpoint]) -> Self {
-        Self::one_of(3, None, seed, list)
+    pub fn with_seed(seed: u64, list: &[Endpoint]) -> Self {
+        Self::in_fleet(3, None, seed, list)
     }
 
-    /// One of so many proxies, each with this much capacity if the settings say how much there is.
-    pub fn one_of(proxies: usize, proxy_capacity: Option<f64>, seed: u64, list: &[Endpoint]) -> Self {
+    /// Creates one proxy of a fleet of this many, each with this share of the total capacity if the settings define
+    /// one.
+    pub fn in_fleet(proxies: usize, proxy_capacity: Option<f64>, seed: u64, list: &[Endpoint]) -> Self {
         let proxies = proxies as f64;
         let slow_start = SlowStart {
             initial_fraction: 0.3,
@@ -150,18 +152,18 @@
         proxy
     }
 
-    /// Four servers in two zones, warm and active.
+    /// Creates a proxy with four servers in two zones, all warm and active.
     pub fn with_four_servers() -> Self {
-        Self::with(&["a1", "a2", "b1", "b2"].map(server))
+        Self::with_servers(&["a1", "a2", "b1", "b2"].map(endpoint))
     }
 
-    /// Twelve servers in two zones, warm and active.
+    /// Creates a proxy with twelve servers in two zones, all warm and active.
     pub fn with_twelve_servers() -> Self {
-        Self::with(&TWELVE.map(server))
+        Self::with_servers(&TWELVE_SERVERS.map(endpoint))
     }
 
-    /// Has each of these servers hold a session whose messages take this long.
-    pub fn overload(&mut self, servers: &[&str], ms: u64) {
+    /// Adds a session at each of these servers and reports this latency for its messages.
+    pub fn add_sessions_with_latency(&mut self, servers: &[&str], ms: u64) {
         for server in servers {
             self.last_session += 1;
             let open = Arrival { session: SessionId(self.last_session), ..arrival("any") };
@@ -170,7 +172,7 @@
         }
     }
 
-    /// Lets a session arrive and returns its number.
+    /// Simulates the arrival of a session and returns its number.
     pub fn arrive(&mut self, arrival: Arrival) -> u64 {
         self.last_session += 1;
         let deadline = if arrival.deadline == Timestamp::default() {
@@ -183,13 +185,13 @@
         self.last_session
     }
 
-    /// A server answers a health check after this long.
+    /// Simulates a server's answer to a health check after this latency.
     pub fn answer_health_check(&mut self, server: &str, ms: u64) {
         self.balancer.on_health_check(server, Duration::from_millis(ms), self.now, &mut self.host);
     }
 
-    /// Lets a session arrive and be established if it is sent anywhere; returns where. Of servers that are
-    /// health-checked for it the first answers.
+    /// Simulates the arrival of a session and its establishment if it is sent to a server, which is returned. If
+    /// servers are health-checked for it, the first one answers.
     pub fn establish(&mut self, arrival: Arrival) -> Option<String> {
         let checked = self.host.health_checked.len();
         let session = self.arrive(arrival);
@@ -202,7 +204,7 @@
         server
     }
 
-    /// Ends a session's attempt, which is final where it completed.
+    /// Ends a session's attempt. The attempt is final if it completed.
     pub fn end_attempt(&mut self, session: u64, outcome: AttemptOutcome) {
         let is_final = outcome == AttemptOutcome::Completed;
         self.balancer.on_attempt_ended(SessionId(session), outcome, is_final, self.now, &mut self.host);
@@ -213,12 +215,12 @@
         self.balancer.on_message_latency(SessionId(session), latency, self.now, &mut self.host);
     }
 
-    /// Lets time pass without wakeups.
+    /// Advances the time without wakeups.
     pub fn advance(&mut self, ms: u64) {
         self.now = self.now + Duration::from_millis(ms);
     }
 
-    /// Lets time pass, with each wakeup when it is due.
+    /// Advances the time and delivers each wakeup when it is due.
     pub fn run_for(&mut self, ms: u64) {
         let end = self.now + Duration::from_millis(ms);
         while let Some(i) = self.host.wakeups.iter().position(|at| *at <= end) {
@@ -228,18 +230,18 @@
         self.now = end;
     }
 
-    /// The servers of a session's attempts.
+    /// Returns the servers of a session's attempts.
     pub fn servers_tried(&self, session: u64) -> Vec<String> {
         let attempts = self.host.attempts.iter().filter(|attempt| attempt.session == session);
         attempts.map(|attempt| attempt.server.clone()).collect()
     }
 
-    /// The server of the last attempt.
+    /// Returns the server of the last attempt.
     pub fn last_server(&self) -> &str {
         &self.host.attempts.last().expect("an attempt").server
     }
 
-    /// How many attempts each server was sent.
+    /// Returns how many attempts each server was sent.
     pub fn attempts_by_server(&self) -> BTreeMap<String, usize> {
         let mut counts = BTreeMap::new();
         for attempt in &self.host.attempts {
@@ -249,21 +251,21 @@
     }
 }
 
-/// A client key whose sessions go to `server` in a calm fleet of four servers.
-pub fn key_for(server: &str) -> String {
-    let goes_there =
+/// Returns a client key that is hashed to `server` among four servers that are not overloaded.
+pub fn key_hashed_to(server: &str) -> String {
+    let is_sent_there =
         |key: &String| Proxy::with_four_servers().establish(arrival(key)).as_deref() == Some(server);
-    (0..).map(|i| format!("key-{i}")).find(goes_there).expect("some key")
+    (0..).map(|i| format!("key-{i}")).find(is_sent_there).expect("some key")
 }
 
-/// Where a reconnecting session of the group goes.
+/// Returns the server to which a reconnecting session of the group is sent.
 pub fn group_server(proxy: &mut Proxy, group: &str) -> Option<String> {
     proxy.establish(Arrival { group: Some(group), reconnected: true, ..arrival("k") })
 }
 
-/// One of three hundred proxies, whose eighty servers can hold 2,400 connections as far as the settings say: too few
+/// Returns one of 300 proxies, whose 80 servers have a total capacity of 2,400 connections in the settings: too few
 /// for each proxy to observe the servers' load.
-pub fn one_of_many(seed: u64) -> Proxy {
-    let list: Vec<_> = (0..80).map(|i| server(&format!("a{i:02}"))).collect();
-    Proxy::one_of(300, Some(8.0), seed, &list)
+pub fn proxy_in_large_fleet(seed: u64) -> Proxy {
+    let list: Vec<_> = (0..80).map(|i| endpoint(&format!("a{i:02}"))).collect();
+    Proxy::in_fleet(300, Some(8.0), seed, &list)
 }
--- a/tests/scenarios/list_freshness.rs
+++ b/tests/scenarios/list_freshness.rs
@@ -1,5 +1,5 @@
-//! How fresh the endpoint list is: a change is applied within six seconds after discovery had it and could be reached,
-//! whatever polls failed before.
+//! Freshness of the endpoint list: whatever polls failed before, a change is applied within six seconds after the
+//! discovery service has it and can be reached.
 
 use crate::harness::*;
 use nanorand::{Rng, WyRand};
@@ -8,13 +8,13 @@
 use std::time::Duration;
 
 const APPLY_WITHIN: Duration = Duration::from_millis(6000);
-/// The response time of discovery for a poll that it accepts, queueing included.
+/// The response time of the discovery service for a poll that it accepts, including queueing.
 const RESPONSE_TIME: Duration = Duration::from_millis(500);
-/// The timeouts of the proxy: for a call without a response, and for its connection.
+/// The proxy's timeouts for a call without a response and for opening its connection.
 const CALL_TIMEOUT: Duration = Duration::from_millis(2800);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
 
-fn one_of(proxies: usize, max_poll_interval: Option<Duration>, seed: u64) -> Proxy {
+fn proxy_in_fleet(proxies: usize, max_poll_interval: Option<Duration>, seed: u64) -> Proxy {
     let slow_start = SlowStart {
         initial_fraction: 0.3,
         duration: Duration::from_millis(8000),
@@ -32,7 +32,7 @@
     proxy
 }
 
-/// Runs until the list is polled again, and returns when; earlier polls are over.
+/// Runs until the list is polled again and returns the time. No earlier poll is in progress.
 fn next_poll(proxy: &mut Proxy) -> Timestamp {
     while proxy.host.subscribed == 0 {
         let at = proxy.host.wakeups.iter().copied().min().expect("a wakeup");
@@ -43,15 +43,17 @@
     proxy.now
 }
 
-/// Fails a poll in a random way; discovery refuses none from `from` on.
-fn fail_poll(proxy: &mut Proxy, rng: &mut WyRand, from: Timestamp) {
+/// Makes a poll fail in a random way. The discovery service refuses no poll from `available_from` on.
+fn fail_poll(proxy: &mut Proxy, rng: &mut WyRand, available_from: Timestamp) {
     let polled_at = proxy.now;
-    let random_up_to = |most: Duration, rng: &mut WyRand| most.scaled(f64::from(rng.generate::<f32>()));
+    let random_up_to = |max: Duration, rng: &mut WyRand| max.scaled(f64::from(rng.generate::<f32>()));
     match rng.generate_range(0..4) {
-        // Refused or reset at once, or queued and then refused, which ends once discovery can be reached.
+        // Refused or reset immediately; or queued and then refused, which ends once the discovery service can be
+        // reached.
         0 => proxy.now = polled_at + random_up_to(Duration::from_millis(30), rng),
         1 => {
-            proxy.now = (polled_at + random_up_to(Duration::from_millis(2000), rng)).min(from.max(polled_at))
+            proxy.now = (polled_at + random_up_to(Duration::from_millis(2000), rng))
+                .min(available_from.max(polled_at))
         }
         2 => proxy.now = polled_at + CONNECT_TIMEOUT,
         _ => {
@@ -62,7 +64,7 @@
     proxy.balancer.on_poll_failed(polled_at, proxy.now, &mut proxy.host);
 }
 
-/// For any number of proxies and any poll interval, as pauses are spread by both.
+/// For any number of proxies and any poll interval, because pauses depend on both.
 #[test]
 fn after_any_failures_a_change_is_applied_within_six_seconds_of_being_available() {
     let mut rng = WyRand::new_seed(11);
@@ -72,70 +74,72 @@
         for seed in 0..400 {
             let max_poll_interval =
                 Some(Duration::from_millis(max_poll_interval)).filter(|time| *time > Duration::ZERO);
-            let mut proxy = one_of(proxies, max_poll_interval, seed);
+            let mut proxy = proxy_in_fleet(proxies, max_poll_interval, seed);
             proxy.now = Timestamp::from_ms(60_000.0);
-            let mut from = proxy.now + Duration::from_millis(20_000).scaled(f64::from(rng.generate::<f32>()));
+            let mut available_from =
+                proxy.now + Duration::from_millis(20_000).scaled(f64::from(rng.generate::<f32>()));
             let restarts = seed % 2 == 0;
-            proxy.balancer.start(&TWELVE.map(server), proxy.now, &mut proxy.host);
+            proxy.balancer.start(&TWELVE_SERVERS.map(endpoint), proxy.now, &mut proxy.host);
             if !restarts {
-                // It had the list, and its watch was lost after a while.
+                // The proxy has received the list, and its watch is lost some time later.
                 next_poll(&mut proxy);
                 proxy.balancer.on_endpoints(&[], false, proxy.now);
-                from = from.max(proxy.now);
-                fail_poll(&mut proxy, &mut rng, from);
+                available_from = available_from.max(proxy.now);
+                fail_poll(&mut proxy, &mut rng, available_from);
             }
             let mut polls = Vec::new();
             let answered = loop {
                 let polled_at = next_poll(&mut proxy);
-                polls.push(polled_at.since(from).as_ms());
-                if polled_at >= from {
+                polls.push(polled_at.since(available_from).as_ms());
+                if polled_at >= available_from {
                     break polled_at + RESPONSE_TIME;
                 }
-                fail_poll(&mut proxy, &mut rng, from);
+                fail_poll(&mut proxy, &mut rng, available_from);
             };
             assert!(
-                answered.since(from) < APPLY_WITHIN,
+                answered.since(available_from) < APPLY_WITHIN,
                 "{proxies}, {max_poll_interval:?}, seed {seed}: {:?} after it was available, {polls:?}",
-                answered.since(from)
+                answered.since(available_from)
             );
         }
     }
 }
 
-/// Discovery is overloaded: it queues a poll before it refuses it.
+/// The discovery service is overloaded: it queues a poll before it refuses it.
 #[test]
 fn after_two_late_refusals_a_third_poll_is_in_time() {
     for proxies in [3, 300] {
         for seed in 0..200 {
-            let mut proxy = one_of(proxies, Some(MAX_POLL_INTERVAL), seed);
-            proxy.balancer.start(&TWELVE.map(server), proxy.now, &mut proxy.host);
-            // Down for long, and available just as a poll is queued.
+            let mut proxy = proxy_in_fleet(proxies, Some(MAX_POLL_INTERVAL), seed);
+            proxy.balancer.start(&TWELVE_SERVERS.map(endpoint), proxy.now, &mut proxy.host);
+            // It is down for a long time, and becomes available just as a poll is queued.
             for _ in 0..9 {
                 let polled_at = next_poll(&mut proxy);
                 proxy.balancer.on_poll_failed(polled_at, polled_at, &mut proxy.host);
             }
-            let from = next_poll(&mut proxy);
+            let available_from = next_poll(&mut proxy);
             for _ in 0..2 {
                 let polled_at = proxy.now;
                 proxy.advance(1500);
                 proxy.balancer.on_poll_failed(polled_at, proxy.now, &mut proxy.host);
                 next_poll(&mut proxy);
             }
-            let applied_after = (proxy.now + RESPONSE_TIME).since(from);
+            let applied_after = (proxy.now + RESPONSE_TIME).since(available_from);
             assert!(applied_after < APPLY_WITHIN, "{proxies}, seed {seed}: {applied_after:?}");
         }
     }
 }
 
-/// Proxies that start together, or lose their watch together, poll no more often than their pauses allow.
+/// Proxies that start together, or lose their watches together, poll no more often than their pauses allow.
 #[test]
 fn no_proxy_polls_twice_before_every_other_has_polled_once() {
     for proxies in [3usize, 24, 300] {
         let mut polls_by_proxy = Vec::new();
         for seed in 0..proxies as u64 {
-            let mut proxy = one_of(proxies, Some(MAX_POLL_INTERVAL), seed.wrapping_mul(SEED_MULTIPLIER));
+            let mut proxy =
+                proxy_in_fleet(proxies, Some(MAX_POLL_INTERVAL), seed.wrapping_mul(SEED_MULTIPLIER));
             let start = proxy.now;
-            proxy.balancer.start(&TWELVE.map(server), proxy.now, &mut proxy.host);
+            proxy.balancer.start(&TWELVE_SERVERS.map(endpoint), proxy.now, &mut proxy.host);
             let mut own_polls = Vec::new();
             while proxy.now.since(start) < Duration::from_millis(30_000) {
                 let polled_at = next_poll(&mut proxy);
@@ -144,25 +148,29 @@
             }
             polls_by_proxy.push(own_polls);
         }
-        let last_first = polls_by_proxy.iter().map(|own_polls| own_polls[0]).max().expect("proxies");
-        let first_second = polls_by_proxy.iter().map(|own_polls| own_polls[1]).min().expect("proxies");
-        assert!(last_first <= first_second, "{proxies}: {last_first:?} {first_second:?}");
-        // Once the pauses have their full length, which is 1.4 s for any number of proxies.
+        let latest_first_poll = polls_by_proxy.iter().map(|own_polls| own_polls[0]).max().expect("proxies");
+        let earliest_second_poll =
+            polls_by_proxy.iter().map(|own_polls| own_polls[1]).min().expect("proxies");
+        assert!(
+            latest_first_poll <= earliest_second_poll,
+            "{proxies}: {latest_first_poll:?} {earliest_second_poll:?}"
+        );
+        // Once the pauses have reached their full length, which is 1.4 s for any number of proxies.
         let late = Duration::from_millis(20_000)..Duration::from_millis(30_000);
         let late = polls_by_proxy.iter().flatten().filter(|at| late.contains(at)).count();
-        let a_second = late as f64 / 10.0;
-        assert!(a_second <= proxies as f64 / 1.25, "{proxies}: {a_second}");
+        let polls_per_s = late as f64 / 10.0;
+        assert!(polls_per_s <= proxies as f64 / 1.25, "{proxies}: {polls_per_s}");
     }
 }
 
-/// However short the interval is, down to a tenth of a second.
+/// Even for poll intervals as short as 100 ms.
 #[test]
 fn no_pause_exceeds_four_fifths_of_the_poll_interval() {
     for (ms, proxies) in [100, 300, 800, 10_000].into_iter().flat_map(|ms| [(ms, 3), (ms, 300)]) {
         for seed in 0..50 {
-            let mut proxy = one_of(proxies, Some(Duration::from_millis(ms)), seed);
+            let mut proxy = proxy_in_fleet(proxies, Some(Duration::from_millis(ms)), seed);
             let mut last = proxy.now;
-            proxy.balancer.start(&TWELVE.map(server), proxy.now, &mut proxy.host);
+            proxy.balancer.start(&TWELVE_SERVERS.map(endpoint), proxy.now, &mut proxy.host);
             for _ in 0..6 {
                 let polled_at = next_poll(&mut proxy);
                 let pause = polled_at.since(last);
--- a/tests/scenarios/main.rs
+++ b/tests/scenarios/main.rs
@@ -1,4 +1,4 @@
-//! Scenarios of the decisions, each on a recording host in virtual time.
+//! Scenario tests of the load balancer, each in virtual time with a host that records the decisions.
 
 mod concurrency_limit;
 mod final_answers;
--- a/tests/scenarios/rebalancing.rs
+++ b/tests/scenarios/rebalancing.rs
@@ -6,9 +6,9 @@
 use std::time::Duration;
 
 #[test]
-fn a_hundred_proxies_that_learn_of_an_overload_do_not_empty_the_server_at_once() {
+fn a_hundred_proxies_that_observe_an_overload_do_not_empty_the_server_at_once() {
     let migrations = |seed: u64| {
-        let mut proxy = Proxy::seeded(seed.wrapping_mul(SEED_MULTIPLIER), &TWELVE.map(server));
+        let mut proxy = Proxy::with_seed(seed.wrapping_mul(SEED_MULTIPLIER), &TWELVE_SERVERS.map(endpoint));
         proxy.establish(arrival("lift-1"));
         proxy.report_message_latency(1, 500);
         proxy.host.migrated.len()
@@ -22,9 +22,10 @@
     let mut proxy = Proxy::with_four_servers();
     let member = |key| Arrival { group: Some("bank-1"), ..arrival(key) };
     let reconnecting = |key| Arrival { reconnected: true, ..member(key) };
-    let group_home = proxy.establish(reconnecting("k1")).expect("a place");
-    let elsewhere = ["a1", "a2", "b1", "b2"].into_iter().find(|place| *place != group_home).expect("another");
-    let (light, heavy) = (key_for(elsewhere), key_for(elsewhere));
+    let group_server_id = proxy.establish(reconnecting("k1")).expect("a server");
+    let elsewhere =
+        ["a1", "a2", "b1", "b2"].into_iter().find(|server| *server != group_server_id).expect("another");
+    let (light, heavy) = (key_hashed_to(elsewhere), key_hashed_to(elsewhere));
     proxy.establish(member(&light));
     proxy.establish(member(&heavy));
     proxy.balancer.on_load_report(SessionId(3), 9.0);
@@ -33,12 +34,16 @@
     }
     assert_eq!(proxy.host.migrated, [3], "the heavier session outside its group");
     (0..50).for_each(|_| proxy.report_message_latency(2, 200));
-    assert_eq!(proxy.host.migrated, [3, 2], "each once, and none at its group's server");
-    assert_eq!(proxy.establish(reconnecting(&heavy)).as_deref(), Some(group_home.as_str()));
+    assert_eq!(
+        proxy.host.migrated,
+        [3, 2],
+        "each session is migrated once, and none that is at its group's server"
+    );
+    assert_eq!(proxy.establish(reconnecting(&heavy)).as_deref(), Some(group_server_id.as_str()));
 }
 
 #[test]
-fn where_work_has_piled_up_sessions_at_their_groups_server_are_migrated_too() {
+fn with_a_backlog_sessions_at_their_groups_server_are_migrated_too() {
     let mut proxy = Proxy::with_four_servers();
     group_server(&mut proxy, "bank");
     (0..50).for_each(|_| proxy.report_message_latency(1, 100));
@@ -47,15 +52,16 @@
     assert_eq!(proxy.host.migrated, [1]);
 }
 
-/// Where the others are overloaded too, the usual probability would never empty a server.
+/// With the usual probability, a server would never be emptied while the other servers are overloaded too.
 #[test]
-fn migrations_increase_where_the_other_servers_are_overloaded_too() {
+fn migrations_increase_if_the_other_servers_are_overloaded_too() {
     let migrated = |others: u64| {
         let migrations = |seed: u64| {
-            let mut proxy = Proxy::seeded(seed.wrapping_mul(SEED_MULTIPLIER), &TWELVE.map(server));
-            proxy.overload(&["a2", "a3", "a4"], others);
+            let mut proxy =
+                Proxy::with_seed(seed.wrapping_mul(SEED_MULTIPLIER), &TWELVE_SERVERS.map(endpoint));
+            proxy.add_sessions_with_latency(&["a2", "a3", "a4"], others);
             let before = proxy.host.migrated.len();
-            proxy.overload(&["a1"], 500);
+            proxy.add_sessions_with_latency(&["a1"], 500);
             proxy.host.migrated.len() - before
         };
         (0..100).map(migrations).sum::<usize>()
@@ -68,7 +74,7 @@
 fn without_message_latencies_slow_health_checks_start_rebalancing() {
     let mut proxy = Proxy::with_four_servers();
     proxy.balancer.start_periodic_checks(true, proxy.now, &mut proxy.host);
-    assert!(proxy.host.health_checked.is_empty(), "nothing is held anywhere");
+    assert!(proxy.host.health_checked.is_empty(), "no server holds a session");
     let sessions: Vec<u64> = (0..12)
         .map(|i| {
             let key = format!("lift-{i}");
@@ -77,20 +83,20 @@
         })
         .collect();
     proxy.run_for(300);
-    let place = proxy.servers_tried(sessions[0])[0].clone();
-    assert!(proxy.host.health_checked.contains(&place));
+    let server = proxy.servers_tried(sessions[0])[0].clone();
+    assert!(proxy.host.health_checked.contains(&server));
     for ms in [2, 3] {
-        proxy.balancer.on_health_check(&place, Duration::from_millis(ms), proxy.now, &mut proxy.host);
+        proxy.balancer.on_health_check(&server, Duration::from_millis(ms), proxy.now, &mut proxy.host);
     }
-    assert!(proxy.host.migrated.is_empty(), "half as long again is within chance");
+    assert!(proxy.host.migrated.is_empty(), "a latency 50 % above the shortest one may be random");
     for _ in 0..12 {
-        proxy.balancer.on_health_check(&place, Duration::from_millis(30), proxy.now, &mut proxy.host);
+        proxy.balancer.on_health_check(&server, Duration::from_millis(30), proxy.now, &mut proxy.host);
     }
     assert!(!proxy.host.migrated.is_empty());
-    assert!(proxy.host.migrated.iter().all(|c| proxy.servers_tried(*c) == [place.clone()]));
-    let before = proxy.host.health_checked.iter().filter(|p| **p == place).count();
+    assert!(proxy.host.migrated.iter().all(|session| proxy.servers_tried(*session) == [server.clone()]));
+    let before = proxy.host.health_checked.iter().filter(|checked| **checked == server).count();
     proxy.run_for(2200);
-    let after = proxy.host.health_checked.iter().filter(|p| **p == place).count();
+    let after = proxy.host.health_checked.iter().filter(|checked| **checked == server).count();
     assert!(after >= before + 2, "an overloaded server is checked each second");
 }
 
@@ -100,9 +106,10 @@
     for i in 0..8 {
         proxy.establish(arrival(&format!("lift-{i}")));
     }
-    let place = proxy.servers_tried(1)[0].clone();
-    let held: Vec<u64> = (1..=8).filter(|c| proxy.servers_tried(*c) == [place.clone()]).collect();
-    let draining = Endpoint { state: EndpointState::Draining, ..server(&place) };
+    let server = proxy.servers_tried(1)[0].clone();
+    let held: Vec<u64> =
+        (1..=8).filter(|session| proxy.servers_tried(*session) == [server.clone()]).collect();
+    let draining = Endpoint { state: EndpointState::Draining, ..endpoint(&server) };
     proxy.balancer.on_endpoints(&[draining], false, proxy.now);
     proxy.balancer.start_periodic_checks(true, proxy.now, &mut proxy.host);
     assert!(proxy.host.migrated.len() <= 1, "one at a time");
@@ -113,7 +120,7 @@
 }
 
 #[test]
-fn a_client_without_answers_is_migrated_once() {
+fn a_client_whose_messages_are_not_answered_is_migrated_once() {
     let mut proxy = Proxy::with_four_servers();
     proxy.establish(arrival("lift-1"));
     proxy.report_message_latency(1, 4000);
@@ -122,9 +129,9 @@
 }
 
 #[test]
-fn an_unusually_short_health_check_is_not_the_reference_for_good() {
+fn an_unusually_short_health_check_does_not_remain_the_reference() {
     let mut proxy = Proxy::with_four_servers();
-    let key = key_for("a1");
+    let key = key_hashed_to("a1");
     proxy.balancer.on_health_check("a1", Duration::from_ms(0.05), proxy.now, &mut proxy.host);
     for _ in 0..40 {
         proxy.balancer.on_health_check("a1", Duration::from_millis(2), proxy.now, &mut proxy.host);
--- a/tests/scenarios/slow_start_fleet.rs
+++ b/tests/scenarios/slow_start_fleet.rs
@@ -1,16 +1,17 @@
-//! Slow start, kept by all proxies of a simulated fleet together.
+//! Slow start, enforced by all proxies of a simulated fleet together.
 
 use crate::simulated_fleet::*;
 
 const LOADS: [Load; 3] = [Load::Burst, Load::ZoneBack, Load::ColdStart];
-/// Of the first twenty seeds, those that are the hardest for proxies that do not count their attempts.
+/// Of the first 20 seeds, the hardest ones for proxies that do not count their attempts.
 const SEEDS: [u64; 3] = [0, 10, 18];
 
 /// A warming server may rank first for many groups, which no single proxy observes.
 ///
-/// Prints a table: the most that any restarted server was sent in two seconds as a fraction of its bound, what 99 in 100
-/// kept to, and in brackets the mean of all that the settings allow (N). For `docs/results.md`:
-/// `RAMP_SEEDS=60 cargo test --release --test scenarios slow_start_fleet -- --nocapture`.
+/// Prints a table with, for each case, the largest number of attempts that any restarted server was sent in two
+/// seconds as a fraction of its bound, the 99th percentile of that fraction, and in brackets the mean as a fraction
+/// of everything that the settings allow (N). For `docs/results.md`: `RAMP_SEEDS=60 cargo test --release --test
+/// scenarios slow_start_fleet -- --nocapture`.
 #[test]
 fn any_number_of_proxies_keep_warming_servers_within_the_bound_together() {
     let seeds_override = std::env::var("RAMP_SEEDS").ok().and_then(|seeds| seeds.parse().ok());
@@ -36,16 +37,18 @@
                         server_capacity: SERVER_CAPACITY,
                         window_ms: WINDOW_MS,
                     };
-                    let fleet = Fleet::of(scenario).run();
-                    let beyond = fleet.worst_utilization().into_iter().filter(|m| *m > 1.0);
-                    violations.extend(beyond.map(|m| format!("{scenario:?}: {m:.2}")));
+                    let fleet = Fleet::new(scenario).run();
+                    let over_bound =
+                        fleet.worst_utilization().into_iter().filter(|utilization| *utilization > 1.0);
+                    violations
+                        .extend(over_bound.map(|utilization| format!("{scenario:?}: {utilization:.2}")));
                     worst_utilization.extend(fleet.worst_utilization());
                     mean_utilization += fleet.mean_utilization() / seeds.len() as f64;
                 }
                 worst_utilization.sort_by(f64::total_cmp);
-                let nearly = worst_utilization[(worst_utilization.len() * 99).div_ceil(100) - 1];
+                let p99 = worst_utilization[(worst_utilization.len() * 99).div_ceil(100) - 1];
                 row += &format!(
-                    "| {:.2}, {nearly:.2} ({mean_utilization:.2}) ",
+                    "| {:.2}, {p99:.2} ({mean_utilization:.2}) ",
                     worst_utilization[worst_utilization.len() - 1]
                 );
             }
@@ -55,11 +58,13 @@
     assert!(violations.is_empty(), "{violations:#?}");
 }
 
-/// A burst shorter than the usual two seconds overloads a server whose overload window is shorter, too.
+/// A burst that is shorter than the usual two seconds also overloads a server whose overload window is shorter.
 #[test]
 fn a_burst_keeps_to_the_budget_in_the_configured_overload_window() {
     let mut violations = Vec::new();
-    for (window_ms, proxies) in [500.0, 1000.0, 3000.0].into_iter().flat_map(|span| [(span, 1), (span, 30)]) {
+    for (window_ms, proxies) in
+        [500.0, 1000.0, 3000.0].into_iter().flat_map(|window_ms| [(window_ms, 1), (window_ms, 30)])
+    {
         for (warming, seed) in [(4, 6), (12, 2), (12, 6)] {
             for grouped in [false, true] {
                 let server_capacity = if proxies == 1 { 300.0 } else { SERVER_CAPACITY };
@@ -72,8 +77,12 @@
                     server_capacity,
                     window_ms,
                 };
-                let beyond = Fleet::of(scenario).run().worst_utilization().into_iter().filter(|m| *m > 1.0);
-                violations.extend(beyond.map(|m| format!("{scenario:?}: {m:.2}")));
+                let over_bound = Fleet::new(scenario)
+                    .run()
+                    .worst_utilization()
+                    .into_iter()
+                    .filter(|utilization| *utilization > 1.0);
+                violations.extend(over_bound.map(|utilization| format!("{scenario:?}: {utilization:.2}")));
             }
         }
     }
