--- a/crates/proxy/src/proxy/peer_events.rs
+++ b/crates/proxy/src/proxy/peer_events.rs
@@ -56,7 +56,7 @@
     }
 
     fn set_quota_fraction(&mut self, fraction: f64) {
-        self.balancer.set_quota_fraction(fraction * self.balancer.proxies() * LEASED_QUOTA_FACTOR);
+        self.balancer.set_quota_fraction(fraction * self.balancer.proxy_count() * LEASED_QUOTA_FACTOR);
     }
 
     fn flow_entries(&self) -> Vec<FlowEntry> {
--- a/crates/proxy/src/tenants/tenant_balancers.rs
+++ b/crates/proxy/src/tenants/tenant_balancers.rs
@@ -173,8 +173,8 @@
     }
 
     /// Number of proxies that share the servers, by the settings.
-    pub fn proxies(&self) -> f64 {
-        self.default_balancer.proxies()
+    pub fn proxy_count(&self) -> f64 {
+        self.default_balancer.proxy_count()
     }
 
     fn balancer_of(&mut self, session: SessionId) -> &mut LoadBalancer {
--- a/crates/settings/src/build.rs
+++ b/crates/settings/src/build.rs
@@ -71,7 +71,7 @@
         total_capacity,
         server_capacity: server_capacity
             .map_or(DEFAULT_SERVER_CAPACITY_CONNECTIONS, |each| each.get().into()),
-        proxies: file.proxies.map_or(DEFAULT_PROXIES, NonZeroUsize::get) as f64,
+        proxy_count: file.proxies.map_or(DEFAULT_PROXIES, NonZeroUsize::get) as f64,
     })
 }
 
--- a/crates/testkit/src/cells.rs
+++ b/crates/testkit/src/cells.rs
@@ -245,7 +245,7 @@
 
     fn send(&mut self, from: usize, to: SocketAddr, bytes: Vec<u8>) {
         assert!(bytes.len() <= shelfgrade_cells::MAX_DATAGRAM_BYTES, "a datagram of {} bytes", bytes.len());
-        let second = self.now.periods(Duration::from_millis(1000));
+        let second = self.now.elapsed_periods(Duration::from_millis(1000));
         let of = &mut self.nodes[from];
         of.bytes += bytes.len() as u64;
         of.datagrams += 1;
--- a/crates/testkit/src/decisions.rs
+++ b/crates/testkit/src/decisions.rs
@@ -101,7 +101,7 @@
             overload_window: Duration::from_millis(2000),
             total_capacity: Some(CONNECTIONS as f64),
             server_capacity: 0.0,
-            proxies: PROXIES as f64,
+            proxy_count: PROXIES as f64,
         };
         let class = RequestClass {
             idempotency: Idempotency::Idempotent,
--- a/src/balancer/load_balancer.rs
+++ b/src/balancer/load_balancer.rs
@@ -50,7 +50,7 @@
         max_poll_interval: Option<Duration>,
         slow_start: SlowStart,
     ) -> Self {
-        let state = Rc::new(ProxyState::new(max_attempts, seed, slow_start.proxies));
+        let state = Rc::new(ProxyState::new(max_attempts, seed, slow_start.proxy_count));
         let objective = classes.iter().filter_map(|class| class.message_latency_objective).min();
         LoadBalancer {
             message_latency_objective: objective.unwrap_or(DEFAULT_MESSAGE_LATENCY_OBJECTIVE),
--- a/src/balancer/placement.rs
+++ b/src/balancer/placement.rs
@@ -153,7 +153,7 @@
 
 /// Returns the random draw of a client, which is the same for all its requests within the lifetime of a draw.
 fn client_draw(state: &ProxyState, session: &Session, now: Timestamp) -> f64 {
-    let seed = state.seed ^ session.key ^ now.periods(DRAW_LIFETIME);
+    let seed = state.seed ^ session.key ^ now.elapsed_periods(DRAW_LIFETIME);
     f64::from(WyRand::new_seed(seed).generate::<f32>())
 }
 
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -20,7 +20,7 @@
     /// The capacity of each server, in connections.
     pub server_capacity: f64,
     /// The number of proxies, including this one.
-    pub proxies: f64,
+    pub proxy_count: f64,
 }
 
 /// The inputs to the admission to a warming server, besides the server itself.
@@ -38,7 +38,7 @@
 impl SlowStart {
     /// Returns this proxy's even share of the capacity of this many servers, in connections.
     pub(super) fn proxy_capacity(&self, server_count: usize) -> f64 {
-        self.total_capacity.unwrap_or(self.server_capacity * server_count as f64) / self.proxies
+        self.total_capacity.unwrap_or(self.server_capacity * server_count as f64) / self.proxy_count
     }
 
     /// Returns how far the server has warmed up, from 0 (just started) to 1 (warm).
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -33,7 +33,7 @@
 //!     overload_window: Duration::from_millis(2000),
 //!     total_capacity: None,
 //!     server_capacity: 30.0,
-//!     proxies: 3.0,
+//!     proxy_count: 3.0,
 //! };
 //! let class = RequestClass {
 //!     idempotency: Idempotency::Idempotent,
--- a/src/time.rs
+++ b/src/time.rs
@@ -25,7 +25,7 @@
     }
 
     /// Returns the number of complete periods of this length since the clock's zero.
-    pub fn periods(self, period: Duration) -> u64 {
+    pub fn elapsed_periods(self, period: Duration) -> u64 {
         self.0 / as_micros_u64(period).max(1)
     }
 
--- a/src/warm_restart.rs
+++ b/src/warm_restart.rs
@@ -24,7 +24,7 @@
     }
 
     /// Returns the number of proxies in the settings, including this one.
-    pub fn proxies(&self) -> f64 {
+    pub fn proxy_count(&self) -> f64 {
         self.state.proxy_count
     }
 
--- a/tests/scenarios/harness.rs
+++ b/tests/scenarios/harness.rs
@@ -129,7 +129,7 @@
             overload_window: Duration::from_millis(2000),
             total_capacity: proxy_capacity.map(|capacity| capacity * proxies),
             server_capacity: 30.0,
-            proxies,
+            proxy_count: proxies,
         };
         Self::with_slow_start(slow_start, seed, list)
     }
--- a/tests/scenarios/list_freshness.rs
+++ b/tests/scenarios/list_freshness.rs
@@ -22,7 +22,7 @@
         overload_window: Duration::from_millis(2000),
         total_capacity: None,
         server_capacity: 30.0,
-        proxies: proxies as f64,
+        proxy_count: proxies as f64,
     };
     let balancer =
         LoadBalancer::new(seed, Vec::new(), 4, Duration::from_millis(1000), max_poll_interval, slow_start);
--- a/tests/scenarios/simulated_fleet.rs
+++ b/tests/scenarios/simulated_fleet.rs
@@ -115,7 +115,7 @@
                     overload_window: Duration::from_ms(scenario.window_ms),
                     total_capacity: (i % 2 == 0).then_some(total_capacity),
                     server_capacity: scenario.server_capacity,
-                    proxies: scenario.proxies as f64,
+                    proxy_count: scenario.proxies as f64,
                 };
                 let mut proxy = Proxy::with_slow_start(slow_start, rng.generate(), &list);
                 proxy.host.health_checks_refused = i % 5 == 4;
