--- a/src/balancer/failure_detector.rs
+++ b/src/balancer/failure_detector.rs
@@ -4,7 +4,7 @@
 use crate::time::{DurationExt, Timestamp};
 use std::time::Duration;
 
-/// Fewer samples do not show the usual latency.
+/// The number of samples from which on the usual latency can be estimated.
 const MIN_SAMPLES: usize = 5;
 /// The suspicion level phi. With exponentially distributed latencies, one silence in 10^4 lasts this long by chance.
 const PHI_THRESHOLD: f64 = 4.0;
--- a/src/balancer/rebalancing.rs
+++ b/src/balancer/rebalancing.rs
@@ -64,17 +64,17 @@
     }
 
     /// Migrates the server's heaviest session that is outside its group's servers, or, if `any_session` and there is
-    /// none, its heaviest session. Does so with a probability that increases with `urgency`, because all proxies
-    /// observe an overload at the same time and would together empty the server.
+    /// none, its heaviest session. Does so only with some probability, multiplied by `probability_factor`, because
+    /// all proxies observe an overload at the same time and would together empty the server.
     pub(super) fn rebalance(
         &self,
         server: &Rc<Server>,
         any_session: bool,
-        urgency: f64,
+        probability_factor: f64,
         host: &mut dyn Host,
     ) {
         let sessions = server.sessions.borrow().len() as f64;
-        if self.state.random_unit() >= MIGRATION_PROBABILITY * urgency * sessions {
+        if self.state.random_unit() >= MIGRATION_PROBABILITY * probability_factor * sessions {
             return;
         }
         let candidate = self.migration_candidate(server);
--- a/tests/scenarios/concurrency_limit.rs
+++ b/tests/scenarios/concurrency_limit.rs
@@ -5,7 +5,7 @@
 use shelfgrade::time::DurationExt;
 
 #[test]
-fn congestion_limits_a_hundred_proxies_of_one_client_each() {
+fn congestion_limits_a_hundred_proxies_with_one_client_each() {
     // Every attempt ends in an error, and the client returns immediately as a new session.
     let attempts_in_a_second = |seed: u64| {
         let mut proxy =
@@ -17,7 +17,7 @@
             }
             let key = format!("lift-{i}");
             let session = proxy.arrive(Arrival { reconnected: true, ..arrival(&key) });
-            // As long as it is sent to another server.
+            // As long as the session is sent to another server.
             for attempt in 1..=4 {
                 if proxy.servers_tried(session).len() == attempt {
                     proxy.end_attempt(session, AttemptOutcome::Failed);
--- a/tests/scenarios/harness.rs
+++ b/tests/scenarios/harness.rs
@@ -101,7 +101,7 @@
     }
 }
 
-/// One proxy.
+/// A load balancer with its host, its clock and the number of its last session.
 pub struct Proxy {
     pub balancer: LoadBalancer,
     pub host: RecordingHost,
@@ -120,16 +120,16 @@
 
     /// Creates one proxy of a fleet of this many, each with this share of the total capacity if the settings define
     /// one.
-    pub fn in_fleet(proxies: usize, proxy_capacity: Option<f64>, seed: u64, list: &[Endpoint]) -> Self {
-        let proxies = proxies as f64;
+    pub fn in_fleet(proxy_count: usize, proxy_capacity: Option<f64>, seed: u64, list: &[Endpoint]) -> Self {
+        let proxy_count = proxy_count as f64;
         let slow_start = SlowStart {
             initial_fraction: 0.3,
             duration: Duration::from_millis(8000),
             overload_factor: 3.0,
             overload_window: Duration::from_millis(2000),
-            total_capacity: proxy_capacity.map(|capacity| capacity * proxies),
+            total_capacity: proxy_capacity.map(|capacity| capacity * proxy_count),
             server_capacity: 30.0,
-            proxy_count: proxies,
+            proxy_count,
         };
         Self::with_slow_start(slow_start, seed, list)
     }
--- a/tests/scenarios/list_freshness.rs
+++ b/tests/scenarios/list_freshness.rs
@@ -14,7 +14,7 @@
 const CALL_TIMEOUT: Duration = Duration::from_millis(2800);
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1000);
 
-fn proxy_in_fleet(proxies: usize, max_poll_interval: Option<Duration>, seed: u64) -> Proxy {
+fn proxy_in_fleet(proxy_count: usize, max_poll_interval: Option<Duration>, seed: u64) -> Proxy {
     let slow_start = SlowStart {
         initial_fraction: 0.3,
         duration: Duration::from_millis(8000),
@@ -22,7 +22,7 @@
         overload_window: Duration::from_millis(2000),
         total_capacity: None,
         server_capacity: 30.0,
-        proxy_count: proxies as f64,
+        proxy_count: proxy_count as f64,
     };
     let balancer =
         LoadBalancer::new(seed, Vec::new(), 4, Duration::from_millis(1000), max_poll_interval, slow_start);
--- a/tests/scenarios/outlier_detection.rs
+++ b/tests/scenarios/outlier_detection.rs
@@ -60,11 +60,15 @@
 fn a_session_that_fails_everywhere_raises_only_its_first_servers_outlier_score() {
     let mut proxy = Proxy::with_twelve_servers();
     for _ in 0..3 {
-        let bad = proxy.arrive(arrival("bad"));
+        let failing_session = proxy.arrive(arrival("bad"));
         for _ in 0..4 {
-            proxy.end_attempt(bad, AttemptOutcome::Failed);
+            proxy.end_attempt(failing_session, AttemptOutcome::Failed);
         }
-        assert_eq!(proxy.servers_tried(bad).len(), 4, "the errors may still be caused by the servers");
+        assert_eq!(
+            proxy.servers_tried(failing_session).len(),
+            4,
+            "the errors may still be caused by the servers"
+        );
     }
     let before = proxy.host.attempts.len();
     let first = proxy.host.attempts[0].server.clone();
@@ -81,12 +85,13 @@
 fn an_unused_server_is_passed_over_by_the_excess_score_of_its_zone() {
     let list: Vec<_> =
         ["a", "b"].iter().flat_map(|zone| (0..20).map(move |i| endpoint(&format!("{zone}{i:02}")))).collect();
-    let unused_in_a = |bad: &[&str]| {
+    let unused_in_a = |overloaded: &[&str]| {
         let is_sent_to_unused_in_a = |seed: u64| {
             let mut proxy = Proxy::in_fleet(100, None, seed, &list);
             proxy.host.health_checks_refused = true;
             for server in ["a00", "a01", "a02", "b00", "b01", "b02"] {
-                proxy.add_sessions_with_latency(&[server], if bad.contains(&server) { 500 } else { 1 });
+                proxy
+                    .add_sessions_with_latency(&[server], if overloaded.contains(&server) { 500 } else { 1 });
             }
             let key = format!("key{seed}");
             let session = proxy.arrive(Arrival { group: Some(&key), ..arrival(&key) });
@@ -107,11 +112,11 @@
 /// Retries by many proxies together would keep an overloaded server from recovering.
 #[test]
 fn many_proxies_together_retry_an_overloaded_server_no_more_often_than_few() {
-    let nine: Vec<_> = TWELVE_SERVERS[..9].iter().map(|server| endpoint(server)).collect();
+    let nine_servers: Vec<_> = TWELVE_SERVERS[..9].iter().map(|server| endpoint(server)).collect();
     // Clients that reconnect 15 s after each proxy's last report of the overload.
     let retried = |proxies: usize| {
         let retries = |seed: &u64| {
-            let mut proxy = Proxy::in_fleet(proxies, Some(1000.0), *seed, &nine);
+            let mut proxy = Proxy::in_fleet(proxies, Some(1000.0), *seed, &nine_servers);
             let first_server = group_server(&mut proxy, "bank").expect("a server");
             proxy.add_sessions_with_latency(&[&first_server], 500);
             proxy.advance(15_000);
--- a/tests/scenarios/placement.rs
+++ b/tests/scenarios/placement.rs
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn sessions_without_a_server_are_rejected_at_once_and_unknown_ids_are_ignored() {
+fn sessions_without_a_server_are_rejected_immediately_and_unknown_ids_are_ignored() {
     let mut proxy = Proxy::with_servers(&[]);
     let keyless = Arrival { key: None, ..arrival("") };
     assert_eq!(proxy.establish(keyless), None);
