--- a/crates/cells/tests/agreement.rs
+++ b/crates/cells/tests/agreement.rs
@@ -4,7 +4,7 @@
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
 use shelfgrade_cells::{Action, Change, Stored};
-use shelfgrade_testkit::cells::{CellsSimulation, OneValue, CALM, ROUGH};
+use shelfgrade_testkit::cells::{CellsSimulation, SlotValueCheck, GOOD_NETWORK, POOR_NETWORK};
 
 /// The seed is fixed, so that the cases are the same in every run.
 fn cases(cases: u32) -> ProptestConfig {
@@ -32,25 +32,25 @@
 
 #[test]
 fn the_check_for_one_value_finds_two() {
-    let mut one_value = OneValue::default();
-    one_value.chosen(1, &vec![put(1, "k", 1)]);
-    one_value.chosen(1, &vec![put(1, "k", 1)]);
-    assert!(one_value.breaches.is_empty());
-    one_value.chosen(1, &vec![put(1, "k", 2)]);
-    assert_eq!(one_value.breaches, [1]);
+    let mut slot_value_check = SlotValueCheck::default();
+    slot_value_check.record_chosen(1, &vec![put(1, "k", 1)]);
+    slot_value_check.record_chosen(1, &vec![put(1, "k", 1)]);
+    assert!(slot_value_check.conflicts.is_empty());
+    slot_value_check.record_chosen(1, &vec![put(1, "k", 2)]);
+    assert_eq!(slot_value_check.conflicts, [1]);
 }
 
 /// Five replicas that are killed, lose their disks one at a time, and are partitioned at random.
 fn never_two_values(steps: &[(u8, usize, u64)], seed: u64, forgets: bool) -> CellsSimulation {
-    let mut simulation = CellsSimulation::founded(&[0, 0, 1, 1, 2], ROUGH, seed).with_horizon(16);
+    let mut simulation = CellsSimulation::founded(&[0, 0, 1, 1, 2], POOR_NETWORK, seed).with_horizon(16);
     let mut id = 0;
     for (what, node, ms) in steps {
         let node = node % 5;
         match what % 8 {
             0 => simulation.kill(node),
-            1 if !simulation.runs(node) => simulation.start(node),
-            2 => simulation.nodes[node].group = 1,
-            3 => simulation.nodes.iter_mut().for_each(|node| node.group = 0),
+            1 if !simulation.is_running(node) => simulation.start(node),
+            2 => simulation.nodes[node].partition = 1,
+            3 => simulation.nodes.iter_mut().for_each(|node| node.partition = 0),
             4 if forgets => {
                 // A deliberate breach: a disk is lost, and the replica starts as if it were not.
                 simulation.kill(node);
@@ -71,7 +71,7 @@
                 simulation.submit(node, put(id, &format!("k{}", id % 3), id as u8));
             }
         }
-        simulation.passes(*ms);
+        simulation.run_for_ms(*ms);
     }
     simulation
 }
@@ -86,23 +86,23 @@
     #[test]
     fn no_slot_ever_has_two_values_and_all_replicas_converge_after_a_partition(steps in steps(), seed in any::<u64>()) {
         let mut simulation = never_two_values(&steps, seed, false);
-        prop_assert!(simulation.one_value.breaches.is_empty(), "{:?}", simulation.one_value.breaches);
+        prop_assert!(simulation.slot_value_check.conflicts.is_empty(), "{:?}", simulation.slot_value_check.conflicts);
         for node in 0..5 {
-            simulation.nodes[node].group = 0;
-            if !simulation.runs(node) {
+            simulation.nodes[node].partition = 0;
+            if !simulation.is_running(node) {
                 simulation.start(node);
             }
         }
-        simulation.net = CALM;
+        simulation.network = GOOD_NETWORK;
         simulation.submit(0, put(9999, "last", 1));
         let all = |simulation: &CellsSimulation| agree(simulation) && simulation.outcomes.contains_key(&9999);
-        let agreed = simulation.until(30_000, 100, all);
+        let agreed = simulation.run_until(30_000, 100, all);
         let each: Vec<_> = (0..5).filter_map(|node| simulation.replica(node)).map(|replica| {
             let state = replica.state();
             (replica.can_vote(), replica.slot(), state.complete_to(), state.head(), state.digest())
         }).collect();
         prop_assert!(agreed, "they never agreed: {each:?}, {:?}", simulation.outcomes.get(&9999));
-        prop_assert!(simulation.one_value.breaches.is_empty(), "{:?}", simulation.one_value.breaches);
+        prop_assert!(simulation.slot_value_check.conflicts.is_empty(), "{:?}", simulation.slot_value_check.conflicts);
     }
 }
 
@@ -113,7 +113,7 @@
         let mut step =
             || (rng.generate_range(0..8u8), rng.generate_range(0..5usize), rng.generate_range(1..900u64));
         let steps: Vec<_> = (0..60).map(|_| step()).collect();
-        !never_two_values(&steps, seed, true).one_value.breaches.is_empty()
+        !never_two_values(&steps, seed, true).slot_value_check.conflicts.is_empty()
     });
     assert!(breaks, "200 draws without a breach: the check sees nothing");
 }
--- a/crates/cells/tests/dissemination.rs
+++ b/crates/cells/tests/dissemination.rs
@@ -6,7 +6,7 @@
     State, Value, Version,
 };
 use shelfgrade_testkit::cells::fleet::{percentile, put};
-use shelfgrade_testkit::cells::{address, CellsSimulation, CALM, FLEET};
+use shelfgrade_testkit::cells::{address, CellsSimulation, FLEET, GOOD_NETWORK};
 use std::time::Duration;
 
 fn delete(id: u64, key: &str) -> Change {
@@ -15,10 +15,10 @@
 
 /// A fleet whose processes, in four cells, have all found each other.
 fn settled(processes: usize, entries: usize, seed: u64) -> CellsSimulation {
-    let mut simulation = CellsSimulation::whole_fleet(processes, 4, entries, CALM, seed);
-    assert!(simulation.until(60_000, 50, CellsSimulation::agrees), "all have all");
-    simulation.passes(10_000);
-    simulation.measure_anew();
+    let mut simulation = CellsSimulation::start_fleet(processes, 4, entries, GOOD_NETWORK, seed);
+    assert!(simulation.run_until(60_000, 50, CellsSimulation::has_converged), "all have all");
+    simulation.run_for_ms(10_000);
+    simulation.reset_measurements();
     simulation
 }
 
@@ -28,13 +28,13 @@
     let (mut all, mut own) = (Vec::new(), Vec::new());
     for id in 1..=20 {
         let at = (id % 4) as usize;
-        for (region, ms) in simulation.change_and_watch(id, at, 30_000) {
+        for (region, ms) in simulation.measure_propagation(id, at, 30_000) {
             all.push(ms);
-            if region == simulation.nodes[at].site.region {
+            if region == simulation.nodes[at].location.region {
                 own.push(ms);
             }
         }
-        simulation.passes(700);
+        simulation.run_for_ms(700);
     }
     assert!(percentile(&mut all, 99.0) <= 6000.0, "{all:?}");
     assert!(percentile(&mut own, 99.0) <= 3000.0, "{own:?}");
@@ -44,13 +44,13 @@
 fn the_idle_send_rate_of_a_process_does_not_grow_with_its_cell() {
     let small = {
         let mut simulation = settled(40, 50, 2);
-        simulation.passes(30_000);
-        simulation.bytes(Duration::from_millis(30_000)).0
+        simulation.run_for_ms(30_000);
+        simulation.send_rates(Duration::from_millis(30_000)).0
     };
     let large = {
         let mut simulation = settled(160, 50, 2);
-        simulation.passes(30_000);
-        simulation.bytes(Duration::from_millis(30_000)).0
+        simulation.run_for_ms(30_000);
+        simulation.send_rates(Duration::from_millis(30_000)).0
     };
     assert!(large < 1.25 * small, "four times the members: {small:.0} and {large:.0} bytes a second");
 }
@@ -62,10 +62,11 @@
         simulation
             .submit(0, put(20_000 + entry, &format!("server/{entry:05}"), "10.0.0.2:8080 cold weight 3"));
     }
-    let done =
-        |simulation: &CellsSimulation| simulation.outcomes.contains_key(&20_999) && simulation.agrees();
-    assert!(simulation.until(120_000, 100, done), "all have them in the end");
-    let (_, _, most) = simulation.bytes(Duration::from_millis(1000));
+    let done = |simulation: &CellsSimulation| {
+        simulation.outcomes.contains_key(&20_999) && simulation.has_converged()
+    };
+    assert!(simulation.run_until(120_000, 100, done), "all have them in the end");
+    let (_, _, most) = simulation.send_rates(Duration::from_millis(1000));
     assert!(most <= 4096, "{most} bytes in one second");
 }
 
@@ -75,14 +76,14 @@
     let mut took = Vec::new();
     for start in 0..20 {
         let node = simulation.replicas + start * 7 % 48;
-        simulation.nodes[node].kept = None;
-        simulation.replace(500 + start as u64, node, 500);
+        simulation.nodes[node].snapshot = None;
+        simulation.replace_process(500 + start as u64, node, 500);
         // Also one whose disk is empty.
         let at = simulation.now;
         let holds = |simulation: &CellsSimulation| {
             simulation.process(node).is_some_and(|process| process.is_active())
         };
-        assert!(simulation.until(20_000, 10, holds));
+        assert!(simulation.run_until(20_000, 10, holds));
         took.push(simulation.now.since(at).as_ms());
     }
     assert!(percentile(&mut took, 95.0) <= 2000.0, "{took:?}");
@@ -92,19 +93,23 @@
 fn a_region_that_is_cut_off_keeps_its_quota_and_converges_soon_after() {
     let mut simulation = settled(48, 50, 5);
     let cut = |simulation: &mut CellsSimulation, group: u8| {
-        simulation.nodes.iter_mut().filter(|node| node.site.region == 2).for_each(|node| node.group = group);
+        simulation
+            .nodes
+            .iter_mut()
+            .filter(|node| node.location.region == 2)
+            .for_each(|node| node.partition = group);
     };
     let before = simulation.quota_in_use();
     cut(&mut simulation, 1);
     simulation.submit(0, put(1, "far", "1"));
-    simulation.passes(300_000);
+    simulation.run_for_ms(300_000);
     assert_eq!(simulation.quota_in_use(), before, "processes without contact keep their quotas");
     let known = |simulation: &CellsSimulation| {
         simulation.processes().filter(|(_, p)| p.state().entry("far").is_some()).count()
     };
     assert_eq!(known(&simulation), 36);
     cut(&mut simulation, 0);
-    assert!(simulation.until(10_000, 50, CellsSimulation::agrees), "{}", known(&simulation));
+    assert!(simulation.run_until(10_000, 50, CellsSimulation::has_converged), "{}", known(&simulation));
     assert_eq!(known(&simulation), 48);
 }
 
@@ -116,7 +121,7 @@
         simulation.processes().map(|(_, process)| process.state().digest()).collect(),
     );
     (0..simulation.replicas).for_each(|node| simulation.kill(node));
-    simulation.passes(120_000);
+    simulation.run_for_ms(120_000);
     assert_eq!(simulation.quota_in_use(), quota);
     let now: Vec<u64> = simulation.processes().map(|(_, process)| process.state().digest()).collect();
     assert_eq!(now, digests);
@@ -128,37 +133,41 @@
 
 #[test]
 fn a_process_that_restarts_after_days_drops_deleted_records() {
-    let mut simulation = CellsSimulation::whole_fleet(12, 4, 10, CALM, 7).with_horizon(16);
-    assert!(simulation.until(60_000, 50, CellsSimulation::agrees));
+    let mut simulation = CellsSimulation::start_fleet(12, 4, 10, GOOD_NETWORK, 7).with_horizon(16);
+    assert!(simulation.run_until(60_000, 50, CellsSimulation::has_converged));
     let node = simulation.replicas + 5;
     simulation.kill(node);
     simulation.submit(0, delete(100, "server/00003"));
     for id in 200..260 {
         simulation.submit(0, put(id, &format!("server/{:05}", id % 3), "new"));
-        simulation.passes(700);
+        simulation.run_for_ms(700);
     }
     let replica = simulation.replica(0).expect("runs").state();
     assert!(replica.get(&Key::Entry("server/00003".into())).is_none(), "forgotten");
-    simulation.replace(300, node, 10);
-    assert!(simulation.until(20_000, 50, CellsSimulation::agrees));
+    simulation.replace_process(300, node, 10);
+    assert!(simulation.run_until(20_000, 50, CellsSimulation::has_converged));
     let state = simulation.process(node).expect("runs").state();
     assert!(state.entry("server/00003").is_none() && state.entry("server/00009").is_some());
 }
 
 #[test]
 fn replacing_all_processes_leaves_no_more_records() {
-    let mut simulation = CellsSimulation::whole_fleet(24, 4, 20, CALM, 8).with_horizon(16);
-    assert!(simulation.until(60_000, 50, CellsSimulation::agrees));
+    let mut simulation = CellsSimulation::start_fleet(24, 4, 20, GOOD_NETWORK, 8).with_horizon(16);
+    assert!(simulation.run_until(60_000, 50, CellsSimulation::has_converged));
     let records =
         |simulation: &CellsSimulation| simulation.processes().map(|(_, process)| process.state().len()).max();
     let before = records(&simulation);
     for round in 0..3 {
         for process in 0..24 {
-            simulation.replace(1000 + 100 * round + process, simulation.replicas + process as usize, 200);
-            simulation.passes(500);
+            simulation.replace_process(
+                1000 + 100 * round + process,
+                simulation.replicas + process as usize,
+                200,
+            );
+            simulation.run_for_ms(500);
         }
     }
-    assert!(simulation.until(20_000, 50, CellsSimulation::agrees));
+    assert!(simulation.run_until(20_000, 50, CellsSimulation::has_converged));
     assert_eq!(records(&simulation), before);
 }
 
@@ -166,24 +175,25 @@
 fn a_replaced_process_is_a_member_while_the_fleet_runs() {
     let mut simulation = settled(24, 20, 9);
     // A new process in a cell, on a new machine.
-    let node = simulation.machine("late".to_owned(), CellId(1), 1);
-    let change = simulation.addition(7, node);
+    let node = simulation.add_machine("late".to_owned(), CellId(1), 1);
+    let change = simulation.add_member_change(7, node);
     simulation.submit(0, change);
     simulation.start(node);
-    assert!(simulation.until(20_000, 50, CellsSimulation::agrees));
+    assert!(simulation.run_until(20_000, 50, CellsSimulation::has_converged));
     let observers = |simulation: &CellsSimulation| {
-        let own = simulation.processes().filter(|(of, _)| simulation.nodes[*of].site.cell == Some(CellId(1)));
+        let own =
+            simulation.processes().filter(|(of, _)| simulation.nodes[*of].location.cell == Some(CellId(1)));
         own.filter(|(_, process)| process.alive_members().any(|name| name == "late")).count()
     };
     assert!(
-        simulation.until(20_000, 50, |simulation| observers(simulation) == 6),
+        simulation.run_until(20_000, 50, |simulation| observers(simulation) == 6),
         "{} see it",
         observers(&simulation)
     );
     let remove = Action::Remove { cell: CellId(1), name: "late".to_owned() };
     simulation.submit(0, Change { id: 8, action: remove });
     assert!(
-        simulation.until(20_000, 50, |simulation| observers(simulation) == 0),
+        simulation.run_until(20_000, 50, |simulation| observers(simulation) == 0),
         "it is no longer a member"
     );
 }
@@ -259,8 +269,8 @@
 #[test]
 fn the_records_of_a_process_grow_with_its_cell_and_not_with_the_fleet() {
     let records = |processes, cells| {
-        let mut simulation = CellsSimulation::whole_fleet(processes, cells, 50, CALM, 12);
-        assert!(simulation.until(60_000, 50, CellsSimulation::agrees));
+        let mut simulation = CellsSimulation::start_fleet(processes, cells, 50, GOOD_NETWORK, 12);
+        assert!(simulation.run_until(60_000, 50, CellsSimulation::has_converged));
         simulation.processes().map(|(_, process)| process.state().len()).max().unwrap_or(0)
     };
     let (small, large, wide) = (records(40, 4), records(160, 16), records(160, 4));
@@ -289,7 +299,7 @@
 #[test]
 fn datagrams_from_unknown_senders_and_other_cells_change_nothing_and_are_counted() {
     let mut simulation = settled(12, 10, 10);
-    simulation.refused.clear();
+    simulation.rejected.clear();
     let node = simulation.replicas + 1;
     let what = |simulation: &CellsSimulation| {
         simulation
@@ -321,7 +331,7 @@
     simulation.inject(far, node, &older);
     simulation.inject(far, node, &[0; 3]);
     simulation.inject(far, node, &vec![0; 5000]);
-    let counts: Vec<_> = simulation.refused.iter().map(|(why, count)| (*why, *count)).collect();
+    let counts: Vec<_> = simulation.rejected.iter().map(|(why, count)| (*why, *count)).collect();
     assert_eq!(
         counts,
         [
@@ -342,7 +352,7 @@
 fn the_same_seed_gives_the_same_run() {
     let course = || {
         let mut simulation = settled(24, 20, 11);
-        simulation.passes(5000);
+        simulation.run_for_ms(5000);
         let bytes: Vec<u64> = simulation.nodes.iter().map(|node| node.bytes).collect();
         (bytes, simulation.now == Timestamp::default())
     };
--- a/crates/cells/tests/log.rs
+++ b/crates/cells/tests/log.rs
@@ -4,8 +4,8 @@
     encode, Action, Ballot, CellId, Change, ChangeError, Message, Paxos, ReplicaAddress, ReplicaSet,
     ReplicaSetError, Scope, State, Stored, Version, Vote,
 };
-use shelfgrade_testkit::cells::fleet::{percentile, TEN};
-use shelfgrade_testkit::cells::{address, CellsSimulation, CALM, FLEET};
+use shelfgrade_testkit::cells::fleet::{percentile, TEN_REPLICA_REGIONS};
+use shelfgrade_testkit::cells::{address, CellsSimulation, FLEET, GOOD_NETWORK};
 
 fn put(id: u64, key: &str, value: u8) -> Change {
     Change { id, action: Action::Put { key: key.to_owned(), value: vec![value] } }
@@ -32,21 +32,21 @@
 
 #[test]
 fn a_change_submitted_to_one_replica_reaches_all() {
-    let mut simulation = CellsSimulation::founded(&[0, 1, 2], CALM, 1);
+    let mut simulation = CellsSimulation::founded(&[0, 1, 2], GOOD_NETWORK, 1);
     for id in 1..=40 {
         simulation.submit(id as usize % 3, put(id, &format!("k{id}"), 1));
     }
     let done = |simulation: &CellsSimulation| {
         agree(simulation) && simulation.replica(0).is_some_and(|r| r.state().entries() == 40)
     };
-    assert!(simulation.until(20_000, 50, done), "three replicas in three regions, 40 changes");
+    assert!(simulation.run_until(20_000, 50, done), "three replicas in three regions, 40 changes");
     assert!((1..=40).all(|id| simulation.outcomes.get(&id) == Some(&Ok(()))), "{:?}", simulation.outcomes);
-    assert!(simulation.one_value.breaches.is_empty());
+    assert!(simulation.slot_value_check.conflicts.is_empty());
 }
 
 #[test]
 fn replicas_that_all_propose_make_progress() {
-    let mut simulation = CellsSimulation::founded(&TEN, CALM, 11);
+    let mut simulation = CellsSimulation::founded(&TEN_REPLICA_REGIONS, GOOD_NETWORK, 11);
     let mut took = Vec::new();
     let mut waits: Vec<(u64, u64)> = Vec::new();
     for step in 0..1000u64 {
@@ -55,7 +55,7 @@
             simulation.submit((id * 7 % 10) as usize, put(id, &format!("k{id}"), 1));
             waits.push((id, step));
         }
-        simulation.passes(40);
+        simulation.run_for_ms(40);
         let done = |(id, _): &(u64, u64)| simulation.outcomes.contains_key(id);
         took.extend(waits.iter().filter(|waits| done(waits)).map(|(_, since)| (40 * (step - since)) as f64));
         waits.retain(|waits| !done(waits));
@@ -70,14 +70,14 @@
 
 #[test]
 fn a_change_that_is_submitted_again_is_applied_once() {
-    let mut simulation = CellsSimulation::founded(&[0, 0, 0], CALM, 2);
+    let mut simulation = CellsSimulation::founded(&[0, 0, 0], GOOD_NETWORK, 2);
     simulation.submit(0, put(1, "k", 1));
-    simulation.passes(2000);
+    simulation.run_for_ms(2000);
     simulation.submit(1, put(2, "k", 2));
-    simulation.passes(2000);
+    simulation.run_for_ms(2000);
     // Its writer got no answer, and asks another replica.
     simulation.submit(2, put(1, "k", 1));
-    simulation.passes(2000);
+    simulation.run_for_ms(2000);
     assert_eq!(simulation.outcomes.get(&1), Some(&Err(ChangeError::AlreadyApplied)));
     for node in 0..3 {
         let state = simulation.replica(node).expect("runs").state();
@@ -87,18 +87,21 @@
 
 #[test]
 fn a_majority_is_necessary_and_sufficient() {
-    let mut simulation = CellsSimulation::founded(&[0, 0, 1, 1, 2], CALM, 3);
+    let mut simulation = CellsSimulation::founded(&[0, 0, 1, 1, 2], GOOD_NETWORK, 3);
     simulation.kill(3);
     simulation.kill(4);
     simulation.submit(0, put(1, "k", 1));
-    assert!(simulation.until(10_000, 50, |simulation| simulation.outcomes.contains_key(&1)), "three of five");
+    assert!(
+        simulation.run_until(10_000, 50, |simulation| simulation.outcomes.contains_key(&1)),
+        "three of five"
+    );
     simulation.kill(2);
     simulation.submit(0, put(2, "k", 2));
-    simulation.passes(20_000);
+    simulation.run_for_ms(20_000);
     assert!(!simulation.outcomes.contains_key(&2), "two of five are no majority");
     simulation.start(2);
     assert!(
-        simulation.until(10_000, 50, |simulation| simulation.outcomes.get(&2) == Some(&Ok(()))),
+        simulation.run_until(10_000, 50, |simulation| simulation.outcomes.get(&2) == Some(&Ok(()))),
         "three again"
     );
 }
@@ -158,64 +161,64 @@
 
 #[test]
 fn a_replica_that_lost_its_storage_does_not_vote_until_it_has_caught_up() {
-    let mut simulation = CellsSimulation::founded(&[0, 0, 0], CALM, 4);
+    let mut simulation = CellsSimulation::founded(&[0, 0, 0], GOOD_NETWORK, 4);
     for id in 1..=5 {
         simulation.submit(0, put(id, "k", id as u8));
-        simulation.passes(500);
+        simulation.run_for_ms(500);
     }
     simulation.kill(2);
     simulation.nodes[2].stored.clear();
     simulation.kill(1);
     simulation.start(2);
     simulation.submit(0, put(6, "k", 6));
-    simulation.passes(20_000);
+    simulation.run_for_ms(20_000);
     let lost = simulation.replica(2).expect("runs");
     assert!(!lost.can_vote() && !simulation.outcomes.contains_key(&6), "it cannot know what it voted for");
     assert_eq!(lost.state().entry("k"), Some(&[5][..]), "it learns all the same");
-    assert!(simulation.refused["cells storage lost, empty or with a gap"] == 1);
+    assert!(simulation.rejected["cells storage lost, empty or with a gap"] == 1);
     simulation.start(1);
     assert!(
-        simulation.until(10_000, 50, |simulation| simulation.outcomes.get(&6) == Some(&Ok(()))),
+        simulation.run_until(10_000, 50, |simulation| simulation.outcomes.get(&6) == Some(&Ok(()))),
         "two with their disks"
     );
     // It votes again once the others have chosen another slot.
     simulation.submit(0, put(7, "k", 7));
-    simulation.passes(3000);
+    simulation.run_for_ms(3000);
     assert!(simulation.replica(2).is_some_and(|lost| lost.can_vote()));
     simulation.kill(1);
     simulation.submit(0, put(8, "k", 8));
     assert!(
-        simulation.until(10_000, 50, |simulation| simulation.outcomes.get(&8) == Some(&Ok(()))),
+        simulation.run_until(10_000, 50, |simulation| simulation.outcomes.get(&8) == Some(&Ok(()))),
         "it counts again"
     );
 }
 
 #[test]
 fn a_change_submitted_to_a_replica_that_lost_its_storage_is_chosen_by_the_others() {
-    let mut simulation = CellsSimulation::founded(&[0, 0, 0], CALM, 10);
+    let mut simulation = CellsSimulation::founded(&[0, 0, 0], GOOD_NETWORK, 10);
     simulation.submit(0, put(1, "k", 1));
-    simulation.passes(1000);
+    simulation.run_for_ms(1000);
     simulation.kill(2);
     simulation.nodes[2].stored.clear();
     simulation.start(2);
     simulation.submit(2, put(2, "k", 2));
     assert!(
-        simulation.until(5000, 50, |simulation| simulation.outcomes.get(&2) == Some(&Ok(()))),
+        simulation.run_until(5000, 50, |simulation| simulation.outcomes.get(&2) == Some(&Ok(()))),
         "its writer waits for ever"
     );
 }
 
 #[test]
 fn a_replica_that_restarts_during_recovery_continues_it() {
-    let mut simulation = CellsSimulation::founded(&[0, 0, 0], CALM, 5);
+    let mut simulation = CellsSimulation::founded(&[0, 0, 0], GOOD_NETWORK, 5);
     simulation.submit(0, put(1, "k", 1));
-    simulation.passes(1000);
+    simulation.run_for_ms(1000);
     simulation.kill(2);
     simulation.nodes[2].stored.clear();
     simulation.kill(1);
     for _ in 0..3 {
         simulation.start(2);
-        simulation.passes(2000);
+        simulation.run_for_ms(2000);
         assert!(!simulation.replica(2).is_some_and(|lost| lost.can_vote()));
         simulation.kill(2);
     }
@@ -223,24 +226,24 @@
 
 #[test]
 fn storage_with_a_gap_counts_as_lost() {
-    let mut simulation = CellsSimulation::founded(&[0, 0, 0], CALM, 6);
+    let mut simulation = CellsSimulation::founded(&[0, 0, 0], GOOD_NETWORK, 6);
     for id in 1..=4 {
         simulation.submit(0, put(id, "k", id as u8));
-        simulation.passes(500);
+        simulation.run_for_ms(500);
     }
     simulation.kill(0);
     let chosen = |stored: &Stored| matches!(stored, Stored::Chosen { slot: 2, .. });
     let at = simulation.nodes[0].stored.iter().position(chosen).expect("stored");
     simulation.nodes[0].stored.remove(at);
     simulation.start(0);
-    assert!(simulation.refused.contains_key("cells storage lost, empty or with a gap"));
+    assert!(simulation.rejected.contains_key("cells storage lost, empty or with a gap"));
     assert!(!simulation.replica(0).is_some_and(|replica| replica.can_vote()));
-    assert!(simulation.until(5000, 50, agree), "it learns from the others");
+    assert!(simulation.run_until(5000, 50, agree), "it learns from the others");
 }
 
 #[test]
 fn a_vote_survives_a_restart() {
-    let mut simulation = CellsSimulation::founded(&[0, 0, 0], CALM, 7);
+    let mut simulation = CellsSimulation::founded(&[0, 0, 0], GOOD_NETWORK, 7);
     let send = |simulation: &mut CellsSimulation, from: usize, to: usize, message: Paxos| {
         let bytes = encode(shelfgrade_cells::fleet_id(FLEET), &Message::Paxos(message));
         simulation.inject(address(from), to, &bytes);
@@ -266,9 +269,9 @@
 
 #[test]
 fn forks_gaps_and_votes_from_no_replica_change_nothing_and_are_counted() {
-    let mut simulation = CellsSimulation::founded(&[0, 0, 0], CALM, 8);
+    let mut simulation = CellsSimulation::founded(&[0, 0, 0], GOOD_NETWORK, 8);
     simulation.submit(0, put(1, "k", 1));
-    simulation.passes(1000);
+    simulation.run_for_ms(1000);
     let fleet = shelfgrade_cells::fleet_id(FLEET);
     let chosen =
         |slot, id| encode(fleet, &Message::Paxos(Paxos::Chosen { slot, batch: vec![put(id, "k", 9)] }));
@@ -299,21 +302,21 @@
         "cells datagrams not to be read",
         "cells changes over a bound",
     ] {
-        assert_eq!(simulation.refused.get(why), Some(&1), "{why}: {:?}", simulation.refused);
+        assert_eq!(simulation.rejected.get(why), Some(&1), "{why}: {:?}", simulation.rejected);
     }
 }
 
 #[test]
 fn a_replica_that_restarts_after_days_gets_a_snapshot_and_drops_what_is_not_in_it() {
-    let mut simulation = CellsSimulation::founded(&[0, 0, 0], CALM, 9).with_horizon(16);
+    let mut simulation = CellsSimulation::founded(&[0, 0, 0], GOOD_NETWORK, 9).with_horizon(16);
     simulation.submit(0, put(1, "gone", 1));
     simulation.submit(0, put(2, "stays", 1));
-    simulation.passes(1000);
+    simulation.run_for_ms(1000);
     simulation.kill(2);
     simulation.submit(0, Change { id: 3, action: Action::Delete { key: "gone".into() } });
     for id in 10..60 {
         simulation.submit(0, put(id, &format!("k{}", id % 5), id as u8));
-        simulation.passes(200);
+        simulation.run_for_ms(200);
     }
     let state = simulation.replica(0).expect("runs").state();
     assert!(
@@ -321,7 +324,7 @@
     );
     assert!(state.len() < 40, "ids and deleted records are dropped: {}", state.len());
     simulation.start(2);
-    assert!(simulation.until(5000, 50, agree), "it holds what the others hold");
+    assert!(simulation.run_until(5000, 50, agree), "it holds what the others hold");
     let back = simulation.replica(2).expect("runs").state();
     assert!(back.entry("gone").is_none() && back.entry("stays").is_some());
 }
--- a/crates/cells/tests/quota.rs
+++ b/crates/cells/tests/quota.rs
@@ -7,7 +7,7 @@
     Version, TOTAL_QUOTA,
 };
 use shelfgrade_testkit::cells::fleet::put;
-use shelfgrade_testkit::cells::{address, CellsSimulation, CALM, FLEET, ROUGH};
+use shelfgrade_testkit::cells::{address, CellsSimulation, FLEET, GOOD_NETWORK, POOR_NETWORK};
 
 /// The seed is fixed, so that the cases are the same in every run.
 fn cases(cases: u32) -> ProptestConfig {
@@ -23,7 +23,7 @@
 
 /// Two cells that have all quota between them, and as many places as members.
 fn fully_granted(seed: u64) -> CellsSimulation {
-    let mut simulation = CellsSimulation::founded(&[0, 0, 1], CALM, seed);
+    let mut simulation = CellsSimulation::founded(&[0, 0, 1], GOOD_NETWORK, seed);
     let mut id = 1_000_000;
     let mut submit = |simulation: &mut CellsSimulation, action: Action| {
         id += 1;
@@ -35,15 +35,15 @@
     }
     for process in 0..PROCESSES {
         let cell = CellId(process as u16 % 2);
-        let node = simulation.machine(format!("n{process}"), cell, cell.0 as u8);
-        let action = simulation.addition(0, node).action;
+        let node = simulation.add_machine(format!("n{process}"), cell, cell.0 as u8);
+        let action = simulation.add_member_change(0, node).action;
         submit(&mut simulation, action);
     }
-    simulation.passes(20_000);
+    simulation.run_for_ms(20_000);
     for node in 3..simulation.nodes.len() {
         simulation.start(node);
     }
-    assert!(simulation.until(60_000, 50, CellsSimulation::agrees), "all processes are up to date");
+    assert!(simulation.run_until(60_000, 50, CellsSimulation::has_converged), "all processes are up to date");
     simulation
 }
 
@@ -67,9 +67,9 @@
         let (quota, escrow, _) = cell(simulation, 0);
         (quota, escrow) == (TOTAL_QUOTA / 4, 0)
     };
-    assert!(simulation.until(20_000, 50, released), "{:?}", cell(&simulation, 0));
+    assert!(simulation.run_until(20_000, 50, released), "{:?}", cell(&simulation, 0));
     submit(&mut simulation, 2, Action::Grow { cell: CellId(1), by: TOTAL_QUOTA / 4 });
-    simulation.passes(5000);
+    simulation.run_for_ms(5000);
     assert_eq!(cell(&simulation, 1).0, TOTAL_QUOTA / 4 * 3);
     assert_eq!(simulation.quota_in_use(), total);
 }
@@ -78,14 +78,14 @@
 fn quota_in_escrow_is_not_released_while_a_member_has_not_acknowledged_the_shrink() {
     let mut simulation = fully_granted(2);
     let apart = simulation.nodes.len() - 2;
-    assert_eq!(simulation.nodes[apart].site.cell, Some(CellId(0)));
-    simulation.nodes[apart].group = 1;
+    assert_eq!(simulation.nodes[apart].location.cell, Some(CellId(0)));
+    simulation.nodes[apart].partition = 1;
     let quota = simulation.process(apart).map(|process| process.quota());
     submit(&mut simulation, 1, Action::Shrink { cell: CellId(0), by: TOTAL_QUOTA / 2 });
-    simulation.passes(300_000);
+    simulation.run_for_ms(300_000);
     assert_eq!(cell(&simulation, 0).1, TOTAL_QUOTA / 2, "it may still use its part");
     submit(&mut simulation, 2, Action::Grow { cell: CellId(1), by: 1 });
-    simulation.passes(5000);
+    simulation.run_for_ms(5000);
     assert!(simulation.outcomes[&2].is_err(), "no quota is free");
     assert_eq!(simulation.process(apart).map(|process| process.quota()), quota, "it keeps its quota");
     assert!(simulation.quota_in_use() <= u64::from(TOTAL_QUOTA));
@@ -93,7 +93,7 @@
     simulation.kill(apart);
     let name = simulation.nodes[apart].name.clone();
     submit(&mut simulation, 3, Action::Ended { cell: CellId(0), name, incarnation: 1 });
-    assert!(simulation.until(20_000, 50, |simulation| cell(simulation, 0).1 == 0));
+    assert!(simulation.run_until(20_000, 50, |simulation| cell(simulation, 0).1 == 0));
 }
 
 #[test]
@@ -101,22 +101,23 @@
     let mut simulation = fully_granted(3);
     let (gone, other) = (simulation.nodes.len() - 2, CellId(0));
     let name = simulation.nodes[gone].name.clone();
-    simulation.nodes[gone].group = 1;
+    simulation.nodes[gone].partition = 1;
     submit(&mut simulation, 1, Action::Remove { cell: other, name: name.clone() });
-    let node = simulation.machine("new".into(), other, 0);
-    let addition = simulation.addition(2, node);
+    let node = simulation.add_machine("new".into(), other, 0);
+    let addition = simulation.add_member_change(2, node);
     simulation.submit(0, addition);
-    simulation.passes(20_000);
+    simulation.run_for_ms(20_000);
     assert!(simulation.outcomes[&2].is_err(), "it runs on, cut off, with its quota");
     assert!(simulation.process(gone).is_some_and(|process| process.quota() > 0));
     simulation.kill(gone);
     submit(&mut simulation, 3, Action::Ended { cell: other, name, incarnation: 1 });
-    simulation.passes(2000);
-    let addition = simulation.addition(4, node);
+    simulation.run_for_ms(2000);
+    let addition = simulation.add_member_change(4, node);
     simulation.submit(0, addition);
     simulation.start(node);
-    assert!(simulation
-        .until(20_000, 50, |simulation| simulation.process(node).is_some_and(|process| process.quota() > 0)));
+    assert!(simulation.run_until(20_000, 50, |simulation| simulation
+        .process(node)
+        .is_some_and(|process| process.quota() > 0)));
     assert!(simulation.quota_in_use() <= u64::from(TOTAL_QUOTA));
 }
 
@@ -125,9 +126,9 @@
     let mut simulation = fully_granted(4);
     let node = simulation.nodes.len() - 1;
     simulation.kill(node);
-    simulation.nodes[node].group = 1;
+    simulation.nodes[node].partition = 1;
     simulation.start(node);
-    simulation.passes(60_000);
+    simulation.run_for_ms(60_000);
     let process = simulation.process(node).expect("runs");
     assert!(!process.state().is_empty(), "it has its snapshot");
     assert_eq!(process.quota(), 0, "its cell may have given up quota, and its place may have another owner");
@@ -144,7 +145,7 @@
         .iter_mut()
         .enumerate()
         .filter(|(at, _)| *at != node)
-        .for_each(|(_, node)| node.group = 1);
+        .for_each(|(_, node)| node.partition = 1);
     simulation.start(node);
     let (to, held) = {
         let state = simulation.process(node).expect("runs").state();
@@ -178,14 +179,14 @@
     let mut simulation = fully_granted(5);
     let alive = simulation.nodes.len() - 2;
     let name = simulation.nodes[alive].name.clone();
-    simulation.nodes[alive].group = 1;
+    simulation.nodes[alive].partition = 1;
     submit(&mut simulation, 1, Action::Ended { cell: CellId(0), name, incarnation: 1 });
-    let node = simulation.machine("new".into(), CellId(0), 0);
-    let addition = simulation.addition(2, node);
+    let node = simulation.add_machine("new".into(), CellId(0), 0);
+    let addition = simulation.add_member_change(2, node);
     simulation.submit(0, addition);
     simulation.start(node);
     let over = |simulation: &CellsSimulation| simulation.quota_in_use() > u64::from(TOTAL_QUOTA);
-    assert!(simulation.until(20_000, 50, over), "the check finds nothing: {}", simulation.quota_in_use());
+    assert!(simulation.run_until(20_000, 50, over), "the check finds nothing: {}", simulation.quota_in_use());
 }
 
 /// A delegate that submits a release before all members have acknowledged the shrink.
@@ -193,14 +194,14 @@
 fn the_check_of_the_sum_finds_a_release_without_acknowledgements() {
     let mut simulation = fully_granted(6);
     let apart = simulation.nodes.len() - 2;
-    simulation.nodes[apart].group = 1;
+    simulation.nodes[apart].partition = 1;
     submit(&mut simulation, 1, Action::Shrink { cell: CellId(0), by: TOTAL_QUOTA / 2 });
-    simulation.passes(3000);
+    simulation.run_for_ms(3000);
     let (_, _, at) = cell(&simulation, 0);
     submit(&mut simulation, 2, Action::Release { cell: CellId(0), at });
     submit(&mut simulation, 3, Action::Grow { cell: CellId(1), by: TOTAL_QUOTA / 2 });
     let over = |simulation: &CellsSimulation| simulation.quota_in_use() > u64::from(TOTAL_QUOTA);
-    assert!(simulation.until(20_000, 50, over), "the check finds nothing: {}", simulation.quota_in_use());
+    assert!(simulation.run_until(20_000, 50, over), "the check finds nothing: {}", simulation.quota_in_use());
 }
 
 proptest! {
@@ -213,7 +214,7 @@
         seed in any::<u64>(),
     ) {
         let mut simulation = fully_granted(seed).with_horizon(16);
-        simulation.net = ROUGH;
+        simulation.network = POOR_NETWORK;
         let mut id = 0;
         for (what, node, ms) in &steps {
             id += 1;
@@ -221,40 +222,40 @@
             let process = 3 + node % PROCESSES;
             match what % 12 {
                 0 => simulation.kill(node),
-                1 if !simulation.runs(node) => {
-                    if node < 3 { simulation.start(node) } else { simulation.replace(5000 + id, node, 1) }
+                1 if !simulation.is_running(node) => {
+                    if node < 3 { simulation.start(node) } else { simulation.replace_process(5000 + id, node, 1) }
                 }
-                2 | 3 => simulation.nodes[node].group = 1 + node as u8 % 2,
-                4 => simulation.nodes.iter_mut().for_each(|node| node.group = 0),
+                2 | 3 => simulation.nodes[node].partition = 1 + node as u8 % 2,
+                4 => simulation.nodes.iter_mut().for_each(|node| node.partition = 0),
                 5 => {
                     // A process ends and reports that; another one replaces it.
                     simulation.kill(process);
                     let (name, incarnation) = (simulation.nodes[process].name.clone(), simulation.nodes[process].incarnation);
-                    let cell = simulation.nodes[process].site.cell.unwrap_or_default();
+                    let cell = simulation.nodes[process].location.cell.unwrap_or_default();
                     simulation.submit(node % 3, Change { id, action: Action::Ended { cell, name, incarnation } });
-                    let addition = simulation.addition(7000 + id, process);
+                    let addition = simulation.add_member_change(7000 + id, process);
                     simulation.submit(node % 3, addition);
                     simulation.start(process);
                 }
                 6 | 7 => simulation.submit(node % 3, Change { id, action: Action::Shrink { cell: of, by: 100_000 } }),
                 8 | 9 => simulation.submit(node % 3, Change { id, action: Action::Grow { cell: of, by: 100_000 } }),
-                10 => simulation.replace(5000 + id, process, 1),
+                10 => simulation.replace_process(5000 + id, process, 1),
                 _ => simulation.submit(node % 3, put(id, &format!("k{}", id % 4), "v")),
             }
             let mut left = *ms;
             while left > 0 {
                 let step = left.min(250);
-                simulation.passes(step);
+                simulation.run_for_ms(step);
                 left -= step;
                 prop_assert!(simulation.quota_in_use() <= u64::from(TOTAL_QUOTA), "{} of {TOTAL_QUOTA}", simulation.quota_in_use());
             }
         }
-        prop_assert!(simulation.one_value.breaches.is_empty());
-        simulation.net = CALM;
+        prop_assert!(simulation.slot_value_check.conflicts.is_empty());
+        simulation.network = GOOD_NETWORK;
         for node in 0..simulation.nodes.len() {
-            simulation.nodes[node].group = 0;
-            if !simulation.runs(node) {
-                if node < 3 { simulation.start(node) } else { simulation.replace(90_000 + node as u64, node, 1) }
+            simulation.nodes[node].partition = 0;
+            if !simulation.is_running(node) {
+                if node < 3 { simulation.start(node) } else { simulation.replace_process(90_000 + node as u64, node, 1) }
             }
         }
         let agree = |simulation: &CellsSimulation| {
@@ -262,10 +263,10 @@
             let first = simulation.replica(0).map(|replica| replica.state().complete_to());
             to.iter().all(|(is_complete, to)| *is_complete && Some(*to) == first) && simulation.quota_in_use() <= u64::from(TOTAL_QUOTA)
         };
-        simulation.passes(2000);
-        prop_assert!(simulation.until(30_000, 250, agree), "the processes do not converge");
+        simulation.run_for_ms(2000);
+        prop_assert!(simulation.run_until(30_000, 250, agree), "the processes do not converge");
         let digests: std::collections::BTreeSet<_> = simulation.processes()
-            .map(|(node, process)| (simulation.nodes[node].site.cell.map(|cell| cell.0), process.state().digest())).collect();
+            .map(|(node, process)| (simulation.nodes[node].location.cell.map(|cell| cell.0), process.state().digest())).collect();
         prop_assert_eq!(digests.len(), 2, "one for each cell");
     }
 }
--- a/crates/testkit/examples/cells.rs
+++ b/crates/testkit/examples/cells.rs
@@ -3,7 +3,7 @@
 use shelfgrade::time::DurationExt;
 use shelfgrade_cells::TOTAL_QUOTA;
 use shelfgrade_testkit::cells::fleet::{percentile, put};
-use shelfgrade_testkit::cells::{CellsSimulation, CALM};
+use shelfgrade_testkit::cells::{CellsSimulation, GOOD_NETWORK};
 use std::time::Duration;
 use std::time::Instant;
 
@@ -23,8 +23,8 @@
     /// What was sent and used while so many milliseconds passed.
     fn point(&mut self, name: &str, ms: u64, also: &str) {
         let span = Duration::from_millis(ms);
-        let (mean, busiest, second) = self.simulation.bytes(span);
-        let (replicas, replica) = self.simulation.replica_bytes(span);
+        let (mean, busiest, second) = self.simulation.send_rates(span);
+        let (replicas, replica) = self.simulation.replica_send_rates(span);
         let seconds = ms as f64 / 1000.0;
         let busy = |node: &shelfgrade_testkit::cells::Node| node.busy.as_secs_f64() / seconds * 100.0;
         let own = &self.simulation.nodes[self.simulation.replicas..];
@@ -38,7 +38,7 @@
             self.size,
             self.began.elapsed().as_secs_f64()
         );
-        self.simulation.measure_anew();
+        self.simulation.reset_measurements();
     }
 
     fn changes(&mut self, name: &str, first: u64, count: u64) {
@@ -46,15 +46,15 @@
         let before = self.simulation.now;
         for id in first..first + count {
             let at = (id % 5) as usize;
-            let region = self.simulation.nodes[at].site.region;
-            for (of, ms) in self.simulation.change_and_watch(id, at, 30_000) {
+            let region = self.simulation.nodes[at].location.region;
+            for (of, ms) in self.simulation.measure_propagation(id, at, 30_000) {
                 lost += usize::from(ms.is_infinite());
                 all.push(ms);
                 if of == region {
                     own.push(ms);
                 }
             }
-            self.simulation.passes(1000 + id * 37 % 500);
+            self.simulation.run_for_ms(1000 + id * 37 % 500);
         }
         let ms = self.simulation.now.since(before).as_ms() as u64;
         let also = format!(
@@ -85,7 +85,7 @@
         let before = self.simulation.now;
         for start in 0..count {
             let node = self.simulation.replicas + start * 7919 % nodes;
-            self.simulation.replace(first + start as u64, node, 300.min(every_ms / 2));
+            self.simulation.replace_process(first + start as u64, node, 300.min(every_ms / 2));
             waits.push((node, self.simulation.now));
             let mut left = every_ms - 300.min(every_ms / 2);
             if start + 1 == count {
@@ -93,7 +93,7 @@
             }
             while left > 0 {
                 let step = left.min(20);
-                self.simulation.passes(step);
+                self.simulation.run_for_ms(step);
                 left -= step;
                 let simulation = &self.simulation;
                 waits.retain(|(node, at)| {
@@ -122,16 +122,16 @@
     let (size, entries) = (number(1, 300), number(2, 1000));
     let empty = resident();
     let began = Instant::now();
-    let simulation = CellsSimulation::whole_fleet(size, 16, entries, CALM, 7);
+    let simulation = CellsSimulation::start_fleet(size, 16, entries, GOOD_NETWORK, 7);
     let mut trial = Trial { simulation, size, began };
-    trial.simulation.measure_anew();
+    trial.simulation.reset_measurements();
     let begun = trial.simulation.now;
-    trial.simulation.until(120_000, 50, CellsSimulation::agrees);
+    trial.simulation.run_until(120_000, 50, CellsSimulation::has_converged);
     let ms = trial.simulation.now.since(begun).as_ms();
     trial.point("all start at once", ms.max(1.0) as u64, &format!(",\"all_have_all_ms\":{ms:.0}"));
-    trial.simulation.passes(20_000);
-    trial.simulation.measure_anew();
-    trial.simulation.passes(30_000);
+    trial.simulation.run_for_ms(20_000);
+    trial.simulation.reset_measurements();
+    trial.simulation.run_for_ms(30_000);
     let memory = (resident() - empty) / trial.size as f64 / 1024.0;
     let also = format!(",\"memory_kb_each\":{memory:.0}{}", trial.state());
     trial.point("at rest", 30_000, &also);
@@ -144,40 +144,48 @@
             .submit(0, put(100_000 + entry, &format!("server/{entry:05}"), "10.0.0.2:8080 cold weight 3"));
     }
     let before = trial.simulation.now;
-    let done =
-        |simulation: &CellsSimulation| simulation.outcomes.contains_key(&100_999) && simulation.agrees();
-    trial.simulation.until(300_000, 100, done);
+    let done = |simulation: &CellsSimulation| {
+        simulation.outcomes.contains_key(&100_999) && simulation.has_converged()
+    };
+    trial.simulation.run_until(300_000, 100, done);
     let ms = trial.simulation.now.since(before).as_ms();
     trial.point("1,000 entries change", ms as u64, &format!(",\"in_all_after_ms\":{ms:.0}"));
-    trial.simulation.passes(10_000);
-    trial.simulation.measure_anew();
+    trial.simulation.run_for_ms(10_000);
+    trial.simulation.reset_measurements();
 
     let cut = |simulation: &mut CellsSimulation, group: u8| {
-        simulation.nodes.iter_mut().filter(|node| node.site.region == 5).for_each(|node| node.group = group);
+        simulation
+            .nodes
+            .iter_mut()
+            .filter(|node| node.location.region == 5)
+            .for_each(|node| node.partition = group);
     };
     cut(&mut trial.simulation, 1);
     let mut over = 0;
     for _ in 0..280 {
-        trial.simulation.passes(1000);
+        trial.simulation.run_for_ms(1000);
         over += usize::from(trial.simulation.quota_in_use() > u64::from(TOTAL_QUOTA));
     }
     trial.point("a region is cut off", 280_000, &format!(",\"times_over_the_whole\":{over}"));
     trial.changes("one change while a region is cut off", 3001, 5);
     cut(&mut trial.simulation, 0);
     let before = trial.simulation.now;
-    trial.simulation.until(60_000, 50, CellsSimulation::agrees);
+    trial.simulation.run_until(60_000, 50, CellsSimulation::has_converged);
     let ms = trial.simulation.now.since(before).as_ms();
-    trial.simulation.passes(10_000);
+    trial.simulation.run_for_ms(10_000);
     trial.point("met again", ms as u64 + 10_000, &format!(",\"all_agree_after_ms\":{ms:.0}"));
 
     let before = resident();
     trial.starts("1,400 replacements in ten minutes", 20_000, 1400, 428);
-    trial.simulation.passes(20_000);
-    trial.simulation.measure_anew();
-    trial.simulation.passes(20_000);
+    trial.simulation.run_for_ms(20_000);
+    trial.simulation.reset_measurements();
+    trial.simulation.run_for_ms(20_000);
     let grown = (resident() - before) / 1024.0 / trial.size as f64;
-    let also =
-        format!(",\"grown_kb_each\":{grown:.1},\"agree\":{}{}", trial.simulation.agrees(), trial.state());
+    let also = format!(
+        ",\"grown_kb_each\":{grown:.1},\"agree\":{}{}",
+        trial.simulation.has_converged(),
+        trial.state()
+    );
     trial.point("after the replacements", 20_000, &also);
-    println!("{{\"point\":\"refused\",\"processes\":{size},\"counts\":\"{:?}\"}}", trial.simulation.refused);
+    println!("{{\"point\":\"refused\",\"processes\":{size},\"counts\":\"{:?}\"}}", trial.simulation.rejected);
 }
--- a/crates/testkit/src/cells.rs
+++ b/crates/testkit/src/cells.rs
@@ -12,7 +12,7 @@
 
 pub mod fleet;
 mod parts;
-pub use parts::{address, NetworkConditions, Node, OneValue, Site, CALM, ROUGH};
+pub use parts::{address, Location, NetworkConditions, Node, SlotValueCheck, GOOD_NETWORK, POOR_NETWORK};
 use parts::{node_at, Core, Event, EventKind, RecordedCalls};
 
 pub const FLEET: &str = "drawn";
@@ -21,10 +21,10 @@
     pub now: Timestamp,
     pub nodes: Vec<Node>,
     pub replicas: usize,
-    pub net: NetworkConditions,
+    pub network: NetworkConditions,
     pub horizon: u64,
-    pub one_value: OneValue,
-    pub refused: BTreeMap<&'static str, u64>,
+    pub slot_value_check: SlotValueCheck,
+    pub rejected: BTreeMap<&'static str, u64>,
     pub outcomes: BTreeMap<u64, Result<(), ChangeError>>,
     /// The entry whose arrival is noted, and when each node had it.
     pub watched: Option<String>,
@@ -38,7 +38,7 @@
 
 impl CellsSimulation {
     /// A fleet that was just founded, with one replica for each entry, in those regions.
-    pub fn founded(replicas: &[u8], net: NetworkConditions, seed: u64) -> Self {
+    pub fn founded(replicas: &[u8], network: NetworkConditions, seed: u64) -> Self {
         let peers = replicas.iter().enumerate();
         let peers =
             peers.map(|(id, region)| ReplicaAddress { address: address(id), region: *region }).collect();
@@ -46,10 +46,10 @@
             now: Timestamp::from_ms(1000.0),
             nodes: Vec::new(),
             replicas: replicas.len(),
-            net,
+            network,
             horizon: shelfgrade_cells::DEFAULT_HORIZON_SLOTS,
-            one_value: OneValue::default(),
-            refused: BTreeMap::new(),
+            slot_value_check: SlotValueCheck::default(),
+            rejected: BTreeMap::new(),
             outcomes: BTreeMap::new(),
             watched: None,
             arrivals: BTreeMap::new(),
@@ -60,7 +60,7 @@
             rng: WyRand::new_seed(seed),
         };
         for (id, region) in replicas.iter().enumerate() {
-            simulation.place(format!("replica-{id}"), Site { region: *region, cell: None });
+            simulation.place(format!("replica-{id}"), Location { region: *region, cell: None });
             let (peers, seed) = (simulation.peers.clone(), simulation.seed());
             let mut out = RecordedCalls::default();
             let core = Replica::found(FLEET, peers, id as u8, seed, simulation.now, &mut out);
@@ -86,15 +86,15 @@
         self.seeds
     }
 
-    fn place(&mut self, name: String, site: Site) -> usize {
+    fn place(&mut self, name: String, location: Location) -> usize {
         self.nodes.push(Node {
             core: None,
-            site,
+            location,
             name,
             incarnation: 0,
-            group: 0,
+            partition: 0,
             stored: Vec::new(),
-            kept: None,
+            snapshot: None,
             armed: Timestamp::NEVER,
             bytes: 0,
             datagrams: 0,
@@ -107,8 +107,8 @@
     }
 
     /// A machine for a process, which does not run yet.
-    pub fn machine(&mut self, name: String, cell: CellId, region: u8) -> usize {
-        self.place(name, Site { region, cell: Some(cell) })
+    pub fn add_machine(&mut self, name: String, cell: CellId, region: u8) -> usize {
+        self.place(name, Location { region, cell: Some(cell) })
     }
 
     /// Starts what belongs on a machine, with what is on its disk.
@@ -118,7 +118,7 @@
         let of = &mut self.nodes[node];
         of.incarnation += 1;
         of.armed = Timestamp::NEVER;
-        let core = match of.site.cell {
+        let core = match of.location.cell {
             None => {
                 let stored = of.stored.clone();
                 let core = Replica::restore(FLEET, peers, node as u8, seed, now, stored, &mut out);
@@ -126,7 +126,7 @@
             }
             Some(cell) => {
                 let (name, incarnation) = (of.name.clone(), of.incarnation);
-                let (fleet, kept, region) = (FLEET.to_owned(), of.kept.take(), of.site.region);
+                let (fleet, kept, region) = (FLEET.to_owned(), of.snapshot.take(), of.location.region);
                 let replicas = peers;
                 let config =
                     ProcessConfig { fleet, cell, region, name, incarnation, replicas, snapshot: kept, seed };
@@ -140,12 +140,12 @@
     /// A process keeps what it knows; a replica has on disk what it stored.
     pub fn kill(&mut self, node: usize) {
         if let Some(Core::Process(core)) = &self.nodes[node].core {
-            self.nodes[node].kept = Some(core.snapshot());
+            self.nodes[node].snapshot = Some(core.snapshot());
         }
         self.nodes[node].core = None;
     }
 
-    pub fn runs(&self, node: usize) -> bool {
+    pub fn is_running(&self, node: usize) -> bool {
         self.nodes[node].core.is_some()
     }
 
@@ -202,15 +202,15 @@
     fn settle(&mut self, node: usize, out: RecordedCalls) {
         for stored in out.stored {
             if let Stored::Chosen { slot, batch } = &stored {
-                self.one_value.chosen(*slot, batch);
+                self.slot_value_check.record_chosen(*slot, batch);
             }
             if matches!(stored, Stored::Checkpoint { .. }) {
                 self.nodes[node].stored.clear();
             }
             self.nodes[node].stored.push(stored);
         }
-        for why in out.refused {
-            *self.refused.entry(why).or_default() += 1;
+        for why in out.rejected {
+            *self.rejected.entry(why).or_default() += 1;
         }
         self.outcomes.extend(out.outcomes);
         if let Some(watched) = &self.watched {
@@ -255,13 +255,13 @@
         of.in_second += bytes.len() as u64;
         of.most = of.most.max(of.in_second);
         let Some(to) = node_at(to).filter(|to| *to < self.nodes.len()) else { return };
-        if self.nodes[to].group != self.nodes[from].group || self.one_in(self.net.loss) {
+        if self.nodes[to].partition != self.nodes[from].partition || self.one_in(self.network.loss) {
             return;
         }
-        let copies = if self.one_in(self.net.twice) { 2 } else { 1 };
+        let copies = if self.one_in(self.network.twice) { 2 } else { 1 };
         for _ in 0..copies {
             let mut ms = self.delay(from, to) * (1.0 + f64::from(self.rng.generate_range(0..100u32)) / 500.0);
-            if self.one_in(self.net.late) {
+            if self.one_in(self.network.late) {
                 ms += f64::from(self.rng.generate_range(0..3000u32));
             }
             let at = self.now + Duration::from_ms(ms);
@@ -271,7 +271,7 @@
 
     /// One way, in milliseconds: 1 in a zone, 2 in a region, 40 to 150 between regions.
     fn delay(&self, from: usize, to: usize) -> f64 {
-        let (a, b) = (self.nodes[from].site, self.nodes[to].site);
+        let (a, b) = (self.nodes[from].location, self.nodes[to].location);
         if a.region != b.region {
             let (low, high) = (a.region.min(b.region), a.region.max(b.region));
             40.0 + f64::from((u32::from(low) * 7 + u32::from(high) * 13) * 37 % 111)
@@ -282,7 +282,7 @@
         }
     }
 
-    pub fn passes(&mut self, ms: u64) {
+    pub fn run_for_ms(&mut self, ms: u64) {
         let until = self.now + Duration::from_millis(ms);
         while self.events.peek().is_some_and(|Reverse(event)| event.at <= until) {
             let Some(Reverse(event)) = self.events.pop() else { break };
@@ -304,14 +304,19 @@
     }
 
     /// Passes until it holds, looked at so often; false where it never did.
-    pub fn until(&mut self, most_ms: u64, every_ms: u64, holds: impl Fn(&CellsSimulation) -> bool) -> bool {
+    pub fn run_until(
+        &mut self,
+        most_ms: u64,
+        every_ms: u64,
+        holds: impl Fn(&CellsSimulation) -> bool,
+    ) -> bool {
         let mut left = most_ms;
         while !holds(self) {
             if left == 0 {
                 return false;
             }
             let step = every_ms.min(left);
-            self.passes(step);
+            self.run_for_ms(step);
             left -= step;
         }
         true
--- a/crates/testkit/src/cells/fleet.rs
+++ b/crates/testkit/src/cells/fleet.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 /// The machines set aside, by region.
-pub const TEN: [u8; 10] = [0, 1, 2, 3, 4, 5, 0, 1, 2, 3];
+pub const TEN_REPLICA_REGIONS: [u8; 10] = [0, 1, 2, 3, 4, 5, 0, 1, 2, 3];
 pub const REGIONS: u16 = 6;
 
 /// A place of a cell for each of its members, and some for those whose end nobody has said.
@@ -21,14 +21,14 @@
 
 impl CellsSimulation {
     /// Ten replicas, and processes dealt out to cells in six regions, all in the log and started.
-    pub fn whole_fleet(
+    pub fn start_fleet(
         processes: usize,
         cells: u16,
         entries: usize,
-        net: NetworkConditions,
+        network: NetworkConditions,
         seed: u64,
     ) -> Self {
-        let mut simulation = CellsSimulation::founded(&TEN, net, seed);
+        let mut simulation = CellsSimulation::founded(&TEN_REPLICA_REGIONS, network, seed);
         let mut id = 1_000_000;
         let mut next = || {
             id += 1;
@@ -46,34 +46,35 @@
         }
         for process in 0..processes {
             let cell = CellId(process as u16 % cells);
-            let node = simulation.machine(format!("n{process:05}"), cell, (cell.0 % REGIONS) as u8);
-            let change = simulation.addition(next(), node);
+            let node = simulation.add_machine(format!("n{process:05}"), cell, (cell.0 % REGIONS) as u8);
+            let change = simulation.add_member_change(next(), node);
             simulation.submit(0, change);
         }
         let last = next() - 1;
-        let chosen = simulation.until(900_000, 1000, |simulation| simulation.outcomes.contains_key(&last));
+        let chosen =
+            simulation.run_until(900_000, 1000, |simulation| simulation.outcomes.contains_key(&last));
         assert!(chosen, "the log takes {processes} processes");
-        for node in TEN.len()..simulation.nodes.len() {
+        for node in TEN_REPLICA_REGIONS.len()..simulation.nodes.len() {
             simulation.start(node);
         }
         simulation
     }
 
     fn cell_of(&self, node: usize) -> CellId {
-        self.nodes[node].site.cell.unwrap_or_default()
+        self.nodes[node].location.cell.unwrap_or_default()
     }
 
     /// The change that adds what belongs on a machine, at its next start.
-    pub fn addition(&self, id: u64, node: usize) -> Change {
+    pub fn add_member_change(&self, id: u64, node: usize) -> Change {
         let of = &self.nodes[node];
         let (cell, name, incarnation) = (self.cell_of(node), of.name.clone(), of.incarnation + 1);
         Change { id, action: Action::Add { cell, name, address: address(node), incarnation } }
     }
 
     /// A process is killed, and starts anew after as long; whoever starts it says so in the log.
-    pub fn replace(&mut self, id: u64, node: usize, after_ms: u64) {
+    pub fn replace_process(&mut self, id: u64, node: usize, after_ms: u64) {
         self.kill(node);
-        self.passes(after_ms);
+        self.run_for_ms(after_ms);
         self.start(node);
         let of = &self.nodes[node];
         let (cell, name, incarnation) = (self.cell_of(node), of.name.clone(), of.incarnation);
@@ -82,7 +83,7 @@
     }
 
     /// Whoever runs holds all there is, the same in each cell.
-    pub fn agrees(&self) -> bool {
+    pub fn has_converged(&self) -> bool {
         let to = (0..self.replicas)
             .filter_map(|node| self.replica(node))
             .map(|held| held.state().complete_to())
@@ -92,7 +93,7 @@
         })
     }
 
-    pub fn measure_anew(&mut self) {
+    pub fn reset_measurements(&mut self) {
         for node in &mut self.nodes {
             (node.bytes, node.datagrams, node.most) = (0, 0, 0);
             node.busy = std::time::Duration::ZERO;
@@ -100,7 +101,7 @@
     }
 
     /// Writes an entry at a replica, and gives after how many milliseconds each process had it, with its region.
-    pub fn change_and_watch(&mut self, id: u64, at: usize, most_ms: u64) -> Vec<(u8, f64)> {
+    pub fn measure_propagation(&mut self, id: u64, at: usize, most_ms: u64) -> Vec<(u8, f64)> {
         let key = format!("watched/{}", id % 100);
         self.watched = Some(key.clone());
         self.arrivals.clear();
@@ -110,19 +111,19 @@
             let here = simulation.arrivals.keys().filter(|node| **node >= simulation.replicas).count();
             here >= simulation.processes().filter(|(node, _)| simulation.hears(at, *node)).count()
         };
-        self.until(most_ms, 20, waits);
+        self.run_until(most_ms, 20, waits);
         self.watched = None;
         let processes = self.processes().filter(|(node, _)| self.hears(at, *node)).map(|(node, _)| node);
         let took = |node: usize| self.arrivals.get(&node).map_or(f64::INFINITY, |at| at.since(began).as_ms());
-        processes.map(|node| (self.nodes[node].site.region, took(node))).collect()
+        processes.map(|node| (self.nodes[node].location.region, took(node))).collect()
     }
 
     fn hears(&self, a: usize, b: usize) -> bool {
-        self.nodes[a].group == self.nodes[b].group
+        self.nodes[a].partition == self.nodes[b].partition
     }
 
     /// Bytes a second of each process: the mean, the mean of the busiest, and the most of any in one second.
-    pub fn bytes(&self, over: Duration) -> (f64, f64, u64) {
+    pub fn send_rates(&self, over: Duration) -> (f64, f64, u64) {
         let seconds = over.as_ms() / 1000.0;
         let each: Vec<_> =
             self.nodes[self.replicas..].iter().map(|node| node.bytes as f64 / seconds).collect();
@@ -132,7 +133,7 @@
     }
 
     /// The same of the replicas' mean and busiest.
-    pub fn replica_bytes(&self, over: Duration) -> (f64, f64) {
+    pub fn replica_send_rates(&self, over: Duration) -> (f64, f64) {
         let seconds = over.as_ms() / 1000.0;
         let each: Vec<_> =
             self.nodes[..self.replicas].iter().map(|node| node.bytes as f64 / seconds).collect();
--- a/crates/testkit/src/cells/parts.rs
+++ b/crates/testkit/src/cells/parts.rs
@@ -16,12 +16,12 @@
     pub late: u32,
 }
 
-pub const CALM: NetworkConditions = NetworkConditions { loss: 10, twice: 0, late: 0 };
-pub const ROUGH: NetworkConditions = NetworkConditions { loss: 100, twice: 100, late: 100 };
+pub const GOOD_NETWORK: NetworkConditions = NetworkConditions { loss: 10, twice: 0, late: 0 };
+pub const POOR_NETWORK: NetworkConditions = NetworkConditions { loss: 100, twice: 100, late: 100 };
 
 /// Where a node is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Site {
+pub struct Location {
     pub region: u8,
     /// Replicas are in no cell.
     pub cell: Option<CellId>,
@@ -34,13 +34,13 @@
 
 pub struct Node {
     pub(super) core: Option<Core>,
-    pub site: Site,
+    pub location: Location,
     pub name: String,
     pub incarnation: u32,
     /// Nodes of unequal groups do not hear each other.
-    pub group: u8,
+    pub partition: u8,
     pub stored: Vec<Stored>,
-    pub kept: Option<ProcessSnapshot>,
+    pub snapshot: Option<ProcessSnapshot>,
     pub(super) armed: Timestamp,
     pub bytes: u64,
     pub datagrams: u64,
@@ -82,15 +82,15 @@
 
 /// Looks at every slot that any replica says was chosen: there is one value for each.
 #[derive(Default)]
-pub struct OneValue {
+pub struct SlotValueCheck {
     chosen: BTreeMap<u64, Batch>,
-    pub breaches: Vec<u64>,
+    pub conflicts: Vec<u64>,
 }
 
-impl OneValue {
-    pub fn chosen(&mut self, slot: u64, batch: &Batch) {
+impl SlotValueCheck {
+    pub fn record_chosen(&mut self, slot: u64, batch: &Batch) {
         if self.chosen.entry(slot).or_insert_with(|| batch.clone()) != batch {
-            self.breaches.push(slot);
+            self.conflicts.push(slot);
         }
     }
 
@@ -105,7 +105,7 @@
     pub(super) stored: Vec<Stored>,
     pub(super) news: Vec<Key>,
     pub(super) outcomes: Vec<(u64, Result<(), ChangeError>)>,
-    pub(super) refused: Vec<&'static str>,
+    pub(super) rejected: Vec<&'static str>,
 }
 
 impl Environment for RecordedCalls {
@@ -122,7 +122,7 @@
         self.outcomes.push((id, outcome));
     }
     fn datagram_rejected(&mut self, why: &'static str) {
-        self.refused.push(why);
+        self.rejected.push(why);
     }
 }
 
