--- a/crates/testkit/src/hollow_node.rs
+++ b/crates/testkit/src/hollow_node.rs
@@ -1,46 +1,50 @@
-//! HollowNode processes: a fleet's core each, and nothing of the program round it.
+//! Hollow nodes: processes that consist of a fleet's core alone, without the rest of the program.
 
 use crate::simulation::{Core, Outbox};
 use shelfgrade::time::Timestamp;
 use shelfgrade_fleet::{Entry, Environment, Fleet, MemberId, Roster};
 
-/// A roster of so many, whose names are in the order of their numbers.
+/// A roster of `size` members whose names sort in the order of their indices.
 pub fn roster(size: usize) -> Roster {
-    Roster::new("trial", (0..size).map(name), &name(0)).expect("a roster")
+    Roster::new("trial", (0..size).map(node_name), &node_name(0)).expect("roster is valid")
 }
 
-pub fn name(process: usize) -> String {
+pub fn node_name(process: usize) -> String {
     format!("n{process:05}")
 }
 
-/// A fleet's core as a process of a simulation. Its wall clock is the simulation's.
+/// A fleet's core as a process of a simulation. The simulation's time is also its wall clock.
 pub struct HollowNode {
     pub fleet: Fleet,
     pub events: EventCounts,
 }
 
-/// What a core told of itself, counted.
+/// Counts of the events that a core reported.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EventCounts {
-    pub entries: u64,
-    pub came: u64,
-    pub went: u64,
-    pub refused: u64,
+    pub entries_changed: u64,
+    pub members_joined: u64,
+    pub members_left: u64,
+    pub datagrams_rejected: u64,
 }
 
 impl HollowNode {
-    /// `life` tells apart what is started in one seat.
+    /// `incarnation` distinguishes successive starts of the same member.
     pub fn new(roster: &Roster, name: &str, incarnation: u64, now: Timestamp) -> Self {
-        let roster = roster.with_local_member(name).expect("one of the roster");
-        let process = roster.me().0;
+        let roster = roster.with_local_member(name).expect("name is in the roster");
+        let member = roster.me().0;
         let started_at = now.as_ms() as u64 * 1000 + incarnation;
-        let seed = u64::from(process).wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ incarnation;
+        let seed = u64::from(member).wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ incarnation;
         HollowNode { fleet: Fleet::new(roster, started_at, seed, now), events: EventCounts::default() }
     }
 
-    /// Has the core do something that it may send for.
-    pub fn act<T>(&mut self, out: &mut Outbox, act: impl FnOnce(&mut Fleet, &mut dyn Environment) -> T) -> T {
-        act(&mut self.fleet, &mut HollowEnvironment { out, events: &mut self.events })
+    /// Runs `operation` on the core; datagrams that it sends go to `out`.
+    pub fn with_fleet<T>(
+        &mut self,
+        out: &mut Outbox,
+        operation: impl FnOnce(&mut Fleet, &mut dyn Environment) -> T,
+    ) -> T {
+        operation(&mut self.fleet, &mut HollowEnvironment { out, events: &mut self.events })
     }
 }
 
@@ -53,31 +57,33 @@
     fn send(&mut self, to: MemberId, datagram: Vec<u8>) {
         assert!(
             datagram.len() <= shelfgrade_fleet::MAX_DATAGRAM_BYTES,
-            "{} bytes in one datagram",
+            "datagram of {} bytes exceeds the limit",
             datagram.len()
         );
         self.out.push((usize::from(to.0), datagram));
     }
     fn entry_changed(&mut self, _: &Entry) {
-        self.events.entries += 1;
+        self.events.entries_changed += 1;
     }
     fn member_joined(&mut self, _: MemberId) {
-        self.events.came += 1;
+        self.events.members_joined += 1;
     }
     fn member_left(&mut self, _: MemberId) {
-        self.events.went += 1;
+        self.events.members_left += 1;
     }
     fn datagram_rejected(&mut self, _: &'static str) {
-        self.events.refused += 1;
+        self.events.datagrams_rejected += 1;
     }
 }
 
 impl Core for HollowNode {
     fn on_datagram(&mut self, _: usize, datagram: &[u8], now: Timestamp, out: &mut Outbox) {
-        self.act(out, |fleet, environment| fleet.on_datagram(datagram, now, now.as_ms() as u64, environment));
+        self.with_fleet(out, |fleet, environment| {
+            fleet.on_datagram(datagram, now, now.as_ms() as u64, environment)
+        });
     }
     fn on_timer(&mut self, now: Timestamp, out: &mut Outbox) {
-        self.act(out, |fleet, environment| fleet.on_timer(now, now.as_ms() as u64, environment));
+        self.with_fleet(out, |fleet, environment| fleet.on_timer(now, now.as_ms() as u64, environment));
     }
     fn next_wakeup(&self) -> Timestamp {
         self.fleet.next_wakeup()
--- a/crates/testkit/src/region.rs
+++ b/crates/testkit/src/region.rs
@@ -1,6 +1,6 @@
-//! One region of a simulation: its processes, their events in the order of their time, and what it sends elsewhere.
+//! One region of a simulation: its processes, their events in order of time, and the datagrams for other regions.
 
-use crate::simulation::{Core, Outbox, Usage, BEGINS_MS};
+use crate::simulation::{Core, Outbox, Usage, START_MS};
 use crate::topology::{NetworkConditions, Topology};
 use nanorand::{Rng, WyRand};
 use rustix::time::{clock_gettime, ClockId};
@@ -9,17 +9,17 @@
 use std::collections::{BTreeSet, BinaryHeap};
 use std::sync::Arc;
 
-/// How many processes there are for each whose processor time is taken.
-const TIMED: usize = 16;
+/// CPU time is measured for one process in this many.
+const CPU_SAMPLE_INTERVAL: usize = 16;
 
 pub struct Datagram {
-    at: Timestamp,
+    arrival: Timestamp,
     from: usize,
     pub to: usize,
     bytes: Vec<u8>,
 }
 
-/// What is under way, in the order of arrival; a number tells apart what comes at once.
+/// A datagram in flight, ordered by arrival time; a sequence number orders those that arrive at the same time.
 struct Arrival {
     order: (Timestamp, u64),
     datagram: Datagram,
@@ -42,142 +42,147 @@
     }
 }
 
-/// The processes of one region, with their events.
+/// The processes of one region and their events. Methods take a process by its index within the region.
 pub struct Region<C> {
     pub index: usize,
-    pub first: usize,
+    pub first_process: usize,
     pub topology: Arc<Topology>,
     pub conditions: NetworkConditions,
-    /// Pairs of zones whose first one cannot reach the second.
-    pub cut: Arc<BTreeSet<(usize, usize)>>,
+    /// Pairs of zones; datagrams from the first to the second are dropped.
+    pub blocked: Arc<BTreeSet<(usize, usize)>>,
     pub now: Timestamp,
     pub cores: Vec<Option<C>>,
     pub usage: Vec<Usage>,
-    wakes: Vec<Timestamp>,
-    alarms: BTreeSet<(Timestamp, usize)>,
-    under_way: BinaryHeap<Reverse<Arrival>>,
-    number: u64,
-    /// What goes to other regions.
-    pub leaves: Vec<Datagram>,
+    /// The next wake-up time of each process, `NEVER` if it has none; `timers` holds the others in order.
+    wakeups: Vec<Timestamp>,
+    timers: BTreeSet<(Timestamp, usize)>,
+    in_flight: BinaryHeap<Reverse<Arrival>>,
+    last_sequence: u64,
+    /// Datagrams for other regions.
+    pub outbound: Vec<Datagram>,
     rng: WyRand,
 }
 
 impl<C: Core> Region<C> {
-    pub fn set(&mut self, at: usize, core: Option<C>) {
-        self.cores[at] = core;
-        self.set_alarm(at);
+    pub fn set_core(&mut self, local: usize, core: Option<C>) {
+        self.cores[local] = core;
+        self.reschedule(local);
     }
 
-    fn set_alarm(&mut self, at: usize) {
-        let next = self.cores[at].as_ref().map_or(Timestamp::NEVER, C::next_wakeup);
-        let before = std::mem::replace(&mut self.wakes[at], next);
+    fn reschedule(&mut self, local: usize) {
+        let next = self.cores[local].as_ref().map_or(Timestamp::NEVER, C::next_wakeup);
+        let before = std::mem::replace(&mut self.wakeups[local], next);
         if before != next {
-            self.alarms.remove(&(before, at));
+            self.timers.remove(&(before, local));
             if next < Timestamp::NEVER {
-                self.alarms.insert((next, at));
+                self.timers.insert((next, local));
             }
         }
     }
 
-    pub fn call<T>(&mut self, at: usize, act: impl FnOnce(&mut C, Timestamp, &mut Outbox) -> T) -> Option<T> {
+    pub fn call<T>(
+        &mut self,
+        local: usize,
+        operation: impl FnOnce(&mut C, Timestamp, &mut Outbox) -> T,
+    ) -> Option<T> {
         let now = self.now;
-        let core = self.cores[at].as_mut()?;
+        let core = self.cores[local].as_mut()?;
         let mut out = Outbox::new();
-        let timed = (self.first + at).is_multiple_of(TIMED).then(processor_ms);
-        let done = act(core, now, &mut out);
-        if let Some(began) = timed {
-            *self.usage[at].processor_ms.get_or_insert(0.0) += processor_ms() - began;
+        let cpu_before = (self.first_process + local).is_multiple_of(CPU_SAMPLE_INTERVAL).then(thread_cpu_ms);
+        let result = operation(core, now, &mut out);
+        if let Some(before) = cpu_before {
+            *self.usage[local].cpu_ms.get_or_insert(0.0) += thread_cpu_ms() - before;
         }
         for (to, bytes) in out {
-            self.send(at, to, bytes);
+            self.send(local, to, bytes);
         }
-        self.set_alarm(at);
-        Some(done)
+        self.reschedule(local);
+        Some(result)
     }
 
-    fn send(&mut self, at: usize, to: usize, bytes: Vec<u8>) {
-        self.usage[at].datagrams += 1;
-        self.usage[at].bytes += bytes.len() as u64;
-        let from = self.first + at;
-        let times = match self.rng.generate_range(0..100u32) {
-            draw if draw < self.conditions.lost => 0,
-            draw if draw < self.conditions.lost + self.conditions.doubled => 2,
+    fn send(&mut self, local: usize, to: usize, bytes: Vec<u8>) {
+        self.usage[local].datagrams_sent += 1;
+        self.usage[local].bytes_sent += bytes.len() as u64;
+        let from = self.first_process + local;
+        let copies = match self.rng.generate_range(0..100u32) {
+            draw if draw < self.conditions.lost_percent => 0,
+            draw if draw < self.conditions.lost_percent + self.conditions.duplicated_percent => 2,
             _ => 1,
         };
-        if self.cut.contains(&(self.topology.zone(from), self.topology.zone(to))) {
+        if self.blocked.contains(&(self.topology.zone_of(from), self.topology.zone_of(to))) {
             return;
         }
-        for _ in 0..times {
-            let at = self.now + self.topology.delay(from, to, &mut self.rng);
-            let datagram = Datagram { at, from, to, bytes: bytes.clone() };
-            if self.topology.region(to) == self.index {
-                self.arrives(datagram);
+        for _ in 0..copies {
+            let arrival = self.now + self.topology.delay(from, to, &mut self.rng);
+            let datagram = Datagram { arrival, from, to, bytes: bytes.clone() };
+            if self.topology.region_of(to) == self.index {
+                self.enqueue(datagram);
             } else {
-                self.leaves.push(datagram);
+                self.outbound.push(datagram);
             }
         }
     }
 
-    pub fn arrives(&mut self, datagram: Datagram) {
-        self.number += 1;
-        self.under_way.push(Reverse(Arrival { order: (datagram.at, self.number), datagram }));
+    pub fn enqueue(&mut self, datagram: Datagram) {
+        self.last_sequence += 1;
+        self.in_flight.push(Reverse(Arrival { order: (datagram.arrival, self.last_sequence), datagram }));
     }
 
-    pub fn passes(&mut self, end: Timestamp) {
+    pub fn run_until(&mut self, end: Timestamp) {
         loop {
-            let arrival = self.under_way.peek().map(|first| first.0.order.0);
-            let alarm = self.alarms.first().copied();
-            let at = [arrival, alarm.map(|alarm| alarm.0)].into_iter().flatten().min();
+            let arrival = self.in_flight.peek().map(|first| first.0.order.0);
+            let timer = self.timers.first().copied();
+            let at = [arrival, timer.map(|timer| timer.0)].into_iter().flatten().min();
             let Some(at) = at.filter(|at| *at <= end) else { break };
             self.now = self.now.max(at);
             if arrival == Some(at) {
-                let Some(Reverse(Arrival { datagram, .. })) = self.under_way.pop() else { break };
-                let to = datagram.to - self.first;
-                let heard = self.call(to, |core, now, out| {
+                let Some(Reverse(Arrival { datagram, .. })) = self.in_flight.pop() else { break };
+                let local = datagram.to - self.first_process;
+                let delivered = self.call(local, |core, now, out| {
                     core.on_datagram(datagram.from, &datagram.bytes, now, out);
                 });
-                if heard.is_some() {
-                    self.usage[to].heard += 1;
-                    self.usage[to].heard_bytes += datagram.bytes.len() as u64;
+                if delivered.is_some() {
+                    self.usage[local].datagrams_received += 1;
+                    self.usage[local].bytes_received += datagram.bytes.len() as u64;
                 }
-            } else if let Some((_, process)) = alarm {
-                self.call(process, |core, now, out| core.on_timer(now, out));
+            } else if let Some((_, local)) = timer {
+                self.call(local, |core, now, out| core.on_timer(now, out));
             }
         }
         self.now = end;
     }
 }
 
-fn processor_ms() -> f64 {
+fn thread_cpu_ms() -> f64 {
     let time = clock_gettime(ClockId::ThreadCPUTime);
     time.tv_sec as f64 * 1000.0 + time.tv_nsec as f64 / 1e6
 }
 
-/// What a region is made of, on the thread that has it.
-pub struct RegionSeed {
+/// What a [`Region`] is built from, on the thread that runs it.
+pub struct RegionSpec {
     pub index: usize,
     pub topology: Arc<Topology>,
     pub conditions: NetworkConditions,
     pub seed: u64,
 }
 
-impl RegionSeed {
-    pub fn region<C>(self) -> Region<C> {
+impl RegionSpec {
+    pub fn build<C>(self) -> Region<C> {
         let processes = self.topology.processes_of(self.index);
         let size = processes.len();
         Region {
             index: self.index,
-            first: processes.start,
+            first_process: processes.start,
             conditions: self.conditions,
-            cut: Arc::default(),
-            now: Timestamp::from_ms(BEGINS_MS),
+            blocked: Arc::default(),
+            now: Timestamp::from_ms(START_MS),
             cores: (0..size).map(|_| None).collect(),
             usage: vec![Usage::default(); size],
-            wakes: vec![Timestamp::NEVER; size],
-            alarms: BTreeSet::new(),
-            under_way: BinaryHeap::new(),
-            number: 0,
-            leaves: Vec::new(),
+            wakeups: vec![Timestamp::NEVER; size],
+            timers: BTreeSet::new(),
+            in_flight: BinaryHeap::new(),
+            last_sequence: 0,
+            outbound: Vec::new(),
             rng: WyRand::new_seed(self.seed ^ (0x9e37_79b9 * (self.index as u64 + 1))),
             topology: self.topology,
         }
--- a/crates/testkit/src/simulated_fleet.rs
+++ b/crates/testkit/src/simulated_fleet.rs
@@ -1,4 +1,5 @@
-//! Many cores of a fleet in virtual time, over a network that delays, loses, doubles, reorders and cuts as it is told.
+//! Many cores of a fleet in virtual time, over a network with configurable delay, loss, duplication, reordering and
+//! partitions.
 
 use nanorand::{Rng, WyRand};
 use shelfgrade::time::Timestamp;
@@ -9,22 +10,22 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-/// What the network does to datagrams.
+/// The conditions of the simulated network.
 #[derive(Clone, Copy, Debug)]
 pub struct Network {
-    /// A datagram is under way for any time between these: the wider, the more it reorders.
+    /// Least and greatest delay; a wider range reorders more datagrams.
     pub delay_ms: (u64, u64),
-    /// Of a hundred, how many are lost, and how many come twice.
-    pub lost: u32,
-    pub doubled: u32,
+    /// Percentages of datagrams that are lost and duplicated.
+    pub lost_percent: u32,
+    pub duplicated_percent: u32,
 }
 
-pub const CALM: Network = Network { delay_ms: (1, 5), lost: 0, doubled: 0 };
-pub const ROUGH: Network = Network { delay_ms: (1, 400), lost: 33, doubled: 20 };
+pub const GOOD_NETWORK: Network = Network { delay_ms: (1, 5), lost_percent: 0, duplicated_percent: 0 };
+pub const POOR_NETWORK: Network = Network { delay_ms: (1, 400), lost_percent: 33, duplicated_percent: 20 };
 
-/// What runs in a process: the fleet's core alone, or the return over it.
+/// What runs in a process: the fleet's core alone, or the recovery node built on it.
 pub trait Core {
-    fn begin(roster: Roster, started_at: u64, seed: u64, now: Timestamp, wall_ms: u64) -> Self;
+    fn create(roster: Roster, started_at: u64, seed: u64, now: Timestamp, wall_ms: u64) -> Self;
     fn fleet(&self) -> &Fleet;
     fn next_wakeup(&self) -> Timestamp;
     fn on_timer(&mut self, now: Timestamp, wall_ms: u64, calls: &mut RecordedCalls);
@@ -32,7 +33,7 @@
 }
 
 impl Core for Fleet {
-    fn begin(roster: Roster, started_at: u64, seed: u64, now: Timestamp, _: u64) -> Self {
+    fn create(roster: Roster, started_at: u64, seed: u64, now: Timestamp, _: u64) -> Self {
         Fleet::new(roster, started_at, seed, now)
     }
     fn fleet(&self) -> &Fleet {
@@ -50,13 +51,13 @@
 }
 
 impl Core for Node {
-    fn begin(roster: Roster, _: u64, seed: u64, now: Timestamp, wall_ms: u64) -> Self {
-        let owed = |ms, priority_weight| ClassPriority {
+    fn create(roster: Roster, _: u64, seed: u64, now: Timestamp, wall_ms: u64) -> Self {
+        let class = |ms, priority_weight| ClassPriority {
             connect_latency_objective: Some(Duration::from_millis(ms)),
             priority_weight,
         };
         let settings = RecoverySettings {
-            classes: vec![owed(300, 3.0), owed(500, 5.0), owed(800, 1.0)],
+            classes: vec![class(300, 3.0), class(500, 5.0), class(800, 1.0)],
             customer_shares: vec![0.5, 0.3, 0.2],
             list_wait: Duration::from_millis(2000),
             slow_start: Duration::from_millis(8600),
@@ -78,36 +79,37 @@
     }
 }
 
-/// One process: its core while it runs, and what it told.
+/// One process: its core while it runs, and what it reported.
 pub struct Process<C> {
     pub core: Option<C>,
-    /// It watches discovery, and the states of its return with their moments.
-    pub watches: bool,
-    pub states: Vec<(Timestamp, RecoveryState)>,
-    /// It is stopped: nothing reaches it, and its clock goes on.
-    stopped: bool,
-    /// How far its wall clock is off, in milliseconds.
-    pub ahead_ms: i64,
-    pub heard: Vec<Entry>,
-    pub refused: BTreeMap<&'static str, u64>,
-    /// Datagrams and bytes that it sent.
+    /// Whether it polls discovery.
+    pub is_polling: bool,
+    /// The recovery states that it has entered, with the time of each.
+    pub recovery_states: Vec<(Timestamp, RecoveryState)>,
+    /// Suspended: nothing reaches it, and time goes on.
+    suspended: bool,
+    /// How far its wall clock is ahead, in milliseconds.
+    pub clock_ahead_ms: i64,
+    pub entries_changed: Vec<Entry>,
+    pub rejected: BTreeMap<&'static str, u64>,
+    /// Counts of datagrams and bytes sent.
     pub sent: (u64, u64),
 }
 
-/// What a core asked for in one call.
+/// What a core requested of its environment in one call.
 #[derive(Default)]
 pub struct RecordedCalls {
     sent: Vec<(MemberId, Vec<u8>)>,
-    entries: Vec<Entry>,
-    refused: Vec<&'static str>,
-    watches: Option<bool>,
+    entries_changed: Vec<Entry>,
+    rejected: Vec<&'static str>,
+    is_polling: Option<bool>,
     state: Option<RecoveryState>,
 }
 
 impl RecoveryEnvironment for RecordedCalls {
     fn apply_endpoints(&mut self, _: Vec<EndpointAddress>, _: bool) {}
-    fn set_polling(&mut self, watches: bool) {
-        self.watches = Some(watches);
+    fn set_polling(&mut self, is_polling: bool) {
+        self.is_polling = Some(is_polling);
     }
     fn state_changed(&mut self, state: RecoveryState, _: &str) {
         self.state = Some(state);
@@ -120,72 +122,73 @@
     fn send(&mut self, to: MemberId, datagram: Vec<u8>) {
         assert!(
             datagram.len() <= shelfgrade_fleet::MAX_DATAGRAM_BYTES,
-            "{} bytes in one datagram",
+            "datagram of {} bytes exceeds the limit",
             datagram.len()
         );
         self.sent.push((to, datagram));
     }
     fn entry_changed(&mut self, entry: &Entry) {
-        self.entries.push(entry.clone());
+        self.entries_changed.push(entry.clone());
     }
     fn member_joined(&mut self, _: MemberId) {}
     fn member_left(&mut self, _: MemberId) {}
-    fn datagram_rejected(&mut self, why: &'static str) {
-        self.refused.push(why);
+    fn datagram_rejected(&mut self, reason: &'static str) {
+        self.rejected.push(reason);
     }
 }
 
-/// A whole fleet. Time begins at an hour, so that clocks can be an hour back.
+/// A simulated fleet. Time starts at one hour, so that clocks can be an hour behind.
 pub struct SimulatedFleet<C = Fleet> {
     pub now: Timestamp,
     pub processes: Vec<Process<C>>,
     pub network: Network,
-    /// Pairs whose first one cannot reach the second.
-    pub cut: BTreeSet<(MemberId, MemberId)>,
+    /// Pairs of members; datagrams from the first to the second are dropped.
+    pub blocked: BTreeSet<(MemberId, MemberId)>,
     names: Vec<String>,
-    /// When who wakes next.
-    alarms: BTreeSet<(Timestamp, usize)>,
-    wakes: Vec<Timestamp>,
-    /// What is under way, in the order of arrival; a number tells apart what comes at once.
-    under_way: BTreeMap<(Timestamp, u64), (MemberId, Vec<u8>)>,
-    number: u64,
+    timers: BTreeSet<(Timestamp, usize)>,
+    /// The next wake-up time of each member, `NEVER` if it has none; `timers` holds the others in order.
+    wakeups: Vec<Timestamp>,
+    /// Datagrams in flight, by arrival time; a sequence number orders those that arrive at the same time.
+    in_flight: BTreeMap<(Timestamp, u64), (MemberId, Vec<u8>)>,
+    last_sequence: u64,
     rng: WyRand,
     seed: u64,
-    lives: u64,
+    /// The number of processes started so far.
+    starts: u64,
 }
 
-const HOUR_MS: f64 = 3_600_000.0;
+const START_MS: f64 = 3_600_000.0;
 
 impl<C: Core> SimulatedFleet<C> {
-    /// A fleet of so many seats, none of which runs.
+    /// A fleet of `size` members, none of which runs.
     pub fn new(size: usize, network: Network, seed: u64) -> Self {
         let process = || Process {
             core: None,
-            watches: false,
-            states: Vec::new(),
-            stopped: false,
-            ahead_ms: 0,
-            heard: Vec::new(),
-            refused: BTreeMap::new(),
+            is_polling: false,
+            recovery_states: Vec::new(),
+            suspended: false,
+            clock_ahead_ms: 0,
+            entries_changed: Vec::new(),
+            rejected: BTreeMap::new(),
             sent: (0, 0),
         };
         SimulatedFleet {
-            now: Timestamp::from_ms(HOUR_MS),
+            now: Timestamp::from_ms(START_MS),
             processes: (0..size).map(|_| process()).collect(),
             network,
-            cut: BTreeSet::new(),
+            blocked: BTreeSet::new(),
             names: (0..size).map(|i| format!("n{i:03}")).collect(),
-            alarms: BTreeSet::new(),
-            wakes: vec![Timestamp::NEVER; size],
-            under_way: BTreeMap::new(),
-            number: 0,
+            timers: BTreeSet::new(),
+            wakeups: vec![Timestamp::NEVER; size],
+            in_flight: BTreeMap::new(),
+            last_sequence: 0,
             rng: WyRand::new_seed(seed),
             seed,
-            lives: 0,
+            starts: 0,
         }
     }
 
-    /// One with all its processes running.
+    /// A fleet with all processes running.
     pub fn running(size: usize, network: Network, seed: u64) -> Self {
         let mut fleet = Self::new(size, network, seed);
         (0..size).for_each(|member| fleet.start(member));
@@ -196,43 +199,44 @@
         self.processes.len()
     }
 
-    /// Starts a process with nothing known.
+    /// Starts a process with empty state.
     pub fn start(&mut self, member: usize) {
-        self.lives += 1;
-        let roster = Roster::new("trial", self.names.iter().cloned(), &self.names[member]).expect("a roster");
-        let started_at = (self.wall_ms(member) * 1000) + self.lives;
-        let seed = self.seed.wrapping_add(self.lives * 0x9e37);
-        let core = C::begin(roster, started_at, seed, self.now, self.wall_ms(member));
-        (self.processes[member].watches, self.processes[member].states) = (false, Vec::new());
+        self.starts += 1;
+        let roster =
+            Roster::new("trial", self.names.iter().cloned(), &self.names[member]).expect("roster is valid");
+        let started_at = (self.wall_ms(member) * 1000) + self.starts;
+        let seed = self.seed.wrapping_add(self.starts * 0x9e37);
+        let core = C::create(roster, started_at, seed, self.now, self.wall_ms(member));
+        (self.processes[member].is_polling, self.processes[member].recovery_states) = (false, Vec::new());
         self.processes[member].core = Some(core);
-        self.processes[member].stopped = false;
-        self.set_alarm(member);
+        self.processes[member].suspended = false;
+        self.reschedule(member);
     }
 
     pub fn kill(&mut self, member: usize) {
         self.processes[member].core = None;
-        self.set_alarm(member);
+        self.reschedule(member);
     }
 
-    /// Stops a process, or has it go on.
-    pub fn stop(&mut self, member: usize, stopped: bool) {
-        self.processes[member].stopped = stopped;
-        self.set_alarm(member);
+    /// Suspends or resumes a process.
+    pub fn set_suspended(&mut self, member: usize, suspended: bool) {
+        self.processes[member].suspended = suspended;
+        self.reschedule(member);
     }
 
-    fn set_alarm(&mut self, member: usize) {
+    fn reschedule(&mut self, member: usize) {
         let process = &self.processes[member];
         let next =
-            process.core.as_ref().filter(|_| !process.stopped).map_or(Timestamp::NEVER, C::next_wakeup);
-        let before = std::mem::replace(&mut self.wakes[member], next);
-        self.alarms.remove(&(before, member));
+            process.core.as_ref().filter(|_| !process.suspended).map_or(Timestamp::NEVER, C::next_wakeup);
+        let before = std::mem::replace(&mut self.wakeups[member], next);
+        self.timers.remove(&(before, member));
         if next < Timestamp::NEVER {
-            self.alarms.insert((next, member));
+            self.timers.insert((next, member));
         }
     }
 
     pub fn core(&self, member: usize) -> &Fleet {
-        self.processes[member].core.as_ref().expect("a process that runs").fleet()
+        self.processes[member].core.as_ref().expect("process is running").fleet()
     }
 
     pub fn running_members(&self) -> Vec<usize> {
@@ -240,98 +244,102 @@
     }
 
     fn wall_ms(&self, member: usize) -> u64 {
-        (self.now.as_ms() as i64 + self.processes[member].ahead_ms) as u64
+        (self.now.as_ms() as i64 + self.processes[member].clock_ahead_ms) as u64
     }
 
-    /// Cuts the fleet in two that cannot reach each other.
-    pub fn halve(&mut self, first: impl Fn(usize) -> bool) {
+    /// Partitions the fleet in two: the members for which `first` holds, and the others.
+    pub fn partition(&mut self, first: impl Fn(usize) -> bool) {
         for from in 0..self.size() {
             for to in 0..self.size() {
                 if first(from) != first(to) {
-                    self.cut.insert((MemberId(from as u16), MemberId(to as u16)));
+                    self.blocked.insert((MemberId(from as u16), MemberId(to as u16)));
                 }
             }
         }
     }
 
-    /// Has a process's core do something.
-    pub fn with<T>(&mut self, member: usize, act: impl FnOnce(&mut C, &mut RecordedCalls) -> T) -> T {
+    /// Runs `operation` on a process's core.
+    pub fn with_core<T>(
+        &mut self,
+        member: usize,
+        operation: impl FnOnce(&mut C, &mut RecordedCalls) -> T,
+    ) -> T {
         let mut calls = RecordedCalls::default();
-        let core = self.processes[member].core.as_mut().expect("a process that runs");
-        let done = act(core, &mut calls);
-        self.carry_out(member, calls);
-        self.set_alarm(member);
-        done
+        let core = self.processes[member].core.as_mut().expect("process is running");
+        let result = operation(core, &mut calls);
+        self.apply_calls(member, calls);
+        self.reschedule(member);
+        result
     }
 
-    fn carry_out(&mut self, member: usize, calls: RecordedCalls) {
+    fn apply_calls(&mut self, member: usize, calls: RecordedCalls) {
         let process = &mut self.processes[member];
-        process.watches = calls.watches.unwrap_or(process.watches);
-        process.states.extend(calls.state.map(|state| (self.now, state)));
-        process.heard.extend(calls.entries);
-        calls.refused.into_iter().for_each(|why| *process.refused.entry(why).or_default() += 1);
+        process.is_polling = calls.is_polling.unwrap_or(process.is_polling);
+        process.recovery_states.extend(calls.state.map(|state| (self.now, state)));
+        process.entries_changed.extend(calls.entries_changed);
+        calls.rejected.into_iter().for_each(|reason| *process.rejected.entry(reason).or_default() += 1);
         process.sent.0 += calls.sent.len() as u64;
         process.sent.1 += calls.sent.iter().map(|(_, datagram)| datagram.len() as u64).sum::<u64>();
         for (to, datagram) in calls.sent {
-            let times = match self.rng.generate_range(0..100u32) {
-                draw if draw < self.network.lost => 0,
-                draw if draw < self.network.lost + self.network.doubled => 2,
+            let copies = match self.rng.generate_range(0..100u32) {
+                draw if draw < self.network.lost_percent => 0,
+                draw if draw < self.network.lost_percent + self.network.duplicated_percent => 2,
                 _ => 1,
             };
-            if self.cut.contains(&(MemberId(member as u16), to)) {
+            if self.blocked.contains(&(MemberId(member as u16), to)) {
                 continue;
             }
-            for _ in 0..times {
-                let (least, most) = self.network.delay_ms;
-                let at = self.now + Duration::from_millis(self.rng.generate_range(least..=most));
-                self.number += 1;
-                self.under_way.insert((at, self.number), (to, datagram.clone()));
+            for _ in 0..copies {
+                let (min_ms, max_ms) = self.network.delay_ms;
+                let at = self.now + Duration::from_millis(self.rng.generate_range(min_ms..=max_ms));
+                self.last_sequence += 1;
+                self.in_flight.insert((at, self.last_sequence), (to, datagram.clone()));
             }
         }
     }
 
-    /// Puts a datagram of somebody else's in its way.
+    /// Delivers a datagram that no member has sent.
     pub fn inject(&mut self, to: usize, datagram: Vec<u8>) {
-        self.number += 1;
-        self.under_way.insert((self.now, self.number), (MemberId(to as u16), datagram));
+        self.last_sequence += 1;
+        self.in_flight.insert((self.now, self.last_sequence), (MemberId(to as u16), datagram));
     }
 
-    /// Lets time pass.
-    pub fn passes(&mut self, ms: u64) {
+    /// Advances virtual time.
+    pub fn run_for_ms(&mut self, ms: u64) {
         let end = self.now + Duration::from_millis(ms);
         loop {
-            let arrival = self.under_way.first_key_value().map(|(at, _)| at.0);
-            let alarm = self.alarms.first().copied();
-            let at = [arrival, alarm.map(|alarm| alarm.0)].into_iter().flatten().min();
+            let arrival = self.in_flight.first_key_value().map(|(at, _)| at.0);
+            let timer = self.timers.first().copied();
+            let at = [arrival, timer.map(|timer| timer.0)].into_iter().flatten().min();
             let Some(at) = at.filter(|at| *at <= end) else { break };
             self.now = self.now.max(at);
             if arrival == Some(at) {
-                let (_, (to, datagram)) = self.under_way.pop_first().expect("what arrives");
-                self.hand_over(usize::from(to.0), &datagram);
-            } else if let Some((_, member)) = alarm {
+                let (_, (to, datagram)) = self.in_flight.pop_first().expect("a datagram is in flight");
+                self.deliver(usize::from(to.0), &datagram);
+            } else if let Some((_, member)) = timer {
                 let (now, wall) = (self.now, self.wall_ms(member));
-                self.with(member, |core, environment| core.on_timer(now, wall, environment));
+                self.with_core(member, |core, environment| core.on_timer(now, wall, environment));
             }
         }
         self.now = end;
     }
 
-    fn hand_over(&mut self, to: usize, datagram: &[u8]) {
-        if self.processes[to].core.is_some() && !self.processes[to].stopped {
+    fn deliver(&mut self, to: usize, datagram: &[u8]) {
+        if self.processes[to].core.is_some() && !self.processes[to].suspended {
             let (now, wall) = (self.now, self.wall_ms(to));
-            self.with(to, |core, environment| core.on_datagram(datagram, now, wall, environment));
+            self.with_core(to, |core, environment| core.on_datagram(datagram, now, wall, environment));
         }
     }
 
-    /// What all that run may do together now.
-    pub fn sum_of_parts(&self) -> f64 {
+    /// The sum of the quota fractions of all running members.
+    pub fn total_quota_fraction(&self) -> f64 {
         self.running_members().iter().map(|member| self.core(*member).quota_fraction(self.now)).sum()
     }
 
-    /// Whether all that run know the same.
-    pub fn agree(&self) -> bool {
-        let states: BTreeSet<u64> =
+    /// Whether all running members hold the same state.
+    pub fn has_converged(&self) -> bool {
+        let digests: BTreeSet<u64> =
             self.running_members().iter().map(|member| self.core(*member).state_digest()).collect();
-        states.len() <= 1
+        digests.len() <= 1
     }
 }
--- a/crates/testkit/src/simulation.rs
+++ b/crates/testkit/src/simulation.rs
@@ -1,24 +1,26 @@
-//! Thousands of cores in virtual time over a drawn network of regions and zones, on some threads, the same for the same
-//! seed whatever their number.
+//! Simulates thousands of cores in virtual time, over a random network of regions and zones, on several threads. The
+//! same seed gives the same run, whatever the number of threads.
 //!
-//! A discrete-event simulation, parallel in the conservative way: each region has its own queue of events, and all run
-//! side by side for no longer than the shortest way between two regions, so that nothing sent in one such window is
-//! due in it elsewhere. What goes between regions is handed over between two windows, in the order of the regions.
+//! A parallel discrete-event simulation with conservative synchronization: each region has its own event queue, and
+//! the regions run in parallel in steps no longer than the shortest delay between two regions (the lookahead), so that
+//! no datagram sent within a step is due in another region within the same step. Datagrams between regions are
+//! delivered between two steps, in the order of the regions.
 //!
-//! It is generic over what runs in a process: whatever has [`Core`], which is a core without I/O. A core never leaves
-//! the thread that made it, so it may use `Rc`.
+//! It is generic over what runs in a process: any [`Core`], which does no I/O of its own. A core stays on the thread
+//! that created it, so it may use `Rc`.
 //!
 //! ```ignore
-//! let topology = Topology::of(&SIX_REGIONS, 3800, seed);
-//! let mut all = Simulation::begin(topology, NetworkConditions { lost: 2, doubled: 1 }, 4, seed);
-//! all.start(0..3800, |process, now| HollowNode::new(process, now));
-//! all.passes(Duration::from_millis(20_000));
-//! all.with(7, |core, now, out| core.put("a key", now, out));
-//! all.cut_region(2);
-//! let known: Vec<(usize, u64)> = all.each(|_, core| core.state_digest());
+//! let topology = Topology::new(&SIX_REGIONS, 3800, seed);
+//! let conditions = NetworkConditions { lost_percent: 2, duplicated_percent: 1 };
+//! let mut simulation = Simulation::new(topology, conditions, 4, seed);
+//! simulation.start(0..3800, |process, now| HollowNode::new(process, now));
+//! simulation.run_for(Duration::from_millis(20_000));
+//! simulation.with_core(7, |core, now, out| core.put("a key", now, out));
+//! simulation.isolate_region(2);
+//! let digests: Vec<(usize, u64)> = simulation.map_running(|_, core| core.state_digest());
 //! ```
 
-use crate::region::{Datagram, Region, RegionSeed};
+use crate::region::{Datagram, Region, RegionSpec};
 use crate::topology::{NetworkConditions, Topology};
 use shelfgrade::time::Timestamp;
 use std::collections::BTreeSet;
@@ -27,89 +29,93 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-/// What runs in one process. Processes are known by their number.
+/// What runs in one process. Processes are identified by their index.
 pub trait Core: 'static {
     fn on_datagram(&mut self, from: usize, datagram: &[u8], now: Timestamp, out: &mut Outbox);
-    /// The time has come that `next` named.
+    /// Called at the time that `next_wakeup` returned.
     fn on_timer(&mut self, now: Timestamp, out: &mut Outbox);
     fn next_wakeup(&self) -> Timestamp;
 }
 
-/// What a core sends in one call: to which process, and what.
+/// The datagrams that a core sends in one call, each with the process it goes to.
 pub type Outbox = Vec<(usize, Vec<u8>)>;
 
-/// What a process has sent and heard, and what its core took of the processor.
+/// What a process has sent and received, and the CPU time that its core has used.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Usage {
-    pub datagrams: u64,
-    /// The datagrams' own; a header of UDP and IP is 28 more for each.
-    pub bytes: u64,
-    pub heard: u64,
-    pub heard_bytes: u64,
-    /// By the thread's clock; None for all but each sixteenth, since asking that clock takes time too.
-    pub processor_ms: Option<f64>,
+    pub datagrams_sent: u64,
+    /// Payload only; UDP and IP headers add 28 bytes to each datagram.
+    pub bytes_sent: u64,
+    pub datagrams_received: u64,
+    pub bytes_received: u64,
+    /// From the thread's CPU clock. `None` for all but one process in 16, as reading that clock takes time too.
+    pub cpu_ms: Option<f64>,
 }
 
-/// Time begins at an hour, so that clocks can be an hour back.
-pub const BEGINS_MS: f64 = 3_600_000.0;
+/// Time starts at one hour, so that clocks can be an hour behind.
+pub const START_MS: f64 = 3_600_000.0;
 
 type Job<C> = Box<dyn FnOnce(&mut Vec<Region<C>>) + Send>;
 
 struct Worker<C> {
-    /// None once it is to end.
+    /// `None` tells the thread to exit.
     jobs: Option<Sender<Job<C>>>,
     thread: Option<JoinHandle<()>>,
 }
 
 impl<C: Core> Worker<C> {
-    fn begin(mut regions: Vec<RegionSeed>) -> Self {
-        let (jobs, todo) = channel::<Job<C>>();
+    fn spawn(mut regions: Vec<RegionSpec>) -> Self {
+        let (jobs, queue) = channel::<Job<C>>();
         let thread = std::thread::spawn(move || {
-            let mut regions: Vec<Region<C>> = regions.drain(..).map(RegionSeed::region).collect();
-            while let Ok(job) = todo.recv() {
+            let mut regions: Vec<Region<C>> = regions.drain(..).map(RegionSpec::build).collect();
+            while let Ok(job) = queue.recv() {
                 job(&mut regions);
             }
         });
         Worker { jobs: Some(jobs), thread: Some(thread) }
     }
 
-    fn asks<T: Send + 'static>(
+    fn submit<T: Send + 'static>(
         &self,
-        act: impl FnOnce(&mut Vec<Region<C>>) -> T + Send + 'static,
+        operation: impl FnOnce(&mut Vec<Region<C>>) -> T + Send + 'static,
     ) -> Receiver<T> {
-        let (done, answer) = channel();
-        let job = Box::new(move |regions: &mut Vec<Region<C>>| drop(done.send(act(regions))));
-        self.jobs.as_ref().and_then(|jobs| jobs.send(job).ok()).expect("a thread that runs");
-        answer
+        let (sender, result) = channel();
+        let job = Box::new(move |regions: &mut Vec<Region<C>>| drop(sender.send(operation(regions))));
+        self.jobs.as_ref().and_then(|jobs| jobs.send(job).ok()).expect("worker thread has exited");
+        result
     }
 }
 
-/// A whole fleet. None of its processes runs at first.
+/// A simulated fleet. None of its processes runs at first.
 pub struct Simulation<C: Core> {
     pub topology: Arc<Topology>,
     now: Timestamp,
-    cut: BTreeSet<(usize, usize)>,
+    /// Pairs of zones; datagrams from the first to the second are dropped.
+    blocked: BTreeSet<(usize, usize)>,
     workers: Vec<Worker<C>>,
-    /// Which thread has a region.
-    worker_of: Vec<usize>,
+    /// The thread that runs each region.
+    worker_of_region: Vec<usize>,
 }
 
 impl<C: Core> Simulation<C> {
-    pub fn begin(topology: Topology, conditions: NetworkConditions, threads: usize, seed: u64) -> Self {
+    pub fn new(topology: Topology, conditions: NetworkConditions, threads: usize, seed: u64) -> Self {
         let topology = Arc::new(topology);
-        let worker_of = topology.dealt_out(threads.max(1));
-        let threads = worker_of.iter().max().map_or(1, |last| last + 1);
+        let worker_of_region = topology.assign_to_threads(threads.max(1));
+        let threads = worker_of_region.iter().max().map_or(1, |highest| highest + 1);
         let workers = (0..threads).map(|worker| {
-            let its = (0..topology.regions()).filter(|region| worker_of[*region] == worker);
-            Worker::begin(
-                its.map(|index| RegionSeed { index, topology: topology.clone(), conditions, seed }).collect(),
+            let regions_of_worker =
+                (0..topology.region_count()).filter(|region| worker_of_region[*region] == worker);
+            Worker::spawn(
+                regions_of_worker
+                    .map(|index| RegionSpec { index, topology: topology.clone(), conditions, seed })
+                    .collect(),
             )
         });
         Simulation {
             workers: workers.collect(),
-            now: Timestamp::from_ms(BEGINS_MS),
-            cut: BTreeSet::new(),
-            worker_of,
+            now: Timestamp::from_ms(START_MS),
+            blocked: BTreeSet::new(),
+            worker_of_region,
             topology,
         }
     }
@@ -118,136 +124,146 @@
         self.now
     }
 
-    /// Has all threads do something with each of their regions; what came of it, in the order of the regions.
-    fn all<T: Send + 'static>(&self, act: impl Fn(&mut Region<C>) -> T + Send + Sync + 'static) -> Vec<T> {
-        let act = Arc::new(act);
-        let answers: Vec<_> = self
+    /// Runs `operation` on every region, on all threads, and returns the results in the order of the regions.
+    fn on_all_regions<T: Send + 'static>(
+        &self,
+        operation: impl Fn(&mut Region<C>) -> T + Send + Sync + 'static,
+    ) -> Vec<T> {
+        let operation = Arc::new(operation);
+        let results: Vec<_> = self
             .workers
             .iter()
             .map(|worker| {
-                let act = act.clone();
-                worker.asks(move |regions| {
-                    regions.iter_mut().map(|region| (region.index, act(region))).collect()
+                let operation = operation.clone();
+                worker.submit(move |regions| {
+                    regions.iter_mut().map(|region| (region.index, operation(region))).collect()
                 })
             })
             .collect();
-        let mut all: Vec<(usize, T)> = Vec::new();
-        for answer in answers {
-            let done: Vec<(usize, T)> = answer.recv().expect("a thread that has not failed");
-            all.extend(done);
+        let mut indexed: Vec<(usize, T)> = Vec::new();
+        for result in results {
+            let values: Vec<(usize, T)> = result.recv().expect("worker thread panicked");
+            indexed.extend(values);
         }
-        all.sort_by_key(|(index, _)| *index);
-        all.into_iter().map(|(_, done)| done).collect()
+        indexed.sort_by_key(|(index, _)| *index);
+        indexed.into_iter().map(|(_, value)| value).collect()
     }
 
-    /// Starts processes, each anew where it runs. `make` is called on the thread that will have the core.
+    /// Starts processes; one that is running is replaced by a new core. `make` is called on the thread that will own
+    /// the core.
     pub fn start(
         &mut self,
         processes: impl IntoIterator<Item = usize>,
         make: impl Fn(usize, Timestamp) -> C + Send + Sync + 'static,
     ) {
-        let wanted: BTreeSet<usize> = processes.into_iter().collect();
-        self.all(move |region| {
-            let its = region.topology.processes_of(region.index);
-            for process in wanted.range(its) {
-                region.set(process - region.first, Some(make(*process, region.now)));
+        let processes: BTreeSet<usize> = processes.into_iter().collect();
+        self.on_all_regions(move |region| {
+            let range = region.topology.processes_of(region.index);
+            for process in processes.range(range) {
+                region.set_core(process - region.first_process, Some(make(*process, region.now)));
             }
         });
     }
 
-    /// Ends processes without a word.
+    /// Ends processes abruptly: they send nothing.
     pub fn kill(&mut self, processes: impl IntoIterator<Item = usize>) {
-        let wanted: BTreeSet<usize> = processes.into_iter().collect();
-        self.all(move |region| {
-            let its = region.topology.processes_of(region.index);
-            for process in wanted.range(its) {
-                region.set(process - region.first, None);
+        let processes: BTreeSet<usize> = processes.into_iter().collect();
+        self.on_all_regions(move |region| {
+            let range = region.topology.processes_of(region.index);
+            for process in processes.range(range) {
+                region.set_core(process - region.first_process, None);
             }
         });
     }
 
-    /// Has a core do something; None where that process does not run.
-    pub fn with<T: Send + 'static>(
+    /// Runs `operation` on one core. `None` if the process is not running.
+    pub fn with_core<T: Send + 'static>(
         &mut self,
         process: usize,
-        act: impl FnOnce(&mut C, Timestamp, &mut Outbox) -> T + Send + 'static,
+        operation: impl FnOnce(&mut C, Timestamp, &mut Outbox) -> T + Send + 'static,
     ) -> Option<T> {
-        let index = self.topology.region(process);
-        let answer = self.workers[self.worker_of[index]].asks(move |regions| {
+        let index = self.topology.region_of(process);
+        let result = self.workers[self.worker_of_region[index]].submit(move |regions| {
             let region = regions.iter_mut().find(|region| region.index == index)?;
-            region.call(process - region.first, act)
+            region.call(process - region.first_process, operation)
         });
-        answer.recv().expect("a thread that has not failed")
+        result.recv().expect("worker thread panicked")
     }
 
-    /// What each that runs says of itself, in order.
-    pub fn each<T: Send + 'static>(
+    /// Applies `read` to every running core and returns the results in the order of the processes.
+    pub fn map_running<T: Send + 'static>(
         &self,
-        say: impl Fn(usize, &C) -> T + Send + Sync + 'static,
+        read: impl Fn(usize, &C) -> T + Send + Sync + 'static,
     ) -> Vec<(usize, T)> {
-        let said = self.all(move |region| {
-            let running = region.cores.iter().enumerate().filter_map(|(at, core)| Some((at, core.as_ref()?)));
-            running.map(|(at, core)| (region.first + at, say(region.first + at, core))).collect::<Vec<_>>()
+        let values = self.on_all_regions(move |region| {
+            let running =
+                region.cores.iter().enumerate().filter_map(|(local, core)| Some((local, core.as_ref()?)));
+            running
+                .map(|(local, core)| (region.first_process + local, read(region.first_process + local, core)))
+                .collect::<Vec<_>>()
         });
-        said.into_iter().flatten().collect()
+        values.into_iter().flatten().collect()
     }
 
-    /// What each process, running or not, has used since the beginning.
+    /// What each process, running or not, has used since the simulation started.
     pub fn usage(&self) -> Vec<Usage> {
-        self.all(|region| region.usage.clone()).into_iter().flatten().collect()
+        self.on_all_regions(|region| region.usage.clone()).into_iter().flatten().collect()
     }
 
-    /// Nothing gets from one zone to the other, one way.
-    pub fn cut(&mut self, from_zone: usize, to_zone: usize) {
-        self.cut.insert((from_zone, to_zone));
+    /// Drops all datagrams from one zone to another, in this direction only.
+    pub fn block(&mut self, from_zone: usize, to_zone: usize) {
+        self.blocked.insert((from_zone, to_zone));
     }
 
-    /// Cuts some zones off from all others, both ways.
-    pub fn cut_zones(&mut self, zones: impl Fn(usize) -> bool) {
-        let all = self.topology.zones();
-        let pairs = (0..all).flat_map(|from| (0..all).map(move |to| (from, to)));
-        self.cut.extend(pairs.filter(|(from, to)| zones(*from) != zones(*to)));
+    /// Drops all datagrams between the zones for which `isolated` holds and the others, in both directions.
+    pub fn isolate_zones(&mut self, isolated: impl Fn(usize) -> bool) {
+        let zones = self.topology.zone_count();
+        let pairs = (0..zones).flat_map(|from| (0..zones).map(move |to| (from, to)));
+        self.blocked.extend(pairs.filter(|(from, to)| isolated(*from) != isolated(*to)));
     }
 
-    pub fn cut_region(&mut self, region: usize) {
+    pub fn isolate_region(&mut self, region: usize) {
         let zones = self.topology.zones_of(region);
-        self.cut_zones(|zone| zones.contains(&zone));
+        self.isolate_zones(|zone| zones.contains(&zone));
     }
 
-    /// All ways are open again.
+    /// Removes all partitions.
     pub fn heal(&mut self) {
-        self.cut.clear();
+        self.blocked.clear();
     }
 
-    /// Lets time pass.
-    pub fn passes(&mut self, time: Duration) {
-        let end = self.now + time;
-        let cut = Arc::new(self.cut.clone());
+    /// Advances virtual time.
+    pub fn run_for(&mut self, duration: Duration) {
+        let end = self.now + duration;
+        let blocked = Arc::new(self.blocked.clone());
         while self.now < end {
-            let until = end.min(self.now + self.topology.window());
-            let arrive = self.all(|region| std::mem::take(&mut region.leaves));
-            let mut to: Vec<Vec<Datagram>> = (0..self.topology.regions()).map(|_| Vec::new()).collect();
-            for datagram in arrive.into_iter().flatten() {
-                to[self.topology.region(datagram.to)].push(datagram);
+            let step_end = end.min(self.now + self.topology.lookahead());
+            let crossing = self.on_all_regions(|region| std::mem::take(&mut region.outbound));
+            let mut by_region: Vec<Vec<Datagram>> =
+                (0..self.topology.region_count()).map(|_| Vec::new()).collect();
+            for datagram in crossing.into_iter().flatten() {
+                by_region[self.topology.region_of(datagram.to)].push(datagram);
             }
-            let answers: Vec<_> = (0..self.workers.len())
+            let results: Vec<_> = (0..self.workers.len())
                 .map(|worker| {
-                    let its = (0..to.len()).filter(|region| self.worker_of[*region] == worker);
-                    let mut arrive: Vec<_> =
-                        its.map(|region| (region, std::mem::take(&mut to[region]))).collect();
-                    let cut = cut.clone();
-                    self.workers[worker].asks(move |regions| {
-                        for (region, (index, datagrams)) in regions.iter_mut().zip(arrive.drain(..)) {
+                    let regions_of_worker =
+                        (0..by_region.len()).filter(|region| self.worker_of_region[*region] == worker);
+                    let mut incoming: Vec<_> = regions_of_worker
+                        .map(|region| (region, std::mem::take(&mut by_region[region])))
+                        .collect();
+                    let blocked = blocked.clone();
+                    self.workers[worker].submit(move |regions| {
+                        for (region, (index, datagrams)) in regions.iter_mut().zip(incoming.drain(..)) {
                             debug_assert_eq!(region.index, index);
-                            region.cut = cut.clone();
-                            datagrams.into_iter().for_each(|datagram| region.arrives(datagram));
-                            region.passes(until);
+                            region.blocked = blocked.clone();
+                            datagrams.into_iter().for_each(|datagram| region.enqueue(datagram));
+                            region.run_until(step_end);
                         }
                     })
                 })
                 .collect();
-            answers.iter().for_each(|answer| answer.recv().expect("a thread that has not failed"));
-            self.now = until;
+            results.iter().for_each(|result| result.recv().expect("worker thread panicked"));
+            self.now = step_end;
         }
     }
 }
--- a/crates/testkit/src/sockets.rs
+++ b/crates/testkit/src/sockets.rs
@@ -1,4 +1,4 @@
-//! HollowNode processes on real sockets: each core has a UDP socket of its own on loopback, and all share one thread.
+//! Hollow nodes on real sockets: each node has its own UDP socket on loopback, and all of them share one thread.
 
 use crate::hollow_node::HollowNode;
 use crate::server::unix_ms;
@@ -11,153 +11,159 @@
 use std::time::{Duration, Instant};
 
 #[derive(Clone, Copy, Default)]
-pub struct Counts {
+pub struct TrafficCounts {
     pub datagrams: u64,
     pub bytes: u64,
 }
 
-pub struct Sockets {
-    pub cores: Vec<HollowNode>,
+pub struct SocketFleet {
+    pub nodes: Vec<HollowNode>,
     sockets: Vec<UdpSocket>,
-    /// By the order of the roster.
+    /// In the order of the roster.
     pub addresses: Vec<SocketAddr>,
     members: BTreeMap<SocketAddr, usize>,
-    ready: rustix::fd::OwnedFd,
-    alarms: BTreeSet<(Timestamp, usize)>,
-    wakes: Vec<Timestamp>,
-    began: (f64, Instant),
-    pub sent: Counts,
-    /// From the real processes, each by its seat.
-    from_real: BTreeMap<usize, Counts>,
+    epoll_fd: rustix::fd::OwnedFd,
+    timers: BTreeSet<(Timestamp, usize)>,
+    /// The next wake-up time of each node; `timers` holds the same times in order.
+    wakeups: Vec<Timestamp>,
+    /// The wall clock and the monotonic clock at the start.
+    started: (f64, Instant),
+    pub sent: TrafficCounts,
+    /// Traffic received from the real processes, by member.
+    from_real: BTreeMap<usize, TrafficCounts>,
     hollow_members: BTreeSet<usize>,
 }
 
-impl Sockets {
-    /// `all`: every process of the fleet with its address; the last ones are the hollow ones, in the order of their sockets.
-    pub fn begin(sockets: Vec<UdpSocket>, all: &[(String, SocketAddr)]) -> Self {
+impl SocketFleet {
+    /// `all`: every process of the fleet with its address. The last ones are the hollow nodes, in the order of
+    /// `sockets`.
+    pub fn new(sockets: Vec<UdpSocket>, all: &[(String, SocketAddr)]) -> Self {
         let by_name: BTreeMap<&str, SocketAddr> =
             all.iter().map(|(name, address)| (name.as_str(), *address)).collect();
         let first = all[all.len() - sockets.len()].0.as_str();
-        let roster =
-            Roster::new("trial", by_name.keys().map(|name| (*name).to_owned()), first).expect("a roster");
-        let began = (unix_ms(), Instant::now());
-        let now = Timestamp::from_ms(began.0);
-        let ready = epoll::create(epoll::CreateFlags::CLOEXEC).expect("an epoll");
-        for (at, socket) in sockets.iter().enumerate() {
-            socket.set_nonblocking(true).expect("a socket");
-            let data = epoll::EventData::new_u64(at as u64);
-            epoll::add(&ready, socket, data, epoll::EventFlags::IN).expect("watched");
+        let roster = Roster::new("trial", by_name.keys().map(|name| (*name).to_owned()), first)
+            .expect("roster is valid");
+        let started = (unix_ms(), Instant::now());
+        let now = Timestamp::from_ms(started.0);
+        let epoll_fd = epoll::create(epoll::CreateFlags::CLOEXEC).expect("epoll instance is created");
+        for (index, socket) in sockets.iter().enumerate() {
+            socket.set_nonblocking(true).expect("socket is set to non-blocking");
+            let data = epoll::EventData::new_u64(index as u64);
+            epoll::add(&epoll_fd, socket, data, epoll::EventFlags::IN).expect("socket is added to epoll");
         }
         let names = &all[all.len() - sockets.len()..];
-        let cores: Vec<_> = names.iter().map(|(name, _)| HollowNode::new(&roster, name, 1, now)).collect();
+        let nodes: Vec<_> = names.iter().map(|(name, _)| HollowNode::new(&roster, name, 1, now)).collect();
         let addresses: Vec<_> = by_name.values().copied().collect();
         let members = addresses.iter().enumerate().map(|(member, address)| (*address, member)).collect();
-        let mut trial = Sockets {
-            hollow_members: cores.iter().map(|core| usize::from(core.fleet.me().member.0)).collect(),
-            alarms: BTreeSet::new(),
-            wakes: vec![Timestamp::NEVER; cores.len()],
-            sent: Counts::default(),
+        let mut fleet = SocketFleet {
+            hollow_members: nodes.iter().map(|node| usize::from(node.fleet.me().member.0)).collect(),
+            timers: BTreeSet::new(),
+            wakeups: vec![Timestamp::NEVER; nodes.len()],
+            sent: TrafficCounts::default(),
             from_real: BTreeMap::new(),
-            cores,
+            nodes,
             sockets,
             addresses,
             members,
-            ready,
-            began,
+            epoll_fd,
+            started,
         };
-        (0..trial.cores.len()).for_each(|at| trial.set_alarm(at));
-        trial
+        (0..fleet.nodes.len()).for_each(|index| fleet.reschedule(index));
+        fleet
     }
 
     fn now(&self) -> Timestamp {
-        Timestamp::from_ms(self.began.0 + self.began.1.elapsed().as_secs_f64() * 1000.0)
+        Timestamp::from_ms(self.started.0 + self.started.1.elapsed().as_secs_f64() * 1000.0)
     }
 
-    fn set_alarm(&mut self, at: usize) {
-        let next = self.cores[at].next_wakeup();
-        self.alarms.remove(&(std::mem::replace(&mut self.wakes[at], next), at));
-        self.alarms.insert((next, at));
+    fn reschedule(&mut self, index: usize) {
+        let next = self.nodes[index].next_wakeup();
+        self.timers.remove(&(std::mem::replace(&mut self.wakeups[index], next), index));
+        self.timers.insert((next, index));
     }
 
-    fn act(&mut self, at: usize, act: impl FnOnce(&mut HollowNode, Timestamp, &mut Outbox)) {
+    fn with_node(&mut self, index: usize, operation: impl FnOnce(&mut HollowNode, Timestamp, &mut Outbox)) {
         let (now, mut out) = (self.now(), Outbox::new());
-        act(&mut self.cores[at], now, &mut out);
+        operation(&mut self.nodes[index], now, &mut out);
         for (to, datagram) in out {
             self.sent.datagrams += 1;
             self.sent.bytes += datagram.len() as u64;
-            // One that is lost is made up for by those that follow.
-            let _ = self.sockets[at].send_to(&datagram, self.addresses[to]);
+            // A lost datagram is made up for by later ones.
+            let _ = self.sockets[index].send_to(&datagram, self.addresses[to]);
         }
-        self.set_alarm(at);
+        self.reschedule(index);
     }
 
-    /// Hears what has come and does what is due, for so long.
-    pub fn passes(&mut self, time: Duration) {
-        let end = Instant::now() + time;
+    /// Receives datagrams and runs timers for this long.
+    pub fn run_for(&mut self, duration: Duration) {
+        let end = Instant::now() + duration;
         let mut events = Vec::with_capacity(256);
         let mut datagram = [0; MAX_DATAGRAM_BYTES];
         while let Some(left) = end.checked_duration_since(Instant::now()).filter(|left| !left.is_zero()) {
-            while let Some((_, at)) = self.alarms.first().copied().filter(|first| first.0 <= self.now()) {
-                self.act(at, |core, now, out| core.on_timer(now, out));
+            while let Some((_, index)) = self.timers.first().copied().filter(|first| first.0 <= self.now()) {
+                self.with_node(index, |node, now, out| node.on_timer(now, out));
             }
             let due =
-                self.alarms.first().map_or(Duration::from_millis(1000), |first| first.0.since(self.now()));
+                self.timers.first().map_or(Duration::from_millis(1000), |first| first.0.since(self.now()));
             let wait = left.min(Duration::from_secs_f64(due.as_ms() / 1000.0));
             let wait = Timespec { tv_sec: wait.as_secs() as i64, tv_nsec: i64::from(wait.subsec_nanos()) };
             events.clear();
-            let _ = epoll::wait(&self.ready, rustix::buffer::spare_capacity(&mut events), Some(&wait));
-            for at in events.iter().map(|event: &epoll::Event| event.data.u64() as usize) {
-                let Ok((length, from)) = self.sockets[at].recv_from(&mut datagram) else { continue };
+            let _ = epoll::wait(&self.epoll_fd, rustix::buffer::spare_capacity(&mut events), Some(&wait));
+            for index in events.iter().map(|event: &epoll::Event| event.data.u64() as usize) {
+                let Ok((length, from)) = self.sockets[index].recv_from(&mut datagram) else { continue };
                 let Some(member) = self.members.get(&from).copied() else { continue };
                 if !self.hollow_members.contains(&member) {
                     let counts = self.from_real.entry(member).or_default();
                     counts.datagrams += 1;
                     counts.bytes += length as u64;
                 }
-                self.act(at, |core, now, out| core.on_datagram(member, &datagram[..length], now, out));
+                self.with_node(index, |node, now, out| {
+                    node.on_datagram(member, &datagram[..length], now, out)
+                });
             }
         }
     }
 
-    /// How long it took until it holds; None where it did not.
-    pub fn until(&mut self, most: Duration, holds: impl Fn(&Self) -> bool) -> Option<Duration> {
+    /// Runs until `holds` is true and returns how long that took; `None` if it was not within `limit`.
+    pub fn run_until(&mut self, limit: Duration, holds: impl Fn(&Self) -> bool) -> Option<Duration> {
         let began = Instant::now();
         while !holds(self) {
-            if began.elapsed() >= most {
+            if began.elapsed() >= limit {
                 return None;
             }
-            self.passes(Duration::from_millis(100));
+            self.run_for(Duration::from_millis(100));
         }
         Some(began.elapsed())
     }
 
-    pub fn put(&mut self, number: usize, kind: &str) {
-        self.act(0, |core, _, out| {
-            for i in 0..number {
-                let key = format!("{kind}/{i}");
+    pub fn put_entries(&mut self, count: usize, prefix: &str) {
+        self.with_node(0, |node, _, out| {
+            for i in 0..count {
+                let key = format!("{prefix}/{i}");
                 let value = (i as u64, "10.1.0.18:8000", 1.5);
-                core.act(out, |fleet, environment| fleet.put(&key, &value, environment)).expect("put");
+                node.with_fleet(out, |fleet, environment| fleet.put(&key, &value, environment))
+                    .expect("entry is accepted");
             }
         });
     }
 
-    pub fn mean_alive(&self) -> f64 {
-        self.cores.iter().map(|core| core.fleet.alive().len()).sum::<usize>() as f64 / self.cores.len() as f64
+    pub fn mean_alive_members(&self) -> f64 {
+        self.nodes.iter().map(|node| node.fleet.alive().len()).sum::<usize>() as f64 / self.nodes.len() as f64
     }
 
-    pub fn know(&self, key: &str) -> usize {
-        self.cores.iter().filter(|core| core.fleet.version(key).is_some()).count()
+    pub fn count_with_entry(&self, key: &str) -> usize {
+        self.nodes.iter().filter(|node| node.fleet.version(key).is_some()).count()
     }
 
-    pub fn states(&self) -> usize {
-        self.cores.iter().map(|core| core.fleet.state_digest()).collect::<BTreeSet<_>>().len()
+    pub fn distinct_states(&self) -> usize {
+        self.nodes.iter().map(|node| node.fleet.state_digest()).collect::<BTreeSet<_>>().len()
     }
 
-    /// What all real processes sent to the hollow ones.
-    pub fn heard_from_real(&self) -> Counts {
-        self.from_real.values().fold(Counts::default(), |all, one| Counts {
-            datagrams: all.datagrams + one.datagrams,
-            bytes: all.bytes + one.bytes,
+    /// Traffic from all real processes to the hollow nodes.
+    pub fn received_from_real(&self) -> TrafficCounts {
+        self.from_real.values().fold(TrafficCounts::default(), |sum, counts| TrafficCounts {
+            datagrams: sum.datagrams + counts.datagrams,
+            bytes: sum.bytes + counts.bytes,
         })
     }
 }
--- a/crates/testkit/tests/returns.rs
+++ b/crates/testkit/tests/returns.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-const USUAL: Network = Network { delay_ms: (1, 20), lost: 2, doubled: 1 };
+const USUAL: Network = Network { delay_ms: (1, 20), lost_percent: 2, duplicated_percent: 1 };
 const SIZE: usize = 300;
 
 /// Discovery's list: servers that started a moment ago.
@@ -32,9 +32,9 @@
     let (mut calls, mut answered) = (Vec::new(), BTreeSet::new());
     let mut due = vec![began; SIZE];
     while fleet.now.since(began) < Duration::from_millis(8000) {
-        fleet.passes(50);
+        fleet.run_for_ms(50);
         for member in fleet.running_members() {
-            if !fleet.processes[member].watches || answered.contains(&member) || fleet.now < due[member] {
+            if !fleet.processes[member].is_polling || answered.contains(&member) || fleet.now < due[member] {
                 continue;
             }
             calls.push((fleet.now, member));
@@ -42,7 +42,7 @@
             if fleet.now.since(began) >= Duration::from_millis(there_ms) {
                 answered.insert(member);
                 let (facts, now) = (facts.clone(), fleet.now);
-                fleet.with(member, |core, environment| {
+                fleet.with_core(member, |core, environment| {
                     core.on_endpoint_list(facts, true, 1, now, environment)
                 });
             }
@@ -52,7 +52,7 @@
 }
 
 fn states(fleet: &SimulatedFleet<Node>, member: usize) -> Vec<RecoveryState> {
-    fleet.processes[member].states.iter().map(|(_, state)| *state).collect()
+    fleet.processes[member].recovery_states.iter().map(|(_, state)| *state).collect()
 }
 
 /// Each of three hundred asked discovery for itself.
@@ -62,13 +62,13 @@
     assert_eq!(calls.len(), 3, "{calls:?}");
     let began = fleet.now - Duration::from_millis(8000);
     let late: Vec<_> =
-        (0..SIZE).map(|member| fleet.processes[member].states[0].0.since(began).as_ms()).collect();
+        (0..SIZE).map(|member| fleet.processes[member].recovery_states[0].0.since(began).as_ms()).collect();
     let slowest = late.iter().copied().fold(0.0, f64::max);
     println!("three hundred have the list after {slowest} ms at the latest, with {} calls", calls.len());
     assert!(
         slowest <= 2300.0 && (0..SIZE).all(|member| states(&fleet, member)[0] == RecoveryState::RampingUp)
     );
-    assert!(fleet.sum_of_parts() > 0.95 && fleet.sum_of_parts() <= 1.0 + 1e-9);
+    assert!(fleet.total_quota_fraction() > 0.95 && fleet.total_quota_fraction() <= 1.0 + 1e-9);
 }
 
 #[test]
@@ -90,7 +90,7 @@
 fn a_return_is_the_same_for_the_same_seed() {
     let told = |seed| {
         let (fleet, calls) = comes_back(seed, 300, &[3, 50]);
-        let states: Vec<_> = fleet.processes.iter().map(|process| process.states.clone()).collect();
+        let states: Vec<_> = fleet.processes.iter().map(|process| process.recovery_states.clone()).collect();
         (calls, states, fleet.processes.iter().map(|process| process.sent).collect::<Vec<_>>())
     };
     assert_eq!(told(5), told(5));
--- a/crates/testkit/tests/shared.rs
+++ b/crates/testkit/tests/shared.rs
@@ -4,7 +4,7 @@
 use proptest::test_runner::RngSeed;
 use shelfgrade::time::DurationExt;
 use shelfgrade_fleet::{Entry, Fleet, MemberId, MergeOutcome, ReplicatedMap, Version, LEASE_DURATION};
-use shelfgrade_testkit::simulated_fleet::{SimulatedFleet, CALM, ROUGH};
+use shelfgrade_testkit::simulated_fleet::{SimulatedFleet, GOOD_NETWORK, POOR_NETWORK};
 
 fn entry() -> impl Strategy<Value = Entry> {
     let value = prop_oneof![Just(None), prop::collection::vec(0..3u8, 0..3).prop_map(Some)];
@@ -73,25 +73,28 @@
 
 /// Has them draw the network, kill, stop and cut, and looks all the while at what they may do together.
 fn never_more_than_the_whole(size: usize, seed: u64, steps: &[(u8, usize, u64)]) {
-    let mut fleet =
-        SimulatedFleet::<Fleet>::running(size, if seed.is_multiple_of(2) { ROUGH } else { CALM }, seed);
-    fleet.passes(12_000);
-    for (what, member, ms) in steps {
-        let member = member % size;
+    let mut fleet = SimulatedFleet::<Fleet>::running(
+        size,
+        if seed.is_multiple_of(2) { POOR_NETWORK } else { GOOD_NETWORK },
+        seed,
+    );
+    fleet.run_for_ms(12_000);
+    for (what, node, ms) in steps {
+        let node = node % size;
         match what % 8 {
-            0 => fleet.kill(member),
-            1 if fleet.processes[member].core.is_none() => fleet.start(member),
-            2 => fleet.stop(member, true),
-            3 => fleet.stop(member, false),
-            4 => fleet.halve(|other| other <= member),
-            5 => fleet.halve(|other| other % 2 == member % 2),
-            6 => fleet.cut.clear(),
-            _ => drop(fleet.cut.insert((MemberId(member as u16), MemberId(((member + 1) % size) as u16)))),
+            0 => fleet.kill(node),
+            1 if fleet.processes[node].core.is_none() => fleet.start(node),
+            2 => fleet.set_suspended(node, true),
+            3 => fleet.set_suspended(node, false),
+            4 => fleet.partition(|other| other <= node),
+            5 => fleet.partition(|other| other % 2 == node % 2),
+            6 => fleet.blocked.clear(),
+            _ => drop(fleet.blocked.insert((MemberId(node as u16), MemberId(((node + 1) % size) as u16)))),
         }
         for _ in 0..(ms / 97 + 1) {
-            fleet.passes(97);
-            let sum = fleet.sum_of_parts();
-            assert!(sum <= 1.0 + 1e-9, "{sum} at {:?}, after {what} {member}", fleet.now);
+            fleet.run_for_ms(97);
+            let sum = fleet.total_quota_fraction();
+            assert!(sum <= 1.0 + 1e-9, "{sum} at {:?}, after {what} {node}", fleet.now);
         }
     }
 }
@@ -113,32 +116,36 @@
 
 #[test]
 fn a_whole_fleet_has_all_of_it_one_alone_its_floor_and_either_half_about_half() {
-    let whole = |fleet: &SimulatedFleet| (fleet.sum_of_parts() * 1000.0).round() / 1000.0;
-    let mut fleet = SimulatedFleet::<Fleet>::running(20, CALM, 7);
-    fleet.passes(500);
+    let whole = |fleet: &SimulatedFleet| (fleet.total_quota_fraction() * 1000.0).round() / 1000.0;
+    let mut fleet = SimulatedFleet::<Fleet>::running(20, GOOD_NETWORK, 7);
+    fleet.run_for_ms(500);
     assert_eq!(whole(&fleet), 0.5, "the floors, at once: nobody knows yet what was granted before");
-    fleet.passes(15_000);
+    fleet.run_for_ms(15_000);
     assert_eq!(whole(&fleet), 1.0);
     // A quarter dies: the others have its units, all but those whose witnesses died.
     (0..5).for_each(|member| fleet.kill(member));
-    fleet.passes(20_000);
+    fleet.run_for_ms(20_000);
     assert!((0.8..=0.9).contains(&whole(&fleet)), "{}", whole(&fleet));
     (0..5).for_each(|member| fleet.start(member));
-    fleet.passes(30_000);
+    fleet.run_for_ms(30_000);
     assert_eq!(whole(&fleet), 1.0, "and gives them back");
-    fleet.halve(|member| member < 10);
-    fleet.passes(30_000);
+    fleet.partition(|member| member < 10);
+    fleet.run_for_ms(30_000);
     let half: f64 = (0..10).map(|member| fleet.core(member).quota_fraction(fleet.now)).sum();
-    assert!((0.3..=0.7).contains(&half) && fleet.sum_of_parts() > 0.8, "{half} {}", fleet.sum_of_parts());
-    let mut alone = SimulatedFleet::<Fleet>::new(20, CALM, 7);
+    assert!(
+        (0.3..=0.7).contains(&half) && fleet.total_quota_fraction() > 0.8,
+        "{half} {}",
+        fleet.total_quota_fraction()
+    );
+    let mut alone = SimulatedFleet::<Fleet>::new(20, GOOD_NETWORK, 7);
     alone.start(3);
-    alone.passes(20_000);
+    alone.run_for_ms(20_000);
     assert_eq!(
         alone.core(3).quota_fraction(alone.now),
         1.0 / 40.0,
         "able to serve, and no more than is surely its own"
     );
-    let mut single = SimulatedFleet::<Fleet>::running(1, CALM, 7);
-    single.passes(2 * LEASE_DURATION.as_ms() as u64);
+    let mut single = SimulatedFleet::<Fleet>::running(1, GOOD_NETWORK, 7);
+    single.run_for_ms(2 * LEASE_DURATION.as_ms() as u64);
     assert_eq!(single.core(0).quota_fraction(single.now), 1.0);
 }
--- a/crates/testkit/tests/simulation.rs
+++ b/crates/testkit/tests/simulation.rs
@@ -5,7 +5,7 @@
 use shelfgrade_testkit::topology::{NetworkConditions, Topology, SIX_REGIONS};
 use std::time::Duration;
 
-const FAIR: NetworkConditions = NetworkConditions { lost: 0, doubled: 0 };
+const FAIR: NetworkConditions = NetworkConditions { lost_percent: 0, duplicated_percent: 0 };
 
 /// Sends a word to some others every 100 ms, and remembers who was heard, and how many milliseconds after it spoke.
 struct Speaker {
@@ -31,7 +31,7 @@
 }
 
 fn speakers(size: usize, conditions: NetworkConditions, threads: usize) -> Simulation<Speaker> {
-    let mut all = Simulation::begin(Topology::of(&SIX_REGIONS, size, 3), conditions, threads, 3);
+    let mut all = Simulation::new(Topology::new(&SIX_REGIONS, size, 3), conditions, threads, 3);
     all.start(0..size, move |process, now| Speaker { process, size, next: now, heard: Vec::new() });
     all
 }
@@ -40,18 +40,24 @@
 type Heard = Vec<(usize, Vec<(usize, f64)>)>;
 
 fn heard(all: &Simulation<Speaker>) -> Heard {
-    all.each(|_, speaker| speaker.heard.clone())
+    all.map_running(|_, speaker| speaker.heard.clone())
 }
 
 #[test]
 fn a_run_is_the_same_on_one_thread_and_on_four() {
     let run = |threads| {
-        let mut all = speakers(64, NetworkConditions { lost: 10, doubled: 10 }, threads);
-        all.passes(Duration::from_millis(777));
-        all.cut_zones(|zone| zone == 4);
+        let mut all = speakers(64, NetworkConditions { lost_percent: 10, duplicated_percent: 10 }, threads);
+        all.run_for(Duration::from_millis(777));
+        all.isolate_zones(|zone| zone == 4);
         all.kill([3, 40]);
-        all.passes(Duration::from_millis(500));
-        (heard(&all), all.usage().iter().map(|usage| (usage.datagrams, usage.heard)).collect::<Vec<_>>())
+        all.run_for(Duration::from_millis(500));
+        (
+            heard(&all),
+            all.usage()
+                .iter()
+                .map(|usage| (usage.datagrams_sent, usage.datagrams_received))
+                .collect::<Vec<_>>(),
+        )
     };
     let one = run(1);
     assert_eq!(one, run(4));
@@ -61,13 +67,13 @@
 #[test]
 fn a_datagram_takes_the_way_between_its_zones_and_none_that_is_cut() {
     let mut all = speakers(64, FAIR, 2);
-    all.passes(Duration::from_millis(950));
+    all.run_for(Duration::from_millis(950));
     let topology = all.topology.clone();
     for (process, heard) in heard(&all) {
         for (from, way) in heard {
             match (
-                topology.region(from) == topology.region(process),
-                topology.zone(from) == topology.zone(process),
+                topology.region_of(from) == topology.region_of(process),
+                topology.zone_of(from) == topology.zone_of(process),
             ) {
                 (_, true) => assert!((1.0..1.21).contains(&way), "{way}"),
                 (true, false) => assert!((2.0..2.41).contains(&way), "{way}"),
@@ -75,32 +81,33 @@
             }
         }
     }
-    all.cut_region(1);
-    all.passes(Duration::from_millis(200));
+    all.isolate_region(1);
+    all.run_for(Duration::from_millis(200));
     let before = heard(&all);
-    all.passes(Duration::from_millis(500));
+    all.run_for(Duration::from_millis(500));
     for ((process, before), (_, after)) in before.iter().zip(heard(&all)) {
-        let within = |from: &usize| (topology.region(*from) == 1) == (topology.region(*process) == 1);
+        let within = |from: &usize| (topology.region_of(*from) == 1) == (topology.region_of(*process) == 1);
         assert!(
             after[before.len()..].iter().all(|(from, _)| within(from)),
             "{process} heard through the cut"
         );
     }
     all.heal();
-    all.passes(Duration::from_millis(500));
-    let across = heard(&all).into_iter().filter(|(process, _)| topology.region(*process) == 1);
-    let across = across.flat_map(|(_, heard)| heard).filter(|(from, _)| topology.region(*from) != 1).count();
+    all.run_for(Duration::from_millis(500));
+    let across = heard(&all).into_iter().filter(|(process, _)| topology.region_of(*process) == 1);
+    let across =
+        across.flat_map(|(_, heard)| heard).filter(|(from, _)| topology.region_of(*from) != 1).count();
     assert!(across > 20, "{across}");
 }
 
 #[test]
 fn every_process_is_in_one_zone_and_its_region_has_it() {
     for size in [16, 17, 100, 3800] {
-        let topology = Topology::of(&SIX_REGIONS, size, 1);
+        let topology = Topology::new(&SIX_REGIONS, size, 1);
         let dealt: usize = (0..6).map(|region| topology.processes_of(region).len()).sum();
-        assert_eq!((topology.zones(), dealt), (16, size));
+        assert_eq!((topology.zone_count(), dealt), (16, size));
         for region in 0..6 {
-            assert!(topology.processes_of(region).all(|process| topology.region(process) == region));
+            assert!(topology.processes_of(region).all(|process| topology.region_of(process) == region));
         }
     }
 }
