--- a/crates/testkit/examples/sockets.rs
+++ b/crates/testkit/examples/sockets.rs
@@ -8,10 +8,10 @@
 use rustix::time::{clock_gettime, ClockId};
 use shelfgrade_testkit::discovery::Discovery;
 use shelfgrade_testkit::hollow_node::node_name;
-use shelfgrade_testkit::own_address;
-use shelfgrade_testkit::process::{known, Process, ProcessConfig, LIMITS};
+use shelfgrade_testkit::loopback_address;
+use shelfgrade_testkit::process::{endpoint_list_json, Process, ProcessConfig, DEFAULT_LIMITS};
 use shelfgrade_testkit::recorder::Recorder;
-use shelfgrade_testkit::server::{Server, DEFAULT_SERVER};
+use shelfgrade_testkit::server::{Server, DEFAULT_SERVER_SPEC};
 use shelfgrade_testkit::sockets::{SocketFleet, TrafficCounts};
 use std::net::{SocketAddr, UdpSocket};
 use std::time::{Duration, Instant};
@@ -23,19 +23,19 @@
     let recorder = Recorder::default();
     let mut servers = Vec::new();
     for index in 0..8 {
-        servers.push(Server::begin(index, DEFAULT_SERVER, recorder.clone()).await);
+        servers.push(Server::start(index, DEFAULT_SERVER_SPEC, recorder.clone()).await);
     }
-    let discovery = Discovery::begin(recorder).await;
-    discovery.says(&servers.iter().map(|server| &**server).collect::<Vec<_>>(), "in_service");
-    let folder = tempfile::TempDir::new().expect("temporary directory is created");
+    let discovery = Discovery::start(recorder).await;
+    discovery.publish(&servers.iter().map(|server| &**server).collect::<Vec<_>>(), "in_service");
+    let directory = tempfile::TempDir::new().expect("temporary directory is created");
     let config = ProcessConfig {
-        folder: folder.path().to_owned(),
+        directory: directory.path().to_owned(),
         discovery: discovery.address,
-        server_spec: DEFAULT_SERVER,
-        fleet: true,
-        known: known(&servers),
-        limits: LIMITS,
-        probes: true,
+        server_spec: DEFAULT_SERVER_SPEC,
+        fleet_enabled: true,
+        endpoint_list: endpoint_list_json(&servers),
+        limits: DEFAULT_LIMITS,
+        health_checks: true,
     };
     // Discovery and the servers run on other threads, so that their CPU time is not counted as the hollow nodes' own.
     let trial = std::thread::spawn(move || run(hollow, real, &config));
@@ -48,7 +48,7 @@
 fn run(hollow: usize, real: usize, config: &ProcessConfig) {
     let processes: Vec<_> = (0..real).map(|index| Process::new(index, config)).collect();
     let sockets: Vec<_> =
-        (0..hollow).map(|_| UdpSocket::bind(own_address()).expect("socket is bound")).collect();
+        (0..hollow).map(|_| UdpSocket::bind(loopback_address()).expect("socket is bound")).collect();
     let mut all: Vec<(String, SocketAddr)> =
         processes.iter().map(|process| (process.name.clone(), free_address())).collect();
     let hollow_members = sockets.iter().enumerate().map(|(i, socket)| {
@@ -57,7 +57,7 @@
     all.extend(hollow_members);
     processes.iter().for_each(|process| process.write_files(config, &all));
     let mut trial = Trial { fleet: SocketFleet::new(sockets, &all), processes };
-    trial.processes.iter_mut().for_each(|process| process.starts(config));
+    trial.processes.iter_mut().for_each(|process| process.start(config));
 
     let began = trial.counters();
     let discovered_ms =
@@ -111,7 +111,7 @@
 
 /// A free address for a process to bind.
 fn free_address() -> SocketAddr {
-    UdpSocket::bind(own_address()).and_then(|socket| socket.local_addr()).expect("address is available")
+    UdpSocket::bind(loopback_address()).and_then(|socket| socket.local_addr()).expect("address is available")
 }
 
 /// Counters up to a point in time.
@@ -137,7 +137,7 @@
             sent: self.fleet.sent,
             from_real: self.fleet.received_from_real(),
             thread_cpu_ms: time.tv_sec as f64 * 1000.0 + time.tv_nsec as f64 / 1e6,
-            real: self.processes.iter().filter_map(Process::processor_and_memory).collect(),
+            real: self.processes.iter().filter_map(Process::cpu_time_and_memory).collect(),
         }
     }
 
--- a/crates/testkit/src/checks.rs
+++ b/crates/testkit/src/checks.rs
@@ -1,152 +1,164 @@
-//! What must hold of all processes together, by what the stand-ins saw.
+//! Checks the invariants that all processes together must keep, from what the stand-ins observed.
 
-use crate::clients::{ALARM, ONCE};
+use crate::clients::{ALARM, NON_IDEMPOTENT};
 use crate::recorder::{Observations, Recorder};
 use std::collections::BTreeMap;
 use std::fmt;
 use std::time::Duration;
 
-/// A rule that was broken, and where.
+/// A violation of an invariant.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Breach {
-    /// A client got no final answer in its time, though its process was there.
+pub enum Violation {
+    /// A client got no final answer in time, although its process was up.
     Unanswered { id: u64, process: usize, at: Duration },
-    /// It got more than one.
-    AnsweredTwice { id: u64, process: usize, answers: Vec<String> },
-    /// What may run once was sent again after it may have run.
-    TwoEffects { id: u64, servers: Vec<usize> },
-    /// Something new came to a server that drains.
-    Drain { server: usize, at: Duration, late: Duration },
-    /// A cold server was pushed over.
-    PushedOver { server: usize, at: Duration, sent: usize, bound: u32 },
+    /// A client got more than one answer.
+    MultipleAnswers { id: u64, process: usize, answers: Vec<String> },
+    /// A non-idempotent request was accepted by more than one server.
+    ExecutedTwice { id: u64, servers: Vec<usize> },
+    /// A draining server received a new request.
+    SentToDraining { server: usize, at: Duration, draining_for: Duration },
+    /// A server was overloaded during its slow start.
+    ColdServerOverloaded { server: usize, at: Duration, requests: usize, limit: u32 },
 }
 
-impl fmt::Display for Breach {
+impl fmt::Display for Violation {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Breach::Unanswered { id, process, at } => {
-                write!(out, "try {id:x} at process {process}, {at:?}: no answer in its time")
+            Violation::Unanswered { id, process, at } => {
+                write!(out, "request {id:x} to process {process} at {at:?}: no final answer in time")
             }
-            Breach::AnsweredTwice { id, process, answers } => {
-                write!(out, "try {id:x} at process {process}: answered {answers:?}")
+            Violation::MultipleAnswers { id, process, answers } => {
+                write!(out, "request {id:x} to process {process}: more than one answer: {answers:?}")
             }
-            Breach::TwoEffects { id, servers } => {
-                write!(out, "try {id:x}, which may run once, at {servers:?}")
+            Violation::ExecutedTwice { id, servers } => {
+                write!(out, "non-idempotent request {id:x}: accepted by servers {servers:?}")
             }
-            Breach::Drain { server, at, late } => {
-                write!(out, "server {server} drained for {late:?} when something new came at {at:?}")
+            Violation::SentToDraining { server, at, draining_for } => {
+                write!(out, "server {server}: new request at {at:?}, after draining for {draining_for:?}")
             }
-            Breach::PushedOver { server, at, sent, bound } => {
-                write!(out, "cold server {server} fell at {at:?}: {sent} where {bound} are the bound")
+            Violation::ColdServerOverloaded { server, at, requests, limit } => {
+                write!(
+                    out,
+                    "server {server}: overloaded in slow start at {at:?}: {requests} requests, limit {limit}"
+                )
             }
         }
     }
 }
 
-/// How late a final answer may be, and anything new at a draining server: the platform's 400 ms, and what the news takes
-/// from discovery to all processes, which a process is told by.
+/// How late a final answer may be.
 const ANSWER_SLACK: Duration = Duration::from_millis(500);
+/// How long new requests may still reach a server after discovery has published that it drains: the platform allows
+/// 400 ms (`stop_sending_within_ms`), and the update first has to reach all processes.
 pub const DRAIN_SLACK: Duration = Duration::from_millis(2500);
 
-/// All breaches of the four rules.
-pub fn rules(recorder: &Recorder) -> Vec<Breach> {
+/// All violations recorded so far.
+pub fn find_violations(recorder: &Recorder) -> Vec<Violation> {
     let observations = recorder.observations();
-    let mut breaches = Vec::new();
-    breaches.extend(answers(&observations, recorder.now()));
-    breaches.extend(effects(&observations));
-    breaches.extend(drains(&observations));
-    breaches.extend(observations.overloads.iter().map(|overload| Breach::PushedOver {
+    let mut violations = Vec::new();
+    violations.extend(check_answers(&observations, recorder.now()));
+    violations.extend(check_executions(&observations));
+    violations.extend(check_drains(&observations));
+    violations.extend(observations.overloads.iter().map(|overload| Violation::ColdServerOverloaded {
         server: overload.server,
         at: overload.at,
-        sent: overload.sent,
-        bound: overload.bound as u32,
+        requests: overload.requests,
+        limit: overload.limit as u32,
     }));
-    breaches
+    violations
 }
 
-fn answers(observations: &Observations, now: Duration) -> Vec<Breach> {
-    let away = |process: usize, from: Duration, to: Duration| {
-        observations.away.iter().any(|(gone, left, back)| *gone == process && *left <= to && from <= *back)
+fn check_answers(observations: &Observations, now: Duration) -> Vec<Violation> {
+    let was_down = |process: usize, from: Duration, to: Duration| {
+        observations
+            .downtimes
+            .iter()
+            .any(|(down, since, until)| *down == process && *since <= to && from <= *until)
     };
-    let mut breaches = Vec::new();
-    for (id, asked) in &observations.requests {
-        let until = asked.at + asked.request_timeout + ANSWER_SLACK;
-        if until > now || away(asked.process, asked.at, until) {
+    let mut violations = Vec::new();
+    for (id, request) in &observations.requests {
+        let deadline = request.at + request.request_timeout + ANSWER_SLACK;
+        if deadline > now || was_down(request.process, request.at, deadline) {
             continue;
         }
-        let answers: Vec<_> = asked.answers.iter().map(|(_, answer)| answer.clone()).collect();
+        let answers: Vec<_> = request.answers.iter().map(|(_, answer)| answer.clone()).collect();
         if answers.len() > 1 {
-            breaches.push(Breach::AnsweredTwice { id: *id, process: asked.process, answers });
-        } else if asked.answers.first().is_none_or(|(at, _)| *at > until) {
-            breaches.push(Breach::Unanswered { id: *id, process: asked.process, at: asked.at });
+            violations.push(Violation::MultipleAnswers { id: *id, process: request.process, answers });
+        } else if request.answers.first().is_none_or(|(at, _)| *at > deadline) {
+            violations.push(Violation::Unanswered { id: *id, process: request.process, at: request.at });
         }
     }
-    breaches
+    violations
 }
 
-fn effects(observations: &Observations) -> Vec<Breach> {
-    let mut ran: BTreeMap<u64, Vec<usize>> = BTreeMap::new();
-    for sent in observations.sent.iter().filter(|sent| sent.class == ONCE && sent.ran) {
-        ran.entry(sent.id).or_default().push(sent.server);
+fn check_executions(observations: &Observations) -> Vec<Violation> {
+    let mut servers_by_request: BTreeMap<u64, Vec<usize>> = BTreeMap::new();
+    for request in
+        observations.forwarded.iter().filter(|request| request.class == NON_IDEMPOTENT && request.accepted)
+    {
+        servers_by_request.entry(request.id).or_default().push(request.server);
     }
-    let twice = ran.into_iter().filter(|(_, servers)| servers.len() > 1);
-    twice.map(|(id, servers)| Breach::TwoEffects { id, servers }).collect()
+    let repeated = servers_by_request.into_iter().filter(|(_, servers)| servers.len() > 1);
+    repeated.map(|(id, servers)| Violation::ExecutedTwice { id, servers }).collect()
 }
 
-fn drains(observations: &Observations) -> Vec<Breach> {
-    let mut breaches = Vec::new();
+fn check_drains(observations: &Observations) -> Vec<Violation> {
+    let mut violations = Vec::new();
     for (server, since, until) in &observations.drains {
-        let late = |at: Duration| at > *since + DRAIN_SLACK && until.is_none_or(|until| at < until);
-        let sent = observations.sent.iter().filter(|sent| sent.server == *server && late(sent.at));
-        breaches.extend(sent.map(|sent| Breach::Drain {
+        let is_late = |at: Duration| at > *since + DRAIN_SLACK && until.is_none_or(|until| at < until);
+        let late =
+            observations.forwarded.iter().filter(|request| request.server == *server && is_late(request.at));
+        violations.extend(late.map(|request| Violation::SentToDraining {
             server: *server,
-            at: sent.at,
-            late: sent.at - *since,
+            at: request.at,
+            draining_for: request.at - *since,
         }));
     }
-    breaches
+    violations
 }
 
-/// How many stood on the mean between two moments.
-pub fn standing(observations: &Observations, from: Duration, to: Duration) -> f64 {
-    let (mut sum, mut last, mut stand) = (0.0, from, 0);
-    for (at, number) in &observations.standing {
+/// The mean number of sessions between two times.
+pub fn mean_sessions(observations: &Observations, from: Duration, to: Duration) -> f64 {
+    let (mut sum, mut last, mut sessions) = (0.0, from, 0);
+    for (at, number) in &observations.session_counts {
         if *at > to {
             break;
         }
         if *at > last {
-            sum += (*at - last).as_secs_f64() * stand as f64;
+            sum += (*at - last).as_secs_f64() * sessions as f64;
             last = *at;
         }
-        stand = *number;
+        sessions = *number;
     }
-    sum += to.saturating_sub(last).as_secs_f64() * stand as f64;
+    sum += to.saturating_sub(last).as_secs_f64() * sessions as f64;
     sum / (to - from).as_secs_f64()
 }
 
-/// How long after `from` so many stood again.
-pub fn back_after(observations: &Observations, from: Duration, wanted: f64) -> Option<Duration> {
-    let back = observations.standing.iter().find(|(at, number)| *at > from && *number as f64 >= wanted);
-    back.map(|(at, _)| *at - from)
+/// The time from `from` until there were `wanted` sessions.
+pub fn time_to_sessions(observations: &Observations, from: Duration, wanted: f64) -> Option<Duration> {
+    let reached =
+        observations.session_counts.iter().find(|(at, number)| *at > from && *number as f64 >= wanted);
+    reached.map(|(at, _)| *at - from)
 }
 
-/// Of the alarms' tries from a moment on, how many stood, how many of these within 300 ms, and how many were pushed back.
-pub fn alarms(observations: &Observations, from: Duration, to: Duration) -> (usize, usize, usize) {
+/// Of the alarm requests between two times: how many established a session, how many of these within 300 ms, and how
+/// many were rejected.
+pub fn alarm_outcomes(observations: &Observations, from: Duration, to: Duration) -> (usize, usize, usize) {
     const CONNECT_LATENCY_OBJECTIVE: Duration = Duration::from_millis(300);
     let requests = observations
         .requests
         .values()
-        .filter(|asked| asked.class == ALARM && asked.at >= from && asked.at < to);
-    let (mut stood, mut in_time, mut pushed) = (0, 0, 0);
-    for asked in requests {
-        match asked.answers.first() {
+        .filter(|request| request.class == ALARM && request.at >= from && request.at < to);
+    let (mut established, mut in_time, mut rejected) = (0, 0, 0);
+    for request in requests {
+        match request.answers.first() {
             Some((at, answer)) if answer.starts_with("UP") => {
-                stood += 1;
-                in_time += usize::from(*at - asked.at <= CONNECT_LATENCY_OBJECTIVE);
+                established += 1;
+                in_time += usize::from(*at - request.at <= CONNECT_LATENCY_OBJECTIVE);
             }
-            Some((_, answer)) if answer.starts_with("BUSY") => pushed += 1,
+            Some((_, answer)) if answer.starts_with("BUSY") => rejected += 1,
             _ => {}
         }
     }
-    (stood, in_time, pushed)
+    (established, in_time, rejected)
 }
--- a/crates/testkit/src/clients.rs
+++ b/crates/testkit/src/clients.rs
@@ -1,4 +1,4 @@
-//! Clients' stand-ins, behind a front that deals them out among the processes that are ready.
+//! Stand-ins for clients, which connect through a front end to the processes that are ready.
 
 use crate::process::FrontEnd;
 use crate::recorder::{Recorder, RequestRecord};
@@ -11,60 +11,62 @@
 use tokio::net::TcpStream;
 use tokio::time::{sleep, timeout, timeout_at, Instant};
 
-/// A request class, as the settings have it.
-pub struct Class {
+/// A request class, as in the settings.
+pub struct RequestClass {
     pub name: &'static str,
     pub idempotency: &'static str,
     pub connect_latency_objective_ms: u64,
     pub request_timeout_ms: u64,
     pub priority_weight: f64,
-    /// Of a hundred clients.
-    pub part: usize,
+    /// The percentage of clients in this class.
+    pub client_percent: usize,
 }
 
+/// An index into [`REQUEST_CLASSES`], as is [`NON_IDEMPOTENT`].
 pub const ALARM: usize = 0;
-pub const ONCE: usize = 3;
-pub const CLASSES: [Class; 4] = [
-    Class {
+pub const NON_IDEMPOTENT: usize = 3;
+pub const REQUEST_CLASSES: [RequestClass; 4] = [
+    RequestClass {
         name: "alarm",
         idempotency: "repeatable",
         connect_latency_objective_ms: 300,
         request_timeout_ms: 1800,
         priority_weight: 3.0,
-        part: 25,
+        client_percent: 25,
     },
-    Class {
+    RequestClass {
         name: "fault",
         idempotency: "repeatable",
         connect_latency_objective_ms: 500,
         request_timeout_ms: 3000,
         priority_weight: 5.0,
-        part: 15,
+        client_percent: 15,
     },
-    Class {
+    RequestClass {
         name: "status",
         idempotency: "repeatable",
         connect_latency_objective_ms: 800,
         request_timeout_ms: 4800,
         priority_weight: 1.0,
-        part: 45,
+        client_percent: 45,
     },
-    Class {
+    RequestClass {
         name: "settle",
         idempotency: "once",
         connect_latency_objective_ms: 800,
         request_timeout_ms: 3000,
         priority_weight: 2.0,
-        part: 15,
+        client_percent: 15,
     },
 ];
+/// The customers, each with its guaranteed share.
 pub const CUSTOMERS: [(&str, f64); 3] = [("msasani", 0.5), ("posta", 0.3), ("upanga", 0.2)];
 
-/// How the first lines of all clients are told apart.
-static LAST_ID: AtomicU64 = AtomicU64::new(1);
+/// The ID of the next request; unique among all clients.
+static NEXT_ID: AtomicU64 = AtomicU64::new(1);
 
 pub struct Clients {
-    pub stop: Arc<AtomicBool>,
+    pub stopped: Arc<AtomicBool>,
 }
 
 struct Client {
@@ -74,80 +76,82 @@
     group: usize,
     front_end: Arc<FrontEnd>,
     recorder: Recorder,
-    stop: Arc<AtomicBool>,
+    stopped: Arc<AtomicBool>,
     rng: WyRand,
 }
 
 impl Clients {
-    /// So many, who come within some time and stay; of one customer's, where that is said.
-    pub fn come(
-        number: usize,
+    /// Starts `count` clients at random times within `within`; all belong to `customer`, if given. They reconnect until
+    /// they are stopped.
+    pub fn start(
+        count: usize,
         within: Duration,
         (front_end, recorder): (&Arc<FrontEnd>, &Recorder),
         seed: u64,
-        of: Option<usize>,
+        customer: Option<usize>,
     ) -> Self {
-        let stop = Arc::new(AtomicBool::new(false));
+        let stopped = Arc::new(AtomicBool::new(false));
         let mut rng = WyRand::new_seed(seed);
-        for i in 0..number {
-            let mut draw = rng.generate_range(0..100usize);
-            let class = CLASSES.iter().position(|class| match draw.checked_sub(class.part) {
-                Some(left) => {
-                    draw = left;
-                    false
-                }
-                None => true,
-            });
-            let mut customer = rng.generate_range(0..10usize) as f64 / 10.0;
-            let whose = CUSTOMERS.iter().position(|(_, share)| {
-                customer -= share;
-                customer < -1e-9
+        for i in 0..count {
+            let mut class_draw = rng.generate_range(0..100usize);
+            let class =
+                REQUEST_CLASSES.iter().position(|class| match class_draw.checked_sub(class.client_percent) {
+                    Some(left) => {
+                        class_draw = left;
+                        false
+                    }
+                    None => true,
+                });
+            let mut customer_draw = rng.generate_range(0..10usize) as f64 / 10.0;
+            let drawn_customer = CUSTOMERS.iter().position(|(_, share)| {
+                customer_draw -= share;
+                customer_draw < -1e-9
             });
             let client = Client {
                 key: format!("lift-{seed:x}-{i}"),
                 class: class.unwrap_or(2),
-                customer: of.or(whose).unwrap_or(0),
-                group: rng.generate_range(0..number.div_ceil(8)),
+                customer: customer.or(drawn_customer).unwrap_or(0),
+                group: rng.generate_range(0..count.div_ceil(8)),
                 front_end: front_end.clone(),
                 recorder: recorder.clone(),
-                stop: stop.clone(),
+                stopped: stopped.clone(),
                 rng: WyRand::new_seed(rng.generate()),
             };
-            let first = within.mul_f64(f64::from(rng.generate::<f32>()));
-            tokio::spawn(client.lives(first));
+            let delay = within.mul_f64(f64::from(rng.generate::<f32>()));
+            tokio::spawn(client.run(delay));
         }
-        Clients { stop }
+        Clients { stopped }
     }
 
-    pub fn leave(&self) {
-        self.stop.store(true, Ordering::Relaxed);
+    pub fn stop(&self) {
+        self.stopped.store(true, Ordering::Relaxed);
     }
 }
 
 impl Client {
-    async fn lives(mut self, first: Duration) {
-        sleep(first).await;
-        let (mut again, mut fresh) = (false, true);
-        while !self.stop.load(Ordering::Relaxed) {
-            let (stood, pause) = self.tries(again, fresh).await;
-            again |= stood;
-            fresh = stood;
-            let spread = Duration::from_millis(self.rng.generate_range(50..400u64));
-            sleep(pause.unwrap_or(spread)).await;
+    async fn run(mut self, delay: Duration) {
+        sleep(delay).await;
+        let (mut reconnecting, mut is_first) = (false, true);
+        while !self.stopped.load(Ordering::Relaxed) {
+            let (established, retry_after) = self.request(reconnecting, is_first).await;
+            reconnecting |= established;
+            is_first = established;
+            let pause = Duration::from_millis(self.rng.generate_range(50..400u64));
+            sleep(retry_after.unwrap_or(pause)).await;
         }
     }
 
-    /// One try: whether it stood, and how long to stay away where that was told.
-    async fn tries(&mut self, again: bool, first: bool) -> (bool, Option<Duration>) {
-        let Some((process, address)) = self.front_end.deals(&mut self.rng) else { return (false, None) };
+    /// Sends one request. Returns whether a session was established, and the retry delay that a rejection named.
+    async fn request(&mut self, reconnecting: bool, is_first: bool) -> (bool, Option<Duration>) {
+        let Some((process, address)) = self.front_end.pick_ready(&mut self.rng) else { return (false, None) };
         let Ok(Ok(stream)) = timeout(Duration::from_millis(500), TcpStream::connect(address)).await else {
             return (false, None);
         };
         let _ = stream.set_nodelay(true);
         let (read, mut write) = stream.into_split();
         let mut lines = BufReader::new(read).lines();
-        let class = &CLASSES[self.class];
-        let id = LAST_ID.fetch_add(1, Ordering::Relaxed);
+        let class = &REQUEST_CLASSES[self.class];
+        let id = NEXT_ID.fetch_add(1, Ordering::Relaxed);
         let line = format!(
             "OPEN {id:016x} {} c={},t={},d={},g=g{},again={}\r\n",
             self.key,
@@ -155,56 +159,61 @@
             CUSTOMERS[self.customer].0,
             class.request_timeout_ms,
             self.group,
-            u8::from(again)
+            u8::from(reconnecting)
         );
         let request_timeout = Duration::from_millis(class.request_timeout_ms);
-        let asked = RequestRecord {
+        let record = RequestRecord {
             at: self.recorder.now(),
             process,
             class: self.class,
             customer: self.customer,
             request_timeout,
-            first,
+            is_first,
             answers: Vec::new(),
-            over: None,
+            ended_at: None,
         };
-        self.recorder.observations().requests.insert(id, asked);
+        self.recorder.observations().requests.insert(id, record);
         if write.write_all(line.as_bytes()).await.is_err() {
-            self.over(id);
+            self.record_end(id);
             return (false, None);
         }
-        // What is still to come after its request timeout is looked at for a while: nothing should.
-        let until = Instant::now() + request_timeout + Duration::from_millis(700);
-        let Ok(Ok(Some(answer))) = timeout_at(until, lines.next_line()).await else {
-            self.over(id);
+        // Waits beyond the request timeout, so that a late answer is recorded too.
+        let answer_limit = Instant::now() + request_timeout + Duration::from_millis(700);
+        let Ok(Ok(Some(answer))) = timeout_at(answer_limit, lines.next_line()).await else {
+            self.record_end(id);
             return (false, None);
         };
-        self.answered(id, &answer);
+        self.record_answer(id, &answer);
         if !answer.starts_with("UP ") {
-            self.looks_for_more(id, &mut lines).await;
-            let pause =
+            self.record_extra_lines(id, &mut lines).await;
+            let retry_after =
                 answer.strip_prefix("BUSY ").and_then(|ms| ms.parse().ok()).map(Duration::from_millis);
-            return (false, pause);
+            return (false, retry_after);
         }
-        self.recorder.stands(true);
-        self.stays(&mut lines, &mut write).await;
-        self.recorder.stands(false);
-        self.over(id);
+        self.recorder.session_changed(true);
+        self.hold_session(&mut lines, &mut write).await;
+        self.recorder.session_changed(false);
+        self.record_end(id);
         (true, None)
     }
 
-    /// After a final answer nothing may come but the end.
-    async fn looks_for_more(&self, id: u64, lines: &mut Lines<BufReader<OwnedReadHalf>>) {
+    /// Records anything that follows a final answer; there should be nothing.
+    async fn record_extra_lines(&self, id: u64, lines: &mut Lines<BufReader<OwnedReadHalf>>) {
         if let Ok(Ok(Some(more))) = timeout(Duration::from_millis(50), lines.next_line()).await {
-            self.answered(id, &more);
+            self.record_answer(id, &more);
         }
-        self.over(id);
+        self.record_end(id);
     }
 
-    /// Sends a line now and then, and reads what comes, until the connection ends or it is told to move.
-    async fn stays(&mut self, lines: &mut Lines<BufReader<OwnedReadHalf>>, write: &mut OwnedWriteHalf) {
+    /// Sends a line at random intervals and reads what arrives, until the connection ends or the client is told to
+    /// move.
+    async fn hold_session(
+        &mut self,
+        lines: &mut Lines<BufReader<OwnedReadHalf>>,
+        write: &mut OwnedWriteHalf,
+    ) {
         loop {
-            if self.stop.load(Ordering::Relaxed) {
+            if self.stopped.load(Ordering::Relaxed) {
                 return;
             }
             let pause = Duration::from_millis(self.rng.generate_range(500..1500u64));
@@ -222,15 +231,15 @@
         }
     }
 
-    fn answered(&self, id: u64, answer: &str) {
+    fn record_answer(&self, id: u64, answer: &str) {
         let now = self.recorder.now();
         let mut observations = self.recorder.observations();
-        let asked = observations.requests.get_mut(&id).expect("its try");
-        asked.answers.push((now, answer.to_owned()));
+        let record = observations.requests.get_mut(&id).expect("request is recorded");
+        record.answers.push((now, answer.to_owned()));
     }
 
-    fn over(&self, id: u64) {
+    fn record_end(&self, id: u64) {
         let now = self.recorder.now();
-        self.recorder.observations().requests.get_mut(&id).expect("its try").over = Some(now);
+        self.recorder.observations().requests.get_mut(&id).expect("request is recorded").ended_at = Some(now);
     }
 }
--- a/crates/testkit/src/discovery.rs
+++ b/crates/testkit/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery's stand-in: a list with versions over HTTP, watches that wait, and everything that can go wrong with it.
+//! A stand-in for discovery: a versioned endpoint list over HTTP with long-polling watches, and its faults.
 
 use crate::recorder::Recorder;
 use crate::server::Server;
@@ -11,77 +11,78 @@
 use tokio::sync::watch;
 use tokio::time::timeout;
 
-/// A line, and the version that it last changed at.
-type Lines = BTreeMap<String, (String, u64)>;
+/// The entry of each server as JSON, and the version at which it last changed.
+pub type Entries = BTreeMap<String, (String, u64)>;
 
 pub struct Discovery {
     pub address: SocketAddr,
     recorder: Recorder,
-    lines: Mutex<(u64, Lines)>,
-    /// The version, and whether it is there at all.
-    at: watch::Sender<(u64, bool)>,
+    /// The list version and the entries.
+    entries: Mutex<(u64, Entries)>,
+    /// The list version, and whether discovery is up.
+    status: watch::Sender<(u64, bool)>,
 }
 
 impl Discovery {
-    pub async fn begin(recorder: Recorder) -> Arc<Self> {
-        let listener = TcpListener::bind(crate::own_address()).await.expect("an address on loopback");
-        let address = listener.local_addr().expect("the address");
+    pub async fn start(recorder: Recorder) -> Arc<Self> {
+        let listener = TcpListener::bind(crate::loopback_address()).await.expect("loopback address is bound");
+        let address = listener.local_addr().expect("local address is available");
         let discovery = Arc::new(Discovery {
             address,
             recorder,
-            lines: Mutex::new((0, BTreeMap::new())),
-            at: watch::Sender::new((0, true)),
+            entries: Mutex::new((0, BTreeMap::new())),
+            status: watch::Sender::new((0, true)),
         });
         tokio::spawn(discovery.clone().listen(listener));
         discovery
     }
 
-    fn lines(&self) -> std::sync::MutexGuard<'_, (u64, Lines)> {
-        self.lines.lock().unwrap_or_else(PoisonError::into_inner)
+    fn entries(&self) -> std::sync::MutexGuard<'_, (u64, Entries)> {
+        self.entries.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Says this of these servers, under one new version.
-    pub fn says(&self, servers: &[&Server], health: &str) {
+    /// Publishes this health of these servers under one new version.
+    pub fn publish(&self, servers: &[&Server], health: &str) {
         let version = {
-            let mut lines = self.lines();
-            lines.0 += 1;
-            let version = lines.0;
+            let mut entries = self.entries();
+            entries.0 += 1;
+            let version = entries.0;
             for server in servers {
-                lines.1.insert(server.name.clone(), (entry(server, health), version));
+                entries.1.insert(server.name.clone(), (entry(server, health), version));
             }
             version
         };
-        self.at.send_modify(|at| at.0 = version);
+        self.status.send_modify(|status| status.0 = version);
     }
 
-    /// It goes, and its watches with it.
-    pub fn goes(&self) {
-        self.at.send_modify(|at| at.1 = false);
+    /// Takes discovery down; pending watches end.
+    pub fn take_down(&self) {
+        self.status.send_modify(|status| status.1 = false);
     }
 
-    pub fn is_back(&self) {
-        self.at.send_modify(|at| at.1 = true);
+    pub fn bring_up(&self) {
+        self.status.send_modify(|status| status.1 = true);
     }
 
-    /// It has lost its memory, and counts from this version on, with these servers as just told.
-    pub fn counts_anew(&self, from: u64, servers: &[&Server], health: &str) {
+    /// Discards the list and starts again at version `from`, with these servers.
+    pub fn reset_to(&self, from: u64, servers: &[&Server], health: &str) {
         {
-            let mut lines = self.lines();
-            *lines = (from - 1, BTreeMap::new());
+            let mut entries = self.entries();
+            *entries = (from - 1, BTreeMap::new());
         }
-        self.says(servers, health);
+        self.publish(servers, health);
     }
 
-    /// What it has now, to be told again later as it was.
-    pub fn keep(&self) -> (u64, BTreeMap<String, (String, u64)>) {
-        self.lines().clone()
+    /// The present list, for [`Self::restore`].
+    pub fn snapshot(&self) -> (u64, Entries) {
+        self.entries().clone()
     }
 
-    /// It tells an old list again.
-    pub fn restore(&self, kept: (u64, BTreeMap<String, (String, u64)>)) {
-        let version = kept.0;
-        *self.lines() = kept;
-        self.at.send_modify(|at| at.0 = version);
+    /// Replaces the list by an older one, version included.
+    pub fn restore(&self, snapshot: (u64, Entries)) {
+        let version = snapshot.0;
+        *self.entries() = snapshot;
+        self.status.send_modify(|status| status.0 = version);
     }
 
     async fn listen(self: Arc<Self>, listener: TcpListener) {
@@ -91,33 +92,36 @@
     }
 
     async fn serve(self: Arc<Self>, stream: TcpStream) {
-        let mut at = self.at.subscribe();
-        if !at.borrow_and_update().1 {
-            return crate::server::reset(stream);
+        let mut status = self.status.subscribe();
+        if !status.borrow_and_update().1 {
+            return crate::server::reset_on_close(stream);
         }
         let (read, mut write) = stream.into_split();
-        let mut lines = BufReader::new(read);
+        let mut reader = BufReader::new(read);
         let mut first = true;
         loop {
-            let mut path = String::new();
-            if lines.read_line(&mut path).await.unwrap_or(0) == 0 {
+            let mut request_line = String::new();
+            if reader.read_line(&mut request_line).await.unwrap_or(0) == 0 {
                 return;
             }
             let mut header = String::new();
-            while lines.read_line(&mut header).await.unwrap_or(0) > 2 {
+            while reader.read_line(&mut header).await.unwrap_or(0) > 2 {
                 header.clear();
             }
-            self.recorder.observations().calls.push((self.recorder.now(), std::mem::take(&mut first)));
-            let number = |name: &str| {
-                let rest = path.split(name).nth(1)?;
+            self.recorder
+                .observations()
+                .discovery_calls
+                .push((self.recorder.now(), std::mem::take(&mut first)));
+            let parameter = |name: &str| {
+                let rest = request_line.split(name).nth(1)?;
                 rest.split(['&', ' ']).next()?.parse::<f64>().ok().map(|value| value as u64)
             };
-            let index = number("index=");
-            if let (Some(index), Some(wait)) = (index, number("wait=")) {
-                let news = at.wait_for(|at| at.0 > index || !at.1);
-                let _ = timeout(Duration::from_millis(wait), news).await;
+            let index = parameter("index=");
+            if let (Some(index), Some(wait)) = (index, parameter("wait=")) {
+                let changed = status.wait_for(|status| status.0 > index || !status.1);
+                let _ = timeout(Duration::from_millis(wait), changed).await;
             }
-            if !at.borrow_and_update().1 {
+            if !status.borrow_and_update().1 {
                 return;
             }
             let body = self.answer(index);
@@ -129,18 +133,18 @@
     }
 
     fn answer(&self, index: Option<u64>) -> String {
-        let lines = self.lines();
-        let newer = lines.1.values().filter(|line| index.is_none_or(|index| line.1 > index));
-        // A whole list leaves out what is gone.
-        let told = newer.filter(|line| index.is_some() || !line.0.contains("terminated"));
-        let hosts: Vec<&str> = told.map(|line| line.0.as_str()).collect();
-        format!(r#"{{"seq":{},"whole":{},"hosts":[{}]}}"#, lines.0, index.is_none(), hosts.join(","))
+        let entries = self.entries();
+        let newer = entries.1.values().filter(|entry| index.is_none_or(|index| entry.1 > index));
+        // A full list omits servers that have terminated.
+        let listed = newer.filter(|entry| index.is_some() || !entry.0.contains("terminated"));
+        let hosts: Vec<&str> = listed.map(|entry| entry.0.as_str()).collect();
+        format!(r#"{{"seq":{},"whole":{},"hosts":[{}]}}"#, entries.0, index.is_none(), hosts.join(","))
     }
 }
 
 fn entry(server: &Server, health: &str) -> String {
-    let (name, dial, born, site) = (&server.name, server.address, server.born_ms(), server.site());
+    let (name, address, started, zone) = (&server.name, server.address, server.started_ms(), server.zone());
     format!(
-        r#"{{"host":"{name}","dial":"{dial}","site":"{site}","class":"m2","block":0,"health":"{health}","born_ms":{born}}}"#
+        r#"{{"host":"{name}","dial":"{address}","site":"{zone}","class":"m2","block":0,"health":"{health}","born_ms":{started}}}"#
     )
 }
--- a/crates/testkit/src/fault_proxy.rs
+++ b/crates/testkit/src/fault_proxy.rs
@@ -1,5 +1,5 @@
-//! The way between the processes: for each pair a socket of its own, so that everybody knows everybody by an address, and
-//! a relay in the middle that delays, loses, doubles, reorders and cuts as it is told.
+//! A UDP relay between the processes that delays, loses, duplicates, reorders and blocks datagrams. Each ordered pair
+//! of processes has its own socket, so that every process knows every other one by an address.
 
 use nanorand::{Rng, WyRand};
 use std::collections::BTreeSet;
@@ -10,67 +10,79 @@
 use tokio::time::sleep;
 
 #[derive(Clone, Copy, Debug)]
-pub struct Link {
+pub struct LinkConditions {
     pub delay_ms: (u64, u64),
-    /// Of a hundred.
-    pub lost: u32,
-    pub doubled: u32,
+    /// Percentages of datagrams that are lost and duplicated.
+    pub lost_percent: u32,
+    pub duplicated_percent: u32,
 }
 
-pub const CALM: Link = Link { delay_ms: (0, 1), lost: 0, doubled: 0 };
-pub const ROUGH: Link = Link { delay_ms: (0, 80), lost: 33, doubled: 20 };
+pub const GOOD_LINK: LinkConditions =
+    LinkConditions { delay_ms: (0, 1), lost_percent: 0, duplicated_percent: 0 };
+pub const POOR_LINK: LinkConditions =
+    LinkConditions { delay_ms: (0, 80), lost_percent: 33, duplicated_percent: 20 };
 
 struct State {
-    link: Link,
-    cut: BTreeSet<(usize, usize)>,
+    link: LinkConditions,
+    /// Pairs of processes; datagrams from the first to the second are dropped.
+    blocked: BTreeSet<(usize, usize)>,
     rng: WyRand,
 }
 
 pub struct FaultProxy {
     /// Where the processes themselves listen.
-    pub own: Vec<SocketAddr>,
-    /// By who sends and to whom: where the first one finds the second.
-    found_at: Vec<Vec<SocketAddr>>,
+    pub process_addresses: Vec<SocketAddr>,
+    /// By sender and receiver: the address at which the sender reaches the receiver.
+    relay_addresses: Vec<Vec<SocketAddr>>,
     state: Arc<Mutex<State>>,
 }
 
 impl FaultProxy {
-    pub async fn begin(size: usize, seed: u64) -> Self {
-        // Processes bind their own addresses: found by asking the system for free ones.
-        let mut kept = Vec::new();
+    pub async fn start(size: usize, seed: u64) -> Self {
+        // Processes bind these addresses themselves. Binding each one here first finds free ones.
+        let mut reserved = Vec::new();
         for _ in 0..size {
-            kept.push(UdpSocket::bind(crate::own_address()).await.expect("an address on loopback"));
+            reserved
+                .push(UdpSocket::bind(crate::loopback_address()).await.expect("loopback address is bound"));
         }
-        let own: Vec<_> = kept.iter().map(|socket| socket.local_addr().expect("the address")).collect();
+        let process_addresses: Vec<_> =
+            reserved.iter().map(|socket| socket.local_addr().expect("local address is available")).collect();
         let mut sockets: Vec<Vec<Arc<UdpSocket>>> = Vec::new();
         for _ in 0..size {
             let mut row = Vec::new();
             for _ in 0..size {
                 row.push(Arc::new(
-                    UdpSocket::bind(crate::own_address()).await.expect("an address on loopback"),
+                    UdpSocket::bind(crate::loopback_address()).await.expect("loopback address is bound"),
                 ));
             }
             sockets.push(row);
         }
-        drop(kept);
-        let state = State { link: CALM, cut: BTreeSet::new(), rng: WyRand::new_seed(seed) };
+        drop(reserved);
+        let state = State { link: GOOD_LINK, blocked: BTreeSet::new(), rng: WyRand::new_seed(seed) };
         let state = Arc::new(Mutex::new(state));
         for (from, row) in sockets.iter().enumerate() {
             for (to, socket) in row.iter().enumerate().filter(|(to, _)| *to != from) {
-                // The second one knows the first by the socket of the other way.
-                let back = sockets[to][from].clone();
-                tokio::spawn(carry((from, to), socket.clone(), back, own[to], state.clone()));
+                // The receiver knows the sender by the socket of the opposite direction.
+                let reverse_socket = sockets[to][from].clone();
+                tokio::spawn(relay(
+                    (from, to),
+                    socket.clone(),
+                    reverse_socket,
+                    process_addresses[to],
+                    state.clone(),
+                ));
             }
         }
-        let found =
-            |row: &Vec<Arc<UdpSocket>>| row.iter().map(|s| s.local_addr().expect("the address")).collect();
-        FaultProxy { own, found_at: sockets.iter().map(found).collect(), state }
+        let row_addresses = |row: &Vec<Arc<UdpSocket>>| {
+            row.iter().map(|s| s.local_addr().expect("local address is available")).collect()
+        };
+        FaultProxy { process_addresses, relay_addresses: sockets.iter().map(row_addresses).collect(), state }
     }
 
-    /// The addresses of all as one of them has them.
+    /// The addresses of all processes, as process `of` sees them.
     pub fn addresses(&self, of: usize) -> Vec<SocketAddr> {
-        let mut all = self.found_at[of].clone();
-        all[of] = self.own[of];
+        let mut all = self.relay_addresses[of].clone();
+        all[of] = self.process_addresses[of];
         all
     }
 
@@ -78,58 +90,61 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub fn becomes(&self, link: Link) {
+    pub fn set_conditions(&self, link: LinkConditions) {
         self.state().link = link;
     }
 
-    /// Nothing passes from the first to the second of these.
-    pub fn cuts(&self, pairs: impl Iterator<Item = (usize, usize)>) {
-        self.state().cut.extend(pairs);
+    /// Drops all datagrams from the first to the second process of each pair.
+    pub fn block(&self, pairs: impl Iterator<Item = (usize, usize)>) {
+        self.state().blocked.extend(pairs);
     }
 
-    pub fn halves(&self, first: impl Fn(usize) -> bool) {
-        let size = self.own.len();
+    /// Partitions the processes in two: those for which `first` holds, and the others.
+    pub fn partition(&self, first: impl Fn(usize) -> bool) {
+        let size = self.process_addresses.len();
         let pairs = (0..size).flat_map(|from| (0..size).map(move |to| (from, to)));
-        self.cuts(pairs.filter(|(from, to)| first(*from) != first(*to)));
+        self.block(pairs.filter(|(from, to)| first(*from) != first(*to)));
     }
 
-    pub fn heals(&self) {
+    /// Removes all faults.
+    pub fn heal(&self) {
         let mut state = self.state();
-        state.cut.clear();
-        state.link = CALM;
+        state.blocked.clear();
+        state.link = GOOD_LINK;
     }
 }
 
-async fn carry(
+/// Relays the datagrams of one sender to one receiver.
+async fn relay(
     pair: (usize, usize),
     socket: Arc<UdpSocket>,
-    back: Arc<UdpSocket>,
+    reverse_socket: Arc<UdpSocket>,
     to: SocketAddr,
     state: Arc<Mutex<State>>,
 ) {
     let mut datagram = [0; 2048];
     loop {
-        // Its peer may be down, which comes back as an error.
+        // An error reports that the process sent to earlier is down.
         let Ok((length, _)) = socket.recv_from(&mut datagram).await else { continue };
         let delays: Vec<u64> = {
             let mut state = state.lock().unwrap_or_else(PoisonError::into_inner);
             let link = state.link;
-            let times = match state.rng.generate_range(0..100u32) {
-                _ if state.cut.contains(&pair) => 0,
-                draw if draw < link.lost => 0,
-                draw if draw < link.lost + link.doubled => 2,
+            let copies = match state.rng.generate_range(0..100u32) {
+                _ if state.blocked.contains(&pair) => 0,
+                draw if draw < link.lost_percent => 0,
+                draw if draw < link.lost_percent + link.duplicated_percent => 2,
                 _ => 1,
             };
-            (0..times).map(|_| state.rng.generate_range(link.delay_ms.0..=link.delay_ms.1)).collect()
+            (0..copies).map(|_| state.rng.generate_range(link.delay_ms.0..=link.delay_ms.1)).collect()
         };
         for delay in delays {
-            let (bytes, back) = (datagram[..length].to_vec(), back.clone());
+            let (bytes, reverse_socket) = (datagram[..length].to_vec(), reverse_socket.clone());
             if delay == 0 {
-                let _ = back.send_to(&bytes, to).await;
+                let _ = reverse_socket.send_to(&bytes, to).await;
             } else {
                 tokio::spawn(async move {
                     sleep(Duration::from_millis(delay)).await;
-                    let _ = back.send_to(&bytes, to).await;
+                    let _ = reverse_socket.send_to(&bytes, to).await;
                 });
             }
         }
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -1,12 +1,22 @@
-//! What the fleet is tried with. Nothing here is part of the program.
+//! The test kit: simulations, stand-ins and measuring programs. Nothing here is part of the program itself.
 //!
-//! [`simulated_fleet`] has many cores in virtual time over a drawn network, in one thread and the same for the same seed,
-//! [`simulation`] thousands of them over regions and zones ([`topology`]), on some threads, and [`cells`] a fleet in
-//! cells with the replicas of its log. The rest
-//! starts real processes on loopback: [`process`] the program itself, [`server`], [`discovery`], [`clients`] and
-//! [`fault_proxy`] stand-ins for what is round it, [`recorder`] what they saw, [`checks`] what must hold of that, [`misbehaving_proxy`] a
-//! proxy that is wrong on purpose, and [`trial`] all of it together. What a size costs is measured by [`standing`], one
-//! real process with many sessions, and [`decisions`], the decisions alone.
+//! Simulations in virtual time; the same seed gives the same run:
+//!
+//! - [`simulated_fleet`]: many cores over a simulated network, on one thread.
+//! - [`simulation`]: thousands of cores over regions and zones ([`topology`]), on several threads; [`hollow_node`] is
+//!   the core that runs there.
+//! - [`cells`]: a fleet in cells, with the replicas of its log.
+//!
+//! Trials with real processes on loopback:
+//!
+//! - [`process`] runs the program; [`server`], [`discovery`], [`clients`] and [`fault_proxy`] are stand-ins for its
+//!   environment, and [`trial`] puts all of them together.
+//! - [`recorder`] keeps what the stand-ins observed, and [`checks`] finds violations of the invariants in it;
+//!   [`misbehaving_proxy`] breaks the invariants on purpose, to test the checks.
+//! - [`sockets`] runs hollow nodes on real sockets, in one fleet with real processes.
+//!
+//! Costs at scale are measured by [`standing`], one real process with many sessions, and [`decisions`], the balancer's
+//! decisions alone.
 
 pub mod cells;
 pub mod checks;
@@ -29,9 +39,9 @@
 
 use std::net::SocketAddr;
 
-/// Some port at an address of loopback that only this process uses. Guards against two trials at once on one machine:
-/// a port that is chosen for a process, and free until that starts, was taken by the other's.
-pub fn own_address() -> SocketAddr {
+/// A loopback address that only this process uses, with port 0. Guards against two trials on one machine at the same
+/// time: a port that one had picked for a process was taken by the other before that process started.
+pub fn loopback_address() -> SocketAddr {
     let [_, high, middle, low] = std::process::id().to_be_bytes();
     SocketAddr::from(([127, 64 | (high & 63), middle, low], 0))
 }
--- a/crates/testkit/src/misbehaving_proxy.rs
+++ b/crates/testkit/src/misbehaving_proxy.rs
@@ -1,4 +1,4 @@
-//! A proxy that is wrong on purpose, in one way at a time: a check that has never seen a breach proves nothing.
+//! A proxy that breaks one invariant on purpose, to show that the checks detect it.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,20 +8,20 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Misbehaviour {
-    /// Clients are left without an answer.
-    Silent,
-    /// Each gets two.
+    /// Never answers clients.
+    NeverAnswers,
+    /// Sends two answers to each client.
     AnswersTwice,
-    /// What it has sent to one server it sends to the next, whatever may have run.
-    SendsTwice,
-    /// All goes to the first server, whatever the list says of it.
-    First,
+    /// Forwards every request to a second server after the first one has answered, even if it is non-idempotent.
+    ForwardsTwice,
+    /// Forwards every request to the first server, even if that one is draining or overloaded.
+    AlwaysFirstServer,
 }
 
-/// Begins such a proxy before these servers; gives its address.
-pub async fn begin(misbehaviour: Misbehaviour, servers: Vec<SocketAddr>) -> SocketAddr {
-    let listener = TcpListener::bind(crate::own_address()).await.expect("an address on loopback");
-    let address = listener.local_addr().expect("the address");
+/// Starts such a proxy in front of these servers and returns its address.
+pub async fn start(misbehaviour: Misbehaviour, servers: Vec<SocketAddr>) -> SocketAddr {
+    let listener = TcpListener::bind(crate::loopback_address()).await.expect("loopback address is bound");
+    let address = listener.local_addr().expect("local address is available");
     tokio::spawn(async move {
         while let Ok((stream, _)) = listener.accept().await {
             tokio::spawn(serve(misbehaviour, stream, servers.clone()));
@@ -39,17 +39,17 @@
         return Some(());
     }
     match misbehaviour {
-        Misbehaviour::Silent => sleep(Duration::from_secs(60)).await,
+        Misbehaviour::NeverAnswers => sleep(Duration::from_secs(60)).await,
         Misbehaviour::AnswersTwice => client.write_all(b"BUSY 50\r\nERR\r\n").await.ok()?,
-        Misbehaviour::SendsTwice => {
+        Misbehaviour::ForwardsTwice => {
             let mut first = TcpStream::connect(servers[0]).await.ok()?;
             first.write_all(line.as_bytes()).await.ok()?;
             first.read_u8().await.ok()?;
-            let mut next = TcpStream::connect(servers[1]).await.ok()?;
-            next.write_all(line.as_bytes()).await.ok()?;
-            copy_bidirectional(&mut client, &mut next).await.ok()?;
+            let mut second = TcpStream::connect(servers[1]).await.ok()?;
+            second.write_all(line.as_bytes()).await.ok()?;
+            copy_bidirectional(&mut client, &mut second).await.ok()?;
         }
-        Misbehaviour::First => {
+        Misbehaviour::AlwaysFirstServer => {
             let mut server = TcpStream::connect(servers[0]).await.ok()?;
             server.write_all(line.as_bytes()).await.ok()?;
             copy_bidirectional(&mut client, &mut server).await.ok()?;
--- a/crates/testkit/src/recorder.rs
+++ b/crates/testkit/src/recorder.rs
@@ -1,90 +1,95 @@
-//! What the stand-ins saw, each thing with its moment; the checks go by nothing else.
+//! Records what the stand-ins observe, with times. The checks use nothing else.
 
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// One try of a client: a connection with its first line.
+/// One request of a client: a connection and its first line.
 #[derive(Clone, Debug)]
 pub struct RequestRecord {
     pub at: Duration,
     pub process: usize,
+    /// Index into `REQUEST_CLASSES`.
     pub class: usize,
+    /// Index into `CUSTOMERS`.
     pub customer: usize,
     pub request_timeout: Duration,
-    /// The client's first try since it last stood, or since it came.
-    pub first: bool,
-    /// Every line that came back before the client was up, and after a final answer.
+    /// Whether this is the client's first request since its last session, or since it started.
+    pub is_first: bool,
+    /// Every line received before the session was established, and after a final answer.
     pub answers: Vec<(Duration, String)>,
-    /// The connection broke, or the client left.
-    pub over: Option<Duration>,
+    /// When the connection broke or the client left.
+    pub ended_at: Option<Duration>,
 }
 
-/// A first line that came to a server, and what it did with it.
+/// A first line that a server received, and whether it accepted the request.
 #[derive(Clone, Debug)]
 pub struct ForwardedRequest {
     pub at: Duration,
     pub server: usize,
     pub id: u64,
     pub class: usize,
-    pub ran: bool,
+    pub accepted: bool,
 }
 
-/// A server that was sent more than it could bear while it was cold.
+/// A server that received more requests during its slow start than its limit allows.
 #[derive(Clone, Debug)]
 pub struct ServerOverload {
     pub at: Duration,
     pub server: usize,
-    pub sent: usize,
-    pub bound: f64,
+    pub requests: usize,
+    pub limit: f64,
 }
 
 #[derive(Default)]
 pub struct Observations {
+    /// Client requests by ID.
     pub requests: BTreeMap<u64, RequestRecord>,
-    pub sent: Vec<ForwardedRequest>,
+    pub forwarded: Vec<ForwardedRequest>,
     pub overloads: Vec<ServerOverload>,
-    /// Calls to discovery, each with whether it began a new watch.
-    pub calls: Vec<(Duration, bool)>,
-    /// Servers that drain, from when discovery has it; and until when that held.
+    /// Calls to discovery, each with whether it was the first on its connection.
+    pub discovery_calls: Vec<(Duration, bool)>,
+    /// Draining servers, with when discovery published that and when it ended.
     pub drains: Vec<(usize, Duration, Option<Duration>)>,
-    /// Processes that were killed or stopped, from when and until when they were back.
-    pub away: Vec<(usize, Duration, Duration)>,
-    /// How many clients stood, over time.
-    pub standing: Vec<(Duration, usize)>,
-    pub stand_now: usize,
-    /// Most first lines that came to a cold server in its window, with the bound then.
-    pub coldest: Vec<(usize, f64)>,
+    /// Processes that were killed or suspended, with the start and the end of the downtime.
+    pub downtimes: Vec<(usize, Duration, Duration)>,
+    /// The number of sessions after each change.
+    pub session_counts: Vec<(Duration, usize)>,
+    /// The present number of sessions.
+    pub sessions: usize,
+    /// For each first line to a server in slow start: the number of requests in its window, and the limit.
+    pub cold_loads: Vec<(usize, f64)>,
 }
 
 #[derive(Clone)]
 pub struct Recorder {
-    began: Instant,
+    started: Instant,
     observations: Arc<Mutex<Observations>>,
 }
 
 impl Default for Recorder {
     fn default() -> Self {
-        Recorder { began: Instant::now(), observations: Arc::default() }
+        Recorder { started: Instant::now(), observations: Arc::default() }
     }
 }
 
 impl Recorder {
-    /// Time since the trial began.
+    /// Time since the start of the trial.
     pub fn now(&self) -> Duration {
-        self.began.elapsed()
+        self.started.elapsed()
     }
 
     pub fn observations(&self) -> MutexGuard<'_, Observations> {
         self.observations.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub fn stands(&self, more: bool) {
+    /// Records that a session was established or ended.
+    pub fn session_changed(&self, established: bool) {
         let now = self.now();
         let mut observations = self.observations();
-        observations.stand_now =
-            if more { observations.stand_now + 1 } else { observations.stand_now.saturating_sub(1) };
-        let stand = observations.stand_now;
-        observations.standing.push((now, stand));
+        observations.sessions =
+            if established { observations.sessions + 1 } else { observations.sessions.saturating_sub(1) };
+        let sessions = observations.sessions;
+        observations.session_counts.push((now, sessions));
     }
 }
--- a/crates/testkit/src/server.rs
+++ b/crates/testkit/src/server.rs
@@ -1,5 +1,5 @@
-//! A server's stand-in: it starts cold, has room for so many, takes its time for each, falls over where it is sent too
-//! much while it is cold, drains when it is told to, and can be without power.
+//! A stand-in for a server: it has a slow start, limited capacity and a set-up time for each connection, fails when it
+//! is overloaded during its slow start, and can be switched off.
 
 use crate::recorder::{ForwardedRequest, Recorder, ServerOverload};
 use std::collections::VecDeque;
@@ -12,40 +12,42 @@
 use tokio::sync::watch;
 use tokio::time::sleep;
 
-/// What all servers of a trial are like; the settings that proxies get say the same. The figures of a cold start are those
-/// of the first deployment.
+/// The properties of all servers of a trial, which the proxies' settings repeat. The default figures of the slow start
+/// are those of the first deployment.
 #[derive(Clone, Copy, Debug)]
 pub struct ServerSpec {
-    /// Connections that one holds.
-    pub room: usize,
-    pub cold_from: f64,
-    pub cold: Duration,
-    pub factor: f64,
-    /// The window of the bound on cold servers.
-    pub window: Duration,
-    /// What setting up a connection takes when it is warm; one after the other.
-    pub work: Duration,
+    /// The number of connections that a server can hold.
+    pub capacity: usize,
+    pub initial_fraction: f64,
+    pub slow_start: Duration,
+    pub overload_factor: f64,
+    /// The window over which requests count against the overload limit.
+    pub overload_window: Duration,
+    /// The time to set up a connection after the slow start. Connections are set up one at a time.
+    pub setup_time: Duration,
 }
 
-pub const DEFAULT_SERVER: ServerSpec = ServerSpec {
-    room: 40,
-    cold_from: 0.3,
-    cold: Duration::from_millis(8600),
-    factor: 4.0,
-    window: Duration::from_millis(1000),
-    work: Duration::from_millis(8),
+pub const DEFAULT_SERVER_SPEC: ServerSpec = ServerSpec {
+    capacity: 40,
+    initial_fraction: 0.3,
+    slow_start: Duration::from_millis(8600),
+    overload_factor: 4.0,
+    overload_window: Duration::from_millis(1000),
+    setup_time: Duration::from_millis(8),
 };
 
-/// What a sign of life takes: so long that a busy machine's delays are nothing beside it.
-const SIGN: Duration = Duration::from_millis(10);
+/// The time that a health check takes; long, so that delays on a busy machine are small in comparison.
+const HEALTH_CHECK_TIME: Duration = Duration::from_millis(10);
 
 struct State {
-    held: usize,
-    /// First lines that came within the window.
-    came: VecDeque<Duration>,
+    connections: usize,
+    /// Arrival times of the first lines within the overload window.
+    recent_requests: VecDeque<Duration>,
+    /// When the slow start began; `None` for a server that is past it from the beginning.
     started: Option<Duration>,
-    fallen: bool,
-    /// When the work that waits will be done.
+    /// The limit was exceeded: the server rejects all requests until it is switched off and on.
+    overloaded: bool,
+    /// When all queued set-ups will be done.
     busy_until: Duration,
 }
 
@@ -56,9 +58,9 @@
     server_spec: ServerSpec,
     recorder: Recorder,
     state: Mutex<State>,
-    /// The number of its life; none while it has no power.
-    power: watch::Sender<Option<u64>>,
-    born_ms: Mutex<f64>,
+    /// The current incarnation; `None` while the server is switched off.
+    incarnation: watch::Sender<Option<u64>>,
+    started_ms: Mutex<f64>,
 }
 
 pub fn unix_ms() -> f64 {
@@ -66,15 +68,15 @@
 }
 
 impl Server {
-    /// One that has been warm for long.
-    pub async fn begin(index: usize, server_spec: ServerSpec, recorder: Recorder) -> Arc<Self> {
-        let listener = TcpListener::bind(crate::own_address()).await.expect("an address on loopback");
-        let address = listener.local_addr().expect("the address");
+    /// Starts a server that is past its slow start.
+    pub async fn start(index: usize, server_spec: ServerSpec, recorder: Recorder) -> Arc<Self> {
+        let listener = TcpListener::bind(crate::loopback_address()).await.expect("loopback address is bound");
+        let address = listener.local_addr().expect("local address is available");
         let state = State {
-            held: 0,
-            came: VecDeque::new(),
+            connections: 0,
+            recent_requests: VecDeque::new(),
             started: None,
-            fallen: false,
+            overloaded: false,
             busy_until: Duration::ZERO,
         };
         let server = Arc::new(Server {
@@ -84,8 +86,8 @@
             server_spec,
             recorder,
             state: Mutex::new(state),
-            power: watch::Sender::new(Some(0)),
-            born_ms: Mutex::new(0.0),
+            incarnation: watch::Sender::new(Some(0)),
+            started_ms: Mutex::new(0.0),
         });
         tokio::spawn(server.clone().listen(listener));
         server
@@ -95,12 +97,12 @@
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    pub fn born_ms(&self) -> f64 {
-        *self.born_ms.lock().unwrap_or_else(PoisonError::into_inner)
+    pub fn started_ms(&self) -> f64 {
+        *self.started_ms.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Servers stand in two sites by turns.
-    pub fn site(&self) -> &'static str {
+    /// Servers alternate between two zones.
+    pub fn zone(&self) -> &'static str {
         if self.index.is_multiple_of(2) {
             "a"
         } else {
@@ -108,52 +110,52 @@
         }
     }
 
-    pub fn holds(&self) -> usize {
-        self.state().held
+    pub fn connection_count(&self) -> usize {
+        self.state().connections
     }
 
-    /// The power goes: all connections break, and new ones are reset at once.
-    pub fn loses_power(&self) {
-        self.power.send_replace(None);
-        self.state().held = 0;
+    /// Switches the server off: all connections break, and new ones are reset at once.
+    pub fn power_off(&self) {
+        self.incarnation.send_replace(None);
+        self.state().connections = 0;
     }
 
-    /// The power is back: it starts cold.
-    pub fn starts(&self) {
+    /// Switches the server on, at the beginning of its slow start.
+    pub fn power_on(&self) {
         let mut state = self.state();
         *state = State {
-            held: 0,
-            came: VecDeque::new(),
+            connections: 0,
+            recent_requests: VecDeque::new(),
             started: Some(self.recorder.now()),
-            fallen: false,
+            overloaded: false,
             busy_until: Duration::ZERO,
         };
-        *self.born_ms.lock().unwrap_or_else(PoisonError::into_inner) = unix_ms();
-        let lives = self.recorder.now().as_micros() as u64;
-        self.power.send_replace(Some(lives));
+        *self.started_ms.lock().unwrap_or_else(PoisonError::into_inner) = unix_ms();
+        let next = self.recorder.now().as_micros() as u64;
+        self.incarnation.send_replace(Some(next));
     }
 
     async fn listen(self: Arc<Self>, listener: TcpListener) {
         while let Ok((stream, _)) = listener.accept().await {
-            if self.power.borrow().is_some() {
+            if self.incarnation.borrow().is_some() {
                 tokio::spawn(self.clone().serve(stream));
             } else {
-                reset(stream);
+                reset_on_close(stream);
             }
         }
     }
 
-    /// How strong it is now, from what it starts with to 1.
-    fn strength(&self, state: &State) -> f64 {
+    /// The present fraction of full capacity, which rises from `initial_fraction` to 1 during the slow start.
+    fn capacity_fraction(&self, state: &State) -> f64 {
         let warm_fraction = state.started.map_or(1.0, |at| {
-            ((self.recorder.now() - at).as_secs_f64() / self.server_spec.cold.as_secs_f64()).min(1.0)
+            ((self.recorder.now() - at).as_secs_f64() / self.server_spec.slow_start.as_secs_f64()).min(1.0)
         });
-        self.server_spec.cold_from + (1.0 - self.server_spec.cold_from) * warm_fraction
+        self.server_spec.initial_fraction + (1.0 - self.server_spec.initial_fraction) * warm_fraction
     }
 
     async fn serve(self: Arc<Self>, stream: TcpStream) {
-        let mut power = self.power.subscribe();
-        let life = *power.borrow_and_update();
+        let mut incarnation = self.incarnation.subscribe();
+        let own_incarnation = *incarnation.borrow_and_update();
         let (read, mut write) = stream.into_split();
         let mut lines = BufReader::new(read).lines();
         let line = loop {
@@ -162,45 +164,45 @@
                     Ok(Some(line)) => line,
                     _ => return,
                 },
-                _ = power.changed() => return breaks(&write),
+                _ = incarnation.changed() => return reset_half_on_close(&write),
             };
             if line != "PING" {
                 break line;
             }
-            // A sign of life waits its turn behind what is to be done.
-            let waits = self.state().busy_until.saturating_sub(self.recorder.now());
-            sleep(waits + SIGN).await;
+            // A health check waits behind the queued set-ups.
+            let wait = self.state().busy_until.saturating_sub(self.recorder.now());
+            sleep(wait + HEALTH_CHECK_TIME).await;
             let _ = write.write_all(b"PONG\r\n").await;
         };
-        let Some((id, class)) = first_line(&line) else { return };
+        let Some((id, class)) = parse_open(&line) else { return };
         let now = self.recorder.now();
-        let waits = {
+        let wait = {
             let mut state = self.state();
-            self.count(&mut state, now);
-            let taken = !state.fallen && state.held < self.server_spec.room;
-            let work = self.server_spec.work.div_f64(self.strength(&state));
-            let sent = ForwardedRequest { at: now, server: self.index, id, class, ran: taken };
-            self.recorder.observations().sent.push(sent);
-            taken.then(|| {
-                state.held += 1;
-                state.busy_until = state.busy_until.max(now) + work;
+            self.check_overload(&mut state, now);
+            let accepted = !state.overloaded && state.connections < self.server_spec.capacity;
+            let setup_time = self.server_spec.setup_time.div_f64(self.capacity_fraction(&state));
+            let request = ForwardedRequest { at: now, server: self.index, id, class, accepted };
+            self.recorder.observations().forwarded.push(request);
+            accepted.then(|| {
+                state.connections += 1;
+                state.busy_until = state.busy_until.max(now) + setup_time;
                 state.busy_until - now
             })
         };
-        let Some(waits) = waits else {
+        let Some(wait) = wait else {
             let _ = write.write_all(b"BUSY\r\n").await;
             return;
         };
         tokio::select! {
-            () = sleep(waits) => {}
-            _ = power.changed() => return breaks(&write),
+            () = sleep(wait) => {}
+            _ = incarnation.changed() => return reset_half_on_close(&write),
         }
         if write.write_all(b"UP 0123\r\n").await.is_ok() {
-            // Every line comes back at once.
+            // Echoes every line at once.
             loop {
                 let line = tokio::select! {
                     read = lines.next_line() => read,
-                    _ = power.changed() => return breaks(&write),
+                    _ = incarnation.changed() => return reset_half_on_close(&write),
                 };
                 let Ok(Some(line)) = line else { break };
                 if write.write_all(format!("{line}\r\n").as_bytes()).await.is_err() {
@@ -208,38 +210,40 @@
                 }
             }
         }
-        if *self.power.borrow() == life {
+        if *self.incarnation.borrow() == own_incarnation {
             let mut state = self.state();
-            state.held = state.held.saturating_sub(1);
+            state.connections = state.connections.saturating_sub(1);
         }
     }
 
-    /// Counts a first line against the bound on a cold server. Guards, as the operators' page has it, with N + 3 x root
-    /// of N + 3, N being what fills it over its warm-up at its present strength, times the factor.
-    fn count(&self, state: &mut State, now: Duration) {
-        state.came.push_back(now);
-        while state.came.front().is_some_and(|at| now - *at > self.server_spec.window) {
-            state.came.pop_front();
+    /// Counts a first line and fails the server if it exceeds the overload limit of its slow start. The limit is that
+    /// of the operators' documentation, N + 3 * sqrt(N) + 3, where N is the overload factor times the present fraction
+    /// of capacity times the number of requests per window that would fill the server over its slow start.
+    fn check_overload(&self, state: &mut State, now: Duration) {
+        state.recent_requests.push_back(now);
+        while state.recent_requests.front().is_some_and(|at| now - *at > self.server_spec.overload_window) {
+            state.recent_requests.pop_front();
         }
-        let strength = self.strength(state);
-        if strength >= 1.0 || state.fallen {
+        let fraction = self.capacity_fraction(state);
+        if fraction >= 1.0 || state.overloaded {
             return;
         }
-        let fills = self.server_spec.room as f64 * self.server_spec.window.as_secs_f64()
-            / self.server_spec.cold.as_secs_f64();
-        let allowed = self.server_spec.factor * strength * fills;
-        let bound = allowed + 3.0 * allowed.sqrt() + 3.0;
-        self.recorder.observations().coldest.push((state.came.len(), bound));
-        if state.came.len() as f64 > bound {
-            state.fallen = true;
-            let overload = ServerOverload { at: now, server: self.index, sent: state.came.len(), bound };
+        let fill_rate = self.server_spec.capacity as f64 * self.server_spec.overload_window.as_secs_f64()
+            / self.server_spec.slow_start.as_secs_f64();
+        let expected = self.server_spec.overload_factor * fraction * fill_rate;
+        let limit = expected + 3.0 * expected.sqrt() + 3.0;
+        self.recorder.observations().cold_loads.push((state.recent_requests.len(), limit));
+        if state.recent_requests.len() as f64 > limit {
+            state.overloaded = true;
+            let overload =
+                ServerOverload { at: now, server: self.index, requests: state.recent_requests.len(), limit };
             self.recorder.observations().overloads.push(overload);
         }
     }
 }
 
-/// The id and the class of a client's first line.
-fn first_line(line: &str) -> Option<(u64, usize)> {
+/// The request ID and request class of a client's first line.
+fn parse_open(line: &str) -> Option<(u64, usize)> {
     let mut parts = line.split(' ');
     let (Some("OPEN"), Some(id), Some(_), Some(fields)) =
         (parts.next(), parts.next(), parts.next(), parts.next())
@@ -247,14 +251,15 @@
         return None;
     };
     let class = fields.split(',').find_map(|field| field.strip_prefix("c="))?;
-    let class = crate::clients::CLASSES.iter().position(|known| known.name == class)?;
+    let class = crate::clients::REQUEST_CLASSES.iter().position(|known| known.name == class)?;
     Some((u64::from_str_radix(id, 16).ok()?, class))
 }
 
-pub fn reset(stream: TcpStream) {
+/// Makes the connection end with a reset when it is dropped.
+pub fn reset_on_close(stream: TcpStream) {
     let _ = stream.set_zero_linger();
 }
 
-fn breaks(half: &OwnedWriteHalf) {
+fn reset_half_on_close(half: &OwnedWriteHalf) {
     let _ = half.as_ref().set_zero_linger();
 }
--- a/crates/testkit/src/standing.rs
+++ b/crates/testkit/src/standing.rs
@@ -1,11 +1,11 @@
 //! One real process of the program that holds many sessions: what they cost it, at rest and with lines, and how late a
 //! line is. The other ends of all of them are in this program.
 
-use crate::clients::{CLASSES, CUSTOMERS};
+use crate::clients::{CUSTOMERS, REQUEST_CLASSES};
 use crate::discovery::Discovery;
-use crate::process::{known, Limits, Process, ProcessConfig};
+use crate::process::{endpoint_list_json, Limits, Process, ProcessConfig};
 use crate::recorder::Recorder;
-use crate::server::{Server, ServerSpec, DEFAULT_SERVER};
+use crate::server::{Server, ServerSpec, DEFAULT_SERVER_SPEC};
 use hdrhistogram::Histogram;
 use rustix::process::{getrlimit, Resource, Signal};
 use serde_json::{json, Value};
@@ -110,33 +110,34 @@
     pub empty: u64,
     seen: Arc<Seen>,
     schedule: watch::Sender<Option<Schedule>>,
-    _folder: TempDir,
+    _directory: TempDir,
 }
 
 impl Standing {
     pub async fn begin(size: Size) -> Self {
         let recorder = Recorder::default();
-        let server_spec = ServerSpec { room: size.sessions, work: Duration::ZERO, ..DEFAULT_SERVER };
+        let server_spec =
+            ServerSpec { capacity: size.sessions, setup_time: Duration::ZERO, ..DEFAULT_SERVER_SPEC };
         let mut servers = Vec::new();
         for index in 0..size.servers {
-            servers.push(Server::begin(index, server_spec, recorder.clone()).await);
+            servers.push(Server::start(index, server_spec, recorder.clone()).await);
         }
-        let discovery = Discovery::begin(recorder.clone()).await;
-        discovery.says(&servers.iter().map(|server| &**server).collect::<Vec<_>>(), "in_service");
-        let folder = TempDir::new().expect("a folder");
+        let discovery = Discovery::start(recorder.clone()).await;
+        discovery.publish(&servers.iter().map(|server| &**server).collect::<Vec<_>>(), "in_service");
+        let directory = TempDir::new().expect("a folder");
         let config = ProcessConfig {
-            folder: folder.path().to_owned(),
+            directory: directory.path().to_owned(),
             discovery: discovery.address,
             server_spec,
-            fleet: false,
-            known: known(&servers),
+            fleet_enabled: false,
+            endpoint_list: endpoint_list_json(&servers),
             limits: size.limits,
             // A sign of life that is late on a busy machine would have sessions sent away.
-            probes: false,
+            health_checks: false,
         };
         let mut process = Process::new(0, &config);
-        process.write_start_file(&config, 1);
-        process.starts(&config);
+        process.write_config(&config, 1);
+        process.start(&config);
         while TcpStream::connect(process.listen).await.is_err() {
             sleep(Duration::from_millis(20)).await;
         }
@@ -155,7 +156,7 @@
             empty,
             seen: Arc::new(seen),
             schedule: watch::Sender::new(None),
-            _folder: folder,
+            _directory: directory,
         };
         standing.all_come().await;
         standing
@@ -272,7 +273,7 @@
     /// Told to end, it does so by itself; what it logged.
     pub async fn ends(mut self) -> String {
         self.process.signal(Signal::TERM);
-        while self.process.has_ended().is_none() {
+        while self.process.try_exit_code().is_none() {
             sleep(Duration::from_millis(20)).await;
         }
         self.process.log()
@@ -292,7 +293,7 @@
     const PAUSE: Duration = Duration::from_millis(50);
     const WITHIN: Duration = Duration::from_secs(6);
     let id = LAST_ID.fetch_add(1, Ordering::Relaxed);
-    let class = &CLASSES[STATUS];
+    let class = &REQUEST_CLASSES[STATUS];
     let line = format!(
         "OPEN {id:016x} lift-{index} c={},t={},d={},g=g{}\r\n",
         class.name,
--- a/crates/testkit/src/trial.rs
+++ b/crates/testkit/src/trial.rs
@@ -1,12 +1,12 @@
-//! A whole trial: so many processes, servers and clients, and what is done to them.
+//! A trial: a number of processes, servers and clients, and the faults to inject.
 
 use crate::checks;
 use crate::clients::Clients;
 use crate::discovery::Discovery;
 use crate::fault_proxy::FaultProxy;
-use crate::process::{known, FrontEnd, Process, ProcessConfig, LIMITS};
+use crate::process::{endpoint_list_json, FrontEnd, Process, ProcessConfig, DEFAULT_LIMITS};
 use crate::recorder::Recorder;
-use crate::server::{Server, ServerSpec, DEFAULT_SERVER};
+use crate::server::{Server, ServerSpec, DEFAULT_SERVER_SPEC};
 use nanorand::{Rng, WyRand};
 use rustix::process::Signal;
 use std::net::SocketAddr;
@@ -20,15 +20,21 @@
     pub processes: usize,
     pub servers: usize,
     pub clients: usize,
-    /// Whether the processes are told of each other.
-    pub fleet: bool,
+    /// Whether processes get a fleet file, which names their peers.
+    pub fleet_enabled: bool,
     pub seed: u64,
     pub server_spec: ServerSpec,
 }
 
-/// Six processes before eight servers with room for three hundred and twenty, of which three quarters are taken.
-pub const SMALL: TrialConfig =
-    TrialConfig { processes: 6, servers: 8, clients: 240, fleet: true, seed: 1, server_spec: DEFAULT_SERVER };
+/// Six processes in front of eight servers that can hold 320 connections; the clients use three quarters of that.
+pub const SMALL: TrialConfig = TrialConfig {
+    processes: 6,
+    servers: 8,
+    clients: 240,
+    fleet_enabled: true,
+    seed: 1,
+    server_spec: DEFAULT_SERVER_SPEC,
+};
 
 pub struct Trial {
     pub config: TrialConfig,
@@ -41,29 +47,29 @@
     pub process_config: ProcessConfig,
     pub rng: WyRand,
     clients: Option<Clients>,
-    _folder: TempDir,
+    _directory: TempDir,
 }
 
 impl Trial {
-    /// Servers, discovery and the way between the processes, which do not run yet.
-    pub async fn begin(config: TrialConfig) -> Self {
+    /// Starts the servers, discovery and the fault proxy; the processes do not run yet.
+    pub async fn new(config: TrialConfig) -> Self {
         let recorder = Recorder::default();
         let mut servers = Vec::new();
         for index in 0..config.servers {
-            servers.push(Server::begin(index, config.server_spec, recorder.clone()).await);
+            servers.push(Server::start(index, config.server_spec, recorder.clone()).await);
         }
-        let discovery = Discovery::begin(recorder.clone()).await;
-        discovery.says(&servers.iter().map(|s| &**s).collect::<Vec<_>>(), "in_service");
-        let fault_proxy = FaultProxy::begin(config.processes, config.seed).await;
-        let folder = TempDir::new().expect("a folder");
+        let discovery = Discovery::start(recorder.clone()).await;
+        discovery.publish(&servers.iter().map(|s| &**s).collect::<Vec<_>>(), "in_service");
+        let fault_proxy = FaultProxy::start(config.processes, config.seed).await;
+        let directory = TempDir::new().expect("directory is created");
         let process_config = ProcessConfig {
-            folder: folder.path().to_owned(),
+            directory: directory.path().to_owned(),
             discovery: discovery.address,
             server_spec: config.server_spec,
-            fleet: config.fleet,
-            known: known(&servers),
-            limits: LIMITS,
-            probes: true,
+            fleet_enabled: config.fleet_enabled,
+            endpoint_list: endpoint_list_json(&servers),
+            limits: DEFAULT_LIMITS,
+            health_checks: true,
         };
         let processes: Vec<_> =
             (0..config.processes).map(|index| Process::new(index, &process_config)).collect();
@@ -72,7 +78,7 @@
             let addresses = fault_proxy.addresses(process.index);
             process.write_files(&process_config, &names.iter().cloned().zip(addresses).collect::<Vec<_>>());
         }
-        let front_end = FrontEnd::begin(processes.iter().map(|process| process.listen).collect());
+        let front_end = FrontEnd::start(processes.iter().map(|process| process.listen).collect());
         Trial {
             config,
             recorder,
@@ -84,38 +90,40 @@
             process_config,
             rng: WyRand::new_seed(config.seed),
             clients: None,
-            _folder: folder,
+            _directory: directory,
         }
     }
 
-    /// One that runs, with all its clients settled.
+    /// A running trial in which all clients have their sessions.
     pub async fn running(config: TrialConfig) -> Self {
-        let mut trial = Self::begin(config).await;
+        let mut trial = Self::new(config).await;
         (0..config.processes).for_each(|index| trial.start(index));
-        trial.until_ready(config.processes).await;
-        trial.clients_come(Duration::from_millis(1500));
+        trial.wait_until_ready(config.processes).await;
+        trial.start_clients(Duration::from_millis(1500));
         trial
-            .until(Duration::from_secs(20), "all clients stand", |trial| trial.standing() == config.clients)
+            .wait_until(Duration::from_secs(20), "all clients have a session", |trial| {
+                trial.session_count() == config.clients
+            })
             .await;
         sleep(Duration::from_secs(2)).await;
         trial
     }
 
-    /// Has clients come before a proxy of another kind, in place of the processes.
-    pub fn before(&mut self, address: SocketAddr) {
-        self.front_end = FrontEnd::begin(vec![address]);
+    /// Directs the clients to another proxy in place of the processes.
+    pub fn direct_clients_to(&mut self, address: SocketAddr) {
+        self.front_end = FrontEnd::start(vec![address]);
     }
 
-    pub fn clients_come(&mut self, within: Duration) {
+    pub fn start_clients(&mut self, within: Duration) {
         let TrialConfig { clients, seed, .. } = self.config;
-        self.clients = Some(Clients::come(clients, within, (&self.front_end, &self.recorder), seed, None));
+        self.clients = Some(Clients::start(clients, within, (&self.front_end, &self.recorder), seed, None));
     }
 
-    /// So many clients of one customer's come at once.
-    pub fn storms(&mut self, customer: usize, number: usize) -> Clients {
+    /// Starts `count` clients of one customer within half a second.
+    pub fn start_client_burst(&mut self, customer: usize, count: usize) -> Clients {
         let seed = self.config.seed + 1000;
-        Clients::come(
-            number,
+        Clients::start(
+            count,
             Duration::from_millis(500),
             (&self.front_end, &self.recorder),
             seed,
@@ -123,92 +131,110 @@
         )
     }
 
-    /// Puts these files into a folder that one process reads customers' namespaces from; at its next start or SIGHUP.
-    pub fn namespaces(&self, process: usize, files: &[(&str, &str)]) {
-        let folder = self.process_config.folder.join("namespaces");
-        std::fs::create_dir_all(&folder).expect("a folder");
+    /// Writes namespace files for one process, which it reads at its next start or SIGHUP.
+    pub fn write_namespaces(&self, process: usize, files: &[(&str, &str)]) {
+        let directory = self.process_config.directory.join("namespaces");
+        std::fs::create_dir_all(&directory).expect("directory is created");
         for (name, text) in files {
-            std::fs::write(folder.join(name), text).expect("a file");
+            std::fs::write(directory.join(name), text).expect("file is written");
         }
-        self.names(process, "namespaces_dir", &folder);
+        self.add_path_setting(process, "namespaces_dir", &directory);
     }
 
-    /// Puts this schedule where one process reads it; at its next start or SIGHUP.
-    pub fn maintenance(&self, process: usize, text: &str) {
-        let path = self.process_config.folder.join("maintenance.toml");
-        std::fs::write(&path, text).expect("a file");
-        self.names(process, "maintenance", &path);
+    /// Writes a maintenance schedule for one process, which it reads at its next start or SIGHUP.
+    pub fn write_maintenance(&self, process: usize, text: &str) {
+        let path = self.process_config.directory.join("maintenance.toml");
+        std::fs::write(&path, text).expect("file is written");
+        self.add_path_setting(process, "maintenance", &path);
     }
 
-    /// Has a process's fleet file name a path.
-    fn names(&self, process: usize, key: &str, path: &std::path::Path) {
-        let file = self.processes[process].fleet_file();
-        let text = std::fs::read_to_string(&file).expect("its fleet file");
+    /// Adds a setting with a path to a process's fleet file, unless it has that setting.
+    fn add_path_setting(&self, process: usize, key: &str, path: &std::path::Path) {
+        let file = self.processes[process].fleet_file_path();
+        let text = std::fs::read_to_string(&file).expect("fleet file is read");
         if !text.contains(key) {
             let text = format!("{key} = \"{}\"\n{text}", path.display());
-            std::fs::write(&file, text).expect("its fleet file");
+            std::fs::write(&file, text).expect("fleet file is written");
         }
     }
 
-    pub fn standing(&self) -> usize {
-        self.recorder.observations().stand_now
+    pub fn session_count(&self) -> usize {
+        self.recorder.observations().sessions
     }
 
-    /// Waits for a condition.
-    pub async fn until(&mut self, limit: Duration, what: &str, mut holds: impl FnMut(&mut Self) -> bool) {
+    /// Waits until `holds` is true; panics with the logs after `limit`.
+    pub async fn wait_until(
+        &mut self,
+        limit: Duration,
+        what: &str,
+        mut holds: impl FnMut(&mut Self) -> bool,
+    ) {
         let began = self.recorder.now();
         while !holds(self) {
-            let (stand, logs) =
-                (self.standing(), if self.recorder.now() - began < limit { None } else { Some(self.logs()) });
-            assert!(logs.is_none(), "not in time: {what}; {stand} stand\n{}", logs.unwrap_or_default());
+            let (sessions, diagnostics) = (
+                self.session_count(),
+                if self.recorder.now() - began < limit { None } else { Some(self.diagnostics()) },
+            );
+            assert!(
+                diagnostics.is_none(),
+                "timed out waiting until {what}; {sessions} sessions\n{}",
+                diagnostics.unwrap_or_default()
+            );
             sleep(Duration::from_millis(20)).await;
         }
     }
 
-    pub async fn until_ready(&mut self, number: usize) {
-        self.until(Duration::from_secs(15), "processes are ready", |t| t.front_end.number_ready() >= number)
-            .await;
+    pub async fn wait_until_ready(&mut self, count: usize) {
+        self.wait_until(Duration::from_secs(15), "processes are ready", |t| {
+            t.front_end.ready_count() >= count
+        })
+        .await;
     }
 
     pub fn start(&mut self, index: usize) {
-        self.is_back(index);
-        self.processes[index].starts(&self.process_config);
+        self.end_downtime(index);
+        self.processes[index].start(&self.process_config);
     }
 
-    /// From now on a process is blamed again; clients that are dealt to it in its first moments may find nobody yet.
-    fn is_back(&self, index: usize) {
+    /// Ends the downtime of a process, after which the checks apply to it again: 300 ms from now, as the first clients
+    /// that are sent to it may not be able to connect yet.
+    fn end_downtime(&self, index: usize) {
         let now = self.recorder.now();
         let mut observations = self.recorder.observations();
-        let away = observations.away.iter_mut().rev().find(|away| away.0 == index && away.2 == Duration::MAX);
-        away.into_iter().for_each(|away| away.2 = now + Duration::from_millis(300));
+        let open = observations
+            .downtimes
+            .iter_mut()
+            .rev()
+            .find(|downtime| downtime.0 == index && downtime.2 == Duration::MAX);
+        open.into_iter().for_each(|downtime| downtime.2 = now + Duration::from_millis(300));
     }
 
     pub fn kill(&mut self, index: usize) {
         let now = self.recorder.now();
-        self.recorder.observations().away.push((index, now, Duration::MAX));
-        self.processes[index].is_killed();
+        self.recorder.observations().downtimes.push((index, now, Duration::MAX));
+        self.processes[index].kill();
     }
 
-    /// Stops a process where it stands.
-    pub fn stop(&mut self, index: usize) {
+    /// Suspends a process.
+    pub fn suspend(&mut self, index: usize) {
         let now = self.recorder.now();
-        self.recorder.observations().away.push((index, now, Duration::MAX));
+        self.recorder.observations().downtimes.push((index, now, Duration::MAX));
         self.processes[index].signal(Signal::STOP);
     }
 
-    /// Has a stopped process go on; what it did meanwhile is nothing it can be blamed for.
-    pub fn wake(&mut self, index: usize) {
-        self.is_back(index);
+    /// Resumes a suspended process; the checks do not apply to the time that it was suspended.
+    pub fn resume(&mut self, index: usize) {
+        self.end_downtime(index);
         self.processes[index].signal(Signal::CONT);
     }
 
-    /// The power goes: all processes are killed in the same instant, all servers and discovery are without.
-    pub fn power_goes(&mut self) {
+    /// Cuts the power: all processes are killed at the same time, and all servers and discovery go down.
+    pub fn cut_power(&mut self) {
         (0..self.config.processes).for_each(|index| self.processes[index].signal(Signal::KILL));
-        self.servers.iter().for_each(|server| server.loses_power());
-        self.discovery.goes();
+        self.servers.iter().for_each(|server| server.power_off());
+        self.discovery.take_down();
         (0..self.config.processes).for_each(|index| self.kill(index));
-        // What drained is out of the trial: it starts anew.
+        // Servers that were draining start again in service.
         let now = self.recorder.now();
         self.recorder
             .observations()
@@ -218,44 +244,45 @@
             .for_each(|d| d.2 = Some(now));
     }
 
-    /// Servers start cold, and discovery says so.
-    pub fn servers_start(&self) {
-        self.servers.iter().for_each(|server| server.starts());
-        self.discovery.is_back();
-        self.discovery.says(&self.servers.iter().map(|s| &**s).collect::<Vec<_>>(), "in_service");
+    /// Switches the servers on, at the beginning of their slow start, and brings discovery up with them in service.
+    pub fn restore_servers(&self) {
+        self.servers.iter().for_each(|server| server.power_on());
+        self.discovery.bring_up();
+        self.discovery.publish(&self.servers.iter().map(|s| &**s).collect::<Vec<_>>(), "in_service");
     }
 
-    /// Discovery says that a server drains from now on.
-    pub fn drains(&self, server: usize) {
-        self.discovery.says(&[&self.servers[server]], "terminating");
+    /// Has discovery publish that a server drains.
+    pub fn drain_server(&self, server: usize) {
+        self.discovery.publish(&[&self.servers[server]], "terminating");
         let now = self.recorder.now();
         self.recorder.observations().drains.push((server, now, None));
     }
 
-    pub fn draws(&mut self, below: usize) -> usize {
-        self.rng.generate_range(0..below.max(1))
+    pub fn random_below(&mut self, limit: usize) -> usize {
+        self.rng.generate_range(0..limit.max(1))
     }
 
-    /// Calls that began a new watch, or were the first on their connection, in a span.
-    pub fn calls(&self, from: Duration, to: Duration) -> usize {
+    /// The number of calls to discovery between two times that were the first on their connection.
+    pub fn initial_discovery_calls(&self, from: Duration, to: Duration) -> usize {
         let observations = self.recorder.observations();
-        observations.calls.iter().filter(|(at, first)| *first && *at >= from && *at < to).count()
+        observations.discovery_calls.iter().filter(|(at, first)| *first && *at >= from && *at < to).count()
     }
 
-    /// What each process logged, and what the servers and clients are at, for a trial that went wrong.
-    pub fn logs(&self) -> String {
+    /// The state of the servers and clients and the last log lines of each process, for failure messages.
+    pub fn diagnostics(&self) -> String {
         let (now, observations) = (self.recorder.now(), self.recorder.observations());
         let recent = |at: Duration| now - at < Duration::from_secs(2);
         let mut answers: std::collections::BTreeMap<(usize, &str), usize> = Default::default();
-        for asked in observations.requests.values().filter(|asked| recent(asked.at)) {
+        for request in observations.requests.values().filter(|request| recent(request.at)) {
             let answer =
-                asked.answers.first().map_or("nothing", |(_, answer)| answer.split(' ').next().unwrap_or(""));
-            *answers.entry((asked.class, answer)).or_default() += 1;
+                request.answers.first().map_or("none", |(_, answer)| answer.split(' ').next().unwrap_or(""));
+            *answers.entry((request.class, answer)).or_default() += 1;
         }
-        let sent = observations.sent.iter().filter(|sent| recent(sent.at)).count();
-        let held: Vec<_> = self.servers.iter().map(|server| server.holds()).collect();
+        let forwarded = observations.forwarded.iter().filter(|request| recent(request.at)).count();
+        let connections: Vec<_> = self.servers.iter().map(|server| server.connection_count()).collect();
         let state = format!(
-            "held {held:?}, falls {:?}, of late {answers:?} and {sent} sent\n",
+            "connections {connections:?}, overloads {:?}; in the last 2 s: answers {answers:?}, \
+             {forwarded} requests forwarded\n",
             observations.overloads
         );
         drop(observations);
@@ -272,34 +299,40 @@
         self.processes.iter().map(tail).collect()
     }
 
-    /// Ends the trial: clients leave, processes are told to end, and all rules must have held.
-    pub async fn ends(mut self) {
-        self.clients.take().into_iter().for_each(|clients| clients.leave());
+    /// Ends the trial: stops the clients, terminates the processes, and asserts that no invariant was violated.
+    pub async fn finish(mut self) {
+        self.clients.take().into_iter().for_each(|clients| clients.stop());
         sleep(Duration::from_millis(300)).await;
-        let breaches = checks::rules(&self.recorder);
-        let shown: Vec<String> = breaches.iter().take(12).map(ToString::to_string).collect();
-        assert!(breaches.is_empty(), "{} breaches:\n{}\n{}", breaches.len(), shown.join("\n"), self.logs());
+        let violations = checks::find_violations(&self.recorder);
+        let shown: Vec<String> = violations.iter().take(12).map(ToString::to_string).collect();
+        assert!(
+            violations.is_empty(),
+            "{} violations:\n{}\n{}",
+            violations.len(),
+            shown.join("\n"),
+            self.diagnostics()
+        );
         for process in &self.processes {
             process.signal(Signal::CONT);
             process.signal(Signal::TERM);
         }
-        let running = |trial: &mut Trial| {
-            let ended = |process: &mut Process| {
-                !process.runs()
+        let all_exited = |trial: &mut Trial| {
+            let has_exited = |process: &mut Process| {
+                !process.is_running()
                     || process
-                        .has_ended()
+                        .try_exit_code()
                         .inspect(|code| {
                             assert_eq!(*code, Some(0), "{}", process.log());
                         })
                         .is_some()
             };
-            trial.processes.iter_mut().all(ended)
+            trial.processes.iter_mut().all(has_exited)
         };
-        self.until(Duration::from_secs(6), "all processes have ended", running).await;
+        self.wait_until(Duration::from_secs(6), "all processes have exited", all_exited).await;
         for process in &self.processes {
             let log = process.log();
-            let broken = log.lines().any(|l| l.contains("panicked") || l.contains("does not hold"));
-            assert!(!broken, "{}:\n{log}", process.name);
+            let has_failed = log.lines().any(|l| l.contains("panicked") || l.contains("does not hold"));
+            assert!(!has_failed, "{}:\n{log}", process.name);
         }
     }
 }
--- a/crates/testkit/tests/customers.rs
+++ b/crates/testkit/tests/customers.rs
@@ -50,7 +50,7 @@
             t.customer == customer && class.is_none_or(|class| t.class == class) && t.at >= since
         })
     };
-    seen.sent.iter().filter(|sent| its(&sent.id)).map(|sent| sent.server).collect()
+    seen.forwarded.iter().filter(|sent| its(&sent.id)).map(|sent| sent.server).collect()
 }
 
 /// Tries of a customer's since a moment: how many stood, and how many did not.
@@ -67,10 +67,10 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn one_customers_rules_and_storm_leave_all_others_as_they_were() {
     let _cores = CORES.lock().await;
-    let mut trial = Trial::begin(TrialConfig { seed: 6, clients: 160, ..SMALL }).await;
-    trial.namespaces(2, &[("grants.toml", GRANTS), ("msasani.toml", MSASANI), ("upanga.toml", UPANGA)]);
+    let mut trial = Trial::new(TrialConfig { seed: 6, clients: 160, ..SMALL }).await;
+    trial.write_namespaces(2, &[("grants.toml", GRANTS), ("msasani.toml", MSASANI), ("upanga.toml", UPANGA)]);
     (0..SMALL.processes).for_each(|index| trial.start(index));
-    trial.until_ready(SMALL.processes).await;
+    trial.wait_until_ready(SMALL.processes).await;
     let in_force = |trial: &mut Trial| {
         trial.processes.iter().all(|process| {
             ["msasani", "upanga"]
@@ -78,10 +78,12 @@
                 .all(|name| process.log().contains(&format!("namespace of {name}: version 1 is in")))
         })
     };
-    trial.until(Duration::from_secs(10), "namespaces are in force everywhere", in_force).await;
-    trial.clients_come(Duration::from_millis(1500));
+    trial.wait_until(Duration::from_secs(10), "namespaces are in force everywhere", in_force).await;
+    trial.start_clients(Duration::from_millis(1500));
     let most = trial.config.clients * 98 / 100;
-    trial.until(Duration::from_secs(20), "all clients stand", |trial| trial.standing() >= most).await;
+    trial
+        .wait_until(Duration::from_secs(20), "all clients stand", |trial| trial.session_count() >= most)
+        .await;
     let began = Duration::ZERO;
     assert_eq!(servers(&trial, 0, Some(ALARM), began), BTreeSet::from([0]), "msasani's alarms");
     assert!(servers(&trial, 0, None, began).iter().all(|server| *server < 4), "and the rest");
@@ -90,12 +92,12 @@
 
     // Four hundred of upanga's come at once, where there is room for sixty; and somebody breaks upanga's file.
     let bad = UPANGA.replace("version = 1", "version = 2").replace("\"all\"", "\"all\"\nroom = 900");
-    trial.namespaces(2, &[("upanga.toml", &bad)]);
+    trial.write_namespaces(2, &[("upanga.toml", &bad)]);
     trial.processes[2].signal(Signal::HUP);
     let storm = trial.recorder.now();
-    let crowd = trial.storms(2, 400);
+    let crowd = trial.start_client_burst(2, 400);
     sleep(Duration::from_millis(6000)).await;
-    let held = trial.servers[6].holds() + trial.servers[7].holds();
+    let held = trial.servers[6].connection_count() + trial.servers[7].connection_count();
     assert!(held <= 80, "their room: {held}");
     assert!(servers(&trial, 2, None, storm).iter().all(|server| *server >= 6), "nowhere else");
     for customer in [0, 1] {
@@ -103,14 +105,14 @@
         assert!(not <= stood.max(4), "{}: {stood} stood, {not} did not", CUSTOMERS[customer].0);
     }
     let told = |trial: &mut Trial| trial.processes[2].log().contains("rule all, room: more than the 60");
-    trial.until(Duration::from_secs(5), "the bad file is named", told).await;
+    trial.wait_until(Duration::from_secs(5), "the bad file is named", told).await;
     assert!(!trial.processes.iter().any(|process| process.log().contains("upanga: version 2 is in force")));
-    crowd.leave();
+    crowd.stop();
 
     // A good one comes into force by itself, everywhere; who stands stays.
     let moved = MSASANI.replace("version = 1", "version = 2").replace("[\"s-000\"]", "[\"s-001\"]");
-    trial.namespaces(2, &[("msasani.toml", &moved)]);
-    let stood = trial.servers[0].holds();
+    trial.write_namespaces(2, &[("msasani.toml", &moved)]);
+    let stood = trial.servers[0].connection_count();
     trial.processes[2].signal(Signal::HUP);
     let in_force = |trial: &mut Trial| {
         trial
@@ -118,21 +120,21 @@
             .iter()
             .all(|process| process.log().contains("namespace of msasani: version 2 is in force"))
     };
-    trial.until(Duration::from_secs(10), "the new version is in force everywhere", in_force).await;
+    trial.wait_until(Duration::from_secs(10), "the new version is in force everywhere", in_force).await;
     let since = trial.recorder.now();
-    assert!(trial.servers[0].holds() >= stood.saturating_sub(2), "nobody is moved for it");
-    let more = trial.storms(0, 30);
+    assert!(trial.servers[0].connection_count() >= stood.saturating_sub(2), "nobody is moved for it");
+    let more = trial.start_client_burst(0, 30);
     sleep(Duration::from_millis(2500)).await;
     assert!(!servers(&trial, 0, Some(ALARM), since).contains(&0), "new ones go by the new version");
-    more.leave();
-    trial.ends().await;
+    more.stop();
+    trial.finish().await;
 }
 
 /// Two customers share all servers, and others go there too: a cold server is one cold server, with one share.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn after_a_loss_of_power_customers_that_share_servers_do_not_push_them_over() {
     let _cores = CORES.lock().await;
-    let mut trial = Trial::begin(TrialConfig { seed: 8, clients: 220, ..SMALL }).await;
+    let mut trial = Trial::new(TrialConfig { seed: 8, clients: 220, ..SMALL }).await;
     let shared = r#"
 version = 1
 others = 70
@@ -144,20 +146,20 @@
 room = 70
 "#;
     let all = MSASANI.split("[[rule]]").next().unwrap().to_owned() + "[[rule]]\nname = \"all\"\n";
-    trial.namespaces(0, &[("grants.toml", shared), ("msasani.toml", &all), ("upanga.toml", UPANGA)]);
+    trial.write_namespaces(0, &[("grants.toml", shared), ("msasani.toml", &all), ("upanga.toml", UPANGA)]);
     (0..SMALL.processes).for_each(|index| trial.start(index));
-    trial.until_ready(SMALL.processes).await;
-    trial.clients_come(Duration::from_millis(1500));
+    trial.wait_until_ready(SMALL.processes).await;
+    trial.start_clients(Duration::from_millis(1500));
     let most = trial.config.clients * 95 / 100;
-    trial.until(Duration::from_secs(25), "clients stand", |trial| trial.standing() >= most).await;
+    trial.wait_until(Duration::from_secs(25), "clients stand", |trial| trial.session_count() >= most).await;
     sleep(Duration::from_millis(1500)).await;
-    trial.power_goes();
+    trial.cut_power();
     sleep(Duration::from_millis(800)).await;
-    trial.servers_start();
+    trial.restore_servers();
     (0..SMALL.processes).for_each(|index| trial.start(index));
     let in_force =
         |trial: &mut Trial| trial.processes[3].log().matches("namespace of upanga: version 1").count() >= 2;
-    trial.until(Duration::from_secs(10), "namespaces outlive it", in_force).await;
-    trial.until(Duration::from_secs(30), "service is back", |trial| trial.standing() >= most).await;
-    trial.ends().await;
+    trial.wait_until(Duration::from_secs(10), "namespaces outlive it", in_force).await;
+    trial.wait_until(Duration::from_secs(30), "service is back", |trial| trial.session_count() >= most).await;
+    trial.finish().await;
 }
--- a/crates/testkit/tests/processes.rs
+++ b/crates/testkit/tests/processes.rs
@@ -1,6 +1,6 @@
 //! Real processes on loopback, and what goes wrong round them.
 
-use shelfgrade_testkit::checks::{self, Breach};
+use shelfgrade_testkit::checks::{self, Violation};
 use shelfgrade_testkit::misbehaving_proxy::{self, Misbehaviour};
 use shelfgrade_testkit::trial::{Trial, TrialConfig, SMALL};
 use std::fs;
@@ -18,40 +18,51 @@
 /// Waits until service is back, for so long at most.
 async fn comes_back(trial: &mut Trial, within: u64) {
     let wanted = most(trial);
-    trial.until(Duration::from_secs(within), "service is back", |trial| trial.standing() >= wanted).await;
+    trial
+        .wait_until(Duration::from_secs(within), "service is back", |trial| trial.session_count() >= wanted)
+        .await;
 }
 
 /// Each rule's check has to catch a proxy that breaks just that rule.
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
 async fn each_rules_check_catches_a_proxy_that_breaks_it() {
     let _cores = CORES.lock().await;
-    for wrong in
-        [Misbehaviour::Silent, Misbehaviour::AnswersTwice, Misbehaviour::SendsTwice, Misbehaviour::First]
-    {
-        let mut trial = Trial::begin(TrialConfig { processes: 0, servers: 3, clients: 120, ..SMALL }).await;
+    for wrong in [
+        Misbehaviour::NeverAnswers,
+        Misbehaviour::AnswersTwice,
+        Misbehaviour::ForwardsTwice,
+        Misbehaviour::AlwaysFirstServer,
+    ] {
+        let mut trial = Trial::new(TrialConfig { processes: 0, servers: 3, clients: 120, ..SMALL }).await;
         let address =
-            misbehaving_proxy::begin(wrong, trial.servers.iter().map(|server| server.address).collect())
+            misbehaving_proxy::start(wrong, trial.servers.iter().map(|server| server.address).collect())
                 .await;
-        trial.before(address);
-        trial.until_ready(1).await;
-        if wrong == Misbehaviour::First {
-            trial.servers[0].loses_power();
-            trial.servers[0].starts();
-            trial.drains(0);
+        trial.direct_clients_to(address);
+        trial.wait_until_ready(1).await;
+        if wrong == Misbehaviour::AlwaysFirstServer {
+            trial.servers[0].power_off();
+            trial.servers[0].power_on();
+            trial.drain_server(0);
         }
-        trial.clients_come(Duration::from_millis(200));
-        let found = |wrong: Misbehaviour, breaches: &[Breach]| match wrong {
-            Misbehaviour::Silent => breaches.iter().any(|b| matches!(b, Breach::Unanswered { .. })),
-            Misbehaviour::AnswersTwice => breaches.iter().any(|b| matches!(b, Breach::AnsweredTwice { .. })),
-            Misbehaviour::SendsTwice => breaches.iter().any(|b| matches!(b, Breach::TwoEffects { .. })),
-            Misbehaviour::First => {
-                breaches.iter().any(|b| matches!(b, Breach::Drain { .. }))
-                    && breaches.iter().any(|b| matches!(b, Breach::PushedOver { .. }))
+        trial.start_clients(Duration::from_millis(200));
+        let found = |wrong: Misbehaviour, breaches: &[Violation]| match wrong {
+            Misbehaviour::NeverAnswers => breaches.iter().any(|b| matches!(b, Violation::Unanswered { .. })),
+            Misbehaviour::AnswersTwice => {
+                breaches.iter().any(|b| matches!(b, Violation::MultipleAnswers { .. }))
+            }
+            Misbehaviour::ForwardsTwice => {
+                breaches.iter().any(|b| matches!(b, Violation::ExecutedTwice { .. }))
+            }
+            Misbehaviour::AlwaysFirstServer => {
+                breaches.iter().any(|b| matches!(b, Violation::SentToDraining { .. }))
+                    && breaches.iter().any(|b| matches!(b, Violation::ColdServerOverloaded { .. }))
             }
         };
         let what = format!("{wrong:?} is found out");
         trial
-            .until(Duration::from_secs(10), &what, |trial| found(wrong, &checks::rules(&trial.recorder)))
+            .wait_until(Duration::from_secs(10), &what, |trial| {
+                found(wrong, &checks::find_violations(&trial.recorder))
+            })
             .await;
     }
 }
@@ -61,7 +72,7 @@
 async fn after_a_loss_of_power_service_is_back_whatever_the_disks_hold() {
     let _cores = CORES.lock().await;
     let mut trial = Trial::running(SMALL).await;
-    trial.power_goes();
+    trial.cut_power();
     let file = |trial: &Trial, process: usize, generation: usize| {
         trial.processes[process].state_dir().join(format!("shelfgrade.{generation}"))
     };
@@ -80,10 +91,11 @@
     fs::write(trial.processes[5].state_dir(), "no folder").unwrap();
     sleep(Duration::from_millis(800)).await;
     let back = trial.recorder.now();
-    trial.servers_start();
+    trial.restore_servers();
     (0..SMALL.processes).for_each(|index| trial.start(index));
     comes_back(&mut trial, 30).await;
-    let (took, calls) = (trial.recorder.now() - back, trial.calls(back, trial.recorder.now()));
+    let (took, calls) =
+        (trial.recorder.now() - back, trial.initial_discovery_calls(back, trial.recorder.now()));
     println!("back after {took:?} with {calls} calls to discovery");
     assert!(calls <= 6, "a few ask for all: {calls}");
     let words =
@@ -91,7 +103,7 @@
     for (process, word) in trial.processes.iter().zip(words) {
         assert!(process.log().contains(word), "{word} in {}", process.log());
     }
-    trial.ends().await;
+    trial.finish().await;
 }
 
 /// Processes come back one by one, the first alone, and the power goes again in the middle of that.
@@ -99,21 +111,21 @@
 async fn processes_back_one_by_one_serve_what_they_may_and_a_second_loss_of_power_is_as_the_first() {
     let _cores = CORES.lock().await;
     let mut trial = Trial::running(TrialConfig { seed: 2, ..SMALL }).await;
-    trial.power_goes();
-    trial.servers_start();
+    trial.cut_power();
+    trial.restore_servers();
     trial.start(0);
-    trial.until(Duration::from_secs(8), "one alone serves", |trial| trial.standing() >= 10).await;
+    trial.wait_until(Duration::from_secs(8), "one alone serves", |trial| trial.session_count() >= 10).await;
     trial.start(1);
     sleep(Duration::from_millis(1500)).await;
-    trial.power_goes();
+    trial.cut_power();
     sleep(Duration::from_millis(300)).await;
-    trial.servers_start();
+    trial.restore_servers();
     for index in 0..SMALL.processes {
         trial.start(index);
         sleep(Duration::from_millis(2500)).await;
     }
     comes_back(&mut trial, 30).await;
-    trial.ends().await;
+    trial.finish().await;
 }
 
 /// Discovery comes back last, has forgotten all, counts from 1, and calls a server in service that has drained for long.
@@ -121,24 +133,30 @@
 async fn a_draining_server_that_discovery_has_forgotten_gets_nothing_new() {
     let _cores = CORES.lock().await;
     let mut trial = Trial::running(TrialConfig { seed: 3, clients: 200, ..SMALL }).await;
-    trial.drains(0);
-    trial.until(Duration::from_secs(20), "it is empty", |trial| trial.servers[0].holds() == 0).await;
-    trial.until(Duration::from_secs(5), "all clients stand", |trial| trial.standing() >= most(trial)).await;
+    trial.drain_server(0);
+    trial
+        .wait_until(Duration::from_secs(20), "it is empty", |trial| trial.servers[0].connection_count() == 0)
+        .await;
+    trial
+        .wait_until(Duration::from_secs(5), "all clients stand", |trial| trial.session_count() >= most(trial))
+        .await;
     sleep(Duration::from_millis(700)).await;
     // The processes lose their power alone; the server goes on with what it was.
-    trial.discovery.goes();
+    trial.discovery.take_down();
     (0..SMALL.processes).for_each(|index| trial.kill(index));
     sleep(Duration::from_millis(300)).await;
     (0..SMALL.processes).for_each(|index| trial.start(index));
     let waited = |process: &shelfgrade_testkit::process::Process| process.log().contains("no list in time");
-    trial.until(Duration::from_secs(8), "the wait is over", |trial| trial.processes.iter().all(waited)).await;
+    trial
+        .wait_until(Duration::from_secs(8), "the wait is over", |trial| trial.processes.iter().all(waited))
+        .await;
     let forgetful: Vec<_> = trial.servers.iter().map(|server| &**server).collect();
-    trial.discovery.counts_anew(1, &forgetful, "in_service");
-    trial.discovery.says(&[&trial.servers[3]], "in_service");
-    trial.discovery.is_back();
+    trial.discovery.reset_to(1, &forgetful, "in_service");
+    trial.discovery.publish(&[&trial.servers[3]], "in_service");
+    trial.discovery.bring_up();
     comes_back(&mut trial, 30).await;
     sleep(Duration::from_secs(3)).await;
-    trial.ends().await;
+    trial.finish().await;
 }
 
 /// The way between the processes is cut in two, is one-sided, loses a third, doubles and reorders; clocks are an hour off;
@@ -146,34 +164,34 @@
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn whatever_the_way_between_them_does_the_rules_hold_and_all_hear_of_a_drain() {
     let _cores = CORES.lock().await;
-    let mut trial = Trial::begin(TrialConfig { seed: 4, clients: 200, ..SMALL }).await;
-    trial.processes[1].ahead_ms = 3_600_000;
-    trial.processes[2].ahead_ms = -3_600_000;
+    let mut trial = Trial::new(TrialConfig { seed: 4, clients: 200, ..SMALL }).await;
+    trial.processes[1].clock_ahead_ms = 3_600_000;
+    trial.processes[2].clock_ahead_ms = -3_600_000;
     (0..SMALL.processes).for_each(|index| trial.start(index));
-    trial.until_ready(SMALL.processes).await;
-    trial.clients_come(Duration::from_millis(1500));
+    trial.wait_until_ready(SMALL.processes).await;
+    trial.start_clients(Duration::from_millis(1500));
     comes_back(&mut trial, 20).await;
-    trial.fault_proxy.becomes(shelfgrade_testkit::fault_proxy::ROUGH);
-    trial.fault_proxy.halves(|index| index < 3);
+    trial.fault_proxy.set_conditions(shelfgrade_testkit::fault_proxy::POOR_LINK);
+    trial.fault_proxy.partition(|index| index < 3);
     sleep(Duration::from_millis(5000)).await;
-    trial.drains(7);
-    trial.stop(5);
+    trial.drain_server(7);
+    trial.suspend(5);
     sleep(Duration::from_millis(4000)).await;
-    trial.wake(5);
+    trial.resume(5);
     sleep(Duration::from_millis(1000)).await;
-    trial.fault_proxy.heals();
+    trial.fault_proxy.heal();
     // The last one hears all, and nobody hears it.
-    trial.fault_proxy.cuts((0..5).map(|to| (5, to)));
-    trial.drains(6);
+    trial.fault_proxy.block((0..5).map(|to| (5, to)));
+    trial.drain_server(6);
     sleep(Duration::from_millis(4000)).await;
-    trial.fault_proxy.heals();
+    trial.fault_proxy.heal();
     trial
-        .until(Duration::from_secs(20), "both are empty", |t| {
-            t.servers[7].holds() + t.servers[6].holds() == 0
+        .wait_until(Duration::from_secs(20), "both are empty", |t| {
+            t.servers[7].connection_count() + t.servers[6].connection_count() == 0
         })
         .await;
     comes_back(&mut trial, 20).await;
-    trial.ends().await;
+    trial.finish().await;
 }
 
 /// Two processes under one name: neither is believed by the other's fellows for good, and nothing breaks.
@@ -184,7 +202,7 @@
     // The last one takes the first one's name: its fellows find either at its own address.
     trial.kill(5);
     let taken = trial.processes[0].name.clone();
-    let (file, start) = (trial.processes[5].fleet_file(), trial.processes[5].start_file());
+    let (file, start) = (trial.processes[5].fleet_file_path(), trial.processes[5].config_path());
     let own = trial.processes[5].name.clone();
     let swap = |text: String| text.replace(&own, "swap").replace(&taken, &own).replace("swap", &taken);
     fs::write(&file, swap(fs::read_to_string(&file).unwrap())).unwrap();
@@ -192,7 +210,7 @@
     trial.start(5);
     let told =
         |trial: &mut Trial| trial.processes.iter().any(|p| p.log().contains("from a duplicate member"));
-    trial.until(Duration::from_secs(15), "it is told", told).await;
+    trial.wait_until(Duration::from_secs(15), "it is told", told).await;
     comes_back(&mut trial, 20).await;
-    trial.ends().await;
+    trial.finish().await;
 }
--- a/crates/testkit/tests/slopes.rs
+++ b/crates/testkit/tests/slopes.rs
@@ -3,7 +3,7 @@
 
 use shelfgrade::time::DurationExt;
 use shelfgrade_testkit::hollow_node::{node_name, roster, HollowNode};
-use shelfgrade_testkit::own_address;
+use shelfgrade_testkit::loopback_address;
 use shelfgrade_testkit::simulation::Simulation;
 use shelfgrade_testkit::sockets::SocketFleet;
 use shelfgrade_testkit::topology::{NetworkConditions, Topology, SIX_REGIONS};
@@ -143,7 +143,8 @@
 #[test]
 fn hollow_processes_with_sockets_of_their_own_meet_agree_and_send_no_more_for_three_times_as_many() {
     let figures = [8, 24].map(|size| {
-        let sockets: Vec<_> = (0..size).map(|_| UdpSocket::bind(own_address()).expect("a socket")).collect();
+        let sockets: Vec<_> =
+            (0..size).map(|_| UdpSocket::bind(loopback_address()).expect("a socket")).collect();
         let address = |socket: &UdpSocket| socket.local_addr().expect("an address");
         let all: Vec<_> =
             sockets.iter().enumerate().map(|(i, socket)| (node_name(i), address(socket))).collect();
--- a/crates/testkit/tests/windows.rs
+++ b/crates/testkit/tests/windows.rs
@@ -25,7 +25,7 @@
 }
 
 fn held(trial: &Trial, site: &str) -> usize {
-    trial.servers.iter().filter(|server| server.site() == site).map(|server| server.holds()).sum()
+    trial.servers.iter().filter(|server| server.zone() == site).map(|server| server.connection_count()).sum()
 }
 
 /// Traffic is gone from a site before its window begins, at every process, also one that starts in the midst of it; a fleet
@@ -36,20 +36,22 @@
     const LASTS: f64 = 14.0;
     let mut trial = Trial::running(TrialConfig { seed: 9, clients: 110, ..SMALL }).await;
     assert!(held(&trial, "b") > 20, "it has its share");
-    trial.maintenance(1, &schedule(1, LEAD + 1.0, LEAD as u32, LASTS as u32));
+    trial.write_maintenance(1, &schedule(1, LEAD + 1.0, LEAD as u32, LASTS as u32));
     let begins = trial.recorder.now() + Duration::from_secs_f64(LEAD + 1.0);
     trial.processes[1].signal(Signal::HUP);
     let says =
         |trial: &mut Trial, word: &str| trial.processes.iter().all(|process| process.log().contains(word));
-    trial.until(Duration::from_secs(6), "all empty it", |trial| says(trial, "site b: draining")).await;
+    trial.wait_until(Duration::from_secs(6), "all empty it", |trial| says(trial, "site b: draining")).await;
     sleep(begins.saturating_sub(trial.recorder.now() + Duration::from_millis(300))).await;
     let left = held(&trial, "b");
     assert!(left <= 2, "{left} are left as it begins");
-    trial.until(Duration::from_secs(4), "it is closed", |trial| says(trial, "site b: without traffic")).await;
-    trial.until(Duration::from_secs(2), "nobody is left", |trial| held(trial, "b") == 0).await;
+    trial
+        .wait_until(Duration::from_secs(4), "it is closed", |trial| says(trial, "site b: without traffic"))
+        .await;
+    trial.wait_until(Duration::from_secs(2), "nobody is left", |trial| held(trial, "b") == 0).await;
     let closed = trial.recorder.now();
     let until = begins + Duration::from_secs_f64(LASTS);
-    let of_site: Vec<usize> = trial.servers.iter().filter(|s| s.site() == "b").map(|s| s.index).collect();
+    let of_site: Vec<usize> = trial.servers.iter().filter(|s| s.zone() == "b").map(|s| s.index).collect();
     // Nothing new comes there until it is over, whatever happens to the processes.
     let drains =
         of_site.iter().map(|server| (*server, closed.saturating_sub(Duration::from_secs(2)), Some(until)));
@@ -60,16 +62,18 @@
     (0..SMALL.processes).for_each(|index| trial.start(index));
     let most = trial.config.clients * 95 / 100;
     let in_time = until.saturating_sub(trial.recorder.now());
-    trial.until(in_time, "service is back without the site", |trial| trial.standing() >= most).await;
+    trial
+        .wait_until(in_time, "service is back without the site", |trial| trial.session_count() >= most)
+        .await;
     assert_eq!(held(&trial, "b"), 0);
     sleep(until.saturating_sub(trial.recorder.now()) + Duration::from_millis(1500)).await;
     trial
-        .until(Duration::from_secs(5), "it is open again", |trial| {
+        .wait_until(Duration::from_secs(5), "it is open again", |trial| {
             trial.processes.iter().all(|process| process.log().contains("site b: open again"))
         })
         .await;
-    let more = trial.storms(1, 60);
-    trial.until(Duration::from_secs(15), "it has clients again", |trial| held(trial, "b") >= 5).await;
-    more.leave();
-    trial.ends().await;
+    let more = trial.start_client_burst(1, 60);
+    trial.wait_until(Duration::from_secs(15), "it has clients again", |trial| held(trial, "b") >= 5).await;
+    more.stop();
+    trial.finish().await;
 }
