--- a/crates/testkit/examples/standing.rs
+++ b/crates/testkit/examples/standing.rs
@@ -1,34 +1,36 @@
-//! What standing sessions cost one real process, and how late their lines are: a JSON line for every point.
+//! Measures what established sessions cost one real process, and the latency of their messages. Prints a line of JSON
+//! for each measurement.
 //!
-//! `cargo run --release --locked -p shelfgrade-trials --example standing -- [SECONDS [MEMORY_MB [CIRCUITS...]]]`
+//! `cargo run --release --locked -p shelfgrade-testkit --example standing -- [SECONDS [MEMORY_MB [SESSIONS...]]]`
 //!
-//! SECONDS, 20 if not given, is what each point is measured over; MEMORY_MB, 64 if not given, what the process is told it
-//! may take, from which the size of its buffers follows; CIRCUITS, 1000, 5000 and as many as descriptors allow if not
-//! given. Each size is measured at rest, and with a line from every client each 2 s and 1 s.
+//! SECONDS is the duration of each measurement, 20 by default. MEMORY_MB is the memory limit of the process, from which
+//! the size of its buffers follows, 64 by default. SESSIONS are the numbers of sessions, by default 1000, 5000 and as
+//! many as descriptors allow. Each is measured idle, and with a message from every client every 2 s and every 1 s.
 
 use shelfgrade_testkit::process::Limits;
-use shelfgrade_testkit::standing::{descriptors, most_sessions, Size, Standing};
+use shelfgrade_testkit::session_load::{descriptor_limit, max_sessions, SessionLoad, Size};
 use std::time::Duration;
 
 const SERVERS: usize = 16;
-const EVERY: [Option<Duration>; 3] = [None, Some(Duration::from_secs(2)), Some(Duration::from_secs(1))];
+const INTERVALS: [Option<Duration>; 3] = [None, Some(Duration::from_secs(2)), Some(Duration::from_secs(1))];
 
 #[tokio::main(worker_threads = 2)]
 async fn main() {
-    let given: Vec<u64> = std::env::args().skip(1).map(|n| n.parse().expect("a number")).collect();
-    let seconds = given.first().copied().unwrap_or(20);
-    let memory_mb = given.get(1).copied().unwrap_or(64);
-    let sockets = descriptors();
-    let most = most_sessions(sockets, SERVERS);
-    let sizes = given.get(2..).filter(|sizes| !sizes.is_empty());
-    let sizes = sizes.map_or(vec![1000, 5000, most], |sizes| sizes.iter().map(|n| *n as usize).collect());
+    let args: Vec<u64> =
+        std::env::args().skip(1).map(|n| n.parse().expect("arguments are numbers")).collect();
+    let seconds = args.first().copied().unwrap_or(20);
+    let memory_mb = args.get(1).copied().unwrap_or(64);
+    let sockets = descriptor_limit();
+    let max = max_sessions(sockets, SERVERS);
+    let sizes = args.get(2..).filter(|sizes| !sizes.is_empty());
+    let sizes = sizes.map_or(vec![1000, 5000, max], |sizes| sizes.iter().map(|n| *n as usize).collect());
     for sessions in sizes {
         let limits = Limits { memory_mb, sockets };
-        let standing = Standing::begin(Size { sessions: sessions.min(most), servers: SERVERS, limits }).await;
-        for every in EVERY {
-            println!("{}", standing.point(Duration::from_secs(seconds), every).await);
+        let load = SessionLoad::start(Size { sessions: sessions.min(max), servers: SERVERS, limits }).await;
+        for interval in INTERVALS {
+            println!("{}", load.measure(Duration::from_secs(seconds), interval).await);
         }
-        let log = standing.ends().await;
+        let log = load.finish().await;
         eprintln!("{}", log.lines().last().unwrap_or_default());
     }
 }
--- a/crates/testkit/src/cells.rs
+++ b/crates/testkit/src/cells.rs
@@ -1,4 +1,4 @@
-//! A fleet in cells in virtual time: replicas and processes over a drawn network with regions and zones.
+//! Simulates a fleet in cells in virtual time: replicas and processes over a network with regions and zones.
 
 use nanorand::{Rng, WyRand};
 use shelfgrade::time::{DurationExt, Timestamp};
@@ -15,29 +15,35 @@
 pub use parts::{address, Location, NetworkConditions, Node, SlotValueCheck, GOOD_NETWORK, POOR_NETWORK};
 use parts::{node_at, Core, Event, EventKind, RecordedCalls};
 
+/// The name of the simulated fleet.
 pub const FLEET: &str = "drawn";
 
 pub struct CellsSimulation {
     pub now: Timestamp,
     pub nodes: Vec<Node>,
+    /// The number of replicas, which are the first nodes.
     pub replicas: usize,
     pub network: NetworkConditions,
+    /// The horizon of the replicas, in slots.
     pub horizon: u64,
     pub slot_value_check: SlotValueCheck,
+    /// Counts of rejected datagrams, by reason.
     pub rejected: BTreeMap<&'static str, u64>,
+    /// Outcomes of the submitted changes, by change ID.
     pub outcomes: BTreeMap<u64, Result<(), ChangeError>>,
-    /// The entry whose arrival is noted, and when each node had it.
+    /// The key of the entry whose propagation is measured.
     pub watched: Option<String>,
+    /// When each node received the watched entry.
     pub arrivals: BTreeMap<usize, Timestamp>,
     peers: ReplicaSet,
     events: BinaryHeap<Reverse<Event>>,
-    number: u64,
-    seeds: u64,
+    last_sequence: u64,
+    last_seed: u64,
     rng: WyRand,
 }
 
 impl CellsSimulation {
-    /// A fleet that was just founded, with one replica for each entry, in those regions.
+    /// A newly founded fleet, with one replica in each of these regions (a region may be listed more than once).
     pub fn founded(replicas: &[u8], network: NetworkConditions, seed: u64) -> Self {
         let peers = replicas.iter().enumerate();
         let peers =
@@ -53,24 +59,24 @@
             outcomes: BTreeMap::new(),
             watched: None,
             arrivals: BTreeMap::new(),
-            peers: ReplicaSet::new(peers).expect("addresses of their own"),
+            peers: ReplicaSet::new(peers).expect("replica addresses are distinct"),
             events: BinaryHeap::new(),
-            number: 0,
-            seeds: seed,
+            last_sequence: 0,
+            last_seed: seed,
             rng: WyRand::new_seed(seed),
         };
         for (id, region) in replicas.iter().enumerate() {
-            simulation.place(format!("replica-{id}"), Location { region: *region, cell: None });
-            let (peers, seed) = (simulation.peers.clone(), simulation.seed());
-            let mut out = RecordedCalls::default();
-            let core = Replica::found(FLEET, peers, id as u8, seed, simulation.now, &mut out);
+            simulation.add_node(format!("replica-{id}"), Location { region: *region, cell: None });
+            let (peers, seed) = (simulation.peers.clone(), simulation.next_seed());
+            let mut calls = RecordedCalls::default();
+            let core = Replica::found(FLEET, peers, id as u8, seed, simulation.now, &mut calls);
             simulation.nodes[id].core = Some(Core::Replica(Box::new(core)));
-            simulation.settle(id, out);
+            simulation.apply_calls(id, calls);
         }
         simulation
     }
 
-    /// With this horizon at all replicas, those that start later too.
+    /// Sets the horizon of all replicas, also of those that start later.
     pub fn with_horizon(mut self, slots: u64) -> Self {
         self.horizon = slots;
         for node in &mut self.nodes[..self.replicas] {
@@ -81,12 +87,12 @@
         self
     }
 
-    fn seed(&mut self) -> u64 {
-        self.seeds = self.seeds.wrapping_add(0x9e37_79b9_7f4a_7c15);
-        self.seeds
+    fn next_seed(&mut self) -> u64 {
+        self.last_seed = self.last_seed.wrapping_add(0x9e37_79b9_7f4a_7c15);
+        self.last_seed
     }
 
-    fn place(&mut self, name: String, location: Location) -> usize {
+    fn add_node(&mut self, name: String, location: Location) -> usize {
         self.nodes.push(Node {
             core: None,
             location,
@@ -95,49 +101,50 @@
             partition: 0,
             stored: Vec::new(),
             snapshot: None,
-            armed: Timestamp::NEVER,
+            next_timer: Timestamp::NEVER,
             bytes: 0,
             datagrams: 0,
-            second: 0,
-            in_second: 0,
-            most: 0,
-            busy: Duration::ZERO,
+            current_second: 0,
+            bytes_in_second: 0,
+            max_bytes_per_second: 0,
+            busy_time: Duration::ZERO,
         });
         self.nodes.len() - 1
     }
 
-    /// A machine for a process, which does not run yet.
+    /// Adds a machine for a process, which does not run yet, and returns its index.
     pub fn add_machine(&mut self, name: String, cell: CellId, region: u8) -> usize {
-        self.place(name, Location { region, cell: Some(cell) })
+        self.add_node(name, Location { region, cell: Some(cell) })
     }
 
-    /// Starts what belongs on a machine, with what is on its disk.
+    /// Starts the replica or process of a machine from what is on its disk.
     pub fn start(&mut self, node: usize) {
-        let (seed, now, peers) = (self.seed(), self.now, self.peers.clone());
-        let mut out = RecordedCalls::default();
-        let of = &mut self.nodes[node];
-        of.incarnation += 1;
-        of.armed = Timestamp::NEVER;
-        let core = match of.location.cell {
+        let (seed, now, peers) = (self.next_seed(), self.now, self.peers.clone());
+        let mut calls = RecordedCalls::default();
+        let machine = &mut self.nodes[node];
+        machine.incarnation += 1;
+        machine.next_timer = Timestamp::NEVER;
+        let core = match machine.location.cell {
             None => {
-                let stored = of.stored.clone();
-                let core = Replica::restore(FLEET, peers, node as u8, seed, now, stored, &mut out);
+                let stored = machine.stored.clone();
+                let core = Replica::restore(FLEET, peers, node as u8, seed, now, stored, &mut calls);
                 Core::Replica(Box::new(core.with_horizon(self.horizon)))
             }
             Some(cell) => {
-                let (name, incarnation) = (of.name.clone(), of.incarnation);
-                let (fleet, kept, region) = (FLEET.to_owned(), of.snapshot.take(), of.location.region);
+                let (name, incarnation) = (machine.name.clone(), machine.incarnation);
+                let (fleet, snapshot, region) =
+                    (FLEET.to_owned(), machine.snapshot.take(), machine.location.region);
                 let replicas = peers;
                 let config =
-                    ProcessConfig { fleet, cell, region, name, incarnation, replicas, snapshot: kept, seed };
+                    ProcessConfig { fleet, cell, region, name, incarnation, replicas, snapshot, seed };
                 Core::Process(Box::new(Process::new(config, now)))
             }
         };
-        of.core = Some(core);
-        self.settle(node, out);
+        machine.core = Some(core);
+        self.apply_calls(node, calls);
     }
 
-    /// A process keeps what it knows; a replica has on disk what it stored.
+    /// Kills a node. A process leaves a snapshot of its state on disk, a replica what it has stored.
     pub fn kill(&mut self, node: usize) {
         if let Some(Core::Process(core)) = &self.nodes[node].core {
             self.nodes[node].snapshot = Some(core.snapshot());
@@ -167,40 +174,40 @@
         (self.replicas..self.nodes.len()).filter_map(|node| Some((node, self.process(node)?)))
     }
 
-    /// EventKind all that run may do together.
+    /// The sum of the quotas of all running processes.
     pub fn quota_in_use(&self) -> u64 {
         self.processes().map(|(_, process)| u64::from(process.quota())).sum()
     }
 
-    /// Writes a change at a node, as a replica's or process's own.
+    /// Submits a change at a replica or process.
     pub fn submit(&mut self, node: usize, change: Change) {
         let now = self.now;
-        self.call(node, |core, out| match core {
-            Core::Replica(core) => core.submit(change, now, out),
-            Core::Process(core) => core.submit(change, now, out),
+        self.call(node, |core, calls| match core {
+            Core::Replica(core) => core.submit(change, now, calls),
+            Core::Process(core) => core.submit(change, now, calls),
         });
     }
 
-    /// A datagram from anywhere, as it is.
+    /// Delivers a datagram from any address, unchanged and at once.
     pub fn inject(&mut self, from: SocketAddr, to: usize, bytes: &[u8]) {
         let now = self.now;
-        self.call(to, |core, out| match core {
-            Core::Replica(core) => core.on_datagram(from, bytes, now, out),
-            Core::Process(core) => core.on_datagram(from, bytes, now, out),
+        self.call(to, |core, calls| match core {
+            Core::Replica(core) => core.on_datagram(from, bytes, now, calls),
+            Core::Process(core) => core.on_datagram(from, bytes, now, calls),
         });
     }
 
-    fn call(&mut self, node: usize, with: impl FnOnce(&mut Core, &mut RecordedCalls)) {
-        let mut out = RecordedCalls::default();
+    fn call(&mut self, node: usize, operation: impl FnOnce(&mut Core, &mut RecordedCalls)) {
+        let mut calls = RecordedCalls::default();
         let Some(core) = &mut self.nodes[node].core else { return };
         let began = Instant::now();
-        with(core, &mut out);
-        self.nodes[node].busy += began.elapsed();
-        self.settle(node, out);
+        operation(core, &mut calls);
+        self.nodes[node].busy_time += began.elapsed();
+        self.apply_calls(node, calls);
     }
 
-    fn settle(&mut self, node: usize, out: RecordedCalls) {
-        for stored in out.stored {
+    fn apply_calls(&mut self, node: usize, calls: RecordedCalls) {
+        for stored in calls.stored {
             if let Stored::Chosen { slot, batch } = &stored {
                 self.slot_value_check.record_chosen(*slot, batch);
             }
@@ -209,16 +216,16 @@
             }
             self.nodes[node].stored.push(stored);
         }
-        for why in out.rejected {
-            *self.rejected.entry(why).or_default() += 1;
+        for reason in calls.rejected {
+            *self.rejected.entry(reason).or_default() += 1;
         }
-        self.outcomes.extend(out.outcomes);
+        self.outcomes.extend(calls.outcomes);
         if let Some(watched) = &self.watched {
-            if out.news.iter().any(|key| matches!(key, Key::Entry(key) if key == watched)) {
+            if calls.changed_keys.iter().any(|key| matches!(key, Key::Entry(key) if key == watched)) {
                 self.arrivals.entry(node).or_insert(self.now);
             }
         }
-        for (to, bytes) in out.sends {
+        for (to, bytes) in calls.sends {
             self.send(node, to, bytes);
         }
         let next = match &self.nodes[node].core {
@@ -226,42 +233,47 @@
             Some(Core::Process(core)) => core.next_wakeup(),
             None => return,
         };
-        // A core that is due at once is called again a moment later.
+        // A core that is due at once is called again 0.1 ms later.
         let next = next.max(self.now + Duration::from_ms(0.1));
-        if next < self.nodes[node].armed {
-            self.nodes[node].armed = next;
+        if next < self.nodes[node].next_timer {
+            self.nodes[node].next_timer = next;
             self.push(next, node, EventKind::Timer);
         }
     }
 
-    fn push(&mut self, at: Timestamp, to: usize, what: EventKind) {
-        self.number += 1;
-        self.events.push(Reverse(Event { at, number: self.number, to, what }));
+    fn push(&mut self, at: Timestamp, to: usize, kind: EventKind) {
+        self.last_sequence += 1;
+        self.events.push(Reverse(Event { at, sequence: self.last_sequence, to, kind }));
     }
 
-    fn one_in(&mut self, thousand: u32) -> bool {
-        thousand > 0 && self.rng.generate_range(0..1000u32) < thousand
+    fn occurs(&mut self, per_mille: u32) -> bool {
+        per_mille > 0 && self.rng.generate_range(0..1000u32) < per_mille
     }
 
     fn send(&mut self, from: usize, to: SocketAddr, bytes: Vec<u8>) {
-        assert!(bytes.len() <= shelfgrade_cells::MAX_DATAGRAM_BYTES, "a datagram of {} bytes", bytes.len());
-        let second = self.now.periods(Duration::from_millis(1000));
-        let of = &mut self.nodes[from];
-        of.bytes += bytes.len() as u64;
-        of.datagrams += 1;
-        if of.second != second {
-            (of.second, of.in_second) = (second, 0);
+        assert!(
+            bytes.len() <= shelfgrade_cells::MAX_DATAGRAM_BYTES,
+            "datagram of {} bytes exceeds the limit",
+            bytes.len()
+        );
+        let current_second = self.now.periods(Duration::from_millis(1000));
+        let machine = &mut self.nodes[from];
+        machine.bytes += bytes.len() as u64;
+        machine.datagrams += 1;
+        if machine.current_second != current_second {
+            (machine.current_second, machine.bytes_in_second) = (current_second, 0);
         }
-        of.in_second += bytes.len() as u64;
-        of.most = of.most.max(of.in_second);
+        machine.bytes_in_second += bytes.len() as u64;
+        machine.max_bytes_per_second = machine.max_bytes_per_second.max(machine.bytes_in_second);
         let Some(to) = node_at(to).filter(|to| *to < self.nodes.len()) else { return };
-        if self.nodes[to].partition != self.nodes[from].partition || self.one_in(self.network.loss) {
+        if self.nodes[to].partition != self.nodes[from].partition || self.occurs(self.network.lost_per_mille)
+        {
             return;
         }
-        let copies = if self.one_in(self.network.twice) { 2 } else { 1 };
+        let copies = if self.occurs(self.network.duplicated_per_mille) { 2 } else { 1 };
         for _ in 0..copies {
             let mut ms = self.delay(from, to) * (1.0 + f64::from(self.rng.generate_range(0..100u32)) / 500.0);
-            if self.one_in(self.network.late) {
+            if self.occurs(self.network.delayed_per_mille) {
                 ms += f64::from(self.rng.generate_range(0..3000u32));
             }
             let at = self.now + Duration::from_ms(ms);
@@ -269,7 +281,7 @@
         }
     }
 
-    /// One way, in milliseconds: 1 in a zone, 2 in a region, 40 to 150 between regions.
+    /// The one-way delay in milliseconds: 1 within a cell, 2 within a region, 40 to 150 between regions.
     fn delay(&self, from: usize, to: usize) -> f64 {
         let (a, b) = (self.nodes[from].location, self.nodes[to].location);
         if a.region != b.region {
@@ -282,19 +294,20 @@
         }
     }
 
+    /// Advances virtual time.
     pub fn run_for_ms(&mut self, ms: u64) {
         let until = self.now + Duration::from_millis(ms);
         while self.events.peek().is_some_and(|Reverse(event)| event.at <= until) {
             let Some(Reverse(event)) = self.events.pop() else { break };
             self.now = self.now.max(event.at);
             let now = self.now;
-            match event.what {
+            match event.kind {
                 EventKind::Datagram { from, bytes } => self.inject(address(from), event.to, &bytes),
-                EventKind::Timer if self.nodes[event.to].armed == event.at => {
-                    self.nodes[event.to].armed = Timestamp::NEVER;
-                    self.call(event.to, |core, out| match core {
-                        Core::Replica(core) => core.on_timer(now, out),
-                        Core::Process(core) => core.on_timer(now, out),
+                EventKind::Timer if self.nodes[event.to].next_timer == event.at => {
+                    self.nodes[event.to].next_timer = Timestamp::NEVER;
+                    self.call(event.to, |core, calls| match core {
+                        Core::Replica(core) => core.on_timer(now, calls),
+                        Core::Process(core) => core.on_timer(now, calls),
                     });
                 }
                 EventKind::Timer => {}
@@ -303,19 +316,19 @@
         self.now = until;
     }
 
-    /// Passes until it holds, looked at so often; false where it never did.
+    /// Runs until `holds` is true, checked every `check_interval_ms`; returns false if it was not within `limit_ms`.
     pub fn run_until(
         &mut self,
-        most_ms: u64,
-        every_ms: u64,
+        limit_ms: u64,
+        check_interval_ms: u64,
         holds: impl Fn(&CellsSimulation) -> bool,
     ) -> bool {
-        let mut left = most_ms;
+        let mut left = limit_ms;
         while !holds(self) {
             if left == 0 {
                 return false;
             }
-            let step = every_ms.min(left);
+            let step = check_interval_ms.min(left);
             self.run_for_ms(step);
             left -= step;
         }
--- a/crates/testkit/src/cells/parts.rs
+++ b/crates/testkit/src/cells/parts.rs
@@ -1,4 +1,4 @@
-//! EventKind a world of cells is made of.
+//! The parts of a cells simulation: nodes, network conditions, events and the calls of a core to its environment.
 
 use shelfgrade::time::Timestamp;
 use shelfgrade_cells::{
@@ -8,18 +8,19 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
-/// The network, in parts of a thousand.
+/// The share of datagrams, per thousand, that are lost, duplicated, and delayed by up to 3 s.
 #[derive(Clone, Copy, Debug)]
 pub struct NetworkConditions {
-    pub loss: u32,
-    pub twice: u32,
-    pub late: u32,
+    pub lost_per_mille: u32,
+    pub duplicated_per_mille: u32,
+    pub delayed_per_mille: u32,
 }
 
-pub const GOOD_NETWORK: NetworkConditions = NetworkConditions { loss: 10, twice: 0, late: 0 };
-pub const POOR_NETWORK: NetworkConditions = NetworkConditions { loss: 100, twice: 100, late: 100 };
+pub const GOOD_NETWORK: NetworkConditions =
+    NetworkConditions { lost_per_mille: 10, duplicated_per_mille: 0, delayed_per_mille: 0 };
+pub const POOR_NETWORK: NetworkConditions =
+    NetworkConditions { lost_per_mille: 100, duplicated_per_mille: 100, delayed_per_mille: 100 };
 
-/// Where a node is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Location {
     pub region: u8,
@@ -32,23 +33,28 @@
     Process(Box<Process>),
 }
 
+/// A machine with a replica or a process.
 pub struct Node {
     pub(super) core: Option<Core>,
     pub location: Location,
     pub name: String,
     pub incarnation: u32,
-    /// Nodes of unequal groups do not hear each other.
+    /// Nodes of different partitions cannot reach each other.
     pub partition: u8,
+    /// The disk of a replica.
     pub stored: Vec<Stored>,
+    /// The disk of a process.
     pub snapshot: Option<ProcessSnapshot>,
-    pub(super) armed: Timestamp,
+    pub(super) next_timer: Timestamp,
+    /// Bytes and datagrams sent since the last reset.
     pub bytes: u64,
     pub datagrams: u64,
-    pub(super) second: u64,
-    pub(super) in_second: u64,
-    /// The most bytes in any one second since it was last set to nothing.
-    pub most: u64,
-    pub busy: Duration,
+    pub(super) current_second: u64,
+    pub(super) bytes_in_second: u64,
+    /// The most bytes sent in any second since the last reset.
+    pub max_bytes_per_second: u64,
+    /// Wall-clock time spent in the core since the last reset.
+    pub busy_time: Duration,
 }
 
 pub(super) enum EventKind {
@@ -56,16 +62,17 @@
     Timer,
 }
 
+/// An event, ordered by time; a sequence number orders events at the same time.
 pub(super) struct Event {
     pub(super) at: Timestamp,
-    pub(super) number: u64,
+    pub(super) sequence: u64,
     pub(super) to: usize,
-    pub(super) what: EventKind,
+    pub(super) kind: EventKind,
 }
 
 impl PartialEq for Event {
     fn eq(&self, other: &Self) -> bool {
-        (self.at, self.number) == (other.at, other.number)
+        (self.at, self.sequence) == (other.at, other.sequence)
     }
 }
 impl Eq for Event {}
@@ -76,14 +83,15 @@
 }
 impl Ord for Event {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
-        (self.at, self.number).cmp(&(other.at, other.number))
+        (self.at, self.sequence).cmp(&(other.at, other.sequence))
     }
 }
 
-/// Looks at every slot that any replica says was chosen: there is one value for each.
+/// Checks that all replicas agree on the value of each slot that any of them reports as chosen.
 #[derive(Default)]
 pub struct SlotValueCheck {
     chosen: BTreeMap<u64, Batch>,
+    /// Slots with more than one value.
     pub conflicts: Vec<u64>,
 }
 
@@ -99,11 +107,12 @@
     }
 }
 
+/// What a core requested of its environment in one call.
 #[derive(Default)]
 pub(super) struct RecordedCalls {
     pub(super) sends: Vec<(SocketAddr, Vec<u8>)>,
     pub(super) stored: Vec<Stored>,
-    pub(super) news: Vec<Key>,
+    pub(super) changed_keys: Vec<Key>,
     pub(super) outcomes: Vec<(u64, Result<(), ChangeError>)>,
     pub(super) rejected: Vec<&'static str>,
 }
@@ -116,21 +125,23 @@
         self.stored.push(stored);
     }
     fn record_changed(&mut self, record: &Record) {
-        self.news.push(record.key.clone());
+        self.changed_keys.push(record.key.clone());
     }
     fn change_decided(&mut self, id: u64, outcome: Result<(), ChangeError>) {
         self.outcomes.push((id, outcome));
     }
-    fn datagram_rejected(&mut self, why: &'static str) {
-        self.rejected.push(why);
+    fn datagram_rejected(&mut self, reason: &'static str) {
+        self.rejected.push(reason);
     }
 }
 
+/// The address of a node, which contains its index.
 pub fn address(node: usize) -> SocketAddr {
     let [_, a, b, c] = (node as u32).to_be_bytes();
     (Ipv4Addr::new(10, a, b, c), 9).into()
 }
 
+/// The node with this address; the inverse of [`address`].
 pub(super) fn node_at(address: SocketAddr) -> Option<usize> {
     match address {
         SocketAddr::V4(at) => {
--- a/crates/testkit/src/discovery.rs
+++ b/crates/testkit/src/discovery.rs
@@ -12,7 +12,7 @@
 use tokio::time::timeout;
 
 /// The entry of each server as JSON, and the version at which it last changed.
-pub type Entries = BTreeMap<String, (String, u64)>;
+type Entries = BTreeMap<String, (String, u64)>;
 
 pub struct Discovery {
     pub address: SocketAddr,
@@ -74,12 +74,12 @@
     }
 
     /// The present list, for [`Self::restore`].
-    pub fn snapshot(&self) -> (u64, Entries) {
+    pub fn snapshot(&self) -> (u64, BTreeMap<String, (String, u64)>) {
         self.entries().clone()
     }
 
     /// Replaces the list by an older one, version included.
-    pub fn restore(&self, snapshot: (u64, Entries)) {
+    pub fn restore(&self, snapshot: (u64, BTreeMap<String, (String, u64)>)) {
         let version = snapshot.0;
         *self.entries() = snapshot;
         self.status.send_modify(|status| status.0 = version);
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -15,8 +15,8 @@
 //!   [`misbehaving_proxy`] breaks the invariants on purpose, to test the checks.
 //! - [`sockets`] runs hollow nodes on real sockets, in one fleet with real processes.
 //!
-//! Costs at scale are measured by [`standing`], one real process with many sessions, and [`decisions`], the balancer's
-//! decisions alone.
+//! Costs at scale are measured by [`session_load`], one real process with many sessions, and [`decisions`], the
+//! balancer's decisions alone.
 
 pub mod cells;
 pub mod checks;
@@ -30,10 +30,10 @@
 pub mod recorder;
 mod region;
 pub mod server;
+pub mod session_load;
 pub mod simulated_fleet;
 pub mod simulation;
 pub mod sockets;
-pub mod standing;
 pub mod topology;
 pub mod trial;
 
--- a/crates/testkit/tests/decisions.rs
+++ b/crates/testkit/tests/decisions.rs
@@ -9,10 +9,10 @@
 
 fn measured(sessions: usize, servers: usize) -> Decisions {
     let size = Size { sessions, groups: sessions * 7 / 8, servers };
-    let mut decisions = Decisions::begin(size, || BYTES.current_usage());
-    decisions.turns_over(600);
-    decisions.lists(40);
-    println!("{}", decisions.point());
+    let mut decisions = Decisions::new(size, || BYTES.current_usage());
+    decisions.replace_sessions(600);
+    decisions.update_endpoints(40);
+    println!("{}", decisions.summary());
     decisions
 }
 
@@ -21,20 +21,34 @@
     // A middle of hundreds, and a factor that is far from both the shape's own and the next one's.
     const SERVERS: [usize; 2] = [32, 512];
     let [few, many] = [500, 16_000].map(|sessions| measured(sessions, SERVERS[0]));
-    for what in ["arrival", "arrival back", "stands", "end", "line", "whole list", "round"] {
-        let (few, many) = (few.took.middle(what), many.took.middle(what));
+    for what in [
+        "request",
+        "request of a reconnecting client",
+        "session established",
+        "attempt ended",
+        "endpoint update",
+        "full endpoint list",
+        "periodic checks",
+    ] {
+        let (few, many) = (few.timings.median_ns(what), many.timings.median_ns(what));
         assert!(many < 8 * few, "{what}: {few} ns at 500 sessions and {many} ns at 16,000");
     }
     assert!((many.bytes.1 / few.bytes.1 - 1.0).abs() < 0.25, "{:?} and {:?}", few.bytes, many.bytes);
 
     let [few, many] = SERVERS.map(|servers| measured(2000, servers));
     let factor = (SERVERS[1] / SERVERS[0]) as u64;
-    for what in ["stands", "end"] {
-        let (few, many) = (few.took.middle(what), many.took.middle(what));
+    for what in ["session established", "attempt ended"] {
+        let (few, many) = (few.timings.median_ns(what), many.timings.median_ns(what));
         assert!(many < 8 * few, "{what}: {few} ns at 32 servers and {many} ns at 512");
     }
-    for what in ["arrival", "arrival back", "line", "whole list", "round"] {
-        let (few, many) = (few.took.middle(what), many.took.middle(what));
+    for what in [
+        "request",
+        "request of a reconnecting client",
+        "endpoint update",
+        "full endpoint list",
+        "periodic checks",
+    ] {
+        let (few, many) = (few.timings.median_ns(what), many.timings.median_ns(what));
         assert!(many < 4 * factor * few, "{what}: {few} ns at 32 servers and {many} ns at 512");
     }
     assert!((many.bytes.0 / few.bytes.0 - 1.0).abs() < 0.25, "{:?} and {:?}", few.bytes, many.bytes);
--- a/crates/testkit/tests/standing.rs
+++ b/crates/testkit/tests/standing.rs
@@ -2,7 +2,7 @@
 //! measures.
 
 use shelfgrade_testkit::process::Limits;
-use shelfgrade_testkit::standing::{Size, Standing};
+use shelfgrade_testkit::session_load::{SessionLoad, Size};
 use std::time::Duration;
 
 #[tokio::test(flavor = "multi_thread", worker_threads = 2)]
@@ -10,12 +10,12 @@
     let mut points = Vec::new();
     for sessions in [60, 420] {
         let size = Size { sessions, servers: 4, limits: Limits { memory_mb: 64, sockets: 1024 } };
-        let standing = Standing::begin(size).await;
-        let point = standing.point(Duration::from_secs(2), Some(Duration::from_millis(500))).await;
+        let load = SessionLoad::start(size).await;
+        let point = load.measure(Duration::from_secs(2), Some(Duration::from_millis(500))).await;
         println!("{point}");
         let figure = |name: &str| point[name].as_f64().expect("a figure");
         points.push((figure("bytes_each"), figure("core_us_a_line")));
-        let log = standing.ends().await;
+        let log = load.finish().await;
         assert!(log.contains("invariant violations 0"), "{log}");
     }
     let [few, many] = points[..] else { panic!("two points") };
