--- a/crates/fleet/src/anti_entropy.rs
+++ b/crates/fleet/src/anti_entropy.rs
@@ -1,8 +1,8 @@
-//! Anti-entropy: finds and repairs the differences between two maps that gossip has left.
+//! Anti-entropy: finds and repairs differences between two replicas that gossip did not resolve.
 //!
-//! A member sends the digests of its buckets to a peer. If many differ, the peer knows little of this map and sends
-//! entries at once. If few differ, the peer sends the digests of the entries in one of them, and both exchange the
-//! entries that differ.
+//! A member sends its bucket digests to a peer. If many buckets differ, the replicas have little in common, and the
+//! peer replies with entries right away. If only a few differ, the peer replies with the entry digests of one of these
+//! buckets, and the two members exchange the entries that differ.
 
 use crate::entry::{Entry, EntryDigest};
 use crate::packet::Message;
@@ -10,29 +10,29 @@
 use nanorand::{Rng, WyRand};
 use std::collections::BTreeMap;
 
-/// The room for entries or digests in one datagram, in bytes.
+/// Payload budget for entries or digests in one datagram, in bytes.
 const PAYLOAD_BYTES: usize = 1200;
-/// What an entry takes in a datagram beside its key and value, in bytes, rounded up.
+/// Upper bound on the encoded size of an entry beyond its key and value, in bytes.
 const ENTRY_OVERHEAD_BYTES: usize = 32;
-/// The most digests of entries in one datagram, at eight bytes each.
+/// Maximum number of entry digests in one datagram, at eight bytes each.
 const MAX_DIGESTS: usize = 140;
-/// The most keys that are requested in one datagram.
+/// Maximum number of keys requested in one datagram.
 const MAX_REQUESTED_KEYS: usize = PAYLOAD_BYTES / 8;
-/// Up to this many differing buckets entries are compared by their digests first.
+/// If at most this many buckets differ, entry digests are compared before entries are sent.
 const MAX_BUCKETS_TO_COMPARE: usize = 8;
-/// How many datagrams of entries are sent at once where more buckets differ.
+/// Maximum number of entry datagrams sent at once if more buckets differ.
 const MAX_ENTRY_DATAGRAMS: usize = 4;
 
-/// What two members lack of a bucket that they compare.
+/// The differences between the local and a peer's copy of one bucket.
 pub(crate) struct BucketDifference {
-    /// Entries that the peer lacks, as many as fit in one datagram.
+    /// Entries that the peer lacks or has in another state, limited to one datagram.
     pub(crate) entries_to_send: Vec<Entry>,
-    /// Short hashes of the keys to request from it.
+    /// Short key hashes of the entries to request from the peer.
     pub(crate) keys_to_request: Vec<u32>,
 }
 
 impl ReplicatedMap {
-    /// The buckets whose digests differ from those of a peer.
+    /// Returns the buckets whose digests differ from the peer's.
     pub(crate) fn differing_buckets(&self, peer_digests: &[u64]) -> Vec<usize> {
         if peer_digests.len() != BUCKETS {
             return Vec::new();
@@ -41,7 +41,7 @@
         (0..BUCKETS).filter(|bucket| own_digests[*bucket] != peer_digests[*bucket]).collect()
     }
 
-    /// The reply to a peer whose digests differ in these buckets, beginning at a random one.
+    /// Builds the reply to a peer whose digests differ in these buckets, starting with a random one.
     pub(crate) fn reply_to_digests(&self, differing: &[usize], rng: &mut WyRand) -> Vec<Message> {
         if differing.is_empty() {
             return Vec::new();
@@ -60,7 +60,7 @@
         datagrams.map(Message::Entries).collect()
     }
 
-    /// The digests of the entries in a bucket. Where they do not fit in a datagram, it has some, beginning at random.
+    /// The entry digests of a bucket. If they do not fit in one datagram, a randomly chosen contiguous part of them.
     fn bucket_summary(&self, bucket: usize, rng: &mut WyRand) -> Message {
         let mut entries: Vec<_> = self.in_bucket(bucket).map(Entry::digest).collect();
         if entries.len() > MAX_DIGESTS {
@@ -71,7 +71,7 @@
         Message::BucketSummary { bucket: bucket as u16, entries }
     }
 
-    /// Compares a bucket with the digests of a peer.
+    /// Compares a bucket with a peer's entry digests.
     pub(crate) fn compare_bucket(&self, bucket: usize, peer: &[EntryDigest]) -> BucketDifference {
         let peer: BTreeMap<u32, u32> = peer.iter().map(|digest| (digest.key, digest.state)).collect();
         let own: BTreeMap<u32, &Entry> =
@@ -86,7 +86,7 @@
         }
     }
 
-    /// The entries that a peer has requested by the short hashes of their keys, as many as fit in one datagram.
+    /// Returns the entries that a peer has requested by short key hash, limited to one datagram.
     pub(crate) fn requested_entries(&self, key_hashes: &[u32]) -> Vec<Entry> {
         let key_hashes = key_hashes.iter().copied().collect();
         first_datagram(self.with_key_hashes(&key_hashes).into_iter().cloned())
@@ -97,7 +97,7 @@
     pack_datagrams(entries).into_iter().next().unwrap_or_default()
 }
 
-/// Distributes entries over datagrams, in order. Stops soon after [`MAX_ENTRY_DATAGRAMS`].
+/// Packs entries into datagrams, in order. Stops after one datagram more than [`MAX_ENTRY_DATAGRAMS`].
 fn pack_datagrams(entries: impl Iterator<Item = Entry>) -> Vec<Vec<Entry>> {
     let mut datagrams: Vec<Vec<Entry>> = Vec::new();
     let mut remaining_bytes = 0;
@@ -118,7 +118,7 @@
     datagrams
 }
 
-/// An estimate of what an entry takes in a datagram.
+/// Estimates the encoded size of an entry.
 fn encoded_bytes(entry: &Entry) -> usize {
     entry.key.len() + entry.value.as_ref().map_or(0, Vec::len) + ENTRY_OVERHEAD_BYTES
 }
--- a/crates/fleet/src/clock_skew.rs
+++ b/crates/fleet/src/clock_skew.rs
@@ -1,24 +1,25 @@
-//! The deviation of the local clock from those of the peers.
+//! Estimates the offset between the local clock and the peers' clocks.
 
 use crate::roster::MemberId;
 use std::collections::BTreeMap;
 
-/// Smaller deviations may be due to network latency, or do no harm.
+/// Smaller offsets are ignored: they can be caused by network latency, and do no harm.
 const TOLERANCE_MS: i64 = 2000;
-/// How many peers' clocks are kept.
+/// Maximum number of peers whose clock offsets are kept.
 const MAX_CLOCKS: usize = 32;
-/// With fewer clocks a median does not show which of them deviates.
+/// Minimum number of clocks, including the local one: with fewer, the median does not tell which clock is off.
 const MIN_CLOCKS: usize = 3;
 
-/// The last observed clocks of some peers.
+/// The most recent clock offsets of a sample of the peers.
 #[derive(Default)]
 pub(crate) struct ClockSkew {
-    /// By how much a peer's clock is ahead of the local one, in milliseconds.
+    /// How far each peer's clock is ahead of the local one, in milliseconds.
     ahead_ms: BTreeMap<MemberId, i64>,
 }
 
 impl ClockSkew {
-    /// A peer's clock showed `peer_ms` when the local one showed `local_ms`, both Unix time in milliseconds.
+    /// Records that a peer's clock showed `peer_ms` when the local one showed `local_ms`, both as Unix time in
+    /// milliseconds.
     pub(crate) fn observe(&mut self, peer: MemberId, peer_ms: u64, local_ms: u64) {
         let ahead_ms = peer_ms as i64 - local_ms as i64;
         if self.ahead_ms.len() < MAX_CLOCKS || self.ahead_ms.contains_key(&peer) {
@@ -26,7 +27,7 @@
         }
     }
 
-    /// What to add to the local clock to have the median of all, in milliseconds; 0 within the tolerance.
+    /// Milliseconds to add to the local clock to match the median of all known clocks; 0 within the tolerance.
     pub(crate) fn correction_ms(&self) -> i64 {
         const LOCAL_CLOCK: i64 = 0;
         let mut all: Vec<i64> = self.ahead_ms.values().copied().chain([LOCAL_CLOCK]).collect();
--- a/crates/fleet/src/entry.rs
+++ b/crates/fleet/src/entry.rs
@@ -4,36 +4,36 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// The longest key, in bytes; an entry has to fit in one datagram.
+/// Maximum length of a key in bytes; an entry has to fit in one datagram.
 pub const MAX_KEY_BYTES: usize = 96;
-/// The longest value, in bytes; an entry has to fit in one datagram.
+/// Maximum length of an encoded value in bytes; an entry has to fit in one datagram.
 pub const MAX_VALUE_BYTES: usize = 900;
-/// Higher counts cannot result from counting, so they are rejected.
+/// Maximum version count. Incrementing never gets this far, so a higher count is invalid.
 const MAX_COUNT: u64 = 1 << 62;
 
-/// Orders the states of an entry; the greatest wins. Encoded by the position of the fields.
+/// The version of an entry; the greatest version wins. Encoded by field position.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Version {
-    /// Goes up with each write.
+    /// Incremented with each write.
     pub count: u64,
-    /// Decides between concurrent writes: the start of the writer's incarnation.
+    /// The start of the writer's incarnation, which breaks ties between concurrent writes.
     pub by: u64,
 }
 
-/// One key of the replicated map with its value. Encoded by the position of the fields.
+/// A key-value pair of the replicated map. Encoded by field position.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
     /// At most [`MAX_KEY_BYTES`] long.
     pub key: String,
-    /// Which of two states of the entry is newer.
+    /// Determines which of two states of the entry is newer.
     pub version: Version,
-    /// The member that wrote it.
+    /// The member that wrote this version.
     pub owner: MemberId,
-    /// At most [`MAX_VALUE_BYTES`] long; none where the entry was deleted.
+    /// At most [`MAX_VALUE_BYTES`] long; `None` is the tombstone of a deleted entry.
     pub value: Option<Vec<u8>>,
 }
 
-/// A short digest of an entry's state. Encoded by the position of the fields.
+/// A short digest of an entry's key and state. Encoded by field position.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct EntryDigest {
     pub(crate) key: u32,
@@ -41,7 +41,7 @@
 }
 
 impl Entry {
-    /// A hash of everything in the entry.
+    /// A hash of the key, version, owner and value.
     pub(crate) fn state_hash(&self) -> u64 {
         let version_seed = self.version.count ^ self.version.by.rotate_left(32);
         let key_and_version = xxh3_64_with_seed(self.key.as_bytes(), version_seed);
@@ -64,7 +64,7 @@
     xxh3_64(key.as_bytes())
 }
 
-/// The part of the key's hash that digests have.
+/// The low 32 bits of the key's hash, as used in entry digests.
 pub(crate) fn short_key_hash(key: &str) -> u32 {
     key_hash(key) as u32
 }
--- a/crates/fleet/src/environment.rs
+++ b/crates/fleet/src/environment.rs
@@ -1,19 +1,20 @@
-//! The interface between [`Fleet`](crate::Fleet) and the process that runs it.
+//! The interface between [`Fleet`](crate::Fleet) and the process that embeds it.
 
 use crate::entry::Entry;
 use crate::roster::MemberId;
 
-/// Effects and events of [`Fleet`](crate::Fleet).
+/// Receives the datagrams that [`Fleet`](crate::Fleet) sends and the events that it reports.
 pub trait Environment {
     /// Sends a datagram of at most [`MAX_DATAGRAM_BYTES`](crate::MAX_DATAGRAM_BYTES) to a member. It may be lost,
     /// duplicated or reordered.
     fn send(&mut self, to: MemberId, datagram: Vec<u8>);
-    /// An entry of the replicated map is new or has changed.
+    /// Called when an entry of the replicated map was added or changed.
     fn entry_changed(&mut self, entry: &Entry);
-    /// A member is alive.
+    /// Called when a member is detected as alive.
     fn member_joined(&mut self, member: MemberId);
-    /// A member has left or failed.
+    /// Called when a member has left or was declared failed.
     fn member_left(&mut self, member: MemberId);
-    /// A received datagram, or an entry in it, was rejected; `reason` is the name of the counter.
+    /// Called when a received datagram, or an entry in it, was rejected. `reason` is the name of the counter to
+    /// increment.
     fn datagram_rejected(&mut self, reason: &'static str);
 }
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The state machine of one fleet member: its state, its timers and what it passes to the parts.
+//! The state machine of a fleet member: holds its state, runs its timers and dispatches to the components.
 
 mod datagrams;
 mod map_access;
@@ -20,19 +20,19 @@
 
 pub use map_access::PutError;
 
-/// The capacity of the replicated map: some thousands of servers, and what customers and sites have.
+/// The capacity of the replicated map: enough for several thousand servers plus the entries of customers and sites.
 pub const MAX_ENTRIES: usize = 8192;
 
-/// For this long after its start a member, which may know nothing, runs anti-entropy often.
+/// How long after its start a member runs anti-entropy at the higher rate, as its replica may still be empty.
 const STARTUP_TIME: Duration = Duration::from_millis(5000);
-/// How often anti-entropy runs during that time.
+/// Anti-entropy interval during [`STARTUP_TIME`].
 const STARTUP_ANTI_ENTROPY_INTERVAL: Duration = Duration::from_millis(200);
-/// How often anti-entropy runs after it; as often as the membership probes.
+/// Anti-entropy interval after [`STARTUP_TIME`]; equal to the probe interval of the membership protocol.
 const ANTI_ENTROPY_INTERVAL: Duration = Duration::from_millis(1000);
-/// Tells the generator of this module from those that others make of the same seed.
+/// Keeps this module's random sequence distinct from others that are derived from the same seed.
 const SEED_SALT: u64 = 0xfee7;
 
-/// State machine of one fleet member: its view of the membership, its replica of the shared map and its leases on the
+/// The state machine of a fleet member: its view of the membership, its replica of the shared map and its leases on the
 /// fleet's quota.
 pub struct Fleet {
     roster: Roster,
@@ -50,7 +50,8 @@
 }
 
 impl Fleet {
-    /// `started_at`: microseconds of Unix time, or more where an earlier incarnation is known to have had more.
+    /// `started_at` identifies the incarnation: the Unix time in microseconds, or a higher value if an earlier
+    /// incarnation is known to have used the current time or a later one.
     pub fn new(roster: Roster, started_at: u64, seed: u64, now: Timestamp) -> Self {
         let me = Incarnation { member: roster.me(), started_at };
         let replica = Rc::new(RefCell::new(Replica::new(MAX_ENTRIES)));
@@ -69,37 +70,37 @@
         }
     }
 
-    /// The members that the fleet may have.
+    /// All members of the fleet, alive or not.
     pub fn roster(&self) -> &Roster {
         &self.roster
     }
 
-    /// The local member's incarnation.
+    /// The incarnation of the local member.
     pub fn me(&self) -> Incarnation {
         self.me
     }
 
-    /// The members that are alive as far as this one sees, itself included, in the order of the roster.
+    /// The members that this member considers alive, including itself, in roster order.
     pub fn alive(&self) -> &[MemberId] {
         self.swim.alive()
     }
 
-    /// The incarnation of a peer that is alive as far as this member sees.
+    /// The incarnation of a peer; `None` if this member does not consider it alive.
     pub fn incarnation(&self, member: MemberId) -> Option<Incarnation> {
         self.swim.incarnation(member)
     }
 
-    /// The fraction of the fleet's quota that this member may use now, from 0 to 1.
+    /// The fraction of the fleet's quota that this member may currently use, from 0 to 1.
     pub fn quota_fraction(&self, now: Timestamp) -> f64 {
         self.quota_leases.quota_fraction(now)
     }
 
-    /// Milliseconds to add to the local clock to have the median of the members' clocks; 0 while they agree.
+    /// Milliseconds to add to the local clock to match the median of the members' clocks; 0 while they agree.
     pub fn clock_correction_ms(&self) -> i64 {
         self.clock_skew.correction_ms()
     }
 
-    /// Runs the timers that are due. `wall_ms`: this machine's Unix time in milliseconds, uncorrected.
+    /// Runs the timers that are due. `wall_ms` is the local Unix time in milliseconds, without clock correction.
     pub fn on_timer(&mut self, now: Timestamp, wall_ms: u64, environment: &mut dyn Environment) {
         let mut outbox = Outbox::new(&self.roster, self.me, wall_ms, environment);
         self.swim.on_timer(now, &self.roster, &mut outbox);
@@ -119,18 +120,18 @@
         self.finish_call(renewed, environment);
     }
 
-    /// When [`Fleet::on_timer`] is to be called next.
+    /// The time at which [`Fleet::on_timer`] has to be called next.
     pub fn next_wakeup(&self) -> Timestamp {
         self.swim.next_wakeup().min(self.next_anti_entropy).min(self.next_lease_renewal)
     }
 
-    /// Leaves the fleet on shutdown, so that its peers need not detect the failure.
+    /// Announces that this member leaves the fleet, so that peers do not have to detect its absence as a failure.
     pub fn leave(&mut self, now: Timestamp, wall_ms: u64, environment: &mut dyn Environment) {
         let mut outbox = Outbox::new(&self.roster, self.me, wall_ms, environment);
         self.swim.leave(now, &mut outbox);
     }
 
-    /// Handles what a call has changed: a renewed incarnation, and entries that were merged from peers.
+    /// Processes the results of a call: a renewed incarnation, and entries that were merged from peers.
     fn finish_call(&mut self, renewed: Option<Incarnation>, environment: &mut dyn Environment) {
         if let Some(incarnation) = renewed {
             self.me = incarnation;
@@ -147,22 +148,22 @@
     }
 }
 
-/// The digests of all buckets, for a peer to compare.
+/// Builds the message with all bucket digests for a peer to compare.
 fn map_digest(replica: &Replica, is_reply: bool) -> Message {
     Message::MapDigest { buckets: replica.map.bucket_digests().to_vec(), is_reply }
 }
 
-/// One of the members that are alive, other than the local one.
+/// Picks a random member that is alive, other than the local one.
 fn random_peer(alive: &[MemberId], me: MemberId, rng: &mut WyRand) -> Option<MemberId> {
     if alive.len() < 2 {
         return None;
     }
     let index = rng.generate_range(0..alive.len() - 1);
-    // Skips the local member.
+    // `alive` is sorted: indexes from that of the local member on are shifted by one, which skips it.
     Some(alive[index + usize::from(alive[index] >= me)])
 }
 
-/// Requests leases from their voters, of which this member may be one.
+/// Requests leases from their voters. The local member may be one of them and is then called directly.
 fn renew_leases(
     quota_leases: &mut QuotaLeases,
     me: Incarnation,
--- a/crates/fleet/src/fleet/datagrams.rs
+++ b/crates/fleet/src/fleet/datagrams.rs
@@ -1,4 +1,4 @@
-//! Handling of received datagrams.
+//! Processes received datagrams.
 
 use super::{map_digest, Fleet};
 use crate::environment::Environment;
@@ -10,7 +10,7 @@
 const MALFORMED: &str = "fleet datagrams malformed";
 
 impl Fleet {
-    /// A datagram has been received. `wall_ms`: this machine's Unix time in milliseconds, uncorrected.
+    /// Processes a received datagram. `wall_ms` is the local Unix time in milliseconds, without clock correction.
     pub fn on_datagram(
         &mut self,
         datagram: &[u8],
@@ -23,7 +23,7 @@
             Err(reason) => return environment.datagram_rejected(reason),
         };
         if packet.from.member == self.me.member {
-            // A delayed datagram of this member itself, or another process under its name.
+            // Either a delayed datagram from an earlier incarnation, or a second process with the same name.
             if packet.from.started_at != self.me.started_at {
                 environment.datagram_rejected("fleet datagrams from a duplicate member");
             }
@@ -34,7 +34,7 @@
         self.finish_call(renewed, environment);
     }
 
-    /// The packet in a datagram, or the name of the counter for its rejection.
+    /// Decodes and validates a datagram; the error is the name of the counter for rejected datagrams.
     fn accept(&self, datagram: &[u8]) -> Result<Packet, &'static str> {
         let packet = packet::decode(&self.roster, datagram).map_err(|error| match error {
             PacketError::OtherFleet => "fleet datagrams from other fleets",
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Handles a peer's message; the new incarnation, if it was renewed.
+    /// Processes a peer's message. Returns the new local incarnation if it was renewed.
     fn on_message(
         &mut self,
         packet: Packet,
@@ -57,7 +57,7 @@
         environment: &mut dyn Environment,
     ) -> Option<Incarnation> {
         let from = packet.from;
-        // A cheap copy, so that the outbox does not borrow from `self`.
+        // Cloned (it shares its contents) so that the outbox does not borrow from `self`.
         let roster = self.roster.clone();
         let mut outbox = Outbox::new(&roster, self.me, wall_ms, environment);
         match packet.message {
@@ -97,7 +97,8 @@
         outbox.renewed
     }
 
-    /// What to send to a peer with these bucket digests, whose own reply is not replied to with digests again.
+    /// The replies to a peer's bucket digests. The local digests are only included if the peer's message was not a reply
+    /// itself, so that two members do not reply to each other forever.
     fn replies_to_digest(&mut self, peer_digests: &[u64], is_reply: bool) -> Vec<Message> {
         let replica = self.replica.borrow();
         let differing = replica.map.differing_buckets(peer_digests);
@@ -108,7 +109,7 @@
         replies
     }
 
-    /// Sends as many of the replies as the limit allows.
+    /// Sends as many of the replies as the rate limit allows.
     fn send_replies(&mut self, replies: Vec<Message>, to: MemberId, now: Timestamp, outbox: &mut Outbox) {
         for reply in replies {
             if self.reply_limit.try_take(now) {
--- a/crates/fleet/src/fleet/map_access.rs
+++ b/crates/fleet/src/fleet/map_access.rs
@@ -1,4 +1,4 @@
-//! Reading and writing the replicated map.
+//! Reads and writes the replicated map.
 
 use super::Fleet;
 use crate::entry::{Entry, Version, MAX_KEY_BYTES, MAX_VALUE_BYTES};
@@ -6,12 +6,12 @@
 use crate::replicated_map::MergeOutcome;
 use serde::{de::DeserializeOwned, Serialize};
 
-/// Why a value was not written to the replicated map.
+/// Why a write to the replicated map failed.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum PutError {
-    /// The key is longer than [`MAX_KEY_BYTES`], or the value than [`MAX_VALUE_BYTES`].
+    /// The key exceeds [`MAX_KEY_BYTES`] or the value exceeds [`MAX_VALUE_BYTES`].
     #[error(
-        "{key}: {length} bytes where {MAX_VALUE_BYTES} are the most: shorten it, or split it over several keys"
+        "{key}: {length} bytes exceed the limit of {MAX_VALUE_BYTES}: shorten the value, or split it over several keys"
     )]
     TooLong {
         /// The key.
@@ -19,41 +19,41 @@
         /// The encoded length of the value in bytes.
         length: usize,
     },
-    /// The map is full; the entry with this key was not kept.
-    #[error("{0}: the map is full: delete what is no longer used")]
+    /// The map is full, and the entry with this key was not stored.
+    #[error("{0}: the replicated map is full: delete entries that are no longer used")]
     Full(String),
 }
 
 impl Fleet {
-    /// The value under a key; none where there is none, or it cannot be decoded.
+    /// The value of a key; `None` if it does not exist, was deleted, or cannot be decoded.
     pub fn get<T: DeserializeOwned>(&self, key: &str) -> Option<T> {
         decode_value(self.replica.borrow().map.get(key)?)
     }
 
-    /// The version of a key, which may be deleted.
+    /// The version of a key, also if it was deleted.
     pub fn version(&self, key: &str) -> Option<Version> {
         self.replica.borrow().map.get(key).map(|entry| entry.version)
     }
 
-    /// The entries whose keys begin with `prefix` and whose values can be decoded, in the order of the keys.
+    /// The entries whose keys start with `prefix` and whose values can be decoded, in key order.
     pub fn under<T: DeserializeOwned>(&self, prefix: &str) -> Vec<(Entry, T)> {
         let replica = self.replica.borrow();
         let entries = replica.map.under(prefix);
         entries.filter_map(|entry| Some((entry.clone(), decode_value(entry)?))).collect()
     }
 
-    /// All entries in the order of their keys, deleted ones included.
+    /// All entries in key order, including deleted ones.
     pub fn entries(&self) -> Vec<Entry> {
         self.replica.borrow().map.iter().cloned().collect()
     }
 
-    /// A digest of the map: equal where two members have the same entries.
+    /// A digest of the map; members with the same entries have the same digest.
     pub fn state_digest(&self) -> u64 {
         let replica = self.replica.borrow();
         replica.map.bucket_digests().iter().fold(0, |digest, bucket| digest.rotate_left(5) ^ bucket)
     }
 
-    /// Writes a value under a version newer than the current one.
+    /// Writes a value with a version newer than the current one.
     ///
     /// # Errors
     ///
@@ -68,7 +68,7 @@
         self.put_version(key, value, version, environment).map(|()| version)
     }
 
-    /// Writes a value under a given version; one that is not newer than the current one changes nothing.
+    /// Writes a value with the given version. Has no effect if the version is not newer than the current one.
     ///
     /// # Errors
     ///
@@ -87,7 +87,7 @@
         self.write(key, Some(value), version, environment)
     }
 
-    /// Deletes a key at all members; a key that does not exist is no error.
+    /// Deletes a key at all members. Deleting a key that does not exist is not an error.
     ///
     /// # Errors
     ///
@@ -121,8 +121,8 @@
         }
     }
 
-    /// Merges entries of an earlier incarnation without gossip or events; anti-entropy sends them to peers that lack
-    /// them.
+    /// Merges the entries of an earlier incarnation without gossiping them or reporting changes. Anti-entropy sends them
+    /// to peers that lack them.
     pub fn restore(&mut self, entries: Vec<Entry>) {
         let mut replica = self.replica.borrow_mut();
         for entry in entries {
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,15 +1,16 @@
-//! State that the members of one fleet share: membership, a replicated map, and leases on the fleet's quota.
+//! State shared by the members of a fleet: membership, a replicated map, and leases on the fleet's quota.
 //!
-//! [`Fleet`] is the state machine of one member. It combines the parts:
+//! [`Fleet`] is the state machine of one member. It combines these components:
 //!
-//! - roster: the members that may join, fixed while the fleet runs;
-//! - SWIM: failure detection and gossip, by the library `foca`;
+//! - roster: the fixed set of members that may join;
+//! - SWIM: failure detection and gossip, implemented with the `foca` library;
 //! - replicated map: a bounded last-writer-wins map, repaired by anti-entropy;
 //! - quota leases: the fraction of the fleet's quota that each member may use;
-//! - clock skew: the deviation of the local clock from those of the peers.
+//! - clock skew: the offset between the local clock and the peers' clocks.
 //!
-//! The crate does no I/O: time and datagrams are arguments, effects go through [`Environment`], and random numbers are
-//! drawn from a given seed. What a member sends per second does not grow with the fleet; `docs/fleet.md` has figures.
+//! The crate performs no I/O: time and datagrams are passed in, effects go through [`Environment`], and random numbers
+//! come from a seeded generator. A member's send rate does not depend on the size of the fleet; `docs/fleet.md` has
+//! measurements.
 
 #![deny(unsafe_code)]
 #![warn(missing_docs)]
--- a/crates/fleet/src/membership_filter.rs
+++ b/crates/fleet/src/membership_filter.rs
@@ -1,15 +1,15 @@
-//! Removes what is known already from SWIM messages before they reach the library.
+//! Removes redundant membership updates from SWIM messages before they are passed to `foca`.
 //!
-//! The library searches its list of members linearly for each member that a message names. While a large fleet starts
-//! every message names dozens of members, most of them known, and the search dominates the CPU time. The filter
-//! removes only what the library would ignore.
+//! `foca` searches its member list linearly for each member that a message names. While a large fleet starts, every
+//! message names dozens of members, most of them already known, and these searches dominate the CPU time. The filter
+//! removes only updates that `foca` would ignore.
 
 use crate::roster::{Incarnation, MemberId};
 use foca::{Header, Member, Message, State};
 
-/// The current incarnations of the members that are alive.
+/// The incarnations of the members that are alive.
 pub(crate) struct Incarnations {
-    /// By the members; 0 for those that are not alive.
+    /// Indexed by member id; 0 if the member is not alive.
     started_at: Vec<u64>,
 }
 
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Another incarnation of a member has replaced `previous`.
+    /// Replaces `previous`, if it is the current one, with another incarnation of the member.
     pub(crate) fn member_renewed(&mut self, previous: Incarnation, incarnation: Incarnation) {
         if self.of(previous.member) == Some(previous) {
             self.member_joined(incarnation);
@@ -41,11 +41,11 @@
     }
 }
 
-/// The length of the number of members in a message.
+/// The size of the member count in a message.
 const COUNT_BYTES: usize = size_of::<u16>();
 
-/// The message without the members that are known to be alive in just these incarnations. None where nothing is to be
-/// removed, or the message cannot be decoded, which the library reports.
+/// Returns the message without the members that are known to be alive with the same incarnation. `None` if there is
+/// nothing to remove, or if the message cannot be decoded, which `foca` reports.
 pub(crate) fn without_known_members(
     message: &[u8],
     incarnations: &Incarnations,
@@ -62,7 +62,7 @@
     let mut kept = 0u16;
     for _ in 0..count {
         let (member, after): (Member<Incarnation>, _) = postcard::take_from_bytes(rest).ok()?;
-        if is_news(&member, incarnations, me) {
+        if may_be_new(&member, incarnations, me) {
             filtered.extend_from_slice(&rest[..rest.len() - after.len()]);
             kept += 1;
         }
@@ -73,10 +73,12 @@
     (kept < count).then_some(filtered)
 }
 
-/// Whether an update may be new to the library: one about this member itself, about another incarnation, about a
-/// suspected or failed member, or one that refutes a suspicion.
-fn is_news(member: &Member<Incarnation>, incarnations: &Incarnations, me: MemberId) -> bool {
+/// Whether `foca` may not know this update yet: it concerns the local member, an unknown incarnation, or a suspected or
+/// failed member, or it refutes a suspicion.
+fn may_be_new(member: &Member<Incarnation>, incarnations: &Incarnations, me: MemberId) -> bool {
     let incarnation = *member.id();
-    let is_plainly_alive = member.incarnation() == 0 && member.state() == State::Alive;
-    !is_plainly_alive || incarnation.member == me || incarnations.of(incarnation.member) != Some(incarnation)
+    let is_alive_and_never_suspected = member.incarnation() == 0 && member.state() == State::Alive;
+    !is_alive_and_never_suspected
+        || incarnation.member == me
+        || incarnations.of(incarnation.member) != Some(incarnation)
 }
--- a/crates/fleet/src/outbox.rs
+++ b/crates/fleet/src/outbox.rs
@@ -1,22 +1,22 @@
-//! Sends the messages of one call of [`Fleet`](crate::Fleet).
+//! Sends the messages that result from one call of [`Fleet`](crate::Fleet).
 
 use crate::environment::Environment;
 use crate::packet::{self, Message, Packet};
 use crate::roster::{Incarnation, MemberId, Roster};
 use crate::swim::SwimEvents;
 
-/// Turns messages into datagrams, and passes membership events on.
+/// Encodes messages as datagrams and forwards membership events.
 pub(crate) struct Outbox<'a> {
     roster: &'a Roster,
     me: Incarnation,
     wall_ms: u64,
     pub(crate) environment: &'a mut dyn Environment,
-    /// The new incarnation, if it was renewed in this call.
+    /// The new local incarnation, if it was renewed during this call.
     pub(crate) renewed: Option<Incarnation>,
 }
 
 impl<'a> Outbox<'a> {
-    /// `wall_ms`: this machine's Unix time in milliseconds, uncorrected.
+    /// `wall_ms` is the local Unix time in milliseconds, without clock correction.
     pub(crate) fn new(
         roster: &'a Roster,
         me: Incarnation,
--- a/crates/fleet/src/quota_leases.rs
+++ b/crates/fleet/src/quota_leases.rs
@@ -1,15 +1,16 @@
-//! Divides the fleet's quota so that the members' fractions never add up to more than 1, however the network is
-//! partitioned.
+//! Divides the fleet's quota so that the members' fractions never add up to more than 1, even during network
+//! partitions.
 //!
-//! Half of the quota is guaranteed: each member has an equal share of it, whether it sees any peers or not. The other
-//! half is a pool with one unit for each member. A unit is held by one member at a time, on leases from a majority of
-//! its voters, which are up to five members that everybody derives by the same hash. The unit's own member holds it
-//! while it is alive; otherwise the first of the alive members, in a rank order that everybody derives, requests it.
+//! Half of the quota is guaranteed: each member always has an equal share of it, even if it reaches no peers. The other
+//! half is a pool with one unit per member. A unit is held by at most one member at a time, with leases from a majority
+//! of its voters. The voters of a unit are up to five members, chosen by a hash so that all members agree on them. Each
+//! member holds its own unit while it is alive. The unit of a member that is not alive is requested by the alive member
+//! that ranks first for it, again by a hash.
 //!
-//! Why the sum holds: two majorities of a unit's voters share a voter, which grants the unit to nobody else until the
-//! lease that it granted has expired by its own clock, with a margin for clock drift. The holder counts a lease from
-//! when it sent the request, so it expires at the holder first. A voter that has just started does not know what it
-//! granted before, and grants nothing for the time of a lease.
+//! Why the fractions never exceed 1: any two majorities of a unit's voters have a voter in common, and a voter does not
+//! grant a unit to another member until the previous lease has expired by the voter's clock, plus a margin for clock
+//! drift. The holder counts the lease from when it sent the request, so the lease expires at the holder first. A voter
+//! that has restarted does not know its earlier grants, and therefore grants nothing for the duration of a lease.
 
 mod grantor;
 mod holder;
@@ -23,36 +24,36 @@
 use std::time::Duration;
 use voters::UnitVoters;
 
-/// How long a lease lasts: four renewal intervals, so that three lost renewals in a row do no harm. It is also how
-/// long a fleet that has just started runs on its guaranteed shares.
+/// The duration of a lease: four renewal intervals, so that three consecutive renewals may be lost. A fleet that has
+/// just started has only its guaranteed shares for this long.
 pub const LEASE_DURATION: Duration = Duration::from_millis(2000);
-/// How often leases are renewed.
+/// Interval between lease renewals.
 pub(crate) const RENEW_INTERVAL: Duration = Duration::from_millis(500);
 
-/// A unit of the pool, by the number of its member.
+/// A unit of the pool, identified by the id of its member.
 pub(crate) type Unit = u16;
 
-/// Requests leases from a voter. Encoded by the position of the fields.
+/// A request for leases to one voter. Encoded by field position.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(crate) struct LeaseRequest {
-    /// Goes up with each round of requests of a holder.
+    /// Incremented with each round of requests by a holder.
     pub(crate) number: u32,
     /// The units that the sender wants to hold.
     pub(crate) units: Vec<Unit>,
-    /// The units that it has given up.
+    /// The units that the sender no longer holds or requests.
     pub(crate) releases: Vec<Unit>,
 }
 
-/// A voter's reply to a request. Encoded by the position of the fields.
+/// A voter's reply to a request. Encoded by field position.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub(crate) struct LeaseGrant {
-    /// The number of the request.
+    /// The number of the request that this grant answers.
     pub(crate) number: u32,
-    /// The units that are granted, of those requested.
+    /// The requested units that are granted.
     pub(crate) units: Vec<Unit>,
 }
 
-/// A request with the voter that it goes to.
+/// A request and the voter to send it to.
 #[derive(Debug)]
 pub(crate) struct AddressedRequest {
     pub(crate) voter: MemberId,
@@ -69,7 +70,7 @@
 }
 
 impl QuotaLeases {
-    /// `size`: how many members the roster has.
+    /// `size` is the number of members in the roster.
     pub(crate) fn new(me: Incarnation, size: usize, now: Timestamp) -> Self {
         QuotaLeases {
             me,
@@ -80,28 +81,27 @@
         }
     }
 
-    /// This member goes on under a new incarnation, which holds no leases yet.
+    /// Continues with a new incarnation of this member, which does not hold any leases yet.
     pub(crate) fn incarnation_renewed(&mut self, me: Incarnation) {
         self.me = me;
         self.holder.drop_all();
     }
 
-    /// The fraction of the fleet's quota that this member may use now, from 0 to 1. To be read before each use: the
-    /// process may have been suspended until its leases expired.
+    /// The fraction of the fleet's quota that this member may currently use, from 0 to 1. Read it again before each
+    /// use, because leases may have expired while the process was suspended.
     pub(crate) fn quota_fraction(&self, now: Timestamp) -> f64 {
         let guaranteed_share = 1;
         let units = self.holder.held_units(&self.voters, now).count();
         (guaranteed_share + units) as f64 / (2 * self.size) as f64
     }
 
-    /// Requests leases on the units that this member should hold, given the members that are `alive`, this one
-    /// included.
+    /// Requests leases on the units that this member should hold. `alive` includes the local member.
     pub(crate) fn request_leases(&mut self, alive: &[MemberId], now: Timestamp) -> Vec<AddressedRequest> {
         let units = holder::units_to_hold(self.me.member, alive, self.size);
         self.holder.request(units, &self.voters, now)
     }
 
-    /// Grants leases to another member, or to this one.
+    /// Processes a lease request from another member or from the local one.
     pub(crate) fn on_request(
         &mut self,
         holder: Incarnation,
@@ -112,7 +112,7 @@
         self.grantor.on_request(holder, request, is_voter, now)
     }
 
-    /// A voter has granted leases.
+    /// Records the leases that a voter has granted.
     pub(crate) fn on_grant(&mut self, voter: MemberId, grant: &LeaseGrant) {
         self.holder.on_grant(voter, grant, &self.voters);
     }
--- a/crates/fleet/src/quota_leases/grantor.rs
+++ b/crates/fleet/src/quota_leases/grantor.rs
@@ -1,4 +1,4 @@
-//! The voter's side of leases: which units are granted to whom.
+//! The voter's side of leases: decides which units are granted to which member.
 
 use super::{LeaseGrant, LeaseRequest, Unit, LEASE_DURATION};
 use crate::roster::Incarnation;
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// By how much longer than a lease the voter waits: the clocks of two machines may drift apart by less.
+/// A voter waits this much longer than the lease duration, to allow for clock drift between two machines.
 const CLOCK_DRIFT_FACTOR: f64 = 1.05;
 
 /// The leases that this member has granted.
@@ -18,8 +18,8 @@
 struct Lease {
     holder: Incarnation,
     granted_at: Timestamp,
-    /// The highest number of a request that it was granted to. An older release does not end it: that one was delayed
-    /// or duplicated.
+    /// The highest number of the requests that this lease was granted for. A release with a lower number was delayed or
+    /// duplicated, and does not end the lease.
     number: u32,
 }
 
@@ -28,8 +28,8 @@
         Grantor { started: now, leases: BTreeMap::new() }
     }
 
-    /// Ends the leases that are released, and grants those requested units that this member votes on and nobody else
-    /// holds.
+    /// Ends the released leases, and grants the requested units for which this member is a voter and which no other
+    /// member holds.
     pub(super) fn on_request(
         &mut self,
         holder: Incarnation,
--- a/crates/fleet/src/quota_leases/holder.rs
+++ b/crates/fleet/src/quota_leases/holder.rs
@@ -1,4 +1,4 @@
-//! The holder's side of leases: which units to request, and which leases are valid.
+//! The holder's side of leases: decides which units to request, and tracks which leases are valid.
 
 use super::voters::UnitVoters;
 use super::{AddressedRequest, LeaseGrant, LeaseRequest, Unit, LEASE_DURATION};
@@ -6,26 +6,26 @@
 use shelfgrade::time::Timestamp;
 use std::collections::{BTreeMap, VecDeque};
 
-/// The most units that one member requests, which bounds its messages when many members have failed.
+/// Maximum number of units that one member requests. Bounds its traffic if many members have failed.
 const MAX_REQUESTED_UNITS: usize = 8;
-/// How many rounds of requests are kept, so that a reply still finds its request four leases later.
+/// Number of request rounds that are kept: enough to match a reply that arrives four lease durations later.
 const MAX_ROUNDS: usize = 16;
 
-/// The units that this member holds or requests.
+/// The units that this member requests or holds.
 #[derive(Default)]
 pub(super) struct Holder {
     pub(super) units: BTreeMap<Unit, RequestedUnit>,
-    /// The last rounds of requests, the oldest first.
+    /// The most recent request rounds, oldest first.
     rounds: VecDeque<RequestRound>,
     last_number: u32,
 }
 
 /// A unit that this member requests or holds.
 pub(super) struct RequestedUnit {
-    /// The number of its first request since it was last released. Voters may have forgotten earlier grants with the
-    /// release, so those do not count.
+    /// The number of the first request since the unit was last released. Grants for earlier requests are ignored,
+    /// because the voters may have ended those leases when they received the release.
     first_number: u32,
-    /// When the request was sent that each voter has last granted; its lease counts from then.
+    /// For each voter, when the last request that it granted was sent. The lease starts then.
     granted: BTreeMap<MemberId, Timestamp>,
 }
 
@@ -34,7 +34,7 @@
     sent_at: Timestamp,
 }
 
-/// Units and releases for one voter.
+/// The requested and released units to send to one voter.
 #[derive(Default)]
 struct UnitsForVoter {
     units: Vec<Unit>,
@@ -42,12 +42,12 @@
 }
 
 impl Holder {
-    /// Gives up all units without a release, as their leases belong to another incarnation.
+    /// Drops all units without releasing them, because their leases belong to the previous incarnation.
     pub(super) fn drop_all(&mut self) {
         self.units.clear();
     }
 
-    /// The units with valid leases from a majority of their voters.
+    /// The units that have valid leases from a majority of their voters.
     pub(super) fn held_units<'a>(
         &'a self,
         voters: &'a UnitVoters,
@@ -87,7 +87,7 @@
         self.last_number
     }
 
-    /// A voter has granted leases.
+    /// Records the leases that a voter has granted.
     pub(super) fn on_grant(&mut self, voter: MemberId, grant: &LeaseGrant, voters: &UnitVoters) {
         let Some(round) = self.rounds.iter().find(|round| round.number == grant.number) else { return };
         for unit in &grant.units {
@@ -103,16 +103,17 @@
     }
 }
 
-/// The units that member `me` should hold: its own, and some of those whose members are not `alive` and for which it
-/// ranks before all others that are.
+/// The units that member `me` should hold: its own, and up to a limit the units of members that are not alive and for
+/// which `me` ranks first among the alive members.
 pub(super) fn units_to_hold(me: MemberId, alive: &[MemberId], size: usize) -> Vec<Unit> {
     let order = |unit: Unit, member: MemberId| (rank(u64::from(unit), member), member);
-    let is_heir = |unit: &Unit| !alive.iter().any(|member| order(*unit, *member) < order(*unit, me));
-    let orphaned = missing(alive, size).map(|member| member.0);
-    let inherited = orphaned.filter(is_heir).take(MAX_REQUESTED_UNITS - 1);
-    std::iter::once(me.0).chain(inherited).collect()
+    let is_successor = |unit: &Unit| !alive.iter().any(|member| order(*unit, *member) < order(*unit, me));
+    let unattended = missing(alive, size).map(|member| member.0);
+    let taken_over = unattended.filter(is_successor).take(MAX_REQUESTED_UNITS - 1);
+    std::iter::once(me.0).chain(taken_over).collect()
 }
 
+/// Groups the requested and released units by voter.
 fn address_to_voters(
     number: u32,
     units: &[Unit],
--- a/crates/fleet/src/quota_leases/voters.rs
+++ b/crates/fleet/src/quota_leases/voters.rs
@@ -1,4 +1,4 @@
-//! The voters of each unit, the same at every member.
+//! Derives the voters of each unit, with the same result at every member.
 
 use super::Unit;
 use crate::roster::{rank, MemberId};
@@ -6,21 +6,21 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// With five voters, leases survive the loss of two.
+/// With five voters, leases can still be renewed if two of them fail.
 const MAX_VOTERS: usize = 5;
-/// For how many units the voters are kept: those requested here, and some dozens that peers request.
+/// Maximum number of units in the cache: the units that this member requests and a few dozen that its peers request.
 const MAX_CACHED_UNITS: usize = 64;
-/// The subject of the rank order of unit 0; those of the others follow.
+/// The ranking subject of unit 0; the other units use the numbers that follow it.
 const FIRST_SUBJECT: u64 = 0x5ea7;
 
-/// Derives the voters of units. Keeps the last ones, since a derivation takes a hash of every member.
+/// Derives and caches the voters of units. Cached because each derivation hashes every member.
 pub(super) struct UnitVoters {
     size: usize,
     cache: RefCell<BTreeMap<Unit, Rc<[MemberId]>>>,
 }
 
 impl UnitVoters {
-    /// `size`: how many members the roster has.
+    /// `size` is the number of members in the roster.
     pub(super) fn new(size: usize) -> Self {
         UnitVoters { size, cache: RefCell::default() }
     }
@@ -41,7 +41,7 @@
 
     fn derive(&self, unit: Unit) -> Vec<MemberId> {
         let mut members: Vec<_> = (0..self.size as u16).map(MemberId).collect();
-        // An odd number, since one more voter would not let a majority spare one more.
+        // An odd number: adding one voter to an odd number would not increase the number of failures tolerated.
         let count = MAX_VOTERS.min(self.size - 1 + self.size % 2);
         let subject = FIRST_SUBJECT + u64::from(unit);
         if count < members.len() {
--- a/crates/fleet/src/replica.rs
+++ b/crates/fleet/src/replica.rs
@@ -1,20 +1,20 @@
-//! The replicated map of this member with what has been merged into it from peers.
+//! The local replica of the replicated map, and the results of merges from peers.
 
 use crate::entry::Entry;
 use crate::replicated_map::{MergeOutcome, ReplicatedMap};
 
-/// The map, and the results of merges that have yet to be handled.
+/// The map, and the results of merges that have not been processed yet.
 pub(crate) struct Replica {
     pub(crate) map: ReplicatedMap,
     pending: PendingMerges,
 }
 
-/// Results of merges since they were last taken.
+/// Results of merges since the last call of [`Replica::take_pending`].
 #[derive(Default)]
 pub(crate) struct PendingMerges {
     /// Entries that were applied.
     pub(crate) applied: Vec<Entry>,
-    /// How many entries were rejected.
+    /// The number of rejected entries.
     pub(crate) rejected: u64,
 }
 
@@ -23,7 +23,7 @@
         Replica { map: ReplicatedMap::new(max_entries), pending: PendingMerges::default() }
     }
 
-    /// Merges an entry received from a peer; whether it was applied.
+    /// Merges an entry received from a peer. Returns whether it was applied.
     pub(crate) fn merge(&mut self, entry: Entry) -> bool {
         let outcome = self.map.merge(entry.clone());
         match outcome {
--- a/crates/fleet/src/replicated_map.rs
+++ b/crates/fleet/src/replicated_map.rs
@@ -1,34 +1,35 @@
-//! A bounded last-writer-wins map that converges in whatever order entries are merged, deletions included.
+//! A bounded last-writer-wins map that converges regardless of the order in which entries are merged, including
+//! deletions.
 //!
-//! Of two entries with one key the greater version wins, of two with one version the greater value: a merge is a
-//! maximum, hence commutative, associative and idempotent. When the map is full, the keys with the least hashes are
-//! kept, which does not depend on the order of arrival either.
+//! Of two entries with the same key, the one with the greater version wins; with equal versions, the one with the
+//! greater value. A merge thus takes the maximum, and is commutative, associative and idempotent. A full map keeps the
+//! keys with the lowest hashes, which does not depend on the order of arrival either.
 
 use crate::entry::{key_hash, short_key_hash, Entry};
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Bound;
 use std::rc::Rc;
 
-/// Into how many buckets the keys are divided for anti-entropy.
+/// The number of buckets that keys are divided into for anti-entropy.
 pub(crate) const BUCKETS: usize = 64;
 
 /// The outcome of merging an entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MergeOutcome {
-    /// The entry is new or has replaced an older one.
+    /// The entry was added or has replaced an older one.
     Applied,
-    /// The map has this entry or a newer one already.
+    /// The map already has this entry or a newer one.
     Stale,
-    /// The entry exceeds a limit, or the map is full.
+    /// The entry exceeds a size limit, or the map is full.
     Rejected,
 }
 
-/// The replicated map of one member.
+/// One member's replica of the map.
 pub struct ReplicatedMap {
     entries: BTreeMap<Rc<str>, Entry>,
-    /// The keys in the order in which they are kept when the map is full.
+    /// The keys by hash; the last one is evicted first when the map is full.
     eviction_order: BTreeSet<HashedKey>,
-    /// An index, since anti-entropy looks up single buckets often.
+    /// The keys of each bucket: an index for anti-entropy, which often reads single buckets.
     bucket_keys: [BTreeSet<Rc<str>>; BUCKETS],
     bucket_digests: [u64; BUCKETS],
     max_entries: usize,
@@ -47,7 +48,7 @@
 }
 
 impl ReplicatedMap {
-    /// An empty map for up to `max_entries`, deleted ones included.
+    /// An empty map for up to `max_entries` entries, including deleted ones.
     pub fn new(max_entries: usize) -> Self {
         ReplicatedMap {
             entries: BTreeMap::new(),
@@ -58,17 +59,17 @@
         }
     }
 
-    /// The entry under a key, which may be a deleted one.
+    /// The entry of a key, also if it was deleted.
     pub fn get(&self, key: &str) -> Option<&Entry> {
         self.entries.get(key)
     }
 
-    /// All entries in the order of their keys, deleted ones included.
+    /// All entries in key order, including deleted ones.
     pub fn iter(&self) -> impl Iterator<Item = &Entry> {
         self.entries.values()
     }
 
-    /// The entries whose keys begin with `prefix`, in the order of the keys, deleted ones included.
+    /// The entries whose keys start with `prefix`, in key order, including deleted ones.
     pub(crate) fn under<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = &'a Entry> {
         let from_prefix = self.entries.range::<str, _>((Bound::Included(prefix), Bound::Unbounded));
         from_prefix.map(|(_, entry)| entry).take_while(move |entry| entry.key.starts_with(prefix))
@@ -79,15 +80,15 @@
         &self.bucket_digests
     }
 
-    /// The entries of a bucket in the order of their keys; none where there is no such bucket.
+    /// The entries of a bucket in key order; empty if there is no such bucket.
     pub(crate) fn in_bucket(&self, bucket: usize) -> impl Iterator<Item = &Entry> {
         let keys = self.bucket_keys.get(bucket).into_iter().flatten();
         keys.filter_map(|key| self.entries.get(key))
     }
 
-    /// The entries with these short hashes of their keys, in the order of the keys.
+    /// The entries with these short key hashes, in key order.
     pub(crate) fn with_key_hashes(&self, hashes: &BTreeSet<u32>) -> Vec<&Entry> {
-        // The low bits of a hash, which the short one has, give the bucket.
+        // The bucket is determined by the low bits of the hash, which the short hash contains.
         let buckets: BTreeSet<usize> = hashes.iter().map(|hash| *hash as usize % BUCKETS).collect();
         let entries = buckets.into_iter().flat_map(|bucket| self.in_bucket(bucket));
         let mut found: Vec<_> =
@@ -114,7 +115,8 @@
         MergeOutcome::Applied
     }
 
-    /// Removes the last key of the eviction order if `key` precedes it; whether it does.
+    /// Makes room for `key` by removing the last key of the eviction order if `key` precedes it. Returns whether it
+    /// does.
     fn evict_for(&mut self, key: &str) -> bool {
         let Some(last) = self.eviction_order.last().cloned() else { return false };
         let precedes = (key_hash(key), key) < (last.hash, &*last.key);
--- a/crates/fleet/src/roster.rs
+++ b/crates/fleet/src/roster.rs
@@ -1,4 +1,4 @@
-//! The members that a fleet may have: the same names in the same order at every member, for as long as the fleet runs.
+//! The members of a fleet: the same names in the same order at every member, fixed while the fleet runs.
 
 use serde::{Deserialize, Serialize};
 use std::sync::Arc;
@@ -8,57 +8,59 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct MemberId(pub u16);
 
-/// One run of a member's process. Encoded by the position of the fields.
+/// One run of a member's process. Encoded by field position.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Incarnation {
     /// The member.
     pub member: MemberId,
-    /// Microseconds of Unix time at its start, or more: greater than in any earlier incarnation of the member.
+    /// The Unix time of its start in microseconds, or a later time: greater than in every earlier incarnation of the
+    /// member.
     pub started_at: u64,
 }
 
-/// Why names make no roster.
+/// Why a roster is invalid.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum RosterError {
-    /// No names.
-    #[error("no members: name every process of the fleet, this one included")]
+    /// The roster is empty.
+    #[error("no members: list every process of the fleet, including this one")]
     Empty,
-    /// More than [`MAX_MEMBERS`].
-    #[error("{0} members: a fleet has {MAX_MEMBERS} at most; split it in two")]
+    /// There are more than [`MAX_MEMBERS`].
+    #[error("{0} members exceed the limit of {MAX_MEMBERS}: split the fleet in two")]
     TooMany(usize),
-    /// Two members have this name.
-    #[error("{0} is named twice: give each process a name of its own")]
+    /// Two members have the same name.
+    #[error("duplicate member {0}: give each process a unique name")]
     DuplicateName(String),
-    /// The name of the local member is missing.
-    #[error("this process, {0}, is not among the members: add it, at every process")]
+    /// The local member is not in the roster.
+    #[error("this process, {0}, is not among the members: add it to the list of every process")]
     LocalNameMissing(String),
 }
 
-/// The most members of a fleet. Memory per member and traffic at this size are in `docs/fleet.md`, Figures.
+/// Maximum number of members in a fleet. `docs/fleet.md`, Figures, has the memory per member and the traffic at this
+/// size.
 pub const MAX_MEMBERS: usize = 4096;
 
-/// The roster as one of its members has it. Copies share the names.
+/// The roster from the point of view of the local member. Cheap to clone, as clones share the names.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Roster {
     shared: Arc<SharedRoster>,
     me: MemberId,
 }
 
-/// What is the same at every member.
+/// The part of a roster that is the same at every member.
 #[derive(Debug, PartialEq, Eq)]
 struct SharedRoster {
     fleet: String,
     names: Vec<String>,
-    /// A hash of the above, kept since every datagram needs it.
+    /// A hash of the other fields, cached because every datagram contains it.
     tag: u64,
 }
 
 impl Roster {
-    /// A roster of these members, in any order, for the one named `me`.
+    /// Creates a roster from member names in any order. `me` is the name of the local member.
     ///
     /// # Errors
     ///
-    /// If there are no names, too many, equal ones, or `me` is not among them.
+    /// If there are no names, too many names or duplicate names, or if `me` is not among them.
     pub fn new(fleet: &str, names: impl IntoIterator<Item = String>, me: &str) -> Result<Self, RosterError> {
         let mut names: Vec<_> = names.into_iter().collect();
         names.sort();
@@ -77,7 +79,7 @@
         Roster { shared: Arc::new(shared), me: MemberId(0) }.with_local_member(me)
     }
 
-    /// The same roster for another of its members, sharing the names.
+    /// The same roster with another local member. Shares the names.
     ///
     /// # Errors
     ///
@@ -93,7 +95,7 @@
         self.me
     }
 
-    /// How many members there are, alive or not.
+    /// The number of members, alive or not.
     pub fn size(&self) -> usize {
         self.shared.names.len()
     }
@@ -103,30 +105,30 @@
         &self.shared.fleet
     }
 
-    /// The name of a member; none where the roster does not have it.
+    /// The name of a member; `None` if the roster does not have it.
     pub fn name(&self, member: MemberId) -> Option<&str> {
         self.shared.names.get(usize::from(member.0)).map(String::as_str)
     }
 
-    /// All members, in order.
+    /// All members, in ascending order.
     pub fn members(&self) -> impl Iterator<Item = MemberId> {
         (0..self.shared.names.len() as u16).map(MemberId)
     }
 
-    /// Identifies this fleet with this roster.
+    /// A hash that identifies the fleet and its roster.
     pub fn tag(&self) -> u64 {
         self.shared.tag
     }
 }
 
-/// The members of a roster of `size` that are not among `alive`, which is in order.
+/// The members of a roster of `size` members that are not in `alive`, which must be sorted.
 pub(crate) fn missing(alive: &[MemberId], size: usize) -> impl Iterator<Item = MemberId> + '_ {
     let mut alive_members = alive.iter().peekable();
     let all = if alive.len() < size { 0..size as u16 } else { 0..0 };
     all.map(MemberId).filter(move |member| alive_members.next_if_eq(&member).is_none())
 }
 
-/// The rank of a member for a subject, the same at every member (rendezvous hashing). The least comes first.
+/// The rank of a member for a subject by rendezvous hashing, the same at every member. The lowest rank comes first.
 pub fn rank(subject: u64, member: MemberId) -> u64 {
     xxh3_64_with_seed(&member.0.to_le_bytes(), subject)
 }
--- a/crates/fleet/src/swim.rs
+++ b/crates/fleet/src/swim.rs
@@ -1,4 +1,5 @@
-//! Membership: SWIM with suspicion, by the library `foca`, which does no I/O. Entries are gossiped on its messages.
+//! Membership: SWIM with suspicion, implemented with the sans-I/O library `foca`. Entries of the replicated map are
+//! gossiped on its messages.
 
 mod gossip;
 mod identity;
@@ -19,64 +20,65 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Effects and events of the membership.
+/// Receives the messages and events of the membership protocol.
 pub(crate) trait SwimEvents {
     fn send_swim(&mut self, to: MemberId, bytes: Vec<u8>);
     fn member_joined(&mut self, member: MemberId);
     fn member_left(&mut self, member: MemberId);
-    /// The local member goes on under a new incarnation.
+    /// The local member continues with a new incarnation.
     fn incarnation_renewed(&mut self, incarnation: Incarnation);
 }
 
-/// The membership as the local member sees it.
+/// The local member's view of the membership.
 pub(crate) struct Swim {
     foca: Foca<Incarnation, PostcardCodec, SeededRng, EntryGossip>,
     runtime: AccumulatingRuntime<Incarnation>,
     timers: BTreeMap<TimerKey, Timer<Incarnation>>,
     last_timer: u64,
     me: Incarnation,
-    /// The members that are alive, the local one included, in order.
+    /// The members that are alive, including the local one, in ascending order.
     alive: Vec<MemberId>,
     incarnations: Incarnations,
-    invitation_rng: WyRand,
-    next_invitation: Timestamp,
+    announcement_rng: WyRand,
+    next_announcement: Timestamp,
     started: Timestamp,
 }
 
-/// When a timer is due; a sequence number distinguishes timers that are due at the same time.
+/// When a timer is due, with a sequence number to distinguish timers that are due at the same time.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct TimerKey {
     due: Timestamp,
     sequence: u64,
 }
 
-/// The longest message, in bytes: with the packet's header it fits in one datagram.
+/// Maximum length of a message in bytes, so that it fits in one datagram together with the packet header.
 const MAX_MESSAGE_BYTES: usize = 1200;
-/// Tells the generator of invitations from the library's.
-const INVITATION_SEED_SALT: u64 = 0x1f;
+/// Keeps the random sequence for announcements distinct from the one that `foca` uses.
+const ANNOUNCEMENT_SEED_SALT: u64 = 0x1f;
 
-/// How often members that are not alive are invited, and how many at once.
-struct InvitationRate {
+/// How often, and to how many members at once, this member announces itself to members that are not alive.
+struct AnnouncementRate {
     interval: Duration,
     members: usize,
 }
 
-/// For this long after its start a member invites others often, so that a fleet which starts together finds itself.
+/// How long after its start a member announces itself at the higher rate, so that members that start at the same time
+/// discover each other quickly.
 const STARTUP_TIME: Duration = Duration::from_millis(5000);
-const STARTUP_INVITATIONS: InvitationRate =
-    InvitationRate { interval: Duration::from_millis(300), members: 3 };
-const LATER_INVITATIONS: InvitationRate =
-    InvitationRate { interval: Duration::from_millis(3000), members: 1 };
-
-/// One probe a second and two gossip messages twice a second, whatever the size of the fleet. A member that does not
-/// answer is suspected within 1.5 s and failed 3 s later. Failed members are announced to every five seconds, so that
-/// the halves of a partition find each other.
+const STARTUP_ANNOUNCEMENTS: AnnouncementRate =
+    AnnouncementRate { interval: Duration::from_millis(300), members: 3 };
+const LATER_ANNOUNCEMENTS: AnnouncementRate =
+    AnnouncementRate { interval: Duration::from_millis(3000), members: 1 };
+
+/// One probe per second and two gossip messages twice per second, regardless of the size of the fleet. A member that
+/// does not respond is suspected within 1.5 s and declared failed 3 s later. Announcements to failed members every five
+/// seconds let the sides of a network partition rejoin.
 fn config(size: usize) -> Config {
     let periodic = |ms, members| {
         let num_members = NonZeroUsize::new(members).unwrap_or(NonZeroUsize::MIN);
         Some(PeriodicParams { frequency: Duration::from_millis(ms), num_members })
     };
-    // The library's recommendation for an update to reach all members.
+    // The formula that `foca` recommends for an update to reach all members.
     let transmissions = (4.0 * (size as f64 + 1.0).log10()).ceil() as u8;
     Config {
         probe_period: Duration::from_millis(1000),
@@ -111,13 +113,13 @@
             me,
             alive: vec![me.member],
             incarnations: Incarnations::new(roster.size()),
-            invitation_rng: WyRand::new_seed(seed ^ INVITATION_SEED_SALT),
-            next_invitation: now,
+            announcement_rng: WyRand::new_seed(seed ^ ANNOUNCEMENT_SEED_SALT),
+            next_announcement: now,
             started: now,
         }
     }
 
-    /// The members that are alive, the local one included, in order.
+    /// The members that are alive, including the local one, in ascending order.
     pub(crate) fn alive(&self) -> &[MemberId] {
         &self.alive
     }
@@ -127,22 +129,22 @@
         self.incarnations.of(member)
     }
 
-    /// Gossips an entry.
+    /// Queues an entry for gossip.
     pub(crate) fn gossip(&mut self, entry: &Entry) {
         if let Ok(bytes) = postcard::to_stdvec(entry) {
-            // Anti-entropy spreads those that are too long for a message.
+            // The error is ignored: anti-entropy spreads entries that are too long for a message.
             let _ = self.foca.add_broadcast(&bytes);
         }
     }
 
-    /// A message of a peer has been received; whether it is well-formed.
+    /// Processes a message from a peer. Returns whether it is well-formed.
     pub(crate) fn on_datagram(
         &mut self,
         message: &[u8],
         now: Timestamp,
         events: &mut impl SwimEvents,
     ) -> bool {
-        // The library rejects those that are too long.
+        // `foca` rejects messages that are too long.
         let filtered = (message.len() <= MAX_MESSAGE_BYTES)
             .then(|| membership_filter::without_known_members(message, &self.incarnations, self.me.member))
             .flatten();
@@ -156,33 +158,34 @@
     pub(crate) fn on_timer(&mut self, now: Timestamp, roster: &Roster, events: &mut impl SwimEvents) {
         while let Some(first) = self.timers.first_entry().filter(|first| first.key().due <= now) {
             let timer = first.remove();
-            // The library returns an error for timers that it has since replaced.
+            // The error is ignored: `foca` returns one for timers that it has since replaced.
             let _ = self.foca.handle_timer(timer, &mut self.runtime);
             self.drain_runtime(now, events);
         }
-        if now >= self.next_invitation {
-            self.invite_missing_members(now, roster, events);
+        if now >= self.next_announcement {
+            self.announce_to_missing_members(now, roster, events);
         }
     }
 
-    /// Invites random members that are not alive. The library announces only to members that it has known before.
-    fn invite_missing_members(&mut self, now: Timestamp, roster: &Roster, events: &mut impl SwimEvents) {
+    /// Announces this member to random members that are not alive. Needed because `foca` itself only announces to
+    /// members that it has known before.
+    fn announce_to_missing_members(&mut self, now: Timestamp, roster: &Roster, events: &mut impl SwimEvents) {
         let is_starting = now.since(self.started) < STARTUP_TIME;
-        let rate = if is_starting { STARTUP_INVITATIONS } else { LATER_INVITATIONS };
-        self.next_invitation = now + rate.interval;
+        let rate = if is_starting { STARTUP_ANNOUNCEMENTS } else { LATER_ANNOUNCEMENTS };
+        self.next_announcement = now + rate.interval;
         let missing: Vec<MemberId> = missing(&self.alive, roster.size()).collect();
         for _ in 0..rate.members.min(missing.len()) {
-            let member = missing[self.invitation_rng.generate_range(0..missing.len())];
-            // The start of its incarnation is not known; its reply has it.
+            let member = missing[self.announcement_rng.generate_range(0..missing.len())];
+            // The start of its incarnation is unknown until it replies.
             let _ = self.foca.announce(Incarnation { member, started_at: 0 }, &mut self.runtime);
         }
         self.drain_runtime(now, events);
     }
 
-    /// When [`Swim::on_timer`] is to be called next.
+    /// The time at which [`Swim::on_timer`] has to be called next.
     pub(crate) fn next_wakeup(&self) -> Timestamp {
         let first_timer = self.timers.first_key_value().map(|(key, _)| key.due);
-        first_timer.map_or(self.next_invitation, |due| due.min(self.next_invitation))
+        first_timer.map_or(self.next_announcement, |due| due.min(self.next_announcement))
     }
 
     /// Announces that the local member leaves.
@@ -191,7 +194,7 @@
         self.drain_runtime(now, events);
     }
 
-    /// Carries out what the library has asked for.
+    /// Processes the timers, messages and notifications that `foca` has produced.
     fn drain_runtime(&mut self, now: Timestamp, events: &mut impl SwimEvents) {
         while let Some((after, timer)) = self.runtime.to_schedule() {
             self.last_timer += 1;
--- a/crates/fleet/src/swim/gossip.rs
+++ b/crates/fleet/src/swim/gossip.rs
@@ -1,4 +1,4 @@
-//! Gossip of entries of the replicated map, on the messages of the membership protocol.
+//! Gossip of replicated map entries, carried by the messages of the membership protocol.
 
 use crate::entry::{Entry, Version};
 use crate::replica::Replica;
@@ -7,12 +7,12 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// A gossiped entry is not one.
+/// A gossiped entry that cannot be decoded or has an unknown owner.
 #[derive(Debug, thiserror::Error)]
 #[error("malformed entry")]
 pub(super) struct MalformedEntry;
 
-/// Identifies an entry that is being gossiped; a newer one of the same key replaces it.
+/// Identifies an entry that is being gossiped; a newer version of the same key replaces it.
 pub(super) struct GossipKey {
     key: String,
     version: Version,
@@ -40,7 +40,7 @@
     type Key = GossipKey;
     type Error = MalformedEntry;
 
-    /// The key of an entry that is to be gossiped further; none where it is not new.
+    /// Merges a received entry. Returns its gossip key if it is new and has to be forwarded, else `None`.
     fn receive_item(
         &mut self,
         data: &[u8],
@@ -51,7 +51,7 @@
             return Err(MalformedEntry);
         }
         let gossip_key = GossipKey { key: entry.key.clone(), version: entry.version };
-        // An entry of the local member has no sender, and is in the replica already.
+        // An entry written by the local member has no sender, and is already in the replica.
         let is_new = sender.is_none() || self.replica.borrow_mut().merge(entry);
         Ok(is_new.then_some(gossip_key))
     }
--- a/crates/fleet/src/swim/identity.rs
+++ b/crates/fleet/src/swim/identity.rs
@@ -1,16 +1,16 @@
-//! Incarnations as the library's identities: a member is addressed by its number, and the later incarnation wins.
+//! Implements `foca`'s identity trait for incarnations: the address is the member id, and the later incarnation wins.
 
 use crate::roster::{Incarnation, MemberId};
 use foca::Identity;
 
-/// How much later a renewed incarnation is, in microseconds: six hours, more than a clock is expected to be off.
+/// How much a renewed incarnation is later, in microseconds: six hours, more than a clock is expected to be off.
 const RENEWAL_STEP_US: u64 = 6 * 3_600_000_000;
 
 impl Identity for Incarnation {
     type Addr = MemberId;
 
-    /// The incarnation under which a member rejoins after its peers have declared it failed. It has to be later than
-    /// the failed one even if the clock was set back.
+    /// The incarnation with which a member rejoins after its peers have declared it failed. It is later than the failed
+    /// one even if the clock was set back.
     fn renew(&self) -> Option<Self> {
         Some(Incarnation { member: self.member, started_at: self.started_at.saturating_add(RENEWAL_STEP_US) })
     }
--- a/crates/fleet/src/swim/rng.rs
+++ b/crates/fleet/src/swim/rng.rs
@@ -1,4 +1,4 @@
-//! A seeded generator behind the interface that the library draws from, so that runs are reproducible.
+//! Adapts a seeded generator to the interface that `foca` expects, so that runs are reproducible.
 
 use nanorand::{Rng as _, WyRand};
 use std::convert::Infallible;
--- a/crates/fleet/tests/unit/packet.rs
+++ b/crates/fleet/tests/unit/packet.rs
@@ -1,4 +1,4 @@
-//! The format of datagrams is stable: each kind is compared with what an earlier release sent.
+//! Guards the datagram format: every kind of datagram is compared with the bytes that an earlier release sent.
 
 use super::*;
 use crate::entry::Version;
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn each_kind_of_datagram_is_written_and_read_as_an_earlier_release_wrote_it() {
+fn every_kind_of_datagram_is_encoded_and_decoded_as_in_an_earlier_release() {
     let kinds = [
         ("swim", Message::Swim(vec![1, 2, 255])),
         ("digest", Message::MapDigest { buckets: vec![0, 1 << 40, u64::MAX], is_reply: false }),
@@ -66,9 +66,9 @@
     fn datagram_rejected(&mut self, _: &'static str) {}
 }
 
-/// Covers the messages of the membership library, and the order in which a member sends at its start.
+/// Covers the messages of `foca`, and the order in which a member sends its first messages.
 #[test]
-fn the_first_datagrams_of_a_member_keep_their_bytes() {
+fn the_first_datagrams_of_a_member_are_unchanged_since_an_earlier_release() {
     let now = Timestamp::from_ms(50.0);
     let mut fleet = Fleet::new(roster(), 1_790_000_000_000_123, 42, now);
     let mut sent = SentDatagrams::default();
--- a/crates/fleet/tests/unit/roster.rs
+++ b/crates/fleet/tests/unit/roster.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn a_roster_does_not_depend_on_the_order_of_names_and_rejects_invalid_ones() {
+fn a_roster_is_independent_of_the_order_of_names_and_rejects_invalid_names() {
     let roster = |names: &[&str], me| Roster::new("f", names.iter().map(|n| (*n).to_owned()), me);
     let (one, other) = (roster(&["b", "a", "c"], "c").unwrap(), roster(&["c", "b", "a"], "a").unwrap());
     assert_eq!((one.tag(), one.me(), other.me()), (other.tag(), MemberId(2), MemberId(0)));
