--- a/crates/recovery/src/admission.rs
+++ b/crates/recovery/src/admission.rs
@@ -1,8 +1,8 @@
-//! The recovery ramp: the order in which requests are admitted while servers warm up.
+//! The recovery ramp: determines the order in which requests are admitted while servers warm up.
 //!
-//! The balancer still selects servers, decides on retries and rejects. For each request the ramp gives it a turn: the
-//! fraction of the recent arrivals that precede it, and a `retry_after` in case it is rejected. A warming server
-//! admits the requests whose turn lies within the fraction that it has capacity for.
+//! The load balancer still selects servers, decides on retries and rejects requests. The ramp passes it an admission
+//! turn for each request: the fraction of recent arrivals that take precedence over it, and a `retry_after` in case it
+//! is rejected. A server that is warming up admits the requests whose fraction is within its current capacity.
 
 use crate::recent_arrivals::{RecentArrivals, ARRIVAL_WINDOW};
 use crate::settings::RecoverySettings;
@@ -10,19 +10,19 @@
 use shelfgrade::time::{DurationExt, Timestamp};
 use std::time::Duration;
 
-/// The stages of a recovery, in their order.
+/// The stages of a recovery, in order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RecoveryState {
-    /// The members have yet to agree on the endpoint list; nothing is admitted.
+    /// The members have not agreed on the endpoint list yet; no requests are admitted.
     AwaitingList,
-    /// Some servers are warming up: requests are admitted as capacity becomes available.
+    /// Some servers are warming up; requests are admitted as capacity becomes available.
     RampingUp,
     /// Normal operation.
     Serving,
 }
 
 impl RecoveryState {
-    /// The state's name for the log.
+    /// The description of the state for log messages.
     pub fn name(self) -> &'static str {
         match self {
             RecoveryState::AwaitingList => "waiting for the endpoint list",
@@ -32,7 +32,7 @@
     }
 }
 
-/// Who sends a request, as far as admission distinguishes.
+/// The properties of a request's sender that affect admission.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Requester {
     /// The index of its request class in the settings.
@@ -41,22 +41,23 @@
     pub customer: Option<usize>,
 }
 
-/// Requests with a lower rank are admitted first: the tightest latency objective, then the highest priority weight.
+/// The precedence of a request class; lower ranks are admitted first. Ordered by tightest latency objective, then by
+/// highest priority weight.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Rank {
     latency_objective_us: u64,
     negative_weight_thousandths: i64,
 }
 
-/// A customer with less than this fraction of its share of what was admitted precedes all others, so that one whose
-/// request classes all rank last is not starved.
+/// A customer that received less than this fraction of its share of the recent admissions takes precedence over all
+/// others, so that a customer whose request classes all rank last is not starved.
 const GUARANTEED_FRACTION: f64 = 0.5;
-/// The turn of a request that is not to be admitted yet: any above 1.
+/// The turn of a request that must not be admitted yet; any value above 1 has this effect.
 const NOT_ADMITTED: f64 = 2.0;
-/// The least time that the arrivals are extrapolated from.
+/// Minimum observation time that arrivals are extrapolated from.
 const MIN_OBSERVED: Duration = Duration::from_millis(50);
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(100);
-/// Keeps `retry_after` below the longest that clients comply with.
+/// Keeps `retry_after` below the maximum that clients comply with.
 const RETRY_AFTER_MARGIN: f64 = 0.95;
 
 /// The state machine of a recovery.
@@ -64,9 +65,9 @@
     settings: RecoverySettings,
     state: RecoveryState,
     list_wait_ends: Timestamp,
-    /// When the last server is warm.
+    /// When the last server has finished warming up.
     warm_at: Option<Timestamp>,
-    /// When the first request came that could be admitted.
+    /// When the first request arrived while requests could be admitted.
     first_arrival: Option<Timestamp>,
     arrivals: RecentArrivals,
 }
@@ -87,7 +88,8 @@
         self.state
     }
 
-    /// The endpoint list is agreed, or the wait for it has ended. `starts` are those of its servers.
+    /// Called when the endpoint list is agreed, or the wait for it has timed out. `starts` are the start times of its
+    /// servers.
     pub(crate) fn on_endpoint_list(
         &mut self,
         starts: impl Iterator<Item = Option<Timestamp>>,
@@ -98,12 +100,12 @@
         self.state = if self.warm_at.is_some() { RecoveryState::RampingUp } else { RecoveryState::Serving };
     }
 
-    /// Whether the wait for the list has ended without one.
+    /// Whether the wait for the endpoint list has timed out.
     pub(crate) fn is_list_overdue(&self, now: Timestamp) -> bool {
         self.state == RecoveryState::AwaitingList && now >= self.list_wait_ends
     }
 
-    /// Ends the ramp once all servers are warm; whether it has ended with this call.
+    /// Ends the ramp once all servers are warm. Returns whether this call has ended it.
     pub(crate) fn on_timer(&mut self, now: Timestamp) -> bool {
         let is_over = self.state == RecoveryState::RampingUp && self.warm_at.is_none_or(|warm| now >= warm);
         if is_over {
@@ -113,8 +115,8 @@
         is_over
     }
 
-    /// The turn of a request that has arrived; none in normal operation. `key` is a hash of the client's key, which
-    /// orders requests of equal rank; `random_unit` lies between 0 and 1.
+    /// Returns the admission turn of an arriving request; `None` in normal operation. `key` is a hash of the client's
+    /// key and orders requests of equal rank; `random_unit` is a random number from 0 to 1.
     pub(crate) fn admission_turn(
         &mut self,
         requester: Requester,
@@ -132,20 +134,20 @@
         Some(AdmissionTurn { fraction_ahead: before, retry_after: self.retry_after(random_unit, now) })
     }
 
-    /// The last request for which a turn was given has been admitted.
+    /// Records that the request of the last call to [`RecoveryRamp::admission_turn`] was admitted.
     pub(crate) fn record_admission(&mut self) {
         self.arrivals.mark_last_admitted();
     }
 
-    /// The turn among the arrivals of a full window. Until one has passed, the arrivals so far are extrapolated to it;
-    /// otherwise the first arrivals would take up all capacity.
+    /// The turn among the arrivals of a full window. Until a full window has been observed, the turn is extrapolated to
+    /// one; otherwise the first arrivals would take up all capacity.
     fn turn_among_expected(&mut self, requester: Requester, key: u64, now: Timestamp) -> f64 {
         let observed = now.since(*self.first_arrival.get_or_insert(now)).max(MIN_OBSERVED);
         let is_full_window = observed >= ARRIVAL_WINDOW;
         self.turn_among_recent(requester, is_full_window, key) * ARRIVAL_WINDOW.ratio_to(observed).max(1.0)
     }
 
-    /// The fraction of the recent arrivals that precede such a request, from 0 to 1.
+    /// The fraction of recent arrivals that take precedence over such a request, from 0 to 1.
     fn turn_among_recent(&self, requester: Requester, is_full_window: bool, key: u64) -> f64 {
         if is_full_window && self.is_below_guarantee(requester.customer) {
             return 0.0;
@@ -154,12 +156,12 @@
         let ranks = || self.arrivals.requesters().map(|other| self.rank(other.class));
         let preceding = ranks().filter(|other| *other < rank).count() as f64;
         let equal = ranks().filter(|other| *other == rank).count() as f64 + 1.0;
-        // By key, so that a client gains nothing by retrying often.
+        // Derived from the key, so that frequent retries do not improve a client's position.
         let position = unit_interval(key);
         (preceding + equal * position) / (self.arrivals.len() as f64 + 1.0)
     }
 
-    /// Unknown request classes rank last.
+    /// The rank of a request class. Unknown classes rank last.
     fn rank(&self, class: Option<usize>) -> Rank {
         let priority = class.and_then(|class| self.settings.classes.get(class));
         let objective = priority.and_then(|priority| priority.connect_latency_objective);
@@ -174,11 +176,11 @@
         let Some(customer) = customer else { return false };
         let Some(share) = self.settings.customer_shares.get(customer) else { return false };
         let admitted = self.arrivals.admitted(customer);
-        // Before anybody was admitted nobody has had less than its share.
+        // Before the first admission no customer is below its guarantee.
         admitted.of_all > 0.0 && admitted.of_customer < GUARANTEED_FRACTION * share * admitted.of_all
     }
 
-    /// A random time within the rest of the warm-up, which spreads the retries over it.
+    /// A random time within the remaining warm-up time, so that retries are spread over it.
     fn retry_after(&self, random_unit: f64, now: Timestamp) -> Duration {
         let remaining = match self.state {
             RecoveryState::AwaitingList => self.list_wait_ends.since(now) + self.settings.slow_start,
@@ -189,7 +191,7 @@
     }
 }
 
-/// Maps the high 53 bits of a hash to a number from 0 to 1.
+/// Maps the high 53 bits of a hash to a number in the range from 0 to 1.
 fn unit_interval(hash: u64) -> f64 {
     (hash >> 11) as f64 / (1u64 << 53) as f64
 }
--- a/crates/recovery/src/environment.rs
+++ b/crates/recovery/src/environment.rs
@@ -1,4 +1,4 @@
-//! The interface between [`Node`](crate::Node) and the process that runs it.
+//! The interface between [`Node`](crate::Node) and the process that embeds it.
 
 use crate::admission::RecoveryState;
 use shelfgrade::host::Endpoint;
@@ -6,41 +6,42 @@
 use shelfgrade_fleet::{Entry, Environment, MemberId};
 use std::net::SocketAddr;
 
-/// The two clocks of a process, read at the same moment.
+/// The two clocks of a process, read at the same time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ClockReading {
-    /// The clock of the event loop, which timers go by.
+    /// The clock of the event loop, which timers use.
     pub now: Timestamp,
-    /// This machine's Unix time in milliseconds, uncorrected.
+    /// The local Unix time in milliseconds, without clock correction.
     pub wall_ms: u64,
 }
 
-/// An endpoint with the address to connect to.
+/// An endpoint and the address to connect to.
 #[derive(Clone, Debug)]
 pub struct EndpointAddress {
-    /// The endpoint as the balancer takes it.
+    /// The endpoint as passed to the load balancer.
     pub endpoint: Endpoint,
-    /// None where the endpoint list does not state it.
+    /// `None` if the endpoint list does not contain it.
     pub address: Option<SocketAddr>,
 }
 
-/// Effects of [`Node`](crate::Node), in addition to those of the fleet below it.
+/// Receives the effects of [`Node`](crate::Node), in addition to those of the underlying fleet.
 pub trait RecoveryEnvironment: Environment {
-    /// Balances over these endpoints from now on. A complete list replaces the previous one, otherwise the endpoints
-    /// are an update to it.
+    /// Updates the endpoints to balance over. A complete list replaces the previous one; otherwise the given endpoints
+    /// are changes to it.
     fn apply_endpoints(&mut self, endpoints: Vec<EndpointAddress>, is_complete: bool);
-    /// Starts or stops polling discovery on behalf of all members.
+    /// Starts or stops polling discovery on behalf of the fleet.
     fn set_polling(&mut self, is_poller: bool);
-    /// The recovery state has changed or been confirmed; `reason` is for the log.
+    /// Called when the recovery state has changed or was confirmed; `reason` is for the log.
     fn state_changed(&mut self, state: RecoveryState, reason: &str);
-    /// The flow with this key hash was on `server`, which started at `started_ms` (Unix time in milliseconds) and has
-    /// not been restarted since: its entry in the flow table may be restored.
+    /// Restores the flow table entry for a key hash. The flow was on `server`, which started at `started_ms` (Unix time
+    /// in milliseconds) and has not been restarted since.
     fn restore_flow(&mut self, key: u64, server: &str, started_ms: f64);
-    /// An endpoint list was not accepted, or part of it could not be shared; `reason` is for the log.
+    /// Called when an endpoint list was rejected, or part of it could not be shared with the peers; `reason` is for the
+    /// log.
     fn list_rejected(&mut self, reason: &str);
 }
 
-/// Passes the effects of one call of the fleet on, and records the entries that it changed.
+/// Forwards the effects of a call to the fleet, and records the entries that the call changed.
 pub(crate) struct EnvironmentRecorder<'a> {
     pub(crate) environment: &'a mut dyn RecoveryEnvironment,
     pub(crate) changed_entries: Vec<Entry>,
--- a/crates/recovery/src/lib.rs
+++ b/crates/recovery/src/lib.rs
@@ -1,15 +1,15 @@
 //! Recovery of a fleet member: what it restores after a restart, how it agrees with its peers on the endpoint list, and
 //! when it admits traffic.
 //!
-//! [`Node`] is the state machine. It runs on top of [`shelfgrade_fleet::Fleet`] and combines the parts:
+//! [`Node`] is the state machine. It runs on top of [`shelfgrade_fleet::Fleet`] and combines these components:
 //!
 //! - [`snapshot`]: the file format of the state that survives a restart;
-//! - restore: how much of a snapshot is trusted;
-//! - poller election: which members poll discovery on behalf of all;
-//! - list history: whether a received endpoint list is newer than the current one;
+//! - restore: decides which parts of a snapshot are trusted;
+//! - poller election: decides which members poll discovery on behalf of the fleet;
+//! - list history: decides whether a received endpoint list is newer than the current one;
 //! - admission: the recovery ramp, which admits requests in order of priority while servers warm up.
 //!
-//! The crate does no I/O: time, datagrams, snapshots and endpoint lists are arguments, and effects go through
+//! The crate performs no I/O: time, datagrams, snapshots and endpoint lists are passed in, and effects go through
 //! [`RecoveryEnvironment`]. `docs/recovery.md` lists every restored item and why it is trusted or not.
 
 #![deny(unsafe_code)]
--- a/crates/recovery/src/list_history.rs
+++ b/crates/recovery/src/list_history.rs
@@ -1,33 +1,34 @@
 //! Decides whether a received endpoint list is newer than the current one.
 //!
 //! Discovery numbers its lists in ascending order, but starts over when it is restarted, and repeats old numbers when
-//! it is restored from a backup. Therefore a version number counts within an epoch, and the digests of the last lists
-//! of the epoch are kept. A complete list whose number is not higher than the current one is outdated only if its
-//! digest is the one recorded for that number; otherwise it begins a new epoch, which is newer than all earlier ones.
+//! it is restored from a backup. Therefore version numbers are only compared within an epoch, and the digests of the
+//! most recent lists of the epoch are kept. A complete list whose number is not higher than the current one is outdated
+//! only if its digest matches the one recorded for that number. Otherwise it begins a new epoch, which is newer than
+//! all earlier ones.
 
 use serde::{Deserialize, Serialize};
 
 /// The key of the list history in the replicated map.
 pub const LIST_KEY: &str = "list";
 
-/// How many versions are kept, bounded by the size of one entry of the replicated map.
+/// Maximum number of versions that are kept, limited by the size of a replicated map entry.
 const MAX_VERSIONS: usize = 64;
 
-/// Version numbers per epoch in the combined version of an entry.
+/// Number of list versions per epoch in the version of a replicated map entry, which combines both.
 const VERSIONS_PER_EPOCH: u64 = 1 << 40;
 
-/// The current version of the endpoint list and the last ones before it. Stored by the position of the fields.
+/// The current version of the endpoint list and the most recent ones before it. Stored by field position.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListHistory {
-    /// Goes up each time discovery starts its numbering over; 0 before the first list.
+    /// Incremented each time discovery restarts its numbering; 0 before the first list.
     pub epoch: u64,
     /// The version number of the current list.
     pub seq: u64,
-    /// The last versions of this epoch, the oldest first.
+    /// The most recent versions of this epoch, oldest first.
     pub past: Vec<ListVersion>,
 }
 
-/// The digest of the endpoint list at one version. Stored by the position of the fields.
+/// The digest of one version of the endpoint list. Stored by field position.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListVersion {
     /// Discovery's version number.
@@ -36,37 +37,37 @@
     pub digest: u32,
 }
 
-/// How a received list relates to the current one.
+/// The age of a received list relative to the current one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum ListVerdict {
-    /// Of the current epoch, and not older than the current list.
+pub(crate) enum ListFreshness {
+    /// The list is of the current epoch, and not older than the current list.
     Current,
-    /// An earlier list of the current epoch: it is rejected.
+    /// The list is an earlier one of the current epoch, and is rejected.
     Outdated,
-    /// The first list of a new epoch.
+    /// The list is the first one of a new epoch.
     NewEpoch,
 }
 
 impl ListHistory {
-    /// Judges a complete list by its version number and its digest.
-    pub(crate) fn judge(&self, seq: u64, digest: u32) -> ListVerdict {
+    /// Classifies a complete list by its version number and digest.
+    pub(crate) fn classify(&self, seq: u64, digest: u32) -> ListFreshness {
         if self.epoch == 0 {
-            return ListVerdict::NewEpoch;
+            return ListFreshness::NewEpoch;
         }
         if seq > self.seq {
-            return ListVerdict::Current;
+            return ListFreshness::Current;
         }
         let recorded = self.past.iter().find(|version| version.seq == seq).map(|version| version.digest);
         match recorded {
-            Some(recorded) if recorded == digest && seq == self.seq => ListVerdict::Current,
-            Some(recorded) if recorded == digest => ListVerdict::Outdated,
-            _ => ListVerdict::NewEpoch,
+            Some(recorded) if recorded == digest && seq == self.seq => ListFreshness::Current,
+            Some(recorded) if recorded == digest => ListFreshness::Outdated,
+            _ => ListFreshness::NewEpoch,
         }
     }
 
-    /// Records a list that was accepted with this verdict.
-    pub(crate) fn record(&mut self, verdict: ListVerdict, seq: u64, digest: u32) {
-        if verdict == ListVerdict::NewEpoch {
+    /// Records an accepted list.
+    pub(crate) fn record(&mut self, freshness: ListFreshness, seq: u64, digest: u32) {
+        if freshness == ListFreshness::NewEpoch {
             self.epoch += 1;
             self.past.clear();
         }
@@ -76,17 +77,18 @@
         self.past.drain(..self.past.len().saturating_sub(MAX_VERSIONS));
     }
 
-    /// The version of an entry that belongs to list `seq` of the current epoch: higher than any of an earlier epoch.
+    /// The version of a replicated map entry for list `seq` of the current epoch. Higher than all versions of earlier
+    /// epochs.
     pub(crate) fn entry_version(&self, seq: u64) -> u64 {
         self.epoch * VERSIONS_PER_EPOCH + seq.min(VERSIONS_PER_EPOCH - 1)
     }
 
     /// Whether this history is at least as new as `other`.
-    pub(crate) fn is_at_least(&self, other: &ListHistory) -> bool {
+    pub(crate) fn is_at_least_as_new_as(&self, other: &ListHistory) -> bool {
         self.entry_version(self.seq) >= other.entry_version(other.seq)
     }
 
-    /// The epoch of an entry with this version.
+    /// The epoch of a replicated map entry with this version.
     pub(crate) fn epoch_of(entry_version: u64) -> u64 {
         entry_version / VERSIONS_PER_EPOCH
     }
--- a/crates/recovery/src/node.rs
+++ b/crates/recovery/src/node.rs
@@ -1,4 +1,4 @@
-//! The recovery state machine of one fleet member: its state, its timers and what it passes to the parts.
+//! The recovery state machine of a fleet member: holds its state, runs its timers and dispatches to the components.
 
 mod agreement;
 mod discovery;
@@ -12,7 +12,7 @@
 use crate::list_history::ListHistory;
 use crate::poller_election::PollerElection;
 use crate::server_record::{list_digest, ServerHealth, ServerRecord};
-use crate::snapshot::HeldSession;
+use crate::snapshot::SessionRecord;
 use nanorand::{Rng, WyRand};
 use shelfgrade::host::{AdmissionTurn, Endpoint, ServerId};
 use shelfgrade::time::Timestamp;
@@ -21,42 +21,42 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// How often timers run until the node serves, while clients may be waiting.
+/// Timer interval during recovery, while clients may be waiting.
 const RECOVERY_INTERVAL: Duration = Duration::from_millis(250);
-/// How often timers run after that; as often as the membership probes.
+/// Timer interval in normal operation; equal to the probe interval of the membership protocol.
 const SERVING_INTERVAL: Duration = Duration::from_millis(1000);
-/// A change of the clock correction by less, in milliseconds, may be due to network latency and is ignored.
+/// Changes of the clock correction up to this many milliseconds are ignored: network latency can cause them.
 const CLOCK_CORRECTION_TOLERANCE_MS: u64 = 1000;
 
-/// Recovery state machine of one fleet member: restores its snapshot, agrees with its peers on the endpoint list, and
+/// The recovery state machine of a fleet member: restores its snapshot, agrees with its peers on the endpoint list, and
 /// decides when to admit traffic.
 pub struct Node {
     fleet: Fleet,
     election: PollerElection,
     list_history: ListHistory,
     ramp: RecoveryRamp,
-    /// The current endpoint list, terminated servers included.
+    /// The current endpoint list, including terminated servers.
     records: BTreeMap<String, ServerRecord>,
     restored: RestoredRecords,
-    /// Servers to use if no list is received in time.
-    candidates: Vec<Endpoint>,
-    /// The servers' addresses in the start-up file.
+    /// The endpoints to use if no endpoint list is received in time.
+    fallback_endpoints: Vec<Endpoint>,
+    /// The server addresses from the start-up file.
     startup_addresses: BTreeMap<ServerId, SocketAddr>,
-    /// Sessions of the previous incarnation, until the list shows which of them are still valid.
-    held_sessions: Vec<HeldSession>,
-    /// The endpoint list is the one that discovery or a poller has.
+    /// Sessions of the previous incarnation, kept until the endpoint list shows which of them are still valid.
+    restored_sessions: Vec<SessionRecord>,
+    /// Whether the endpoint list was received from discovery or matches the one that the pollers report.
     is_list_agreed: bool,
     is_poller: bool,
     last_discovery_answer: Option<Timestamp>,
     next_heartbeat: Timestamp,
-    /// The clock correction that the applied endpoints were computed with, in milliseconds.
+    /// The clock correction used for the start times of the applied endpoints, in milliseconds.
     applied_correction_ms: i64,
     /// The sequence number of the last snapshot.
     snapshot_sequence: u64,
     rng: WyRand,
 }
 
-/// Server records of the previous incarnation, not shared with the peers.
+/// Server records of the previous incarnation, which are not shared with the peers.
 #[derive(Default)]
 struct RestoredRecords {
     epoch: u64,
@@ -64,32 +64,33 @@
 }
 
 impl Node {
-    /// The fleet that this node is a member of.
+    /// The fleet state machine of this node.
     pub fn fleet(&self) -> &Fleet {
         &self.fleet
     }
 
-    /// The fleet, for writing entries of other modules to its replicated map.
+    /// The fleet state machine, for writing other entries to its replicated map.
     pub fn fleet_mut(&mut self) -> &mut Fleet {
         &mut self.fleet
     }
 
-    /// The stage of the recovery.
+    /// The current stage of the recovery.
     pub fn state(&self) -> RecoveryState {
         self.ramp.state()
     }
 
-    /// Whether this node polls discovery on behalf of all.
+    /// Whether this node polls discovery on behalf of the fleet.
     pub fn is_poller(&self) -> bool {
         self.is_poller
     }
 
-    /// The fraction of the fleet's quota that this node may use now, from 0 to 1.
+    /// The fraction of the fleet's quota that this node may currently use, from 0 to 1.
     pub fn quota_fraction(&self, now: Timestamp) -> f64 {
         self.fleet.quota_fraction(now)
     }
 
-    /// The turn of a request that has arrived; none in normal operation. `key` is a hash of the client's key.
+    /// Returns the admission turn of an arriving request; `None` in normal operation. `key` is a hash of the client's
+    /// key.
     pub fn admission_turn(
         &mut self,
         requester: Requester,
@@ -100,12 +101,12 @@
         self.ramp.admission_turn(requester, key, random_unit, now)
     }
 
-    /// The last request for which a turn was given has been admitted.
+    /// Records that the request of the last call to [`Node::admission_turn`] was admitted.
     pub fn record_admission(&mut self) {
         self.ramp.record_admission();
     }
 
-    /// A datagram of a peer has been received.
+    /// Processes a datagram received from a peer.
     pub fn on_datagram(
         &mut self,
         datagram: &[u8],
@@ -118,7 +119,7 @@
         self.apply_entries(changed_entries, clock.now, environment);
     }
 
-    /// When [`Node::on_timer`] is to be called next.
+    /// The time at which [`Node::on_timer`] has to be called next.
     pub fn next_wakeup(&self) -> Timestamp {
         self.fleet.next_wakeup().min(self.next_heartbeat)
     }
@@ -145,7 +146,7 @@
     fn on_heartbeat_timer(&mut self, now: Timestamp, environment: &mut dyn RecoveryEnvironment) {
         self.update_polling(now, environment);
         if self.ramp.is_list_overdue(now) {
-            self.serve_candidates(now, environment);
+            self.serve_fallback_endpoints(now, environment);
         }
         if self.ramp.on_timer(now) {
             environment.state_changed(RecoveryState::Serving, "all servers are warm");
@@ -153,7 +154,7 @@
         self.follow_clock_correction(now, environment);
     }
 
-    /// Applies the endpoints anew when the clock correction changes, since their starts are in local time.
+    /// Reapplies the endpoints when the clock correction changes, since their start times are in local time.
     fn follow_clock_correction(&mut self, now: Timestamp, environment: &mut dyn RecoveryEnvironment) {
         let correction_ms = self.fleet.clock_correction_ms();
         let change_ms = correction_ms.abs_diff(self.applied_correction_ms);
@@ -163,7 +164,7 @@
         }
     }
 
-    /// Leaves the fleet on shutdown, so that its peers need not detect the failure.
+    /// Announces that this member leaves the fleet, so that peers do not have to detect its absence as a failure.
     pub fn leave(&mut self, clock: ClockReading, environment: &mut dyn RecoveryEnvironment) {
         self.fleet.leave(clock.now, clock.wall_ms, &mut EnvironmentRecorder::new(environment));
     }
@@ -172,14 +173,15 @@
         list_digest(self.records.iter().map(|(server, record)| (server.as_str(), record)))
     }
 
-    /// The current endpoint list without the terminated servers.
+    /// The endpoints of the current list, without terminated servers.
     fn endpoints(&self, now: Timestamp) -> Vec<EndpointAddress> {
         let present = self.records.iter().filter(|(_, record)| record.health != ServerHealth::Terminated);
         present.filter_map(|(server, _)| self.endpoint(server, now)).collect()
     }
 
-    /// The endpoint of a server, with its start converted to the local clock: with a clock that is ahead of the
-    /// fleet's a warming server would seem warm, with one that is behind a warm server would seem to be warming up.
+    /// The endpoint of a server, with its start time converted to the local clock. Without the conversion, a clock that
+    /// is ahead of the fleet's would make a warming server appear warm, and one that is behind would make a warm server
+    /// appear to be warming up.
     fn endpoint(&self, server: &str, now: Timestamp) -> Option<EndpointAddress> {
         let record = self.records.get(server)?;
         let local_ms = (record.started_ms - self.fleet.clock_correction_ms() as f64).max(1.0);
--- a/crates/recovery/src/node/discovery.rs
+++ b/crates/recovery/src/node/discovery.rs
@@ -1,31 +1,32 @@
-//! Endpoint lists received from discovery, by members that poll it.
+//! Processes endpoint lists from discovery, on members that poll it.
 
 use super::Node;
 use crate::environment::{EnvironmentRecorder, RecoveryEnvironment};
-use crate::list_history::{ListHistory, ListVerdict, LIST_KEY};
+use crate::list_history::{ListFreshness, ListHistory, LIST_KEY};
 use crate::server_record::{list_digest, ServerHealth, ServerRecord, SERVER_PREFIX};
 use shelfgrade::time::Timestamp;
 use shelfgrade_fleet::{Entry, Version};
 use std::collections::BTreeMap;
 
-/// Why a list from discovery is rejected.
+/// Why a list from discovery was rejected.
 #[derive(Debug, thiserror::Error)]
 enum ListRejection {
-    #[error("version {seq} is a change to a list that is not held; a complete one is requested")]
-    ChangeToUnknownList { seq: u64 },
-    #[error("version {seq} is outdated, {current} is held")]
+    #[error("version {seq} is an update to an unknown list; requesting a complete list")]
+    UpdateToUnknownList { seq: u64 },
+    #[error("version {seq} is outdated: the current version is {current}")]
     Outdated { seq: u64, current: u64 },
 }
 
-/// The endpoint list that results from what discovery has sent.
+/// The endpoint list that results from an accepted list or update.
 struct AcceptedList {
     records: BTreeMap<String, ServerRecord>,
     history: ListHistory,
 }
 
 impl Node {
-    /// A list with version number `seq` was received from discovery: a complete one, or the records that have changed.
-    /// Shares it with the peers, and returns whether it was accepted; if not, a complete list is to be requested.
+    /// Processes a list from discovery with version number `seq`: a complete list, or the records that have changed.
+    /// Shares it with the peers if it is accepted. Returns whether it is; if not, the caller has to request a complete
+    /// list.
     pub fn on_endpoint_list(
         &mut self,
         records: Vec<(String, ServerRecord)>,
@@ -41,7 +42,7 @@
                 return false;
             }
         };
-        // Only an accepted list counts as an answer: otherwise a poller without a list would report an empty one.
+        // Only an accepted list counts as an answer: otherwise a poller without a list would report an empty list.
         self.last_discovery_answer = Some(now);
         let changed_entries = self.share_list(&accepted, environment);
         self.list_history = accepted.history;
@@ -57,27 +58,28 @@
         seq: u64,
     ) -> Result<AcceptedList, ListRejection> {
         if !is_complete && (!self.is_list_agreed || seq < self.list_history.seq) {
-            return Err(ListRejection::ChangeToUnknownList { seq });
+            return Err(ListRejection::UpdateToUnknownList { seq });
         }
         let mut next = if is_complete { BTreeMap::new() } else { self.records.clone() };
         next.extend(records);
         let digest = list_digest(next.iter().map(|(server, record)| (server.as_str(), record)));
-        let verdict = if is_complete { self.list_history.judge(seq, digest) } else { ListVerdict::Current };
-        if verdict == ListVerdict::Outdated {
+        let freshness =
+            if is_complete { self.list_history.classify(seq, digest) } else { ListFreshness::Current };
+        if freshness == ListFreshness::Outdated {
             return Err(ListRejection::Outdated { seq, current: self.list_history.seq });
         }
         if is_complete {
             self.add_terminated(&mut next);
         }
-        if verdict == ListVerdict::NewEpoch {
+        if freshness == ListFreshness::NewEpoch {
             self.keep_known_health(&mut next);
         }
         let mut history = self.list_history.clone();
-        history.record(verdict, seq, digest);
+        history.record(freshness, seq, digest);
         Ok(AcceptedList { records: next, history })
     }
 
-    /// Adds the servers that are absent from a complete list, as terminated.
+    /// Adds the known servers that are absent from a complete list, as terminated.
     fn add_terminated(&self, next: &mut BTreeMap<String, ServerRecord>) {
         for (server, known) in &self.records {
             let terminated = || ServerRecord { health: ServerHealth::Terminated, ..known.clone() };
@@ -91,7 +93,7 @@
         }
     }
 
-    /// Writes what has changed to the replicated map; the entries that were written.
+    /// Writes the changed records and history to the replicated map. Returns the entries that were written.
     fn share_list(&mut self, list: &AcceptedList, environment: &mut dyn RecoveryEnvironment) -> Vec<Entry> {
         let count = list.history.entry_version(list.history.seq);
         let version = Version { count, by: self.fleet.me().started_at };
@@ -106,7 +108,7 @@
             }
         }
         if list.history != self.list_history {
-            // A full map rejects it; the peers then go by the previous history, and the records still count.
+            // The error is ignored: if the map is full, peers use the previous history, and the records still apply.
             let _ = self.fleet.put_version(LIST_KEY, &list.history, version, &mut recorder);
         }
         recorder.changed_entries
--- a/crates/recovery/src/node/persistence.rs
+++ b/crates/recovery/src/node/persistence.rs
@@ -1,18 +1,18 @@
-//! The snapshot that a node leaves for its next incarnation.
+//! Creates the snapshot that the next incarnation is restored from.
 
 use super::Node;
-use crate::snapshot::{HeldSession, Snapshot};
+use crate::snapshot::{SessionRecord, Snapshot};
 
 impl Node {
-    /// A snapshot with the next sequence number. `flows` are the key hashes of the established sessions with their
-    /// servers; those whose server is not in the endpoint list are left out.
+    /// Creates a snapshot with the next sequence number. `flows` are the key hashes and servers of the established
+    /// sessions; those whose server is not in the endpoint list are omitted.
     pub fn snapshot(&mut self, flows: impl Iterator<Item = (u64, String)>, wall_ms: u64) -> Snapshot {
         self.snapshot_sequence += 1;
-        let held_session = |(key, server): (u64, String)| {
+        let session_record = |(key, server): (u64, String)| {
             let started_ms = self.records.get(&server)?.started_ms;
-            Some(HeldSession { key, server, started_ms })
+            Some(SessionRecord { key, server, started_ms })
         };
-        let held_sessions = flows.filter_map(held_session).collect();
+        let sessions = flows.filter_map(session_record).collect();
         let me = self.fleet.me();
         let roster = self.fleet.roster();
         Snapshot {
@@ -22,7 +22,7 @@
             written_at_ms: wall_ms,
             started_at: me.started_at,
             entries: self.fleet.entries(),
-            held_sessions,
+            sessions,
         }
     }
 }
--- a/crates/recovery/src/node/polling.rs
+++ b/crates/recovery/src/node/polling.rs
@@ -1,4 +1,4 @@
-//! Polling of discovery on behalf of all members, and the heartbeats of who does it.
+//! Starts and stops polling of discovery on behalf of the fleet, and shares the pollers' heartbeats.
 
 use super::Node;
 use crate::environment::RecoveryEnvironment;
@@ -6,11 +6,11 @@
 use shelfgrade::time::Timestamp;
 use std::time::Duration;
 
-/// Discovery counts as reachable for this long after an answer: longer than one watch lasts, which is four seconds.
+/// How long after an answer discovery counts as reachable: longer than the duration of a watch, which is four seconds.
 const ANSWER_VALIDITY: Duration = Duration::from_millis(6000);
 
 impl Node {
-    /// Starts or stops polling as the election says, and shares a heartbeat while polling.
+    /// Starts or stops polling according to the election, and shares a heartbeat while polling.
     pub(super) fn update_polling(&mut self, now: Timestamp, environment: &mut dyn RecoveryEnvironment) {
         let is_poller = self.election.is_poller(self.fleet.alive(), now);
         if is_poller != self.is_poller {
@@ -37,7 +37,7 @@
             epoch: self.list_history.epoch,
             seq: self.list_history.seq,
             digest: self.list_digest(),
-            answered: self.last_discovery_answer.is_some_and(|at| now.since(at) < ANSWER_VALIDITY),
+            is_answered: self.last_discovery_answer.is_some_and(|at| now.since(at) < ANSWER_VALIDITY),
         }
     }
 }
--- a/crates/recovery/src/node/shared_entries.rs
+++ b/crates/recovery/src/node/shared_entries.rs
@@ -1,4 +1,4 @@
-//! Changes of the replicated map that other members have made.
+//! Processes changes of the replicated map.
 
 use super::Node;
 use crate::environment::RecoveryEnvironment;
@@ -9,7 +9,7 @@
 use shelfgrade_fleet::{Entry, MemberId, Version};
 
 impl Node {
-    /// Takes in changed entries of the replicated map.
+    /// Processes changed entries of the replicated map.
     pub(super) fn apply_entries(
         &mut self,
         entries: Vec<Entry>,
@@ -28,7 +28,7 @@
         self.check_agreement(now, environment);
     }
 
-    /// Takes in one entry; the server whose record it has changed, if any.
+    /// Processes one entry. Returns the server whose record it contains, if any.
     pub(super) fn apply_entry(&mut self, entry: &Entry, now: Timestamp) -> Option<String> {
         let value = entry.value.as_deref()?;
         if let Some((server, record)) = decode_server(entry) {
@@ -39,7 +39,7 @@
             self.apply_heartbeat(poller, entry.version, postcard::from_bytes(value).ok()?, now);
         } else if entry.key == LIST_KEY {
             let list_history: ListHistory = postcard::from_bytes(value).ok()?;
-            if list_history.is_at_least(&self.list_history) {
+            if list_history.is_at_least_as_new_as(&self.list_history) {
                 self.list_history = list_history;
             }
         }
@@ -56,8 +56,8 @@
     }
 
     /// Corrects a record of a new epoch that reports a server in service although the snapshot has it as draining or
-    /// gone: discovery and its pollers have lost that. The correction goes out under the record's own version, so that
-    /// any later news from discovery replaces it.
+    /// terminated: discovery and its pollers have lost that state. The correction is shared with the count of the
+    /// record's own version, so that any later update from discovery replaces it.
     fn reassert_restored_health(&mut self, entry: &Entry, environment: &mut dyn RecoveryEnvironment) {
         let Some((server, received)) = decode_server(entry) else { return };
         let Some(known) = self.restored.records.remove(&server) else { return };
@@ -72,7 +72,7 @@
     }
 }
 
-/// The member whose heartbeats are under this key.
+/// The member whose heartbeats are stored under this key.
 fn heartbeat_sender(key: &str) -> Option<MemberId> {
     let number = key.strip_prefix(HEARTBEAT_PREFIX)?;
     number.parse().ok().map(MemberId)
--- a/crates/recovery/src/node/startup.rs
+++ b/crates/recovery/src/node/startup.rs
@@ -1,4 +1,4 @@
-//! Start of a node: what it restores, and what it falls back to when no endpoint list is received in time.
+//! Starts a node: restores its snapshot, and falls back to known endpoints if no endpoint list is received in time.
 
 use super::{Node, RestoredRecords};
 use crate::admission::RecoveryRamp;
@@ -16,7 +16,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 
-/// Tells the generator of this crate from those that others make of the same seed.
+/// Keeps this crate's random sequence distinct from others that are derived from the same seed.
 const SEED_SALT: u64 = 0xc0;
 
 impl Node {
@@ -40,9 +40,9 @@
             ramp: RecoveryRamp::new(settings, now),
             records: BTreeMap::new(),
             restored: RestoredRecords::default(),
-            candidates: Vec::new(),
+            fallback_endpoints: Vec::new(),
             startup_addresses: BTreeMap::new(),
-            held_sessions: Vec::new(),
+            restored_sessions: Vec::new(),
             is_list_agreed: false,
             is_poller: false,
             last_discovery_answer: None,
@@ -57,7 +57,8 @@
         node
     }
 
-    /// Server records are kept aside: in the replicated map they would spread as if discovery had just confirmed them.
+    /// Restores the snapshot. Server records are kept out of the replicated map, where they would be shared as if
+    /// discovery had just confirmed them.
     fn restore(&mut self, restored: RestoredState, now: Timestamp) {
         let is_server = |entry: &Entry| entry.key.starts_with(SERVER_PREFIX);
         let (servers, others): (Vec<_>, Vec<_>) = restored.entries.into_iter().partition(is_server);
@@ -67,40 +68,45 @@
         self.restored.epoch = self.list_history.epoch;
         self.restored.records.extend(servers.iter().filter_map(decode_server));
         self.fleet.restore(others);
-        self.candidates = restored.candidates;
-        self.held_sessions = restored.held_sessions;
+        self.fallback_endpoints = restored.fallback_endpoints;
+        self.restored_sessions = restored.sessions;
     }
 
-    /// Adds the servers of the start-up file to the candidates where the snapshot does not have them.
+    /// Adds the servers of the start-up file that are not in the snapshot to the fallback endpoints.
     pub fn add_known_endpoints(&mut self, known: impl Iterator<Item = EndpointAddress>, now: Timestamp) {
         let restored: BTreeSet<_> =
-            self.candidates.iter().map(|candidate| candidate.server.clone()).collect();
+            self.fallback_endpoints.iter().map(|endpoint| endpoint.server.clone()).collect();
         for EndpointAddress { endpoint, address } in known {
             if let Some(address) = address {
                 self.startup_addresses.insert(endpoint.server.clone(), address);
             }
             if !restored.contains(&endpoint.server) {
-                self.candidates.push(Endpoint { started: Some(now), ..endpoint });
+                self.fallback_endpoints.push(Endpoint { started: Some(now), ..endpoint });
             }
         }
     }
 
-    /// Uses the candidates, since no endpoint list was received in time. All of them count as warming up.
-    pub(super) fn serve_candidates(&mut self, now: Timestamp, environment: &mut dyn RecoveryEnvironment) {
-        let with_address = |candidate: &Endpoint| EndpointAddress {
-            address: self.known_address(candidate),
-            endpoint: candidate.clone(),
+    /// Applies the fallback endpoints because no endpoint list was received in time. All count as warming up.
+    pub(super) fn serve_fallback_endpoints(
+        &mut self,
+        now: Timestamp,
+        environment: &mut dyn RecoveryEnvironment,
+    ) {
+        let with_address = |endpoint: &Endpoint| EndpointAddress {
+            address: self.known_address(endpoint),
+            endpoint: endpoint.clone(),
         };
-        let endpoints: Vec<_> = self.candidates.iter().map(with_address).collect();
-        let reason = format!("no list in time; {} restored servers are used, as warming up", endpoints.len());
+        let endpoints: Vec<_> = self.fallback_endpoints.iter().map(with_address).collect();
+        let reason =
+            format!("no list in time; using {} restored servers, all treated as warming up", endpoints.len());
         self.ramp.on_endpoint_list(endpoints.iter().map(|known| known.endpoint.started), now);
         environment.apply_endpoints(endpoints, true);
         environment.state_changed(self.ramp.state(), &reason);
     }
 
-    /// The address of a candidate in the snapshot, or else in the start-up file.
-    fn known_address(&self, candidate: &Endpoint) -> Option<SocketAddr> {
-        let restored = self.restored.records.get(&*candidate.server).and_then(|record| record.address);
-        restored.or(self.startup_addresses.get(&candidate.server).copied())
+    /// The address of an endpoint from the snapshot, or else from the start-up file.
+    fn known_address(&self, endpoint: &Endpoint) -> Option<SocketAddr> {
+        let restored = self.restored.records.get(&*endpoint.server).and_then(|record| record.address);
+        restored.or(self.startup_addresses.get(&endpoint.server).copied())
     }
 }
--- a/crates/recovery/src/poller_election.rs
+++ b/crates/recovery/src/poller_election.rs
@@ -1,28 +1,30 @@
-//! Elects the members that poll discovery on behalf of all.
+//! Elects the members that poll discovery on behalf of the fleet.
 //!
-//! All members rank the roster in the same order, and the first few of those alive poll. After a loss of power nobody
-//! knows yet who is alive, so until the membership has settled the first few of the entire roster poll. The number of
-//! polls therefore does not depend on the size of the fleet. The other members receive the list from the pollers.
+//! All members rank the roster in the same order, and the first few members that are alive poll. After a power outage
+//! no member knows yet which others are alive, so the first few of the entire roster poll until the membership has
+//! settled. The number of polls therefore does not depend on the size of the fleet. The other members receive the list
+//! from the pollers.
 
 use shelfgrade::time::Timestamp;
 use shelfgrade_fleet::{rank, MemberId};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// The prefix of the keys of heartbeats in the replicated map; the number of the member follows.
+/// The key prefix of heartbeats in the replicated map; the member id follows.
 pub const HEARTBEAT_PREFIX: &str = "beat/";
 
-/// How many members poll, so that one may fail while another is being stopped.
-pub(crate) const POLLERS: usize = 3;
-/// How many members poll where the first ones get no answer: the network path or discovery itself may be down.
-const MAX_POLLERS: usize = 3 * POLLERS;
-/// How long the membership takes to settle after a start; three members are invited three times a second.
+/// Number of members that poll: enough for one to fail while another is being stopped.
+pub(crate) const POLLER_COUNT: usize = 3;
+/// Number of members that poll if the first ones get no answer, because of the network path or discovery itself.
+const MAX_POLLER_COUNT: usize = 3 * POLLER_COUNT;
+/// How long the membership takes to settle after a start. A starting member announces itself to three members at a
+/// time, about three times per second.
 const MEMBERSHIP_SETTLE_TIME: Duration = Duration::from_millis(2000);
-/// After this long without a new heartbeat a poller counts as gone. Heartbeats come once a second, and gossip takes
-/// some seconds in a large fleet.
+/// A poller without a new heartbeat for this long counts as not alive. Heartbeats are sent once per second, and gossip
+/// takes a few seconds in a large fleet.
 const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(5000);
 
-/// What a poller shares with all members once a second. Stored by the position of the fields.
+/// The status that a poller shares with all members once per second. Stored by field position.
 #[derive(Debug, Clone, PartialEq, Eq, serde::Serialize, serde::Deserialize)]
 pub struct Heartbeat {
     /// The epoch of the poller's endpoint list.
@@ -31,31 +33,32 @@
     pub seq: u64,
     /// [`list_digest`](crate::list_digest) of its list.
     pub digest: u32,
-    /// Discovery has answered it within the last few seconds.
-    pub answered: bool,
+    /// Whether discovery has answered the poller within the last few seconds.
+    pub is_answered: bool,
 }
 
-/// The newest heartbeat of a poller.
+/// The newest heartbeat received from a poller.
 struct ReceivedHeartbeat {
-    /// Goes up from one heartbeat of a poller to the next.
+    /// Incremented with each heartbeat of a poller.
     number: u64,
     heartbeat: Heartbeat,
-    /// When it was received; none where it may be from before the poller's restart.
+    /// When it was received; `None` if it may have been sent before the poller's last restart.
     live_at: Option<Timestamp>,
 }
 
 /// The election as one member sees it.
 pub(crate) struct PollerElection {
     me: MemberId,
-    /// All members, the most preferred poller first.
+    /// All members, most preferred poller first.
     ranking: Vec<MemberId>,
     started: Timestamp,
     heartbeats: BTreeMap<MemberId, ReceivedHeartbeat>,
+    /// When each poller that currently gets no answer from discovery was first reported as such.
     unanswered_since: BTreeMap<MemberId, Timestamp>,
 }
 
 impl PollerElection {
-    /// `fleet_tag`: the roster's tag, so that each fleet has a ranking of its own.
+    /// `fleet_tag` is the tag of the roster, which gives each fleet its own ranking.
     pub(crate) fn new(
         me: MemberId,
         members: impl Iterator<Item = MemberId>,
@@ -73,27 +76,30 @@
         }
     }
 
-    /// Whether this member polls discovery, given the members that it sees `alive`, in order.
+    /// Whether this member polls discovery. `alive` are the members that it considers alive, in ascending order.
     pub(crate) fn is_poller(&self, alive: &[MemberId], now: Timestamp) -> bool {
         let is_settling = now.since(self.started) < MEMBERSHIP_SETTLE_TIME;
         let is_candidate =
             |member: &MemberId| is_settling || *member == self.me || alive.binary_search(member).is_ok();
-        let mut candidates = self.ranking.iter().copied().filter(is_candidate).take(MAX_POLLERS);
-        let is_first_choice = candidates.by_ref().take(POLLERS).any(|member| member == self.me);
-        is_first_choice || self.pollers_unanswered(alive, now) && candidates.any(|member| member == self.me)
+        let mut candidates = self.ranking.iter().copied().filter(is_candidate).take(MAX_POLLER_COUNT);
+        let is_first_choice = candidates.by_ref().take(POLLER_COUNT).any(|member| member == self.me);
+        is_first_choice
+            || self.no_poller_is_answered(alive, now) && candidates.any(|member| member == self.me)
     }
 
-    /// Whether all first-choice pollers have reported for some time that discovery does not answer them.
-    fn pollers_unanswered(&self, alive: &[MemberId], now: Timestamp) -> bool {
+    /// Whether all first-choice pollers have reported for longer than [`HEARTBEAT_TIMEOUT`] that discovery does not
+    /// answer them.
+    fn no_poller_is_answered(&self, alive: &[MemberId], now: Timestamp) -> bool {
         let is_alive = |member: &&MemberId| alive.binary_search(member).is_ok();
-        let mut pollers = self.ranking.iter().filter(is_alive).take(POLLERS);
+        let mut pollers = self.ranking.iter().filter(is_alive).take(POLLER_COUNT);
         pollers.all(|member| {
             self.unanswered_since.get(member).is_some_and(|since| now.since(*since) > HEARTBEAT_TIMEOUT)
         })
     }
 
-    /// Takes in a heartbeat. One restored from a snapshot or forwarded by a peer is no sign that its poller is alive:
-    /// it counts only if it follows another one, or was written by the poller's current incarnation.
+    /// Processes a heartbeat. A heartbeat that was restored from a snapshot or forwarded by a peer does not prove that
+    /// its poller is alive. It counts as live only if an earlier one of the same poller is known, or if it was written
+    /// by the poller's current incarnation.
     pub(crate) fn on_heartbeat(
         &mut self,
         from: MemberId,
@@ -106,7 +112,7 @@
         if previous.is_some_and(|previous| number <= previous.number) {
             return;
         }
-        if heartbeat.answered {
+        if heartbeat.is_answered {
             self.unanswered_since.remove(&from);
         } else {
             self.unanswered_since.entry(from).or_insert(now);
@@ -115,11 +121,11 @@
         self.heartbeats.insert(from, ReceivedHeartbeat { number, heartbeat, live_at });
     }
 
-    /// The heartbeat with the newest list, of the live pollers that discovery answers.
-    pub(crate) fn newest_live(&self, now: Timestamp) -> Option<&Heartbeat> {
+    /// The heartbeat with the newest list among the live pollers that discovery answers.
+    pub(crate) fn newest_live_heartbeat(&self, now: Timestamp) -> Option<&Heartbeat> {
         let is_live = |received: &&ReceivedHeartbeat| {
             let is_recent = received.live_at.is_some_and(|at| now.since(at) < HEARTBEAT_TIMEOUT);
-            received.heartbeat.answered && is_recent
+            received.heartbeat.is_answered && is_recent
         };
         let live = self.heartbeats.values().filter(is_live);
         let newest =
--- a/crates/recovery/src/recent_arrivals.rs
+++ b/crates/recovery/src/recent_arrivals.rs
@@ -1,13 +1,13 @@
-//! The requests of the last moments, which a new one is ranked among.
+//! A sliding window of recent requests, used to rank new ones.
 
 use crate::admission::Requester;
 use shelfgrade::time::Timestamp;
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// How long an arrival is kept, as in the balancer's own arrival history.
+/// How long an arrival is kept; the same as in the load balancer's own arrival history.
 pub(crate) const ARRIVAL_WINDOW: Duration = Duration::from_millis(2000);
-/// How many arrivals are kept, bounding the memory and the work per request.
+/// Maximum number of arrivals that are kept. Bounds memory and the work per request.
 const MAX_ARRIVALS: usize = 4096;
 
 struct Arrival {
@@ -16,18 +16,18 @@
     is_admitted: bool,
 }
 
-/// A sliding window of arrivals.
+/// The arrivals within the window, oldest first.
 #[derive(Default)]
 pub(crate) struct RecentArrivals(VecDeque<Arrival>);
 
-/// Admitted requests within the window.
+/// The numbers of admitted requests within the window.
 pub(crate) struct AdmittedCount {
     pub(crate) of_all: f64,
     pub(crate) of_customer: f64,
 }
 
 impl RecentArrivals {
-    /// Drops the arrivals that have left the window.
+    /// Removes the arrivals that have left the window.
     pub(crate) fn expire(&mut self, now: Timestamp) {
         let is_expired = |arrival: &&Arrival| now.since(arrival.at) > ARRIVAL_WINDOW;
         let expired = self.0.iter().take_while(is_expired).count();
@@ -39,7 +39,7 @@
         self.0.drain(..self.0.len().saturating_sub(MAX_ARRIVALS));
     }
 
-    /// Records that the last arrival was admitted.
+    /// Marks the last arrival as admitted.
     pub(crate) fn mark_last_admitted(&mut self) {
         if let Some(last) = self.0.back_mut() {
             last.is_admitted = true;
--- a/crates/recovery/src/server_record.rs
+++ b/crates/recovery/src/server_record.rs
@@ -1,4 +1,4 @@
-//! Servers as the members of a fleet share them.
+//! The server records that the members of a fleet share.
 
 use serde::{Deserialize, Serialize};
 use shelfgrade::host::{Endpoint, EndpointState};
@@ -7,39 +7,39 @@
 use std::net::SocketAddr;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The prefix of the keys of server records in the replicated map; the server's name follows.
+/// The key prefix of server records in the replicated map; the server's name follows.
 pub const SERVER_PREFIX: &str = "server/";
 
-/// A server of the endpoint list in the replicated map. Stored by the position of the fields.
+/// A server of the endpoint list, as stored in the replicated map. Stored by field position.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ServerRecord {
     /// The address to connect to.
     pub address: Option<SocketAddr>,
-    /// The zone that it runs in.
+    /// The zone of the server.
     pub zone: String,
     /// The machine type.
     pub kind: String,
     /// The number of its cell.
     pub cell: u64,
-    /// Where it is in its life cycle.
+    /// Its stage in the life cycle.
     pub health: ServerHealth,
-    /// When it started: Unix time in milliseconds, 0 for longer ago than anybody knows.
+    /// Its start time as Unix time in milliseconds; 0 if it started earlier than any member knows.
     pub started_ms: f64,
 }
 
-/// The life cycle of a server, in the order of its stages. Stored by the position of the variants.
+/// The life cycle of a server, in order of its stages. Stored by variant position.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum ServerHealth {
-    /// It takes new sessions.
+    /// The server accepts new sessions.
     InService,
-    /// It is draining.
+    /// The server is draining.
     Terminating,
-    /// It is gone.
+    /// The server no longer exists.
     Terminated,
 }
 
 impl ServerHealth {
-    /// The state of its endpoint in the balancer.
+    /// The corresponding endpoint state in the load balancer.
     pub fn state(self) -> EndpointState {
         match self {
             ServerHealth::InService => EndpointState::Active,
@@ -50,8 +50,8 @@
 }
 
 impl ServerRecord {
-    /// This record with the health of `known` where that is later in the same server incarnation. A discovery that has
-    /// lost its state reports a draining server as in service.
+    /// Takes over the health of `known` if that is a later stage of the same server incarnation. Needed because a
+    /// discovery service that has lost its state reports a draining server as in service.
     pub fn with_known_health(mut self, known: Option<&ServerRecord>) -> Self {
         if let Some(known) = known.filter(|known| known.started_ms == self.started_ms) {
             self.health = self.health.max(known.health);
@@ -59,7 +59,7 @@
         self
     }
 
-    /// The endpoint of the server with this name, with its start by the local clock.
+    /// The endpoint of this server. `started` is its start time by the local clock.
     pub fn endpoint(&self, server: &str, started: Option<Timestamp>) -> Endpoint {
         Endpoint {
             server: server.into(),
@@ -72,13 +72,13 @@
     }
 }
 
-/// The server and its record in an entry of the replicated map; none for other entries and deleted ones.
+/// Decodes a server record from an entry of the replicated map; `None` for other entries and deleted ones.
 pub(crate) fn decode_server(entry: &Entry) -> Option<(String, ServerRecord)> {
     let server = entry.key.strip_prefix(SERVER_PREFIX)?;
     Some((server.to_owned(), postcard::from_bytes(entry.value.as_deref()?).ok()?))
 }
 
-/// A digest of an endpoint list that does not depend on the order of the records. Terminated servers count as absent.
+/// A digest of an endpoint list, independent of the order of the records. Terminated servers are ignored.
 pub fn list_digest<'a>(records: impl Iterator<Item = (&'a str, &'a ServerRecord)>) -> u32 {
     let present = records.filter(|(_, record)| record.health != ServerHealth::Terminated);
     let record_hash = |(server, record): (&str, &ServerRecord)| {
--- a/crates/recovery/src/snapshot.rs
+++ b/crates/recovery/src/snapshot.rs
@@ -1,16 +1,16 @@
 //! The file format of the state that survives a restart.
 //!
-//! A snapshot is written to [`GENERATIONS`] files in turn, so that one of them is intact while another is being
-//! written. Each has a magic number, the format's version, the length and checksum of the body, and the body in
-//! postcard, which says whose it is.
+//! Snapshots are written to [`GENERATIONS`] files in turn, so that one of them is intact while another is being
+//! written. A file consists of a magic number, the format version, the length and checksum of the body, and the body
+//! encoded with postcard. The body contains the names of the fleet and the process that it belongs to.
 
 use serde::{Deserialize, Serialize};
 use shelfgrade_fleet::Entry;
 use xxhash_rust::xxh3::xxh3_128;
 
-/// The version of the format that is written. Older ones can be read, newer ones cannot.
+/// The format version that is written. Older versions can be read, newer ones cannot.
 pub const FORMAT: u16 = 1;
-/// How many files there are.
+/// The number of snapshot files.
 pub const GENERATIONS: usize = 2;
 
 const MAGIC: [u8; 8] = *b"SHELFGRD";
@@ -18,78 +18,76 @@
 const LENGTH_AT: usize = FORMAT_AT + size_of::<u16>();
 const CHECKSUM_AT: usize = LENGTH_AT + size_of::<u64>();
 const HEADER_BYTES: usize = CHECKSUM_AT + size_of::<u128>();
-/// The longest body, in bytes: far longer than any that is written.
+/// Maximum length of a body in bytes, far longer than any that is written.
 const MAX_BODY_BYTES: usize = 64 << 20;
 
-/// The state of a process that survives its restart. Stored by the position of the fields.
+/// The state of a process that survives a restart. Stored by field position.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Snapshot {
     /// The name of the fleet.
     pub fleet: String,
     /// The name of the process.
     pub name: String,
-    /// Goes up with each snapshot.
+    /// Incremented with each snapshot.
     pub sequence: u64,
-    /// When it was written: Unix time in milliseconds, by the writer's clock; informational.
+    /// When it was written, as Unix time in milliseconds by the writer's clock. Informational.
     pub written_at_ms: u64,
-    /// The highest incarnation number that the process has had, in microseconds of Unix time.
+    /// The highest incarnation number of the process so far, as Unix time in microseconds.
     pub started_at: u64,
-    /// The replicated map, deleted entries included.
+    /// The entries of the replicated map, including deleted ones.
     pub entries: Vec<Entry>,
     /// The established sessions.
-    pub held_sessions: Vec<HeldSession>,
+    pub sessions: Vec<SessionRecord>,
 }
 
-/// An established session and its server. Stored by the position of the fields.
+/// An established session and its server. Stored by field position.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct HeldSession {
+pub struct SessionRecord {
     /// A hash of the client's key.
     pub key: u64,
     /// The name of the server that holds the session.
     pub server: String,
-    /// When that server started: Unix time in milliseconds.
+    /// When that server started, as Unix time in milliseconds.
     pub started_ms: f64,
 }
 
-/// Why a snapshot file cannot be used. The process starts without it, and receives the state from its peers and
+/// Why a snapshot file cannot be used. The process starts without it, and receives the state from its peers and from
 /// discovery.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum SnapshotError {
     /// The file has no content.
-    #[error("empty: power was lost as it was created, or the disk is full; it will be overwritten")]
+    #[error("empty: power was lost while it was created, or the disk is full; it will be overwritten")]
     Empty,
     /// The file is truncated.
     #[error(
-        "torn at {held} of {wanted} bytes: power was lost as it was written; the other generation is used"
+        "torn at {actual} of {expected} bytes: power was lost while it was written; the other generation is used"
     )]
     Torn {
         /// The length of the file in bytes.
-        held: usize,
-        /// The length that its header gives.
-        wanted: usize,
+        actual: usize,
+        /// The length of a complete file in bytes, as far as known from its header.
+        expected: usize,
     },
-    /// The file does not begin with the magic number.
-    #[error(
-        "no snapshot: another program has written it; check that no other program uses this `state_dir`"
-    )]
+    /// The file does not start with the magic number.
+    #[error("not a snapshot: written by another program; check that no other program uses this `state_dir`")]
     NotASnapshot,
     /// The checksum does not match, or the content cannot be decoded.
-    #[error("damaged: its checksum does not match; check the disk. It will be overwritten")]
+    #[error("damaged: checksum or content is invalid; check the disk. The file will be overwritten")]
     Damaged,
-    /// A newer version of the format.
+    /// The file has a newer format version.
     #[error(
-        "of format {0}, and this version reads up to {FORMAT}: start the newer version, or delete the file"
+        "of format {0}, but this version reads formats up to {FORMAT}: start the newer version, or delete the file"
     )]
     UnsupportedFormat(u16),
-    /// A snapshot of the fleet with this name.
-    #[error("of the fleet {0}: give each fleet a `state_dir` of its own")]
+    /// The snapshot belongs to the fleet with this name.
+    #[error("of the fleet {0}: give each fleet its own `state_dir`")]
     OtherFleet(String),
-    /// A snapshot of the member with this name, as on a copied disk.
-    #[error("of the process {0}: give each process a `state_dir` of its own, and copy no disks")]
+    /// The snapshot belongs to the member with this name, for example because the disk was copied.
+    #[error("of the process {0}: give each process its own `state_dir`, and do not copy disks")]
     OtherMember(String),
 }
 
-/// The usable one of a process's snapshot files.
+/// The result of reading a process's snapshot files.
 #[derive(Debug, Default, PartialEq)]
 pub struct LoadedSnapshots {
     /// The usable snapshot with the highest sequence number.
@@ -101,15 +99,15 @@
 /// A snapshot file that cannot be used.
 #[derive(Debug, PartialEq)]
 pub struct RejectedGeneration {
-    /// The index of the file, below [`GENERATIONS`].
+    /// The index of the file, less than [`GENERATIONS`].
     pub generation: usize,
-    /// Why it is not used.
+    /// Why it cannot be used.
     pub error: SnapshotError,
 }
 
-/// The bytes of a snapshot file.
+/// Encodes a snapshot as the content of a file.
 pub fn encode(snapshot: &Snapshot) -> Vec<u8> {
-    // Encoding numbers, strings and lists into memory cannot fail.
+    // Serializing numbers, strings and lists to memory cannot fail.
     let body = postcard::to_stdvec(snapshot).unwrap_or_default();
     let mut bytes = Vec::with_capacity(HEADER_BYTES + body.len());
     bytes.extend(MAGIC);
@@ -120,11 +118,11 @@
     bytes
 }
 
-/// Reads a snapshot file of the process `name` in `fleet`.
+/// Decodes the content of a snapshot file of the process `name` in `fleet`.
 ///
 /// # Errors
 ///
-/// If the file is damaged, of a newer format or of another process.
+/// If the file is damaged, has a newer format version, or belongs to another process.
 pub fn decode(bytes: &[u8], fleet: &str, name: &str) -> Result<Snapshot, SnapshotError> {
     let body = checked_body(bytes)?;
     let snapshot: Snapshot = postcard::from_bytes(body).map_err(|_| SnapshotError::Damaged)?;
@@ -137,7 +135,7 @@
     Ok(snapshot)
 }
 
-/// The body of a snapshot file whose header matches it.
+/// Returns the body of a snapshot file after checking it against the header.
 fn checked_body(bytes: &[u8]) -> Result<&[u8], SnapshotError> {
     if bytes.is_empty() {
         return Err(SnapshotError::Empty);
@@ -146,7 +144,7 @@
     if bytes[..magic_bytes] != MAGIC[..magic_bytes] {
         return Err(SnapshotError::NotASnapshot);
     }
-    let torn = |wanted| SnapshotError::Torn { held: bytes.len(), wanted };
+    let torn = |expected| SnapshotError::Torn { actual: bytes.len(), expected };
     let (header, body) = bytes.split_at_checked(HEADER_BYTES).ok_or_else(|| torn(HEADER_BYTES))?;
     let format = u16::from_le_bytes([header[FORMAT_AT], header[FORMAT_AT + 1]]);
     if format > FORMAT {
@@ -165,8 +163,8 @@
     Ok(body)
 }
 
-/// Selects the newest usable snapshot from the contents of the files, by their indices; none where a file does not
-/// exist, which is no error.
+/// Selects the newest usable snapshot from the contents of the files, in order of their indexes. `None` stands for a
+/// file that does not exist, which is not an error.
 pub fn select_newest(files: &[Option<Vec<u8>>], fleet: &str, name: &str) -> LoadedSnapshots {
     let mut loaded = LoadedSnapshots::default();
     for (generation, bytes) in files.iter().enumerate() {
@@ -187,7 +185,7 @@
     }
 }
 
-/// The index of the file for a snapshot with this sequence number: never the one of the snapshot before it.
+/// The index of the file for a snapshot with this sequence number; never the same as for the previous one.
 pub fn generation(sequence: u64) -> usize {
     (sequence % GENERATIONS as u64) as usize
 }
--- a/crates/recovery/tests/stored_bytes.rs
+++ b/crates/recovery/tests/stored_bytes.rs
@@ -1,10 +1,10 @@
-//! The encodings are stable: snapshots and the entries of the replicated map are compared with those that an earlier
-//! release wrote.
+//! Guards the stored formats: snapshots and replicated map entries are compared with the bytes that an earlier release
+//! wrote.
 
 use recorded::{hex, Recorded};
 use serde::{de::DeserializeOwned, Serialize};
 use shelfgrade_fleet::{Entry, MemberId, Version};
-use shelfgrade_recovery::snapshot::{decode, encode, HeldSession, Snapshot};
+use shelfgrade_recovery::snapshot::{decode, encode, SessionRecord, Snapshot};
 use shelfgrade_recovery::{
     list_digest, Heartbeat, ListHistory, ListVersion, ServerHealth, ServerRecord, HEARTBEAT_PREFIX, LIST_KEY,
     SERVER_PREFIX,
@@ -33,11 +33,11 @@
 }
 
 #[test]
-fn entries_are_written_and_read_as_an_earlier_release_wrote_them() {
+fn entries_are_encoded_and_decoded_as_in_an_earlier_release() {
     assert_stable("server in service", &record(ServerHealth::InService, Some("127.0.0.1:9001")));
     assert_stable("server terminating", &record(ServerHealth::Terminating, Some("[::1]:9001")));
     assert_stable("server terminated", &record(ServerHealth::Terminated, None));
-    assert_stable("beat", &Heartbeat { epoch: 3, seq: 70_000, digest: u32::MAX, answered: true });
+    assert_stable("beat", &Heartbeat { epoch: 3, seq: 70_000, digest: u32::MAX, is_answered: true });
     assert_stable(
         "list",
         &ListHistory {
@@ -50,17 +50,17 @@
 }
 
 #[test]
-fn a_list_has_the_digest_that_an_earlier_release_gave_it() {
+fn the_digest_of_a_list_is_the_same_as_in_an_earlier_release() {
     let records = [
         ("s-1", record(ServerHealth::InService, Some("127.0.0.1:9001"))),
         ("s-2", record(ServerHealth::Terminating, None)),
     ];
-    let digest = list_digest(records.iter().map(|(host, record)| (*host, record)));
+    let digest = list_digest(records.iter().map(|(server, record)| (*server, record)));
     assert_eq!(hex(&digest.to_le_bytes()), RECORDED.digits("digest"));
 }
 
 #[test]
-fn a_snapshot_is_written_and_read_as_an_earlier_release_wrote_it() {
+fn a_snapshot_is_encoded_and_decoded_as_in_an_earlier_release() {
     let version = Version { count: 300, by: 1_790_000_000_000_123 };
     let entry = |key: &str, value| Entry { key: key.into(), version, owner: MemberId(2), value };
     let snapshot = Snapshot {
@@ -76,7 +76,7 @@
             ),
             entry("space/x", None),
         ],
-        held_sessions: vec![HeldSession {
+        sessions: vec![SessionRecord {
             key: u64::MAX,
             server: "s-1".into(),
             started_ms: 1_790_000_000_000.5,
--- a/crates/recovery/tests/unit/admission.rs
+++ b/crates/recovery/tests/unit/admission.rs
@@ -27,7 +27,7 @@
     RecoveryRamp::new(settings, at(1000))
 }
 
-/// A ramp whose list, with one server that started at one second, was agreed a tenth of a second later.
+/// A ramp whose endpoint list was agreed at 1100 ms, with one server that started at 1000 ms.
 fn ramping_up() -> RecoveryRamp {
     let mut ramp = ramp();
     ramp.on_endpoint_list([Some(at(1000))].into_iter(), at(1100));
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn states_follow_each_other_and_the_ramp_is_skipped_if_all_servers_are_warm() {
+fn states_change_in_order_and_the_ramp_is_skipped_if_all_servers_are_warm() {
     let mut cold = ramp();
     let alarm = requester(Some(ALARM), None);
     assert_eq!(cold.state(), RecoveryState::AwaitingList);
@@ -61,7 +61,7 @@
 #[test]
 fn the_tightest_objective_is_admitted_first_and_equal_ranks_have_equal_chances() {
     let mut ramp = ramping_up();
-    // A third of each class, and capacity for a third of all.
+    // One third of the requests are of each class, and there is capacity for one third of all requests.
     let mut admitted: BTreeMap<usize, usize> = BTreeMap::new();
     for i in 0..2900u64 {
         let class = [STATUS, ALARM, INCIDENT][(i % 3) as usize];
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn a_customer_whose_classes_all_rank_last_still_has_a_part_of_its_share() {
+fn a_customer_whose_classes_all_rank_last_still_receives_part_of_its_share() {
     let mut ramp = ramping_up();
     let (mut of_all, mut of_customer) = (0.0, 0.0);
     for i in 0..5000u64 {
@@ -95,11 +95,11 @@
     assert!((0.12..=0.2).contains(&fraction), "{of_customer} of {of_all}, with a share of 0.3");
 }
 
-/// Without extrapolation the first arrivals fill a warming server beyond its limit.
+/// Guards against a warming server being filled beyond its limit by the first arrivals.
 #[test]
 fn the_first_arrivals_are_extrapolated_to_a_full_window() {
     let mut ramp = ramping_up();
-    // Ten come at once, and there is capacity for a tenth of a full window, which is more than all of them.
+    // Ten requests arrive at once. Without extrapolation, a server at full capacity would admit all of them.
     let is_admitted = |i: &u64| {
         let alarm = requester(Some(ALARM), None);
         ramp.admission_turn(alarm, key(*i), 0.5, at(1100)).expect("a turn").fraction_ahead <= 1.0
@@ -114,10 +114,13 @@
         ramp.admission_turn(requester(None, None), 1, random_unit, at(ms)).expect("a turn").retry_after
     };
     let longest = retry_after(&mut ramp, 1.0, 1100);
-    assert_eq!(longest, Duration::from_millis(2000), "no longer than clients comply with");
+    assert_eq!(longest, Duration::from_millis(2000), "limited to what clients comply with");
     ramp.on_endpoint_list([Some(at(1000))].into_iter(), at(1200));
     let spread: Vec<_> =
         (0..=10).map(|i| retry_after(&mut ramp, f64::from(i) / 10.0, 1300).as_ms()).collect();
     assert!(spread.windows(2).all(|pair| pair[1] - pair[0] > 150.0), "{spread:?}");
-    assert!(retry_after(&mut ramp, 1.0, 8800) < Duration::from_millis(400), "little of the warm-up is left");
+    assert!(
+        retry_after(&mut ramp, 1.0, 8800) < Duration::from_millis(400),
+        "limited to the rest of the warm-up"
+    );
 }
--- a/crates/recovery/tests/unit/restore.rs
+++ b/crates/recovery/tests/unit/restore.rs
@@ -1,4 +1,4 @@
-//! Unit tests of what is restored from a snapshot.
+//! Unit tests of restoring a snapshot.
 
 use super::*;
 use crate::server_record::{ServerRecord, SERVER_PREFIX};
@@ -10,9 +10,9 @@
     ServerRecord { address, zone: "a".into(), kind: "m2".into(), cell: 3, health, started_ms }
 }
 
-/// A loss of power stops proxies and servers alike, so restored servers may not be taken as warm.
+/// A power outage stops proxies and servers alike, so restored servers must not be treated as warm.
 #[test]
-fn restored_servers_count_as_just_started_and_draining_ones_still_drain() {
+fn restored_servers_count_as_just_started_and_draining_servers_keep_draining() {
     let entry = |server: &str, record: ServerRecord| Entry {
         key: format!("{SERVER_PREFIX}{server}"),
         version: Version { count: 3, by: 1 },
@@ -25,7 +25,7 @@
         entry("s3", record(ServerHealth::Terminated, 5.0)),
         Entry { value: Some(vec![9]), ..entry("s4", record(ServerHealth::InService, 0.0)) },
     ];
-    let held_sessions = vec![HeldSession { key: 8, server: "s1".into(), started_ms: 0.0 }];
+    let sessions = vec![SessionRecord { key: 8, server: "s1".into(), started_ms: 0.0 }];
     let snapshot = Snapshot {
         fleet: "dar".to_owned(),
         name: "n3".to_owned(),
@@ -33,16 +33,19 @@
         written_at_ms: 9,
         started_at: 40,
         entries: entries.clone(),
-        held_sessions: held_sessions.clone(),
+        sessions: sessions.clone(),
     };
     let now = Timestamp::from_ms(77_000.0);
     let restored = RestoredState::from_snapshot(snapshot, now);
-    let candidates: Vec<_> =
-        restored.candidates.iter().map(|known| (&*known.server, known.started, known.state)).collect();
+    let fallback_endpoints: Vec<_> = restored
+        .fallback_endpoints
+        .iter()
+        .map(|known| (&*known.server, known.started, known.state))
+        .collect();
     assert_eq!(
-        candidates,
+        fallback_endpoints,
         [("s1", Some(now), EndpointState::Active), ("s2", Some(now), EndpointState::Draining)]
     );
     assert_eq!((restored.entries, restored.min_started_at), (entries, 41));
-    assert_eq!(restored.held_sessions, held_sessions);
+    assert_eq!(restored.sessions, sessions);
 }
--- a/crates/recovery/tests/unit/server_record.rs
+++ b/crates/recovery/tests/unit/server_record.rs
@@ -8,13 +8,13 @@
 }
 
 #[test]
-fn known_health_is_kept_within_a_server_incarnation_and_dropped_after_its_restart() {
+fn known_health_is_kept_within_a_server_incarnation_and_discarded_after_a_restart() {
     let merged_health = |new: ServerRecord, known: ServerRecord| new.with_known_health(Some(&known)).health;
     let (serving, draining) = (record(ServerHealth::InService, 5.0), record(ServerHealth::Terminating, 5.0));
     assert_eq!(
         merged_health(serving.clone(), draining.clone()),
         ServerHealth::Terminating,
-        "discovery has lost its state"
+        "discovery has lost the draining state"
     );
     assert_eq!(
         merged_health(record(ServerHealth::InService, 9.0), draining),
--- a/crates/recovery/tests/unit/snapshot.rs
+++ b/crates/recovery/tests/unit/snapshot.rs
@@ -19,12 +19,12 @@
         written_at_ms: 1_790_000_000_000,
         started_at: 17,
         entries: (0..sequence + 3).map(entry).collect(),
-        held_sessions: vec![HeldSession { key: 5, server: "s-1".into(), started_ms: 12.5 }],
+        sessions: vec![SessionRecord { key: 5, server: "s-1".into(), started_ms: 12.5 }],
     }
 }
 
 #[test]
-fn each_damage_has_its_own_error_and_the_other_generation_is_used() {
+fn each_kind_of_damage_has_its_own_error_and_the_other_generation_is_used() {
     let good = encode(&snapshot(4));
     let error = |bytes: &[u8]| decode(bytes, "dar", "n3").expect_err("an error");
     assert_eq!(decode(&good, "dar", "n3"), Ok(snapshot(4)));
@@ -55,7 +55,7 @@
         LoadedSnapshots::default(),
         "a first start has no files"
     );
-    assert_ne!(generation(4), generation(5), "never over the previous snapshot");
+    assert_ne!(generation(4), generation(5), "never overwrites the previous snapshot");
 }
 
 proptest! {
@@ -65,9 +65,9 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever a disk returns is decoded as it was encoded, or rejected.
+    /// A file that was truncated or altered is either decoded to the original snapshot or rejected.
     #[test]
-    fn a_file_is_decoded_as_encoded_or_rejected(
+    fn a_damaged_file_is_never_decoded_to_another_snapshot(
         number in 0..40u64,
         cut in any::<prop::sample::Index>(),
         flips in prop::collection::vec((any::<prop::sample::Index>(), 1..=255u8), 0..3),
