--- a/crates/namespaces/benches/look_up.rs
+++ b/crates/namespaces/benches/look_up.rs
@@ -1,4 +1,4 @@
-//! Time of a look-up with one namespace, and with ten thousand.
+//! Measures the time of a look-up with 1, 100 and 10,000 namespaces.
 
 use criterion::{criterion_group, criterion_main, BenchmarkId, Criterion};
 use shelfgrade_namespaces::grants::{Grant, Grants};
@@ -7,7 +7,7 @@
 use shelfgrade_namespaces::table::{Lookup, NamespaceTable};
 use std::hint::black_box;
 
-fn table(namespaces: usize) -> NamespaceTable {
+fn table_of(namespaces: usize) -> NamespaceTable {
     let name = |i: usize| format!("customer-{i}");
     let mut table = NamespaceTable::default();
     let grant = |i| Grant { customer: name(i), servers: ServerSelector::default(), max_connections: 10 };
@@ -17,7 +17,7 @@
             default_max_connections: 10,
             grants: (0..namespaces).map(grant).collect(),
         })
-        .expect("grants");
+        .expect("valid grants");
     for i in 0..namespaces {
         let rule = |r: usize| Rule {
             name: format!("r{r}"),
@@ -28,7 +28,7 @@
         };
         table
             .insert(Namespace { customer: name(i), version: 1, rules: (0..8).map(rule).collect() })
-            .expect("a namespace");
+            .expect("a valid namespace");
     }
     table
 }
@@ -36,7 +36,7 @@
 fn look_up(criterion: &mut Criterion) {
     let mut group = criterion.benchmark_group("look_up");
     for namespaces in [1, 100, 10_000] {
-        let mut table = table(namespaces);
+        let mut table = table_of(namespaces);
         let customer = format!("customer-{}", namespaces / 2);
         group.bench_with_input(BenchmarkId::from_parameter(namespaces), &namespaces, |bench, _| {
             bench.iter(|| {
--- a/crates/namespaces/src/chunks.rs
+++ b/crates/namespaces/src/chunks.rs
@@ -1,39 +1,40 @@
-//! Replication of values that are larger than one entry of the replicated map: a value is split into chunks under keys
-//! of their own, and a header under its own key says when all chunks of one version have arrived.
+//! Replication of values that are too large for one entry of the replicated map. The encoded value is split into
+//! chunks, each stored under its own key. A header stored under the key of the value tells whether all chunks of one
+//! version have arrived.
 
 use serde::{de::DeserializeOwned, Deserialize, Serialize};
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Size of every chunk but the last, so that a chunk with its key fits in one datagram.
+/// Size of all chunks except the last one. Small enough for a chunk and its key to fit in one datagram.
 pub const CHUNK_BYTES: usize = 800;
-/// Chunks of one value at most.
+/// Maximum number of chunks of a value.
 pub const MAX_CHUNKS: usize = 64;
 
-/// What stands under the key of the value itself.
+/// The header of a chunked value, stored under the key of the value. Encoded by field position.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChunkHeader {
     /// Version of the value.
     pub version: u64,
     /// Number of chunks.
     pub chunks: u16,
-    /// XXH3 of the encoded value, so that chunks of different versions are never taken for one value.
+    /// XXH3 hash of the encoded value, so that chunks of different versions are never combined.
     pub checksum: u64,
 }
 
-/// A value with its header, ready to be replicated.
+/// The header and chunks of a value.
 pub struct ChunkedValue {
-    /// Goes under the key of the value.
+    /// To be stored under the key of the value.
     pub header: ChunkHeader,
-    /// Go under the keys of [`chunk_key`], in their order.
+    /// To be stored under the keys that [`chunk_key`] returns for their indexes.
     pub chunks: Vec<Vec<u8>>,
 }
 
-/// A value has more bytes than the chunks can hold.
+/// The encoded value, of this many bytes, does not fit in [`MAX_CHUNKS`] chunks.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
-#[error("{0} bytes, where {most} are the most: shorten names, or join rules", most = CHUNK_BYTES * MAX_CHUNKS)]
+#[error("{0} bytes exceed the limit of {limit}: shorten names, or merge rules", limit = CHUNK_BYTES * MAX_CHUNKS)]
 pub struct TooLargeError(pub usize);
 
-/// The key of a chunk of the value under `key`.
+/// The key of the chunk with this index of the value stored under `key`.
 pub fn chunk_key(key: &str, index: usize) -> String {
     format!("{key}/{index:02}")
 }
@@ -42,7 +43,7 @@
 ///
 /// # Errors
 ///
-/// [`TooLargeError`] with the encoded size.
+/// [`TooLargeError`] if the encoded value is too large.
 pub fn split<T: Serialize>(version: u64, value: &T) -> Result<ChunkedValue, TooLargeError> {
     let bytes = postcard::to_stdvec(value).unwrap_or_default();
     let chunks: Vec<_> = bytes.chunks(CHUNK_BYTES).map(<[u8]>::to_vec).collect();
@@ -53,7 +54,7 @@
     Ok(ChunkedValue { header, chunks })
 }
 
-/// The value, once all of its chunks are there; none while one is missing or of another version.
+/// Reassembles and decodes a value. `None` if a chunk is missing or belongs to another version.
 pub fn reassemble<T: DeserializeOwned>(
     header: &ChunkHeader,
     chunk: impl Fn(usize) -> Option<Vec<u8>>,
--- a/crates/namespaces/src/lib.rs
+++ b/crates/namespaces/src/lib.rs
@@ -1,11 +1,12 @@
-//! Namespaces: the rules by which each customer spreads its sessions over the servers that it is granted. A namespace
-//! belongs to one customer, and no rule can name another customer's.
+//! Namespaces: each customer's rules for assigning its sessions to the servers that it was granted. A namespace belongs
+//! to one customer, and its rules cannot refer to other customers.
 //!
-//! - [`rules`] and [`grants`]: what customers and the operator write, and its validation;
-//! - [`table`]: the namespaces in force, and the look-up of a session's rule;
-//! - [`chunks`]: how a value is replicated in pieces that fit in an entry of the replicated map.
+//! - [`rules`] and [`grants`]: the files of customers and of the operator, and their validation;
+//! - [`selector`]: name patterns, and the servers that they select;
+//! - [`table`]: the namespaces in force, and the look-up of the rule for a session;
+//! - [`chunks`]: replication of values that are too large for one entry of the replicated map.
 //!
-//! The crate does no I/O.
+//! The crate performs no I/O.
 
 #![warn(missing_docs)]
 #![deny(unsafe_code)]
--- a/crates/namespaces/src/rules.rs
+++ b/crates/namespaces/src/rules.rs
@@ -1,35 +1,35 @@
-//! A customer's rules and their validation against what the customer is granted.
+//! A customer's rules, and their validation against the customer's grant.
 
 use crate::error::NamespaceError;
 use crate::grants::Grant;
-use crate::selector::{check_patterns, is_name, Pattern, ServerSelector, MAX_PATTERNS};
+use crate::selector::{check_patterns, is_valid_name, Pattern, ServerSelector, MAX_PATTERNS};
 use serde::{Deserialize, Serialize};
 
-/// Rules of a namespace at most, which bounds the time of a look-up.
+/// Maximum number of rules in a namespace. Bounds the time of a look-up.
 pub const MAX_RULES: usize = 64;
 
-/// Which sessions go to which servers.
+/// Assigns matching sessions to servers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rule {
     /// Unique in its namespace.
     pub name: String,
-    /// Request classes that the rule matches; all where none is named.
+    /// Request classes that the rule matches; all if empty.
     #[serde(default, rename = "offerings")]
     pub classes: Vec<String>,
-    /// Client groups that the rule matches; where none is named all, and sessions without a group.
+    /// Client groups that the rule matches; if empty, all groups and sessions without a group.
     #[serde(default)]
     pub groups: Vec<Pattern>,
-    /// Servers that matching sessions go to, within those that the customer is granted.
+    /// Servers that matching sessions are assigned to, among those granted to the customer.
     #[serde(default, rename = "to")]
     pub servers: ServerSelector,
-    /// Connections by this rule over all processes of the fleet; those of the grant where it is left out.
+    /// Maximum number of connections by this rule over all processes of the fleet; that of the grant if not set.
     #[serde(default, rename = "room")]
     pub max_connections: Option<u32>,
 }
 
 impl Rule {
-    /// Whether the rule matches sessions of a request class and a client group.
+    /// Whether the rule matches sessions of this request class and client group.
     pub fn matches(&self, class: &str, group: Option<&str>) -> bool {
         self.matches_class(class) && self.matches_group(group)
     }
@@ -43,7 +43,7 @@
             || group.is_some_and(|group| self.groups.iter().any(|pattern| pattern.matches(group)))
     }
 
-    /// Whether this rule matches every session that the other one matches.
+    /// Whether this rule matches every session that `other` matches.
     fn covers(&self, other: &Rule) -> bool {
         self.covers_classes(other) && self.covers_groups(other)
     }
@@ -60,75 +60,78 @@
 
     fn check(&self, grant: &Grant) -> Result<(), NamespaceError> {
         if self.classes.len() > MAX_PATTERNS {
-            return Err(self.error("offerings", format!("more than {MAX_PATTERNS}")));
+            return Err(self.error("offerings", format!("more than {MAX_PATTERNS} request classes")));
         }
-        check_patterns(&self.groups).map_err(|what| self.error("groups", what))?;
+        check_patterns(&self.groups).map_err(|problem| self.error("groups", problem))?;
         self.check_servers(grant)?;
         if self.max_connections.is_some_and(|connections| connections > grant.max_connections) {
-            let what = format!("more than the {} that are granted", grant.max_connections);
-            return Err(self.error("room", what));
+            let problem = format!("more than the {} granted", grant.max_connections);
+            return Err(self.error("room", problem));
         }
         Ok(())
     }
 
     fn check_servers(&self, grant: &Grant) -> Result<(), NamespaceError> {
-        let lists = self.servers.lists().into_iter().zip(grant.servers.lists());
+        let lists = self.servers.pattern_lists().into_iter().zip(grant.servers.pattern_lists());
         for ((key, patterns), (_, granted)) in lists {
-            check_patterns(patterns).map_err(|what| self.error(key, what))?;
-            let is_granted =
-                |pattern: &Pattern| granted.is_empty() || granted.iter().any(|own| own.covers(pattern));
-            if let Some(beyond) = patterns.iter().find(|pattern| !is_granted(pattern)) {
-                return Err(self.error(key, format!("{:?} is beyond what is granted", beyond.as_str())));
+            check_patterns(patterns).map_err(|problem| self.error(key, problem))?;
+            let is_granted = |pattern: &Pattern| {
+                granted.is_empty() || granted.iter().any(|allowed| allowed.covers(pattern))
+            };
+            if let Some(not_granted) = patterns.iter().find(|pattern| !is_granted(pattern)) {
+                return Err(
+                    self.error(key, format!("{:?} is not covered by the grant", not_granted.as_str()))
+                );
             }
         }
         Ok(())
     }
 
-    fn error(&self, place: &'static str, what: String) -> NamespaceError {
-        NamespaceError::Rule { rule: self.name.clone(), place, what }
+    fn error(&self, key: &'static str, problem: String) -> NamespaceError {
+        NamespaceError::Rule { rule: self.name.clone(), key, problem }
     }
 }
 
-/// A rule that never matches, as a rule before it matches all of its sessions.
+/// A rule that never matches, because an earlier rule matches all of its sessions.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ShadowedRule<'a> {
     /// Name of the rule that never matches.
     pub rule: &'a str,
-    /// Name of the rule before it.
+    /// Name of the earlier rule that covers it.
     pub covered_by: &'a str,
 }
 
-/// The rules of one customer; the first that matches decides.
+/// The rules of one customer. The first rule that matches a session applies.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Namespace {
     /// Name of the customer.
     pub customer: String,
-    /// Goes up with each change.
+    /// Increased with each change.
     pub version: u64,
-    /// In the order in which they are tried.
+    /// In the order in which they are matched.
     #[serde(default, rename = "rule")]
     pub rules: Vec<Rule>,
 }
 
 impl Namespace {
-    /// Reads the text of a customer's file. What it says is validated by [`Namespace::check`].
+    /// Parses the text of a customer's file. Its values are validated by [`Namespace::check`].
     ///
     /// # Errors
     ///
-    /// [`NamespaceError::Form`] with the line and the column.
+    /// [`NamespaceError::Malformed`] with the line and column.
     pub fn parse(text: &str) -> Result<Self, NamespaceError> {
         toml::from_str(text).map_err(|error| NamespaceError::from_toml(text, &error))
     }
 
-    /// Validates all rules against what the customer is granted.
+    /// Validates all rules against the customer's grant.
     ///
     /// # Errors
     ///
-    /// [`NamespaceError::NotGranted`], [`NamespaceError::TooManyRules`], or [`NamespaceError::Rule`] with the place of
-    /// an invalid value.
+    /// [`NamespaceError::NotGranted`], [`NamespaceError::TooManyRules`], or [`NamespaceError::Rule`] with the key of an
+    /// invalid value.
     pub fn check(&self, grant: Option<&Grant>) -> Result<(), NamespaceError> {
-        let grant = grant.filter(|grant| is_name(&self.customer) && grant.customer == self.customer);
+        let grant = grant.filter(|grant| is_valid_name(&self.customer) && grant.customer == self.customer);
         let grant = grant.ok_or_else(|| NamespaceError::NotGranted(self.customer.clone()))?;
         if self.rules.len() > MAX_RULES {
             return Err(NamespaceError::TooManyRules(self.rules.len()));
@@ -142,18 +145,24 @@
 
     fn check_name(&self, index: usize) -> Result<(), NamespaceError> {
         let rule = &self.rules[index];
-        let is_taken = self.rules[..index].iter().any(|before| before.name == rule.name);
-        if is_name(&rule.name) && !is_taken {
+        let is_taken = self.rules[..index].iter().any(|earlier| earlier.name == rule.name);
+        if is_valid_name(&rule.name) && !is_taken {
             Ok(())
         } else {
-            Err(rule.error("name", format!("rule {} needs a name that no other has", index + 1)))
+            Err(rule.error(
+                "name",
+                format!(
+                    "rule {} needs a unique name of letters, digits, dots, dashes and underscores",
+                    index + 1
+                ),
+            ))
         }
     }
 
-    /// Rules that never match, each with the first rule that covers it.
+    /// Returns the rules that never match, each with the first earlier rule that covers it.
     pub fn shadowed_rules(&self) -> Vec<ShadowedRule<'_>> {
         let shadowed = self.rules.iter().enumerate().filter_map(|(index, rule)| {
-            let covering = self.rules[..index].iter().find(|before| before.covers(rule))?;
+            let covering = self.rules[..index].iter().find(|earlier| earlier.covers(rule))?;
             Some(ShadowedRule { rule: &rule.name, covered_by: &covering.name })
         });
         shadowed.collect()
--- a/crates/namespaces/src/selector.rs
+++ b/crates/namespaces/src/selector.rs
@@ -3,18 +3,19 @@
 use serde::{Deserialize, Serialize};
 use shelfgrade::host::Endpoint;
 
-/// Patterns in one list at most, which bounds the time of a look-up.
+/// Maximum number of patterns in a list. Bounds the time of a look-up.
 pub const MAX_PATTERNS: usize = 64;
-/// Longest name or pattern.
+/// Maximum length of a name or pattern in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
 
-/// A name, or with a star at its end all names that begin so.
+/// A name, or a prefix followed by a star that matches all names with this prefix.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Pattern(String);
 
 impl Pattern {
-    /// A pattern of this text, which is validated with the namespace or the grant that holds it.
+    /// Creates a pattern without validating it: patterns are validated together with the namespace or grant that
+    /// contains them.
     pub fn new(text: &str) -> Self {
         Pattern(text.to_owned())
     }
@@ -27,7 +28,7 @@
         }
     }
 
-    /// Whether this pattern matches every name that the other one matches.
+    /// Whether this pattern matches every name that `other` matches.
     pub(crate) fn covers(&self, other: &Pattern) -> bool {
         match (self.prefix(), other.prefix()) {
             (Some(prefix), Some(other_prefix)) => other_prefix.starts_with(prefix),
@@ -36,7 +37,7 @@
         }
     }
 
-    /// The text that it was made of.
+    /// The text of the pattern, including a star.
     pub(crate) fn as_str(&self) -> &str {
         &self.0
     }
@@ -50,33 +51,33 @@
     }
 }
 
-/// Validates the patterns of one list; the error says what to correct.
+/// Validates the patterns of a list. The error describes the problem.
 pub(crate) fn check_patterns(patterns: &[Pattern]) -> Result<(), String> {
     if patterns.len() > MAX_PATTERNS {
-        return Err(format!("{} names where {MAX_PATTERNS} are the most", patterns.len()));
+        return Err(format!("{} patterns exceed the limit of {MAX_PATTERNS}", patterns.len()));
     }
     match patterns.iter().find(|pattern| !pattern.is_valid()) {
-        Some(invalid) => Err(format!("{:?} is no name, nor one with a star at its end", invalid.0)),
+        Some(invalid) => Err(format!("{:?} is not a name or a prefix followed by a star", invalid.0)),
         None => Ok(()),
     }
 }
 
-/// Whether a text may name a customer or a rule: customers' names become part of file names and of keys of the
-/// replicated map.
-pub(crate) fn is_name(text: &str) -> bool {
+/// Whether a text is a valid name of a customer or a rule. Restricted because customer names become part of file names
+/// and of keys in the replicated map.
+pub(crate) fn is_valid_name(text: &str) -> bool {
     let allowed = |byte: u8| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'_' | b'.');
     !text.is_empty() && text.len() <= MAX_NAME_BYTES && text.bytes().all(allowed)
 }
 
-/// Selects servers: those that match a pattern of each list. An empty list matches all servers.
+/// Selects the servers that match at least one pattern of each list. An empty list matches all servers.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct ServerSelector {
-    /// Zones.
+    /// Patterns for the zone.
     pub zones: Vec<Pattern>,
-    /// Kinds of machine.
+    /// Patterns for the kind of machine.
     pub kinds: Vec<Pattern>,
-    /// Server ids.
+    /// Patterns for the server id.
     pub ids: Vec<Pattern>,
 }
 
@@ -91,8 +92,8 @@
             && any_matches(&self.ids, &server.server)
     }
 
-    /// The lists with their keys, always in the same order.
-    pub(crate) fn lists(&self) -> [(&'static str, &[Pattern]); 3] {
+    /// The lists with their keys in the file, always in the same order.
+    pub(crate) fn pattern_lists(&self) -> [(&'static str, &[Pattern]); 3] {
         [("zones", &self.zones), ("kinds", &self.kinds), ("ids", &self.ids)]
     }
 }
--- a/crates/namespaces/src/table.rs
+++ b/crates/namespaces/src/table.rs
@@ -1,4 +1,5 @@
-//! The namespaces in force, and the look-up of a session's rule: in its own customer's namespace and nowhere else.
+//! The namespaces in force, and the look-up of the rule for a session, which only searches the namespace of the
+//! session's customer.
 
 use crate::error::NamespaceError;
 use crate::grants::{Grant, Grants};
@@ -7,7 +8,7 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// The endpoint list, and how often it has changed.
+/// The endpoint list, with a generation number that is incremented with each change.
 #[derive(Default)]
 struct Endpoints {
     list: Vec<Endpoint>,
@@ -15,7 +16,7 @@
 }
 
 impl Endpoints {
-    /// Ids of the servers that match, sorted.
+    /// The ids of the matching servers, sorted.
     fn select(&self, matches: impl Fn(&Endpoint) -> bool) -> Rc<[ServerId]> {
         let matching = self.list.iter().filter(|endpoint| matches(endpoint));
         let mut servers: Vec<_> = matching.map(|endpoint| endpoint.server.clone()).collect();
@@ -24,16 +25,16 @@
     }
 }
 
-/// One version of a namespace in force, with the servers that its rules select from the endpoint list.
+/// A namespace in force, with the servers that its rules select from the endpoint list.
 pub struct ActiveNamespace {
-    /// The rules.
+    /// The namespace itself.
     pub namespace: Namespace,
-    /// What the customer is granted.
+    /// The customer's grant.
     pub grant: Grant,
-    /// For each rule.
+    /// The selected servers of each rule, in the order of the rules.
     selected_servers: Vec<Rc<[ServerId]>>,
     granted_servers: Rc<[ServerId]>,
-    /// Of the endpoint list that the servers were selected from.
+    /// Generation of the endpoint list that the servers were selected from.
     generation: u64,
 }
 
@@ -56,17 +57,17 @@
         self.namespace.version
     }
 
-    /// Servers that the customer is granted, in the order of their ids.
+    /// The servers granted to the customer, sorted by id.
     pub fn granted_servers(&self) -> &Rc<[ServerId]> {
         &self.granted_servers
     }
 }
 
-/// The rule that decides a session, with the version of the namespace that it belongs to: a later version does not
-/// change what was decided.
+/// The rule that applies to a session, together with its version of the namespace. Later versions do not change the
+/// result of a look-up.
 #[derive(Clone)]
 pub struct MatchedRule {
-    /// The namespace as it was looked up.
+    /// The namespace at the time of the look-up.
     pub active: Rc<ActiveNamespace>,
     index: usize,
 }
@@ -77,40 +78,40 @@
         &self.active.namespace.rules[self.index]
     }
 
-    /// Servers that the rule selects, in the order of their ids; may be empty.
+    /// The servers that the rule selects, sorted by id. May be empty.
     pub fn servers(&self) -> Rc<[ServerId]> {
         self.active.selected_servers[self.index].clone()
     }
 
-    /// Connections by this rule over all processes of the fleet.
+    /// Maximum number of connections by this rule over all processes of the fleet.
     pub fn max_connections(&self) -> u32 {
         self.rule().max_connections.unwrap_or(self.active.grant.max_connections)
     }
 }
 
-/// Result of looking up a session.
+/// The result of looking up the rule for a session.
 pub enum Lookup {
-    /// The session has no customer, or one without a namespace: no rule applies to it.
+    /// The session has no customer, or its customer has no namespace: no rules apply to it.
     NoNamespace,
-    /// The namespace of its customer has no rule for it: it is rejected.
+    /// No rule in the namespace of its customer matches: the session is rejected.
     NoMatchingRule,
-    /// The first rule that matches.
+    /// The first matching rule.
     Matched(MatchedRule),
 }
 
-/// A namespace that went out of force, as it no longer fits its grant.
+/// A namespace that was deactivated because it is no longer covered by the customer's grant.
 #[derive(Debug)]
 pub struct DeactivatedNamespace {
     /// Name of the customer.
     pub customer: String,
-    /// Why it does not fit.
+    /// Why it is not covered.
     pub error: NamespaceError,
 }
 
 /// The grants and the namespaces in force.
 #[derive(Default)]
 pub struct NamespaceTable {
-    /// Never iterated where the order would show.
+    /// The map's iteration order must not affect results.
     namespaces: HashMap<String, Rc<ActiveNamespace>>,
     grants: HashMap<String, Grant>,
     grants_version: u64,
@@ -119,15 +120,15 @@
 }
 
 impl NamespaceTable {
-    /// Replaces all grants. Returns the namespaces that went out of force, sorted by customer.
+    /// Replaces all grants. Returns the namespaces that were deactivated, sorted by customer.
     ///
     /// # Errors
     ///
-    /// Those of [`Grants::check`], and [`NamespaceError::Stale`]; the grants before then stay.
+    /// Those of [`Grants::check`], and [`NamespaceError::Stale`]; the previous grants then stay in force.
     pub fn apply_grants(&mut self, grants: Grants) -> Result<Vec<DeactivatedNamespace>, NamespaceError> {
         grants.check()?;
         if grants.version < self.grants_version {
-            return Err(NamespaceError::Stale { offered: grants.version, held: self.grants_version });
+            return Err(NamespaceError::Stale { offered: grants.version, current: self.grants_version });
         }
         self.grants_version = grants.version;
         self.default_max_connections = grants.default_max_connections;
@@ -166,16 +167,16 @@
         namespace.check(self.grants.get(&namespace.customer))
     }
 
-    /// Brings a namespace into force in place of the customer's last one.
+    /// Activates a namespace, replacing the customer's previous one.
     ///
     /// # Errors
     ///
-    /// Those of [`Namespace::check`], and [`NamespaceError::Stale`]; the last one then stays.
+    /// Those of [`Namespace::check`], and [`NamespaceError::Stale`]; the previous namespace then stays in force.
     pub fn insert(&mut self, namespace: Namespace) -> Result<Rc<ActiveNamespace>, NamespaceError> {
         self.check(&namespace)?;
-        let held = self.namespaces.get(&namespace.customer).map(|active| active.version());
-        if let Some(held) = held.filter(|held| *held > namespace.version) {
-            return Err(NamespaceError::Stale { offered: namespace.version, held });
+        let current = self.namespaces.get(&namespace.customer).map(|active| active.version());
+        if let Some(current) = current.filter(|current| *current > namespace.version) {
+            return Err(NamespaceError::Stale { offered: namespace.version, current });
         }
         let customer = namespace.customer.clone();
         let grant = self.grants.get(&customer).cloned();
@@ -185,19 +186,19 @@
         Ok(active)
     }
 
-    /// Removes a customer's namespace: its sessions are then decided as those of customers without one.
+    /// Removes a customer's namespace. Its sessions are then treated like those of customers without a namespace.
     pub fn remove(&mut self, customer: &str) {
         self.namespaces.remove(customer);
     }
 
-    /// Replaces the endpoint list. Each namespace selects its servers anew when it is next looked up, so that the time
-    /// of this call does not grow with the number of namespaces.
+    /// Replaces the endpoint list. The servers of each namespace are selected again at its next look-up, so that the
+    /// time of this call does not depend on the number of namespaces.
     pub fn set_endpoints(&mut self, list: Vec<Endpoint>) {
         self.endpoints.list = list;
         self.endpoints.generation += 1;
     }
 
-    /// A customer's namespace, with its servers selected from the current endpoint list.
+    /// Returns a customer's namespace, with servers selected from the current endpoint list.
     pub fn get(&mut self, customer: &str) -> Option<&Rc<ActiveNamespace>> {
         let active = self.namespaces.get_mut(customer)?;
         if active.generation != self.endpoints.generation {
@@ -207,15 +208,16 @@
         Some(active)
     }
 
-    /// The customer's fraction of what this process may send to warming servers: its connections among all that are
-    /// granted. Customers that share a server then together send it no more than one process may.
+    /// The customer's fraction of what this process may send to servers that are warming up: its granted connections
+    /// relative to all granted connections. All customers that share a server thus stay within the limit of one process
+    /// together.
     pub fn quota_share(&self, customer: &str) -> f64 {
         self.grants
             .get(customer)
             .map_or(0.0, |grant| f64::from(grant.max_connections) / self.total_max_connections())
     }
 
-    /// The same fraction for sessions whose customer has no namespace; 1 where there are no grants.
+    /// The same fraction for sessions whose customer has no namespace; 1 if there are no grants.
     pub fn default_quota_share(&self) -> f64 {
         if self.grants.is_empty() {
             1.0
@@ -229,7 +231,7 @@
         (granted + f64::from(self.default_max_connections)).max(1.0)
     }
 
-    /// The rule that decides a session of this customer, request class and client group.
+    /// Looks up the rule for a session of this customer, request class and client group.
     pub fn look_up(&mut self, customer: Option<&str>, class: &str, group: Option<&str>) -> Lookup {
         let Some(active) = customer.and_then(|customer| self.get(customer)) else {
             return Lookup::NoNamespace;
@@ -241,7 +243,7 @@
     }
 }
 
-/// Connections of `max_connections` that fall to one of a number of members; those of all members add up to all.
+/// One member's part of `max_connections`. The parts of all `members` add up to `max_connections`.
 pub fn member_max_connections(max_connections: u32, member: usize, members: usize) -> u32 {
     let total_of_first = |members_before: usize| {
         (u64::from(max_connections) * members_before as u64 / members.max(1) as u64) as u32
--- a/crates/namespaces/tests/isolation.rs
+++ b/crates/namespaces/tests/isolation.rs
@@ -1,4 +1,4 @@
-//! No customer's rules change how another customer's sessions are decided.
+//! Tests that a customer's rules never affect the sessions of other customers.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -64,13 +64,13 @@
             version: version as u64,
             rules: rules.clone(),
         };
-        // A namespace that is refused changes nothing.
+        // A rejected namespace has no effect.
         let _ = table.insert(namespace);
     }
     table
 }
 
-/// Every decision for one customer, as text.
+/// All look-up results for one customer, as text.
 fn decisions(table: &mut NamespaceTable, customer: &str) -> String {
     let mut decisions = String::new();
     for class in ["alarm", "status", "other"] {
@@ -99,7 +99,7 @@
         cases: 200, rng_seed: RngSeed::Fixed(23), failure_persistence: None, ..ProptestConfig::default()
     })]
 
-    /// One customer's rules stay while all others' change in any way: every decision for the one stays equal.
+    /// The results for one customer do not change, however the rules of the other customers change.
     #[test]
     fn changes_of_other_customers_rules_never_change_a_customers_decisions(
         mine in rules(),
@@ -116,9 +116,9 @@
         prop_assert_eq!(with(&before), decisions(&mut changed, CUSTOMERS[0]));
     }
 
-    /// No rule selects a server that its customer is not granted, whatever it names.
+    /// Rules only select servers granted to their customer, whatever patterns they contain.
     #[test]
-    fn no_rule_reaches_beyond_its_customers_grant(rules in rules(), zone in "[ab]") {
+    fn no_rule_selects_servers_outside_its_customers_grant(rules in rules(), zone in "[ab]") {
         let servers = ServerSelector { zones: vec![Pattern::new(&zone)], ..ServerSelector::default() };
         let mut table = NamespaceTable::default();
         let grant = Grant { customer: "posta".into(), servers, max_connections: 60 };
@@ -134,14 +134,14 @@
         }
     }
 
-    /// The connections of all members together are those of the fleet.
+    /// The parts of all members add up to the connections of the fleet.
     #[test]
     fn the_connections_of_all_members_add_up(max_connections in 0..5000u32, members in 1..400usize) {
         let of_member = |member| member_max_connections(max_connections, member, members);
         prop_assert_eq!((0..members).map(of_member).sum::<u32>(), max_connections);
     }
 
-    /// A namespace is replicated in chunks, and chunks of two versions never make a third one.
+    /// Chunks of two versions of a namespace are never combined.
     #[test]
     fn a_namespace_is_reassembled_completely_or_not_at_all(old in rules(), new in rules(), stale in any::<prop::sample::Index>()) {
         let namespace = |rules: &[Rule], version| Namespace { customer: "posta".into(), version, rules: rules.to_vec() };
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn an_invalid_namespace_keeps_the_old_one_in_force_and_delays_no_other_customer() {
+fn an_invalid_namespace_leaves_the_previous_one_in_force_and_does_not_affect_other_customers() {
     let mut table = table(&[(0, Vec::new()), (3, Vec::new())]);
     let rule = |name: &str| Rule {
         name: name.into(),
@@ -171,18 +171,20 @@
         max_connections: Some(61),
     };
     let namespace = |customer: &str, version, rules| Namespace { customer: customer.into(), version, rules };
-    let error = table.insert(namespace("posta", 9, vec![rule("big")])).err().expect("refused");
+    let error = table.insert(namespace("posta", 9, vec![rule("big")])).err().expect("an error");
     assert!(error.to_string().contains("rule big, room"), "{error}");
-    assert_eq!(table.get("posta").map(|held| held.version()), Some(0));
+    assert_eq!(table.get("posta").map(|current| current.version()), Some(0));
     let good = Rule { max_connections: None, ..rule("all") };
     assert!(table.insert(namespace("upanga", 9, vec![good.clone()])).is_ok());
-    assert!(table.insert(namespace("upanga", 8, vec![good])).is_err(), "never back to an older one");
-    let Lookup::Matched(matched) = table.look_up(Some("upanga"), "alarm", None) else { panic!("a rule") };
-    table.insert(namespace("upanga", 10, Vec::new())).expect("good");
+    assert!(table.insert(namespace("upanga", 8, vec![good])).is_err(), "an older version is rejected");
+    let Lookup::Matched(matched) = table.look_up(Some("upanga"), "alarm", None) else {
+        panic!("no matching rule")
+    };
+    table.insert(namespace("upanga", 10, Vec::new())).expect("a valid namespace");
     assert_eq!(
         (matched.active.version(), matched.servers().len()),
         (9, 5),
-        "a decision keeps the version that it was made by"
+        "the result of a look-up keeps its version of the namespace"
     );
     assert!(matches!(table.look_up(Some("upanga"), "alarm", None), Lookup::NoMatchingRule));
     assert!(matches!(table.look_up(Some("nobody"), "alarm", None), Lookup::NoNamespace));
@@ -190,7 +192,7 @@
 }
 
 #[test]
-fn a_look_up_uses_the_current_endpoint_list_and_earlier_decisions_stay() {
+fn a_look_up_uses_the_current_endpoint_list_and_earlier_results_are_unchanged() {
     let rule = Rule {
         name: "all".into(),
         classes: Vec::new(),
@@ -201,11 +203,11 @@
     let mut table = table(&[(0, vec![rule])]);
     let servers = |table: &mut NamespaceTable| match table.look_up(Some("posta"), "alarm", None) {
         Lookup::Matched(matched) => matched.servers(),
-        _ => panic!("a rule"),
+        _ => panic!("no matching rule"),
     };
     let before = servers(&mut table);
     table.set_endpoints(endpoints()[1..].to_vec());
     assert_eq!((before.len(), servers(&mut table).len()), (5, 4));
     table.set_endpoints(Vec::new());
-    assert!(servers(&mut table).is_empty(), "a rule that selects no server");
+    assert!(servers(&mut table).is_empty(), "the rule selects no servers");
 }
--- a/crates/namespaces/tests/stored_bytes.rs
+++ b/crates/namespaces/tests/stored_bytes.rs
@@ -1,4 +1,4 @@
-//! Namespaces and grants keep their bytes in the replicated map: they are compared with what an earlier release wrote.
+//! Guards the stored format of namespaces and grants: compares them with the bytes that an earlier release wrote.
 
 use recorded::{hex, Recorded};
 use serde::{de::DeserializeOwned, Serialize};
@@ -34,8 +34,8 @@
 name = "rest"
 "#;
 
-/// The header and the chunks of a value are those of the earlier release, in both directions.
-fn assert_bytes_kept<T: Serialize + DeserializeOwned + Debug + PartialEq>(name: &str, value: &T) {
+/// Checks that the header and chunks of a value are encoded and decoded as in the earlier release.
+fn assert_stable<T: Serialize + DeserializeOwned + Debug + PartialEq>(name: &str, value: &T) {
     let ChunkedValue { header, chunks } = split(300, value).unwrap();
     let header_bytes = postcard::to_stdvec(&header).unwrap();
     assert_eq!(hex(&header_bytes), RECORDED.digits(&format!("{name} head")), "{name}");
@@ -46,8 +46,8 @@
 }
 
 #[test]
-fn namespaces_and_grants_are_written_and_read_as_an_earlier_release_wrote_them() {
-    assert_bytes_kept("grants", &Grants::parse(GRANTS).unwrap());
-    assert_bytes_kept("namespace", &Namespace::parse(NAMESPACE).unwrap());
+fn namespaces_and_grants_are_encoded_and_decoded_as_in_an_earlier_release() {
+    assert_stable("grants", &Grants::parse(GRANTS).unwrap());
+    assert_stable("namespace", &Namespace::parse(NAMESPACE).unwrap());
     assert_eq!(chunk_key("space/msasani", 3), "space/msasani/03");
 }
--- a/crates/namespaces/tests/validation.rs
+++ b/crates/namespaces/tests/validation.rs
@@ -1,4 +1,4 @@
-//! Which namespaces and grants are accepted, and how those that are refused are reported.
+//! Tests which namespaces and grants are accepted, and the errors for those that are rejected.
 
 use shelfgrade_namespaces::error::NamespaceError;
 use shelfgrade_namespaces::grants::Grants;
@@ -17,29 +17,34 @@
 }
 
 #[test]
-fn an_invalid_namespace_is_refused_with_the_place_of_the_error() {
+fn an_invalid_namespace_is_rejected_with_the_location_of_the_error() {
     let grants = Grants::parse(GRANTS).expect("valid grants");
     assert_eq!(Namespace::parse(NAMESPACE).unwrap().check(grants.grants.first()), Ok(()));
     for (valid, invalid, words) in [
         ("room", "rooms", ["line 7, column 1", "unknown field", "correct it there"]),
-        ("\"a1\"", "\"b1\"", ["rule near, zones", "\"b1\" is beyond what is granted", "correct it there"]),
-        ("\"a1\"", "\"*\"", ["rule near, zones", "\"*\" is beyond what is granted", "correct it there"]),
-        ("\"a1\"", "\"a*b\"", ["rule near, zones", "no name, nor one with a star", "correct it there"]),
-        ("= 9", "= 41", ["rule near, room", "more than the 40", "correct it there"]),
-        ("\"rest\"", "\"near\"", ["rule near, name", "no other has", "correct it there"]),
-        ("posta", "upanga", ["upanga", "has no grant", "have the operator"]),
+        ("\"a1\"", "\"b1\"", ["rule near, zones", "\"b1\" is not covered by the grant", "correct it there"]),
+        ("\"a1\"", "\"*\"", ["rule near, zones", "\"*\" is not covered by the grant", "correct it there"]),
+        (
+            "\"a1\"",
+            "\"a*b\"",
+            ["rule near, zones", "not a name or a prefix followed by a star", "correct it there"],
+        ),
+        ("= 9", "= 41", ["rule near, room", "more than the 40 granted", "correct it there"]),
+        ("\"rest\"", "\"near\"", ["rule near, name", "needs a unique name", "correct it there"]),
+        ("posta", "upanga", ["upanga", "has no grant", "the operator has to grant"]),
     ] {
         let error = error_of(&NAMESPACE.replacen(valid, invalid, 1));
         assert!(words.iter().all(|word| error.contains(word)), "{words:?} in {error}");
     }
     let many: String = (0..65).map(|i| format!("[[rule]]\nname = \"r{i}\"\n")).collect();
-    assert!(error_of(&format!("customer = \"posta\"\nversion = 1\n{many}")).contains("65 rules where 64"));
+    assert!(error_of(&format!("customer = \"posta\"\nversion = 1\n{many}"))
+        .contains("65 rules exceed the limit of 64"));
     let twice = GRANTS.to_owned() + "[[grant]]\ncustomer = \"posta\"\nroom = 1\n";
-    assert_eq!(Grants::parse(&twice), Err(NamespaceError::GrantedTwice("posta".into())));
+    assert_eq!(Grants::parse(&twice), Err(NamespaceError::DuplicateGrant("posta".into())));
 }
 
 #[test]
-fn a_rule_that_never_matches_is_named_with_the_rule_that_covers_it() {
+fn a_shadowed_rule_is_reported_with_the_rule_that_covers_it() {
     let rule = |name: &str, classes: &[&str], groups: &[&str]| Rule {
         name: name.into(),
         classes: classes.iter().map(|class| (*class).to_owned()).collect(),
