--- a/crates/maintenance/src/lib.rs
+++ b/crates/maintenance/src/lib.rs
@@ -1,11 +1,11 @@
-//! Maintenance windows: a site has no traffic while its window lasts, and drains before.
+//! Maintenance windows: a site has no traffic during its window, and is drained before it.
 //!
-//! - [`schedule`]: the windows as the operator writes them, and their validation;
-//! - [`occurrence`]: the times at which a window comes, in its time zone;
-//! - [`plan`]: the phase of each site at a moment;
-//! - [`drain`]: which servers of a draining site take no sessions any more.
+//! - [`schedule`]: the operator's schedule of windows, and its validation;
+//! - [`occurrence`]: the times at which a window occurs, computed in its time zone;
+//! - [`plan`]: the phase of each site at a given time;
+//! - [`drain`]: which servers of a draining site do not accept sessions any more.
 //!
-//! The crate does no I/O and reads no clock: all times are Unix milliseconds that the embedding process passes in.
+//! The crate performs no I/O and does not read the clock: all times are passed in as Unix time in milliseconds.
 
 #![warn(missing_docs)]
 #![deny(unsafe_code)]
--- a/crates/maintenance/src/occurrence.rs
+++ b/crates/maintenance/src/occurrence.rs
@@ -1,5 +1,5 @@
-//! The times at which windows come. A local time that comes twice counts as the first one, one that does not exist as
-//! the hour after it.
+//! Computes the times at which windows occur. If a local time occurs twice because of a clock change, the first one
+//! counts; if it is skipped, the time one hour later counts.
 
 use crate::error::ScheduleError;
 use crate::schedule::{Window, DAY_MS, SECOND_MS};
@@ -7,39 +7,39 @@
 use jiff::tz::TimeZone;
 use jiff::ToSpan;
 
-/// Clocks of processes differ by seconds: an occurrence counts as so much longer on either side where it is compared
-/// with another.
+/// Margin added to both ends of an occurrence when it is compared with others, as the clocks of processes can differ by
+/// seconds.
 pub const CLOCK_MARGIN_MS: i64 = 10_000;
 
-/// One time that a window comes. Ordered by its beginning.
+/// One occurrence of a window. Ordered by beginning.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Occurrence {
-    /// From here on the site has no traffic.
+    /// When the window begins. From then on the site has no traffic.
     pub begins_ms: i64,
     /// Name of the window.
     pub window: String,
-    /// Zone of the servers.
+    /// Zone of the affected servers.
     pub site: String,
-    /// From here until the beginning the site drains.
+    /// When the site starts to drain.
     pub drains_from_ms: i64,
-    /// From here on the site takes traffic again.
+    /// When the window ends. From then on the site accepts traffic again.
     pub ends_ms: i64,
 }
 
 impl Occurrence {
-    /// Whether the site is to drain or to be closed now.
-    pub fn is_under_way(&self, now_ms: i64) -> bool {
+    /// Whether the site should be draining or closed now.
+    pub fn is_in_progress(&self, now_ms: i64) -> bool {
         self.drains_from_ms <= now_ms && now_ms < self.ends_ms
     }
 
-    /// Whether two processes, whose clocks differ, could have the two under way at once.
+    /// Whether two processes whose clocks differ could consider both occurrences in progress at the same time.
     pub fn overlaps(&self, other: &Occurrence) -> bool {
         self.drains_from_ms - CLOCK_MARGIN_MS < other.ends_ms + CLOCK_MARGIN_MS
             && other.drains_from_ms - CLOCK_MARGIN_MS < self.ends_ms + CLOCK_MARGIN_MS
     }
 }
 
-/// A window whose times are counted from its first one, which is number 0.
+/// Computes the occurrences of a window, numbered from 0 for the first one.
 pub(crate) struct Recurrence<'a> {
     window: &'a Window,
     zone: &'a TimeZone,
@@ -49,21 +49,21 @@
 impl<'a> Recurrence<'a> {
     /// # Errors
     ///
-    /// [`ScheduleError::Window`] where the window's beginning is no date and time.
+    /// [`ScheduleError::Window`] if the window's beginning is not a date and time.
     pub(crate) fn new(window: &'a Window, zone: &'a TimeZone) -> Result<Self, ScheduleError> {
         let first = window.begins.parse().map_err(|_| {
-            let what = format!("{} is no date and time", window.begins);
-            ScheduleError::Window { window: window.name.clone(), place: "begins", what }
+            let problem = format!("{} is not a date and time", window.begins);
+            ScheduleError::Window { window: window.name.clone(), key: "begins", problem }
         })?;
         Ok(Recurrence { window, zone, first })
     }
 
-    /// All occurrences that touch the period, in their order.
+    /// Returns all occurrences that overlap the period, in order.
     ///
     /// # Errors
     ///
-    /// [`ScheduleError::Window`] where a date is out of the calendar's range.
-    pub(crate) fn within(&self, from_ms: i64, to_ms: i64) -> Result<Vec<Occurrence>, ScheduleError> {
+    /// [`ScheduleError::Window`] if a date is out of the calendar's range.
+    pub(crate) fn occurrences(&self, from_ms: i64, to_ms: i64) -> Result<Vec<Occurrence>, ScheduleError> {
         let mut occurrences = Vec::new();
         let mut number = self.first_number(from_ms)?;
         loop {
@@ -82,9 +82,9 @@
         Ok(occurrences)
     }
 
-    /// At or before the number of the first occurrence that ends after `from_ms`.
+    /// A lower bound for the number of the first occurrence that ends after `from_ms`.
     fn first_number(&self, from_ms: i64) -> Result<i64, ScheduleError> {
-        // Changes of the time zone's offset add up to less than this.
+        // Upper bound for the effect of changes of the time zone's UTC offset.
         const OFFSET_CHANGE_DAYS: i64 = 1;
         let Some(period_days) = self.window.repeats.period_days() else { return Ok(0) };
         let first_ends_ms = self.occurrence(0)?.ends_ms;
@@ -106,8 +106,8 @@
     fn begins_ms(&self, number: i64) -> Result<i64, ScheduleError> {
         let error = |error: jiff::Error| ScheduleError::Window {
             window: self.window.name.clone(),
-            place: "begins",
-            what: error.to_string(),
+            key: "begins",
+            problem: error.to_string(),
         };
         let days = number * self.window.repeats.period_days().unwrap_or(0);
         let local = self.first.checked_add(days.days()).map_err(error)?;
@@ -116,7 +116,7 @@
     }
 }
 
-/// A moment in UTC, as operators read it.
+/// Formats a Unix time in milliseconds as UTC for log messages and errors.
 pub fn format_utc(ms: i64) -> String {
     jiff::Timestamp::from_millisecond(ms).map_or_else(|_| ms.to_string(), |at| at.to_string())
 }
--- a/crates/maintenance/src/plan.rs
+++ b/crates/maintenance/src/plan.rs
@@ -1,13 +1,14 @@
-//! The phase of each site at a moment, worked out by each process alone from the schedule, the clock and the endpoint
-//! list.
+//! Determines the phase of each site at a given time. Each process does this on its own, from the schedule, the clock
+//! and the endpoint list.
 //!
-//! Occurrences are taken in the order in which they begin. A site drains only while no more sites than the schedule
-//! allows are without traffic, the other sites have enough servers, and one of them is open. A site that was without
-//! traffic as its window began stays closed until the window ends, whatever fails elsewhere, as work on it may have
-//! begun.
+//! Occurrences are evaluated in the order in which they begin. A site drains only as long as the number of sites
+//! without traffic stays within the limit of the schedule, the remaining sites have enough servers, and at least one of
+//! them is open. A site that was without traffic when its window began stays closed until the window ends, even if
+//! other sites fail, because maintenance work may have started.
 //!
-//! The windows of the version before count too: processes with the old and the new version then never close more sites
-//! together than either allows. An occurrence that overlaps with such a window is blocked from its start to its end.
+//! The windows of the previous version of the schedule are taken into account too, so that processes with the old and
+//! the new version together never close more sites than either version allows. An occurrence that overlaps such a
+//! window is blocked from its start to its end.
 
 use crate::drain::DrainPeriod;
 use crate::error::ScheduleError;
@@ -15,33 +16,33 @@
 use crate::schedule::Schedule;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A site of the endpoint list.
+/// A site in the endpoint list.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Site {
-    /// Servers that are active, whatever the schedule says.
+    /// Number of servers that are active, regardless of the schedule.
     pub active_servers: usize,
 }
 
-/// What the schedule makes of a site.
+/// The state of a site according to the schedule.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Phase {
-    /// It takes traffic.
+    /// The site accepts traffic.
     Open,
-    /// Its servers stop taking sessions one after the other, before its window begins.
+    /// The window begins soon; the site's servers stop accepting sessions one after the other.
     Draining(DrainPeriod),
-    /// Its window has begun: it has no traffic.
+    /// The window has begun, and the site has no traffic.
     Closed {
         /// When the window ends.
         until_ms: i64,
     },
-    /// Its window is near or has begun, but the site has to keep its traffic.
+    /// The window begins soon or has begun, but the site has to keep its traffic.
     Blocked {
-        /// Why, for the operator.
+        /// The reason, for the operator.
         reason: String,
     },
 }
 
-/// An occurrence, across evaluations.
+/// Identifies an occurrence across evaluations.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 struct OccurrenceId {
     site: String,
@@ -54,7 +55,7 @@
     }
 }
 
-/// Sites without traffic, as found so far in one evaluation.
+/// Intermediate results of one evaluation.
 #[derive(Default)]
 struct Evaluation<'a> {
     sites_without_traffic: BTreeSet<&'a str>,
@@ -62,19 +63,19 @@
     draining: BTreeSet<OccurrenceId>,
 }
 
-/// The schedule in force, and what has become of its windows.
+/// The schedule in force, and the state of its windows.
 pub struct Plan {
     schedule: Schedule,
-    /// Occurrences whose site was closed in the last evaluation.
+    /// Occurrences whose site was closed at the last evaluation.
     closed: BTreeSet<OccurrenceId>,
-    /// Occurrences whose site was draining in the last evaluation.
+    /// Occurrences whose site was draining at the last evaluation.
     draining: BTreeSet<OccurrenceId>,
-    /// When each site was last found closed.
+    /// The time of the last evaluation at which each site was closed.
     last_closed_ms: BTreeMap<String, i64>,
 }
 
 impl Plan {
-    /// A plan that starts with this schedule.
+    /// Creates a plan with an initial schedule.
     pub fn new(schedule: Schedule) -> Self {
         Plan { schedule, closed: BTreeSet::new(), draining: BTreeSet::new(), last_closed_ms: BTreeMap::new() }
     }
@@ -84,19 +85,19 @@
         self.schedule.version
     }
 
-    /// Brings a newer schedule into force; one that is not newer changes nothing. A site whose window it moves or
-    /// removes is open again at the next evaluation.
+    /// Replaces the schedule if `next` is newer. A site whose window in progress is moved or removed opens again at the
+    /// next evaluation.
     pub fn update(&mut self, next: Schedule) {
         if next.version > self.schedule.version {
-            self.schedule = self.schedule.succeeded_by(next);
+            self.schedule = self.schedule.superseded_by(next);
         }
     }
 
-    /// The phase of each of `sites`, which are those of the endpoint list. Windows of other sites have no effect.
+    /// Determines the phase of each of `sites`, the sites in the endpoint list. Windows of other sites have no effect.
     ///
     /// # Errors
     ///
-    /// Those of [`Schedule::occurrences`]; the plan is then unchanged.
+    /// Those of [`Schedule::occurrences`]; the plan is not changed then.
     pub fn evaluate(
         &mut self,
         now_ms: i64,
@@ -106,10 +107,10 @@
         let occurrences = self.schedule.occurrences(&self.schedule.windows, from_ms, to_ms)?;
         let mut phases: BTreeMap<_, _> = sites.keys().map(|site| (site.clone(), Phase::Open)).collect();
         let mut evaluation = Evaluation::default();
-        for occurrence in occurrences.iter().filter(|occurrence| occurrence.is_under_way(now_ms)) {
+        for occurrence in occurrences.iter().filter(|occurrence| occurrence.is_in_progress(now_ms)) {
             let Some(site_phase) = phases.get_mut(&occurrence.site) else { continue };
             let phase = self.phase_of(occurrence, now_ms, sites, &mut evaluation)?;
-            // Of several windows of one site, one that has closed it prevails.
+            // If a site has several windows in progress, a closed phase takes precedence.
             if !matches!(site_phase, Phase::Closed { .. }) {
                 *site_phase = phase;
             }
@@ -131,7 +132,9 @@
         let has_begun = now_ms >= occurrence.begins_ms;
         let stays_closed = has_begun && (self.closed.contains(&id) || self.draining.contains(&id));
         if !stays_closed {
-            if let Some(reason) = self.objection(occurrence, sites, &evaluation.sites_without_traffic)? {
+            if let Some(reason) =
+                self.blocking_reason(occurrence, sites, &evaluation.sites_without_traffic)?
+            {
                 return Ok(Phase::Blocked { reason });
             }
         }
@@ -147,8 +150,8 @@
         }))
     }
 
-    /// Why the site of an occurrence has to keep its traffic; none where it may go.
-    fn objection(
+    /// Why the site of an occurrence has to keep its traffic; `None` if it may drain.
+    fn blocking_reason(
         &self,
         occurrence: &Occurrence,
         sites: &BTreeMap<String, Site>,
@@ -165,14 +168,15 @@
         if unavailable.len() >= max_closed {
             let first = unavailable.first().copied().unwrap_or_default();
             return Ok(Some(format!(
-                "{first} is without traffic, or may be by the schedule before; {max_closed} may be"
+                "{first} is without traffic, or may be according to the previous schedule; the limit is {max_closed}"
             )));
         }
         unavailable.insert(&occurrence.site);
-        Ok(self.capacity_objection(sites, &unavailable))
+        Ok(self.capacity_shortage(sites, &unavailable))
     }
 
-    /// Occurrences of the version before that a process without this version may have under way together with this one.
+    /// Occurrences of the previous version that a process without the current version may have in progress at the same
+    /// time as this one.
     fn overlapping_previous(&self, occurrence: &Occurrence) -> Result<Vec<Occurrence>, ScheduleError> {
         let from_ms = occurrence.drains_from_ms - CLOCK_MARGIN_MS;
         let to_ms = occurrence.ends_ms + CLOCK_MARGIN_MS;
@@ -181,8 +185,8 @@
         Ok(previous)
     }
 
-    /// Why the servers of the sites that stay available are too few.
-    fn capacity_objection(
+    /// Why the remaining sites do not have enough servers; `None` if they do.
+    fn capacity_shortage(
         &self,
         sites: &BTreeMap<String, Site>,
         unavailable: &BTreeSet<&str>,
@@ -196,12 +200,12 @@
         let fraction_left = left as f64 / all.max(1) as f64;
         let min_fraction = self.schedule.min_active_fraction;
         (fraction_left < min_fraction).then(|| {
-            format!("{fraction_left:.2} of the servers would be left, and {min_fraction} have to be")
+            format!("{fraction_left:.2} of the servers would be left, but the minimum is {min_fraction}")
         })
     }
 
-    /// When a site was last found closed, in Unix milliseconds: its servers count as started then, so that they get
-    /// their sessions back by a slow start.
+    /// When a site was last closed, as Unix time in milliseconds. Its servers count as started then, so that they
+    /// receive sessions again by a slow start.
     pub fn last_closed_ms(&self, site: &str) -> Option<i64> {
         self.last_closed_ms.get(site).copied()
     }
--- a/crates/maintenance/src/schedule.rs
+++ b/crates/maintenance/src/schedule.rs
@@ -1,4 +1,4 @@
-//! The schedule of maintenance windows as the operator writes it, and its validation.
+//! The operator's schedule of maintenance windows, and its validation.
 
 use crate::error::ScheduleError;
 use crate::occurrence::{format_utc, Occurrence, Recurrence, CLOCK_MARGIN_MS};
@@ -7,26 +7,26 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// Windows of a schedule at most.
+/// Maximum number of windows in a schedule.
 pub const MAX_WINDOWS: usize = 256;
-/// Longest window: two weeks.
+/// Maximum duration of a window: two weeks.
 const MAX_DURATION_S: u32 = 14 * 24 * 3600;
-/// Longest lead: a day.
+/// Maximum lead time: one day.
 const MAX_LEAD_S: u32 = 24 * 3600;
-/// How far ahead windows are checked for overlaps: a leap year, and the longest window.
+/// How far ahead windows are checked for overlaps: a leap year plus the maximum duration of a window.
 const CHECKED_AHEAD_DAYS: i64 = 366 + 14;
-/// The shortest day and the shortest week of a time zone, in which an hour is left out.
+/// Minimum length of a local day and a local week: one hour is skipped when clocks change to summer time.
 const SHORTEST_DAY_S: u32 = 23 * 3600;
 const SHORTEST_WEEK_S: u32 = 167 * 3600;
 
 pub(crate) const SECOND_MS: i64 = 1000;
 pub(crate) const DAY_MS: i64 = 24 * 3600 * SECOND_MS;
 
-/// How often a window comes.
+/// How often a window occurs.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Repeat {
-    /// One time.
+    /// It occurs once.
     #[default]
     Once,
     /// Every day at the same local time.
@@ -53,44 +53,44 @@
     }
 }
 
-/// A period in which a site has no traffic.
+/// A maintenance window, during which a site has no traffic.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Window {
     /// Unique in its schedule.
     pub name: String,
-    /// Zone of the servers that are to have no traffic.
+    /// Zone of the servers that will have no traffic.
     pub site: String,
-    /// Local time of its first beginning, such as 2026-12-05T01:00.
+    /// Local date and time at which it first begins, such as 2026-12-05T01:00.
     pub begins: String,
-    /// From its beginning to its end, in seconds.
+    /// Duration in seconds.
     #[serde(rename = "lasts_s")]
     pub duration_s: u32,
-    /// For how long its site drains before it begins, in seconds.
+    /// Lead time in seconds: how long the site drains before the window begins.
     pub lead_s: u32,
-    /// How often it comes.
+    /// How often it occurs.
     #[serde(default)]
     pub repeats: Repeat,
 }
 
-/// All windows.
+/// A schedule of maintenance windows.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Schedule {
-    /// Goes up with each change.
+    /// Increased with each change.
     pub version: u64,
-    /// IANA name of the zone of the windows' local times.
+    /// IANA name of the time zone of the windows.
     pub time_zone: String,
-    /// Sites that may be without traffic together.
+    /// Maximum number of sites without traffic at the same time.
     #[serde(default = "default_max_closed_sites", rename = "most_at_once")]
     pub max_closed_sites: usize,
-    /// Fraction of all servers that has to keep its traffic, from 0 to below 1.
+    /// Minimum fraction of all servers that keep their traffic, from 0 to less than 1.
     #[serde(default = "default_min_active_fraction", rename = "least_left")]
     pub min_active_fraction: f64,
     /// The windows of this version.
     #[serde(default, rename = "window")]
     pub windows: Vec<Window>,
-    /// The windows of the version before, which processes keep to that have not received this one yet.
+    /// The windows of the previous version, which is still in force at processes that have not received this one yet.
     #[serde(default, rename = "before")]
     pub previous_windows: Vec<Window>,
 }
@@ -104,20 +104,20 @@
 }
 
 impl Schedule {
-    /// Reads the text of the schedule's file. What it says is validated by [`Schedule::check`].
+    /// Parses the text of the schedule's file. Its values are validated by [`Schedule::check`].
     ///
     /// # Errors
     ///
-    /// [`ScheduleError::Form`] with the line and the column.
+    /// [`ScheduleError::Malformed`] with the line and column.
     pub fn parse(text: &str) -> Result<Self, ScheduleError> {
         toml::from_str(text).map_err(|error| ScheduleError::from_toml(text, &error))
     }
 
-    /// Validates all windows, from now on and for a year.
+    /// Validates the schedule. Overlaps are checked for one year from now.
     ///
     /// # Errors
     ///
-    /// Any [`ScheduleError`] but [`ScheduleError::Form`].
+    /// Any [`ScheduleError`] except [`ScheduleError::Malformed`].
     pub fn check(&self, now_ms: i64) -> Result<(), ScheduleError> {
         self.zone()?;
         self.check_limits()?;
@@ -134,12 +134,12 @@
     }
 
     fn check_limits(&self) -> Result<(), ScheduleError> {
-        let out_of_range = |key, value, wanted| Err(ScheduleError::OutOfRange { key, value, wanted });
+        let out_of_range = |key, value, expected| Err(ScheduleError::OutOfRange { key, value, expected });
         if self.max_closed_sites == 0 {
-            return out_of_range("most_at_once", 0.0, "one or more");
+            return out_of_range("most_at_once", 0.0, "1 or more");
         }
         if !(0.0..1.0).contains(&self.min_active_fraction) {
-            return out_of_range("least_left", self.min_active_fraction, "a part from 0 to under 1");
+            return out_of_range("least_left", self.min_active_fraction, "a fraction from 0 to less than 1");
         }
         if self.windows.len() > MAX_WINDOWS {
             return Err(ScheduleError::TooManyWindows(self.windows.len()));
@@ -156,12 +156,16 @@
         Ok(())
     }
 
-    /// `before`: the occurrences that begin before this one, in the order in which they begin.
-    fn check_overlaps_of(&self, occurrence: &Occurrence, before: &[Occurrence]) -> Result<(), ScheduleError> {
-        // No occurrence reaches further, so that those that begin before this period need no comparison.
+    /// Checks one occurrence against `earlier`, the occurrences that begin before it, in order.
+    fn check_overlaps_of(
+        &self,
+        occurrence: &Occurrence,
+        earlier: &[Occurrence],
+    ) -> Result<(), ScheduleError> {
+        // Upper bound for how long an earlier occurrence can overlap this one; those that begin before need no check.
         const MAX_REACH_MS: i64 = (MAX_DURATION_S + MAX_LEAD_S) as i64 * SECOND_MS + 2 * CLOCK_MARGIN_MS;
         let recent =
-            before.iter().rev().take_while(|other| occurrence.begins_ms - other.begins_ms < MAX_REACH_MS);
+            earlier.iter().rev().take_while(|other| occurrence.begins_ms - other.begins_ms < MAX_REACH_MS);
         let overlapping: Vec<_> = recent.filter(|other| other.overlaps(occurrence)).collect();
         let mut sites: BTreeSet<&str> = overlapping.iter().map(|other| other.site.as_str()).collect();
         sites.insert(&occurrence.site);
@@ -178,11 +182,11 @@
         }
     }
 
-    /// All occurrences of these windows that touch the period, in the order in which they begin.
+    /// Returns all occurrences of these windows that overlap the period, in the order in which they begin.
     ///
     /// # Errors
     ///
-    /// [`ScheduleError::UnknownTimeZone`], or [`ScheduleError::Window`] where a beginning is no date and time.
+    /// [`ScheduleError::UnknownTimeZone`], or [`ScheduleError::Window`] if a beginning is not a date and time.
     pub fn occurrences(
         &self,
         windows: &[Window],
@@ -192,40 +196,43 @@
         let zone = self.zone()?;
         let mut occurrences = Vec::new();
         for window in windows {
-            occurrences.extend(Recurrence::new(window, &zone)?.within(from_ms, to_ms)?);
+            occurrences.extend(Recurrence::new(window, &zone)?.occurrences(from_ms, to_ms)?);
         }
         occurrences.sort();
         Ok(occurrences)
     }
 
-    /// The next version, with the windows of this one as its previous windows.
-    pub fn succeeded_by(&self, next: Schedule) -> Schedule {
+    /// Returns `next` with the windows of this schedule as its previous windows.
+    pub fn superseded_by(&self, next: Schedule) -> Schedule {
         Schedule { previous_windows: self.windows.clone(), ..next }
     }
 }
 
 impl Window {
     fn check(&self, has_unique_name: bool) -> Result<(), ScheduleError> {
-        let error = |place, what: &str| {
-            Err(ScheduleError::Window { window: self.name.clone(), place, what: what.to_owned() })
+        let error = |key, problem: &str| {
+            Err(ScheduleError::Window { window: self.name.clone(), key, problem: problem.to_owned() })
         };
         if self.name.is_empty() || !has_unique_name {
-            return error("name", "a name that no other has is wanted");
+            return error("name", "expected a unique name");
         }
         if self.site.is_empty() {
-            return error("site", "the name of a zone is wanted");
+            return error("site", "expected the name of a zone");
         }
         if self.begins.parse::<DateTime>().is_err() {
-            return error("begins", "a local date and time is wanted, such as 2026-12-05T01:00");
+            return error("begins", "expected a local date and time such as 2026-12-05T01:00");
         }
         if !(1..=MAX_DURATION_S).contains(&self.duration_s) {
-            return error("lasts_s", "a second to two weeks is wanted");
+            return error("lasts_s", "expected 1 second to 2 weeks");
         }
         if !(1..=MAX_LEAD_S).contains(&self.lead_s) {
-            return error("lead_s", "a second to a day is wanted");
+            return error("lead_s", "expected 1 second to 1 day");
         }
         if self.lead_s + self.duration_s >= self.repeats.shortest_period_s() {
-            return error("lasts_s", "with its lead it is longer than the time until it comes again");
+            return error(
+                "lasts_s",
+                "together with the lead, longer than the time until the next occurrence",
+            );
         }
         Ok(())
     }
--- a/crates/maintenance/tests/plan.rs
+++ b/crates/maintenance/tests/plan.rs
@@ -1,4 +1,4 @@
-//! The phases of sites over time, and how a site drains.
+//! Tests the phases of sites over time, and the draining of a site.
 
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_site_drains_closes_and_opens_again_and_a_window_of_an_unknown_site_has_no_effect() {
+fn a_site_drains_closes_and_reopens_and_a_window_of_an_unknown_site_has_no_effect() {
     let mut plan =
         Plan::new(schedule(1, vec![window("w", "a", 30, 60, 20), window("x", "nowhere", 300, 60, 20)]));
     let even = [6, 6, 6];
@@ -59,13 +59,13 @@
     assert_eq!(phase(&mut plan, 90, even, "a"), Phase::Open);
     assert_eq!(plan.last_closed_ms("a"), Some(T0 + 89 * MINUTE_MS));
     assert_eq!(plan.evaluate(T0 + 310 * MINUTE_MS, &sites(even)).expect("a plan").len(), 3);
-    // A process that starts during the window.
+    // A process that is started during the window.
     let mut late = Plan::new(schedule(1, vec![window("w", "a", 30, 60, 20)]));
     assert_eq!(phase(&mut late, 50, even, "a"), Phase::Closed { until_ms: T0 + 90 * MINUTE_MS });
 }
 
 #[test]
-fn a_site_that_fails_blocks_the_next_window_but_not_one_that_has_begun() {
+fn a_failed_site_blocks_a_window_that_has_not_begun_but_not_one_that_has() {
     let mut plan = Plan::new(schedule(1, vec![window("w", "a", 30, 60, 20)]));
     let reason = |phase| match phase {
         Phase::Blocked { reason } => reason,
@@ -78,29 +78,29 @@
     assert!(matches!(phase(&mut plan, 31, [6, 6, 6], "a"), Phase::Closed { .. }));
     assert!(
         matches!(phase(&mut plan, 32, [6, 0, 1], "a"), Phase::Closed { .. }),
-        "work on it may have begun"
+        "maintenance work may have started"
     );
 }
 
 #[test]
-fn a_window_moved_or_removed_while_under_way_opens_its_site_and_an_older_schedule_changes_nothing() {
+fn moving_a_window_in_progress_opens_its_site_and_an_older_schedule_has_no_effect() {
     let mut plan = Plan::new(schedule(2, vec![window("w", "a", 30, 60, 20)]));
     let even = [6, 6, 6];
     assert!(matches!(phase(&mut plan, 40, even, "a"), Phase::Closed { .. }));
     plan.update(schedule(1, Vec::new()));
     assert!(matches!(phase(&mut plan, 41, even, "a"), Phase::Closed { .. }));
     plan.update(schedule(3, vec![window("w", "a", 30, 15, 20), window("v", "b", 50, 60, 5)]));
-    assert_eq!(phase(&mut plan, 46, even, "a"), Phase::Open, "shortened");
-    // Processes with the version before keep site a without traffic until minute 90.
+    assert_eq!(phase(&mut plan, 46, even, "a"), Phase::Open, "the window was shortened");
+    // Processes with the previous version keep site a without traffic until minute 90.
     assert!(matches!(phase(&mut plan, 55, even, "b"), Phase::Blocked { .. }));
     assert!(
         matches!(phase(&mut plan, 92, even, "b"), Phase::Blocked { .. }),
-        "from its start to its end, as no lead is left"
+        "blocked until the window ends, as no lead is left to drain"
     );
 }
 
 #[test]
-fn servers_drain_one_after_the_other_over_the_lead_and_a_lead_that_is_too_short_is_found() {
+fn servers_drain_one_after_the_other_during_the_lead_and_a_lead_that_is_too_short_is_detected() {
     let lead = DrainPeriod { begins_ms: 0, ends_ms: 20 * MINUTE_MS };
     let draining = |now_ms| (0..10).filter(|index| lead.is_server_draining(*index, 10, now_ms)).count();
     assert_eq!([0, 7, 14, 20].map(|minute| draining(minute * MINUTE_MS)), [1, 6, 10, 10]);
@@ -123,8 +123,8 @@
         cases: 64, rng_seed: RngSeed::Fixed(41), failure_persistence: None, ..ProptestConfig::default()
     })]
 
-    /// One process has received the new schedule and one has not, and their clocks differ by seconds: together they
-    /// never have two sites without traffic where one may be.
+    /// One process has received the new schedule and one has not, and their clocks differ by seconds. Together they
+    /// never exceed the limit of one site without traffic.
     #[test]
     fn processes_with_different_versions_and_clocks_never_close_two_sites_together(
         old in windows(), new in windows(), updated_at_min in 0..200i64, clock_difference_ms in -9000..9000i64,
@@ -140,8 +140,8 @@
             }
             let sites_without_traffic = |plan: &mut Plan, now_ms| -> BTreeSet<String> {
                 let phases = plan.evaluate(now_ms, &even).expect("a plan");
-                let without = phases.into_iter().filter(|p| matches!(p.1, Phase::Draining(_) | Phase::Closed { .. }));
-                without.map(|(site, _)| site).collect()
+                let affected = phases.into_iter().filter(|p| matches!(p.1, Phase::Draining(_) | Phase::Closed { .. }));
+                affected.map(|(site, _)| site).collect()
             };
             let together: BTreeSet<_> = &sites_without_traffic(&mut updated, now) | &sites_without_traffic(&mut outdated, now + clock_difference_ms);
             prop_assert!(together.len() <= 1, "{:?} at minute {}", together, step / 2);
--- a/crates/maintenance/tests/schedule.rs
+++ b/crates/maintenance/tests/schedule.rs
@@ -1,4 +1,4 @@
-//! Which schedules are accepted, and when their windows come.
+//! Tests which schedules are accepted, and when their windows occur.
 
 use shelfgrade_maintenance::occurrence::format_utc;
 use shelfgrade_maintenance::schedule::{Repeat, Schedule, Window};
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn a_local_hour_that_comes_twice_counts_once_and_one_that_does_not_exist_is_the_next() {
+fn a_repeated_local_hour_counts_once_and_a_skipped_one_becomes_the_next_hour() {
     let daily = schedule(vec![window("nightly", "a", "2026-03-27T02:30", Repeat::Daily)]);
     let begins = |from: &str, to: &str| -> Vec<String> {
         let occurrences =
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn windows_that_close_too_many_sites_at_once_are_refused_with_both_their_names() {
+fn windows_that_close_too_many_sites_at_once_are_rejected_with_both_names() {
     let now = unix_ms("2026-03-01T00:00:00Z");
     let two = |second: &str| {
         schedule(vec![
@@ -60,16 +60,16 @@
             window("two", "b", second, Repeat::Daily),
         ])
     };
-    // The second one's lead begins twenty minutes before it.
+    // The lead of the second window begins twenty minutes before it.
     let error = two("2026-03-01T03:15").check(now).expect_err("they overlap");
-    let words = ["one", "two", "2 sites at once", "2026-03-27T", "move one"];
+    let words = ["one", "two", "2 sites without traffic at once", "2026-03-27T", "move one"];
     assert!(words.iter().all(|word| error.to_string().contains(word)), "{error}");
     assert_eq!(two("2026-03-01T03:30").check(now), Ok(()));
     assert_eq!(Schedule { max_closed_sites: 2, ..two("2026-03-01T03:15") }.check(now), Ok(()));
 }
 
 #[test]
-fn an_invalid_schedule_is_refused_with_the_place_of_the_error_and_what_to_do() {
+fn an_invalid_schedule_is_rejected_with_the_location_of_the_error_and_the_remedy() {
     const VALID: &str =
         "version = 1\ntime_zone = \"Europe/Berlin\"\n[[window]]\nname = \"w\"\nsite = \"a\"\n\
         begins = \"2026-03-27T02:30\"\nlasts_s = 3600\nlead_s = 600\n";
@@ -79,16 +79,16 @@
     assert_eq!(check(VALID), Ok(()));
     for (valid, invalid, words) in [
         ("lead_s", "lead", ["line 8, column 1", "unknown field"]),
-        ("Europe/Berlin", "Europe/Nowhere", ["Europe/Nowhere is not known", "name one such as"]),
-        ("2026-03-27T02:30", "tonight", ["window w, begins", "a local date and time is wanted"]),
-        ("= 3600", "= 0", ["window w, lasts_s", "a second to two weeks"]),
+        ("Europe/Berlin", "Europe/Nowhere", ["unknown time zone Europe/Nowhere", "use an IANA name such as"]),
+        ("2026-03-27T02:30", "tonight", ["window w, begins", "expected a local date and time"]),
+        ("= 3600", "= 0", ["window w, lasts_s", "expected 1 second to 2 weeks"]),
         (
             "= 3600",
             "= 86000\nrepeats = \"daily\"",
-            ["window w, lasts_s", "longer than the time until it comes again"],
+            ["window w, lasts_s", "longer than the time until the next occurrence"],
         ),
-        ("\"a\"", "\"\"", ["window w, site", "the name of a zone is wanted"]),
-        ("[[window]]", "least_left = 1.0\n[[window]]", ["least_left: 1", "a part from 0 to under 1"]),
+        ("\"a\"", "\"\"", ["window w, site", "expected the name of a zone"]),
+        ("[[window]]", "least_left = 1.0\n[[window]]", ["least_left: 1", "a fraction from 0 to less than 1"]),
     ] {
         let error = check(&VALID.replacen(valid, invalid, 1)).expect_err("an error").to_string();
         assert!(words.iter().all(|word| error.contains(word)), "{words:?} in {error}");
--- a/crates/maintenance/tests/stored_bytes.rs
+++ b/crates/maintenance/tests/stored_bytes.rs
@@ -1,4 +1,4 @@
-//! A schedule keeps its bytes in the replicated map: it is compared with what an earlier release wrote.
+//! Guards the stored format of schedules: compares one with the bytes that an earlier release wrote.
 
 use recorded::{hex, Recorded};
 use shelfgrade_maintenance::schedule::Schedule;
@@ -29,10 +29,10 @@
 "#;
 
 #[test]
-fn a_schedule_is_written_and_read_as_an_earlier_release_wrote_it() {
+fn a_schedule_is_encoded_and_decoded_as_in_an_earlier_release() {
     let previous = Schedule::parse(SCHEDULE).unwrap();
     let next = Schedule { version: 301, ..previous.clone() };
-    let schedule = previous.succeeded_by(next);
+    let schedule = previous.superseded_by(next);
     assert_eq!(hex(&postcard::to_stdvec(&schedule).unwrap()), RECORDED.digits("schedule"));
     assert_eq!(postcard::from_bytes::<Schedule>(&RECORDED.bytes("schedule")).unwrap(), schedule);
 }
