--- a/crates/settings/src/build.rs
+++ b/crates/settings/src/build.rs
@@ -1,4 +1,4 @@
-//! Builds the types of the decisions from the settings file.
+//! Builds the settings and the load balancer from the parsed settings file.
 
 use crate::file::{
     ClassSetting, DeploymentSetting, DiscoverySetting, IdempotencySetting, KeyScopeSetting, NonNegative,
@@ -10,17 +10,17 @@
 use std::num::NonZeroUsize;
 use std::time::Duration;
 
-/// Taken where the file leaves out how many proxies share the servers. High, as a proxy that assumes more of them
-/// sends less to a warming server.
+/// Number of proxies that share the servers, if not set. High, because a proxy that assumes more proxies sends fewer
+/// sessions to a warming server.
 const DEFAULT_PROXIES: usize = 100;
 
-/// Taken where neither `server_connections` nor bounded quotas are given.
+/// Capacity of a server if neither `server_connections` nor a quota for every customer is set.
 const DEFAULT_SERVER_CAPACITY_CONNECTIONS: f64 = 30.0;
 
-/// Over which the load of a warming server is counted, where `overload_for_ms` is left out.
+/// The period over which the load of a warming server is counted, if `overload_for_ms` is not set.
 const DEFAULT_OVERLOAD_WINDOW: Duration = Duration::from_millis(2000);
 
-/// Builds the settings and the load balancer, whose random draws come from the seed.
+/// Builds the settings and the load balancer, which uses the seed for its random number generator.
 pub fn settings(seed: u64, file: SettingsFile) -> Result<Settings, SettingsError> {
     let slow_start = slow_start(&file)?;
     let slow_start_duration = slow_start.duration;
@@ -57,7 +57,7 @@
     let total_capacity = file.deployment.total_capacity();
     let server_capacity = file.deployment.server_capacity;
     if total_capacity.is_some() && server_capacity.is_some() {
-        return Err(SettingsError::CapacityGivenTwice);
+        return Err(SettingsError::DuplicateCapacity);
     }
     let guarantees = &file.guarantees;
     Ok(SlowStart {
@@ -70,12 +70,12 @@
             .unwrap_or(DEFAULT_OVERLOAD_WINDOW),
         total_capacity,
         server_capacity: server_capacity
-            .map_or(DEFAULT_SERVER_CAPACITY_CONNECTIONS, |each| each.get().into()),
+            .map_or(DEFAULT_SERVER_CAPACITY_CONNECTIONS, |capacity| capacity.get().into()),
         proxies: file.proxies.map_or(DEFAULT_PROXIES, NonZeroUsize::get) as f64,
     })
 }
 
-/// How long the proxy may go without polling; none where the endpoint list is pushed.
+/// Maximum time between polls of discovery; `None` if the endpoint list is pushed.
 fn max_poll_interval(file: &SettingsFile) -> Option<Duration> {
     match file.discovery {
         DiscoverySetting::Pushed => None,
@@ -123,7 +123,7 @@
     }
 }
 
-/// None where a class has no timeout, or where there is no class.
+/// The longest request timeout; `None` if a class has no timeout, or if there are no classes.
 fn max_request_timeout(classes: &[ClassSetting]) -> Option<Duration> {
     let timeouts = classes.iter().map(|class| class.request_timeout_ms.map(NonNegative::milliseconds));
     timeouts.collect::<Option<Vec<_>>>()?.into_iter().max()
--- a/crates/settings/src/file.rs
+++ b/crates/settings/src/file.rs
@@ -1,5 +1,5 @@
-//! The JSON object of the settings, one type for each of its objects. Field names are the field's terms; `serde`
-//! renames carry the keys of the file.
+//! The JSON format of the settings, with one type for each JSON object. `serde` renames map the keys of the file to the
+//! field names.
 
 use serde::Deserialize;
 use shelfgrade::time::DurationExt;
@@ -7,7 +7,7 @@
 use std::num::{NonZeroU32, NonZeroUsize};
 use std::time::Duration;
 
-/// A finite number of 0 or more, so that no duration or share is negative.
+/// A finite number of 0 or more, so that durations and shares cannot be negative.
 #[derive(Deserialize, Default, Clone, Copy)]
 #[serde(try_from = "f64")]
 pub struct NonNegative(f64);
@@ -19,7 +19,7 @@
         if given.is_finite() && given >= 0.0 {
             Ok(NonNegative(given))
         } else {
-            Err(format!("{given} where a figure from 0 up is wanted"))
+            Err(format!("{given} is out of range, expected a number of 0 or more"))
         }
     }
 }
@@ -30,24 +30,24 @@
         self.0
     }
 
-    /// This many milliseconds.
+    /// The number as a duration in milliseconds.
     pub fn milliseconds(self) -> Duration {
         Duration::from_ms(self.0)
     }
 
-    /// This many milliseconds; none where the number is 0, which stands for a value that is not set.
+    /// The number as a duration in milliseconds; `None` if it is 0, which stands for a value that is not set.
     pub fn milliseconds_unless_zero(self) -> Option<Duration> {
         (self.0 > 0.0).then(|| self.milliseconds())
     }
 }
 
-/// The outermost object.
+/// The top-level object.
 #[derive(Deserialize)]
 pub struct SettingsFile {
-    /// Proxies that share the servers.
+    /// Number of proxies that share the servers.
     #[serde(rename = "balancers")]
     pub proxies: Option<NonZeroUsize>,
-    /// Prices of actions: not used, but validated.
+    /// Costs of actions: validated, but not used.
     #[serde(default, rename = "charges")]
     _charges: BTreeMap<String, NonNegative>,
     pub discovery: DiscoverySetting,
@@ -63,14 +63,14 @@
     pub deployment: DeploymentSetting,
 }
 
-/// How the endpoint list arrives.
+/// How the proxy receives the endpoint list.
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DiscoverySetting {
-    /// It is pushed by an agent.
+    /// An agent pushes it.
     #[serde(rename = "automatic")]
     Pushed,
-    /// The proxy polls for it.
+    /// The proxy polls discovery for it.
     #[serde(rename = "subscribe")]
     Polled,
 }
@@ -90,7 +90,7 @@
     pub idempotency: IdempotencySetting,
     #[serde(default, rename = "group")]
     pub key_scope: KeyScopeSetting,
-    /// For how long a key is remembered, in milliseconds.
+    /// How long servers remember an idempotency key, in milliseconds.
     #[serde(default, rename = "window_ms")]
     pub key_window_ms: NonNegative,
     #[serde(rename = "soft_limit_ms")]
@@ -101,7 +101,7 @@
     pub priority_weight: NonNegative,
 }
 
-/// Whether a request of a class may be sent again.
+/// Whether a request of a class may be retried.
 #[derive(Deserialize, Clone, Copy)]
 pub enum IdempotencySetting {
     #[serde(rename = "repeatable")]
@@ -112,18 +112,18 @@
     NonIdempotent,
 }
 
-/// Among which servers an idempotency key is known.
+/// The servers that share their knowledge of idempotency keys.
 #[derive(Deserialize, Default, Clone, Copy)]
 #[serde(rename_all = "snake_case")]
 pub enum KeyScopeSetting {
     All,
     Zone,
-    /// The narrowest, so that a file that leaves it out never makes a retry unsafe.
+    /// The default because it is the narrowest scope: a retry is safe even if the setting is omitted.
     #[default]
     Cell,
 }
 
-/// What the proxy may do at most.
+/// Limits on what the proxy may do.
 #[derive(Deserialize)]
 pub struct LimitsSetting {
     #[serde(rename = "most_connects")]
@@ -136,10 +136,10 @@
     pub dial_timeout_ms: NonNegative,
 }
 
-/// What the proxy has to keep to: the load of warming servers, and the polling of discovery.
+/// Guarantees that the proxy has to fulfill: for the load of warming servers, and for the polling of discovery.
 #[derive(Deserialize)]
 pub struct GuaranteesSetting {
-    /// Part of its capacity that a server has as it starts.
+    /// Fraction of its capacity that a server has when it starts.
     #[serde(default, rename = "cold_from")]
     pub slow_start_initial_fraction: NonNegative,
     #[serde(default, rename = "cold_ms")]
@@ -151,16 +151,16 @@
     pub max_poll_interval_ms: NonNegative,
 }
 
-/// Facts about the deployment, all optional.
+/// Properties of the deployment, all optional.
 #[derive(Deserialize, Default)]
 pub struct DeploymentSetting {
-    /// One for each request class, in the same order; classes beyond the end have none.
+    /// One per request class, in the order of the classes; classes beyond the end of the list have no objective.
     #[serde(default, rename = "message_aim_ms")]
     pub message_latency_objectives_ms: Vec<NonNegative>,
-    /// Connections that each customer may have open; none for a customer without a bound.
+    /// Maximum number of open connections per customer; `None` for a customer without a limit.
     #[serde(default, rename = "tenant_quota_connections")]
     pub customer_quotas: Vec<Option<NonNegative>>,
-    /// Connections that one server holds, where not every customer has a bound.
+    /// Maximum number of connections to one server, if not every customer has a limit.
     #[serde(rename = "server_connections")]
     pub server_capacity: Option<NonZeroU32>,
     #[serde(default, rename = "tells_delay")]
@@ -168,7 +168,7 @@
 }
 
 impl DeploymentSetting {
-    /// Connections that all customers together may have open; none where one of them has no bound, or where the sum
+    /// Maximum number of open connections of all customers together; `None` if one of them has no limit, or if the sum
     /// is 0.
     pub fn total_capacity(&self) -> Option<f64> {
         let quotas = self.customer_quotas.iter().map(|quota| quota.map(NonNegative::get));
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,5 +1,5 @@
-//! Settings that a proxy is given at its start, whatever wire it speaks: one JSON object, from which the decisions are
-//! built. Unknown keys are ignored.
+//! The settings of a proxy, independent of its wire protocol: parses a JSON object and builds the load balancer from
+//! it. Unknown keys are ignored.
 
 #![warn(missing_docs)]
 #![deny(unsafe_code)]
@@ -10,69 +10,69 @@
 use shelfgrade::balancer::LoadBalancer;
 use std::time::Duration;
 
-/// Why settings cannot be used.
+/// Why settings are invalid.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// The text is not JSON, a key is missing, or a value is out of its range.
-    #[error("not what is wanted ({0}): correct the value there")]
-    Form(#[from] serde_json::Error),
-    /// The capacity of the servers follows from two keys that may differ.
+    /// The text is not valid JSON, a key is missing, or a value is out of range.
+    #[error("invalid JSON or value ({0}): correct the value there")]
+    Malformed(#[from] serde_json::Error),
+    /// Two keys specify the capacity of the servers, and may contradict each other.
     #[error(
-        "extra: server_connections beside tenant_quota_connections that are all bounded: the capacity of servers is \
+        "extra: both server_connections and a tenant_quota_connections without null: the capacity of servers is \
          given twice; leave one of them out"
     )]
-    CapacityGivenTwice,
+    DuplicateCapacity,
 }
 
-/// Priority of a request class when capacity is short.
+/// The priority of a request class when capacity is scarce.
 pub struct ClassPriority {
-    /// Within which a connection should be established; none where the class has no objective.
+    /// The time within which a connection should be established; `None` if the class has no objective.
     pub connect_latency_objective: Option<Duration>,
-    /// Weight of one second of this class against one of another.
+    /// Weight of one second of latency, relative to other classes.
     pub priority_weight: f64,
 }
 
 /// A customer whose sessions the proxy serves.
 pub struct Customer {
-    /// As the first line of a session names it.
+    /// Name of the customer, as in the first line of a session.
     pub name: String,
-    /// Weight of its sessions against those of other customers when capacity is short.
+    /// Weight of its sessions relative to those of other customers when capacity is scarce.
     pub share: f64,
 }
 
 /// The settings of one proxy, and the load balancer built from them.
 pub struct Settings {
-    /// Makes the decisions.
+    /// The load balancer.
     pub balancer: LoadBalancer,
-    /// Names of the request classes, in the order in which the balancer numbers them.
+    /// Names of the request classes, in the order of their indexes in the load balancer.
     pub classes: Vec<String>,
     /// Priorities of the request classes, in the same order.
     pub class_priorities: Vec<ClassPriority>,
     /// All customers.
     pub customers: Vec<Customer>,
-    /// From a server's start until it takes its full load.
+    /// Time from a server's start until it can take its full load.
     pub slow_start: Duration,
-    /// Longest Retry-After that a client keeps to.
+    /// Maximum Retry-After that clients comply with.
     pub max_retry_after: Duration,
-    /// Longest time that a client waits for its connection; none where a request class leaves it out.
+    /// Maximum time that a client waits for its connection; `None` if a request class has no timeout.
     pub max_request_timeout: Option<Duration>,
-    /// An upstream connection that is not established within this has failed; none where the settings leave it out.
+    /// Time after which an upstream connection attempt fails; `None` if not set.
     pub dial_timeout: Option<Duration>,
-    /// The endpoint list is pushed: the proxy does not poll for it.
+    /// Whether the endpoint list is pushed to the proxy. Otherwise the proxy polls for it.
     pub list_is_pushed: bool,
-    /// Servers report the latency of messages without being asked.
+    /// Whether servers report message latency without being asked.
     pub servers_report_latency: bool,
-    /// Health checks may be sent.
+    /// Whether health checks may be sent.
     pub health_checks_allowed: bool,
 }
 
-/// Reads the settings from the text of their JSON object and builds the load balancer, whose random draws come from
+/// Parses the settings from JSON and builds the load balancer, with a random number generator that is initialized from
 /// the seed.
 ///
 /// # Errors
 ///
-/// [`SettingsError::Form`] where the text cannot be read, with the line, the column and the key or the value;
-/// [`SettingsError::CapacityGivenTwice`] where two keys give the capacity of the servers.
+/// [`SettingsError::Malformed`] if the text cannot be parsed, with the line, the column, and the key or value;
+/// [`SettingsError::DuplicateCapacity`] if two keys specify the capacity of the servers.
 pub fn parse(seed: u64, text: &str) -> Result<Settings, SettingsError> {
     build::settings(seed, serde_json::from_str(text)?)
 }
