--- a/crates/fleet/src/entry.rs
+++ b/crates/fleet/src/entry.rs
@@ -17,7 +17,7 @@
     /// Incremented with each write.
     pub count: u64,
     /// The start of the writer's incarnation, which breaks ties between concurrent writes.
-    pub by: u64,
+    pub writer_incarnation: u64,
 }
 
 /// A key-value pair of the replicated map. Encoded by field position.
@@ -43,7 +43,7 @@
 impl Entry {
     /// A hash of the key, version, owner and value.
     pub(crate) fn state_hash(&self) -> u64 {
-        let version_seed = self.version.count ^ self.version.by.rotate_left(32);
+        let version_seed = self.version.count ^ self.version.writer_incarnation.rotate_left(32);
         let key_and_version = xxh3_64_with_seed(self.key.as_bytes(), version_seed);
         let value = self.value.as_deref().map_or(1, xxh3_64);
         xxh3_64_with_seed(&value.to_le_bytes(), key_and_version ^ u64::from(self.owner.0))
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -53,7 +53,7 @@
     /// `started_at` identifies the incarnation: the Unix time in microseconds, or a higher value if an earlier
     /// incarnation is known to have used the current time or a later one.
     pub fn new(roster: Roster, started_at: u64, seed: u64, now: Timestamp) -> Self {
-        let me = Incarnation { member: roster.me(), started_at };
+        let me = Incarnation { member: roster.local_member(), started_at };
         let replica = Rc::new(RefCell::new(Replica::new(MAX_ENTRIES)));
         Fleet {
             swim: Swim::new(me, &roster, replica.clone(), seed, now),
@@ -76,7 +76,7 @@
     }
 
     /// The incarnation of the local member.
-    pub fn me(&self) -> Incarnation {
+    pub fn local_incarnation(&self) -> Incarnation {
         self.me
     }
 
--- a/crates/fleet/src/fleet/map_access.rs
+++ b/crates/fleet/src/fleet/map_access.rs
@@ -36,9 +36,9 @@
     }
 
     /// The entries whose keys start with `prefix` and whose values can be decoded, in key order.
-    pub fn under<T: DeserializeOwned>(&self, prefix: &str) -> Vec<(Entry, T)> {
+    pub fn entries_with_prefix<T: DeserializeOwned>(&self, prefix: &str) -> Vec<(Entry, T)> {
         let replica = self.replica.borrow();
-        let entries = replica.map.under(prefix);
+        let entries = replica.map.entries_with_prefix(prefix);
         entries.filter_map(|entry| Some((entry.clone(), decode_value(entry)?))).collect()
     }
 
@@ -98,7 +98,10 @@
     }
 
     fn next_version(&self, current: Option<Version>) -> Version {
-        Version { count: current.map_or(1, |current| current.count + 1), by: self.me.started_at }
+        Version {
+            count: current.map_or(1, |current| current.count + 1),
+            writer_incarnation: self.me.started_at,
+        }
     }
 
     fn write(
--- a/crates/fleet/src/replicated_map.rs
+++ b/crates/fleet/src/replicated_map.rs
@@ -70,7 +70,7 @@
     }
 
     /// The entries whose keys start with `prefix`, in key order, including deleted ones.
-    pub(crate) fn under<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = &'a Entry> {
+    pub(crate) fn entries_with_prefix<'a>(&'a self, prefix: &'a str) -> impl Iterator<Item = &'a Entry> {
         let from_prefix = self.entries.range::<str, _>((Bound::Included(prefix), Bound::Unbounded));
         from_prefix.map(|(_, entry)| entry).take_while(move |entry| entry.key.starts_with(prefix))
     }
--- a/crates/fleet/src/roster.rs
+++ b/crates/fleet/src/roster.rs
@@ -91,7 +91,7 @@
     }
 
     /// The local member.
-    pub fn me(&self) -> MemberId {
+    pub fn local_member(&self) -> MemberId {
         self.me
     }
 
--- a/crates/fleet/tests/unit/packet.rs
+++ b/crates/fleet/tests/unit/packet.rs
@@ -21,7 +21,7 @@
 }
 
 fn entry(value: Option<Vec<u8>>) -> Entry {
-    let version = Version { count: 300, by: 1_790_000_000_000_123 };
+    let version = Version { count: 300, writer_incarnation: 1_790_000_000_000_123 };
     Entry { key: "server/s-1".into(), version, owner: MemberId(2), value }
 }
 
--- a/crates/proxy/src/fleet/peers.rs
+++ b/crates/proxy/src/fleet/peers.rs
@@ -51,14 +51,14 @@
         seed: u64,
         events: &mut E,
     ) -> Result<Rc<Self>, FleetError> {
-        let at = file.addresses[usize::from(file.roster.me().0)];
+        let at = file.addresses[usize::from(file.roster.local_member().0)];
         let bind_error = |source| FleetError::Bind { at, source };
         let socket = UdpSocket::bind(at).map_err(bind_error)?;
         socket.set_nonblocking(true).map_err(bind_error)?;
         let snapshot = newest_snapshot(&file);
         let now = events.now();
         let mut node = Node::new(file.roster.clone(), settings, snapshot, seed, clock(now));
-        node.add_known_endpoints(known.into_iter(), now);
+        node.add_startup_endpoints(known.into_iter(), now);
         let (state, size, fleet) = (node.state().name(), file.roster.size(), file.roster.fleet());
         log::info!("recovery: {state}; one of {size} in {fleet}");
         let snapshot_writer = file.state_dir.as_deref().map(SnapshotWriter::start);
@@ -175,7 +175,7 @@
     /// This process's position in the roster, and the roster's size.
     pub fn member(&self) -> (usize, usize) {
         let file = self.file.borrow();
-        (usize::from(file.roster.me().0), file.roster.size())
+        (usize::from(file.roster.local_member().0), file.roster.size())
     }
 
     /// The folder of the tenants' namespaces, if this process reads one.
@@ -220,7 +220,7 @@
 
 /// The newest usable snapshot of this process, if it keeps any.
 fn newest_snapshot(file: &FleetFile) -> Option<Snapshot> {
-    let name = file.roster.name(file.roster.me()).unwrap_or_default();
+    let name = file.roster.name(file.roster.local_member()).unwrap_or_default();
     let found = file.state_dir.as_deref().map(snapshot_writer::read).unwrap_or_default();
     let loaded = snapshot::select_newest(&found, file.roster.fleet(), name);
     for rejected in loaded.rejected {
--- a/crates/proxy/src/fleet/peers/shared_map.rs
+++ b/crates/proxy/src/fleet/peers/shared_map.rs
@@ -21,7 +21,7 @@
     }
 
     fn put<T: Serialize>(&self, key: &str, value: &T, version: u64) -> Result<(), String> {
-        let version = Version { count: version, by: 0 };
+        let version = Version { count: version, writer_incarnation: 0 };
         let mut node = self.node.borrow_mut();
         let put = node.fleet_mut().put_version(key, value, version, &mut NodeEnvironment { peers: self });
         put.map(|_| ()).map_err(|error| error.to_string())
--- a/crates/recovery/src/node/discovery.rs
+++ b/crates/recovery/src/node/discovery.rs
@@ -96,7 +96,7 @@
     /// Writes the changed records and history to the replicated map. Returns the entries that were written.
     fn share_list(&mut self, list: &AcceptedList, environment: &mut dyn RecoveryEnvironment) -> Vec<Entry> {
         let count = list.history.entry_version(list.history.seq);
-        let version = Version { count, by: self.fleet.me().started_at };
+        let version = Version { count, writer_incarnation: self.fleet.local_incarnation().started_at };
         let mut recorder = EnvironmentRecorder::new(environment);
         for (server, record) in &list.records {
             let key = format!("{SERVER_PREFIX}{server}");
--- a/crates/recovery/src/node/persistence.rs
+++ b/crates/recovery/src/node/persistence.rs
@@ -13,7 +13,7 @@
             Some(SessionRecord { key, server, started_ms })
         };
         let sessions = flows.filter_map(session_record).collect();
-        let me = self.fleet.me();
+        let me = self.fleet.local_incarnation();
         let roster = self.fleet.roster();
         Snapshot {
             fleet: roster.fleet().to_owned(),
--- a/crates/recovery/src/node/polling.rs
+++ b/crates/recovery/src/node/polling.rs
@@ -24,7 +24,7 @@
     }
 
     fn share_heartbeat(&mut self, now: Timestamp, environment: &mut dyn RecoveryEnvironment) {
-        let me = self.fleet.me().member;
+        let me = self.fleet.local_incarnation().member;
         let heartbeat = self.heartbeat(now);
         let put = self.fleet.put(&format!("{HEARTBEAT_PREFIX}{}", me.0), &heartbeat, environment);
         debug_assert!(put.is_ok(), "{put:?}");
--- a/crates/recovery/src/node/shared_entries.rs
+++ b/crates/recovery/src/node/shared_entries.rs
@@ -47,11 +47,12 @@
     }
 
     fn apply_heartbeat(&mut self, poller: MemberId, version: Version, heartbeat: Heartbeat, now: Timestamp) {
-        if poller == self.fleet.me().member {
+        if poller == self.fleet.local_incarnation().member {
             return;
         }
         let incarnation = self.fleet.incarnation(poller);
-        let is_current = incarnation.is_some_and(|incarnation| incarnation.started_at == version.by);
+        let is_current =
+            incarnation.is_some_and(|incarnation| incarnation.started_at == version.writer_incarnation);
         self.election.on_heartbeat(poller, version.count, heartbeat, is_current, now);
     }
 
@@ -64,7 +65,7 @@
         let corrected = received.clone().with_known_health(Some(&known));
         let is_of_newer_epoch = ListHistory::epoch_of(entry.version.count) > self.restored.epoch;
         if is_of_newer_epoch && corrected != received {
-            let version = Version { count: entry.version.count, by: u64::MAX };
+            let version = Version { count: entry.version.count, writer_incarnation: u64::MAX };
             let put = self.fleet.put_version(&entry.key, &corrected, version, environment);
             debug_assert!(put.is_ok(), "{put:?}");
             self.records.insert(server, corrected);
--- a/crates/recovery/src/node/startup.rs
+++ b/crates/recovery/src/node/startup.rs
@@ -34,7 +34,7 @@
         let min_started_at = restored.as_ref().map_or(0, |restored| restored.min_started_at);
         let started_at_us = min_started_at.max(clock.wall_ms * 1000);
         let mut node = Node {
-            election: PollerElection::new(roster.me(), roster.members(), roster.tag(), now),
+            election: PollerElection::new(roster.local_member(), roster.members(), roster.tag(), now),
             fleet: Fleet::new(roster, started_at_us, seed, now),
             list_history: ListHistory::default(),
             ramp: RecoveryRamp::new(settings, now),
@@ -73,7 +73,7 @@
     }
 
     /// Adds the servers of the start-up file that are not in the snapshot to the fallback endpoints.
-    pub fn add_known_endpoints(&mut self, known: impl Iterator<Item = EndpointAddress>, now: Timestamp) {
+    pub fn add_startup_endpoints(&mut self, known: impl Iterator<Item = EndpointAddress>, now: Timestamp) {
         let restored: BTreeSet<_> =
             self.fallback_endpoints.iter().map(|endpoint| endpoint.server.clone()).collect();
         for EndpointAddress { endpoint, address } in known {
--- a/crates/recovery/tests/stored_bytes.rs
+++ b/crates/recovery/tests/stored_bytes.rs
@@ -61,7 +61,7 @@
 
 #[test]
 fn a_snapshot_is_encoded_and_decoded_as_in_an_earlier_release() {
-    let version = Version { count: 300, by: 1_790_000_000_000_123 };
+    let version = Version { count: 300, writer_incarnation: 1_790_000_000_000_123 };
     let entry = |key: &str, value| Entry { key: key.into(), version, owner: MemberId(2), value };
     let snapshot = Snapshot {
         fleet: "dar".into(),
--- a/crates/recovery/tests/unit/restore.rs
+++ b/crates/recovery/tests/unit/restore.rs
@@ -15,7 +15,7 @@
 fn restored_servers_count_as_just_started_and_draining_servers_keep_draining() {
     let entry = |server: &str, record: ServerRecord| Entry {
         key: format!("{SERVER_PREFIX}{server}"),
-        version: Version { count: 3, by: 1 },
+        version: Version { count: 3, writer_incarnation: 1 },
         owner: MemberId(0),
         value: postcard::to_stdvec(&record).ok(),
     };
--- a/crates/recovery/tests/unit/snapshot.rs
+++ b/crates/recovery/tests/unit/snapshot.rs
@@ -8,7 +8,7 @@
 fn snapshot(sequence: u64) -> Snapshot {
     let entry = |i: u64| Entry {
         key: format!("server/s-{i}"),
-        version: Version { count: i, by: 7 },
+        version: Version { count: i, writer_incarnation: 7 },
         owner: MemberId(1),
         value: (!i.is_multiple_of(3)).then(|| vec![i as u8; 40]),
     };
--- a/crates/testkit/examples/hollow.rs
+++ b/crates/testkit/examples/hollow.rs
@@ -162,7 +162,9 @@
     }
 
     fn agreement(&self) -> String {
-        let known = self.all.each(|_, hollow| hollow.fleet.under::<(u64, String, f64)>("server/").len());
+        let known = self
+            .all
+            .each(|_, hollow| hollow.fleet.entries_with_prefix::<(u64, String, f64)>("server/").len());
         let known: Vec<usize> = known.into_iter().map(|(_, known)| known).collect();
         let mean = known.iter().sum::<usize>() as f64 / known.len() as f64;
         format!(
--- a/crates/testkit/src/hollow_node.rs
+++ b/crates/testkit/src/hollow_node.rs
@@ -32,7 +32,7 @@
     /// `life` tells apart what is started in one seat.
     pub fn new(roster: &Roster, name: &str, incarnation: u64, now: Timestamp) -> Self {
         let roster = roster.with_local_member(name).expect("one of the roster");
-        let process = roster.me().0;
+        let process = roster.local_member().0;
         let started_at = now.as_ms() as u64 * 1000 + incarnation;
         let seed = u64::from(process).wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ incarnation;
         HollowNode { fleet: Fleet::new(roster, started_at, seed, now), events: EventCounts::default() }
--- a/crates/testkit/src/sockets.rs
+++ b/crates/testkit/src/sockets.rs
@@ -53,7 +53,10 @@
         let addresses: Vec<_> = by_name.values().copied().collect();
         let members = addresses.iter().enumerate().map(|(member, address)| (*address, member)).collect();
         let mut trial = Sockets {
-            hollow_members: cores.iter().map(|core| usize::from(core.fleet.me().member.0)).collect(),
+            hollow_members: cores
+                .iter()
+                .map(|core| usize::from(core.fleet.local_incarnation().member.0))
+                .collect(),
             alarms: BTreeSet::new(),
             wakes: vec![Timestamp::NEVER; cores.len()],
             sent: Counts::default(),
--- a/crates/testkit/tests/shared.rs
+++ b/crates/testkit/tests/shared.rs
@@ -10,7 +10,7 @@
     let value = prop_oneof![Just(None), prop::collection::vec(0..3u8, 0..3).prop_map(Some)];
     ("[a-d]{1,2}", 0..4u64, 0..3u64, 0..3u16, value).prop_map(|(key, count, by, owner, value)| Entry {
         key,
-        version: Version { count, by },
+        version: Version { count, writer_incarnation: by },
         owner: MemberId(owner),
         value,
     })
@@ -58,7 +58,7 @@
     let mut map = ReplicatedMap::new(4);
     let of = |key: String, length: usize, count: u64| Entry {
         key,
-        version: Version { count, by: 1 },
+        version: Version { count, writer_incarnation: 1 },
         owner: MemberId(0),
         value: Some(vec![7; length]),
     };
