--- a/crates/fleet/src/fleet/datagrams.rs
+++ b/crates/fleet/src/fleet/datagrams.rs
@@ -23,7 +23,7 @@
             Err(reason) => return environment.datagram_rejected(reason),
         };
         if packet.from.member == self.me.member {
-            // Either a delayed datagram from an earlier incarnation, or a second process with the same name.
+            // Either a delayed datagram from an earlier incarnation of this member, or a second process with its name.
             if packet.from.started_at != self.me.started_at {
                 environment.datagram_rejected("fleet datagrams from a duplicate member");
             }
--- a/crates/fleet/src/quota_leases/holder.rs
+++ b/crates/fleet/src/quota_leases/holder.rs
@@ -108,8 +108,8 @@
 pub(super) fn units_to_hold(me: MemberId, alive: &[MemberId], size: usize) -> Vec<Unit> {
     let order = |unit: Unit, member: MemberId| (rank(u64::from(unit), member), member);
     let is_successor = |unit: &Unit| !alive.iter().any(|member| order(*unit, *member) < order(*unit, me));
-    let unattended = missing(alive, size).map(|member| member.0);
-    let taken_over = unattended.filter(is_successor).take(MAX_REQUESTED_UNITS - 1);
+    let units_of_missing_members = missing(alive, size).map(|member| member.0);
+    let taken_over = units_of_missing_members.filter(is_successor).take(MAX_REQUESTED_UNITS - 1);
     std::iter::once(me.0).chain(taken_over).collect()
 }
 
--- a/crates/maintenance/src/drain.rs
+++ b/crates/maintenance/src/drain.rs
@@ -13,8 +13,8 @@
     /// Whether a server is draining: it accepts no new sessions, and its existing sessions are migrated. `index` is its
     /// position among the site's servers sorted by id, so that all processes get the same result without communication.
     pub fn is_server_draining(&self, index: usize, servers: usize, now_ms: i64) -> bool {
-        // The fraction of the period in which all servers start to drain. The rest gives clients of the last server
-        // that reconnect slowly time to do so.
+        // All servers start to drain within this fraction of the period. The rest is left for clients of the last
+        // server that reconnect slowly.
         const START_FRACTION: f64 = 0.7;
         let duration_ms = (self.ends_ms - self.begins_ms) as f64;
         let starts_after_ms = duration_ms * START_FRACTION * index as f64 / servers.max(1) as f64;
--- a/crates/maintenance/tests/plan.rs
+++ b/crates/maintenance/tests/plan.rs
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn moving_a_window_in_progress_opens_its_site_and_an_older_schedule_has_no_effect() {
+fn shortening_a_window_in_progress_opens_its_site_and_an_older_schedule_has_no_effect() {
     let mut plan = Plan::new(schedule(2, vec![window("w", "a", 30, 60, 20)]));
     let even = [6, 6, 6];
     assert!(matches!(phase(&mut plan, 40, even, "a"), Phase::Closed { .. }));
--- a/crates/namespaces/tests/isolation.rs
+++ b/crates/namespaces/tests/isolation.rs
@@ -102,15 +102,15 @@
     /// The results for one customer do not change, however the rules of the other customers change.
     #[test]
     fn changes_of_other_customers_rules_never_change_a_customers_decisions(
-        mine in rules(),
+        own_rules in rules(),
         before in prop::collection::vec((1..4usize, rules()), 0..8),
         after in prop::collection::vec((1..4usize, rules()), 0..8),
     ) {
         let with = |others: &[(usize, Vec<Rule>)]| {
-            let all: Vec<_> = std::iter::once((0, mine.clone())).chain(others.iter().cloned()).collect();
+            let all: Vec<_> = std::iter::once((0, own_rules.clone())).chain(others.iter().cloned()).collect();
             decisions(&mut table(&all), CUSTOMERS[0])
         };
-        let mut changed = table(&[vec![(0, mine.clone())], before.clone(), after.clone()].concat());
+        let mut changed = table(&[vec![(0, own_rules.clone())], before.clone(), after.clone()].concat());
         (1..4).for_each(|other| changed.remove(CUSTOMERS[other]));
         prop_assert_eq!(with(&before), with(&after));
         prop_assert_eq!(with(&before), decisions(&mut changed, CUSTOMERS[0]));
@@ -174,9 +174,9 @@
     let error = table.insert(namespace("posta", 9, vec![rule("big")])).err().expect("an error");
     assert!(error.to_string().contains("rule big, room"), "{error}");
     assert_eq!(table.get("posta").map(|current| current.version()), Some(0));
-    let good = Rule { max_connections: None, ..rule("all") };
-    assert!(table.insert(namespace("upanga", 9, vec![good.clone()])).is_ok());
-    assert!(table.insert(namespace("upanga", 8, vec![good])).is_err(), "an older version is rejected");
+    let valid = Rule { max_connections: None, ..rule("all") };
+    assert!(table.insert(namespace("upanga", 9, vec![valid.clone()])).is_ok());
+    assert!(table.insert(namespace("upanga", 8, vec![valid])).is_err(), "an older version is rejected");
     let Lookup::Matched(matched) = table.look_up(Some("upanga"), "alarm", None) else {
         panic!("no matching rule")
     };
--- a/crates/recovery/src/list_history.rs
+++ b/crates/recovery/src/list_history.rs
@@ -14,7 +14,7 @@
 /// Maximum number of versions that are kept, limited by the size of a replicated map entry.
 const MAX_VERSIONS: usize = 64;
 
-/// Number of list versions per epoch in the version of a replicated map entry, which combines both.
+/// Number of list versions per epoch. The version of a replicated map entry combines the epoch and the list version.
 const VERSIONS_PER_EPOCH: u64 = 1 << 40;
 
 /// The current version of the endpoint list and the most recent ones before it. Stored by field position.
--- a/crates/recovery/tests/unit/admission.rs
+++ b/crates/recovery/tests/unit/admission.rs
@@ -44,18 +44,21 @@
 
 #[test]
 fn states_change_in_order_and_the_ramp_is_skipped_if_all_servers_are_warm() {
-    let mut cold = ramp();
+    let mut warming = ramp();
     let alarm = requester(Some(ALARM), None);
-    assert_eq!(cold.state(), RecoveryState::AwaitingList);
-    assert!(cold.admission_turn(alarm, 1, 0.5, at(1500)).is_some_and(|turn| turn.fraction_ahead > 1.0));
-    assert!(!cold.is_list_overdue(at(2900)) && cold.is_list_overdue(at(3000)));
-    cold.on_endpoint_list([None, Some(at(1200))].into_iter(), at(1600));
-    assert_eq!(cold.state(), RecoveryState::RampingUp);
-    assert!(!cold.on_timer(at(9100)) && cold.on_timer(at(9200)));
-    assert_eq!((cold.state(), cold.admission_turn(alarm, 1, 0.5, at(9300))), (RecoveryState::Serving, None));
-    let mut warm = ramp();
-    warm.on_endpoint_list([None, Some(at(0))].into_iter(), at(8100));
-    assert_eq!(warm.state(), RecoveryState::Serving);
+    assert_eq!(warming.state(), RecoveryState::AwaitingList);
+    assert!(warming.admission_turn(alarm, 1, 0.5, at(1500)).is_some_and(|turn| turn.fraction_ahead > 1.0));
+    assert!(!warming.is_list_overdue(at(2900)) && warming.is_list_overdue(at(3000)));
+    warming.on_endpoint_list([None, Some(at(1200))].into_iter(), at(1600));
+    assert_eq!(warming.state(), RecoveryState::RampingUp);
+    assert!(!warming.on_timer(at(9100)) && warming.on_timer(at(9200)));
+    assert_eq!(
+        (warming.state(), warming.admission_turn(alarm, 1, 0.5, at(9300))),
+        (RecoveryState::Serving, None)
+    );
+    let mut all_warm = ramp();
+    all_warm.on_endpoint_list([None, Some(at(0))].into_iter(), at(8100));
+    assert_eq!(all_warm.state(), RecoveryState::Serving);
 }
 
 #[test]
--- a/crates/recovery/tests/unit/server_record.rs
+++ b/crates/recovery/tests/unit/server_record.rs
@@ -21,9 +21,9 @@
         ServerHealth::InService,
         "the server was restarted"
     );
-    let gone = record(ServerHealth::Terminated, 5.0);
-    assert_eq!(merged_health(gone.clone(), serving.clone()), ServerHealth::Terminated);
+    let terminated = record(ServerHealth::Terminated, 5.0);
+    assert_eq!(merged_health(terminated.clone(), serving.clone()), ServerHealth::Terminated);
     let digest = |records: &[(&str, &ServerRecord)]| list_digest(records.iter().copied());
-    assert_eq!(digest(&[("a", &serving), ("b", &gone)]), digest(&[("a", &serving)]));
+    assert_eq!(digest(&[("a", &serving), ("b", &terminated)]), digest(&[("a", &serving)]));
     assert_ne!(digest(&[("a", &serving)]), digest(&[("b", &serving)]));
 }
--- a/crates/recovery/tests/unit/snapshot.rs
+++ b/crates/recovery/tests/unit/snapshot.rs
@@ -25,27 +25,27 @@
 
 #[test]
 fn each_kind_of_damage_has_its_own_error_and_the_other_generation_is_used() {
-    let good = encode(&snapshot(4));
+    let valid = encode(&snapshot(4));
     let error = |bytes: &[u8]| decode(bytes, "dar", "n3").expect_err("an error");
-    assert_eq!(decode(&good, "dar", "n3"), Ok(snapshot(4)));
+    assert_eq!(decode(&valid, "dar", "n3"), Ok(snapshot(4)));
     assert_eq!(error(&[]), SnapshotError::Empty);
-    assert!(matches!(error(&good[..good.len() - 1]), SnapshotError::Torn { .. }));
-    assert!(matches!(error(&good[..20]), SnapshotError::Torn { .. }));
+    assert!(matches!(error(&valid[..valid.len() - 1]), SnapshotError::Torn { .. }));
+    assert!(matches!(error(&valid[..20]), SnapshotError::Torn { .. }));
     assert_eq!(error(b"{\"json\":1}"), SnapshotError::NotASnapshot);
-    let mut newer = good.clone();
+    let mut newer = valid.clone();
     newer[8] = 9;
     assert_eq!(error(&newer), SnapshotError::UnsupportedFormat(9));
-    let mut damaged = good.clone();
+    let mut damaged = valid.clone();
     *damaged.last_mut().expect("bytes") ^= 1;
     assert_eq!(error(&damaged), SnapshotError::Damaged);
-    let error_for = |fleet, name| decode(&good, fleet, name).expect_err("the snapshot of another process");
+    let error_for = |fleet, name| decode(&valid, fleet, name).expect_err("the snapshot of another process");
     assert_eq!(error_for("moshi", "n3"), SnapshotError::OtherFleet("dar".into()));
     assert_eq!(error_for("dar", "n4"), SnapshotError::OtherMember("n3".into()));
 
     let later = encode(&snapshot(5));
-    let loaded = select_newest(&[Some(good.clone()), Some(later.clone())], "dar", "n3");
+    let loaded = select_newest(&[Some(valid.clone()), Some(later.clone())], "dar", "n3");
     assert_eq!((loaded.newest, loaded.rejected), (Some(snapshot(5)), Vec::new()));
-    let loaded = select_newest(&[Some(good), Some(later[..40].to_vec())], "dar", "n3");
+    let loaded = select_newest(&[Some(valid), Some(later[..40].to_vec())], "dar", "n3");
     assert_eq!(
         (loaded.newest, loaded.rejected.len(), loaded.rejected[0].generation),
         (Some(snapshot(4)), 1, 1)
@@ -72,15 +72,15 @@
         cut in any::<prop::sample::Index>(),
         flips in prop::collection::vec((any::<prop::sample::Index>(), 1..=255u8), 0..3),
     ) {
-        let good = encode(&snapshot(number));
-        let mut bytes = good[..=cut.index(good.len())].to_vec();
+        let valid = encode(&snapshot(number));
+        let mut bytes = valid[..=cut.index(valid.len())].to_vec();
         for (at, flip) in flips {
             let at = at.index(bytes.len());
             bytes[at] ^= flip;
         }
         match decode(&bytes, "dar", "n3") {
-            Ok(decoded) => prop_assert!(bytes == good && decoded == snapshot(number)),
-            Err(error) => prop_assert!(bytes != good && !error.to_string().is_empty()),
+            Ok(decoded) => prop_assert!(bytes == valid && decoded == snapshot(number)),
+            Err(error) => prop_assert!(bytes != valid && !error.to_string().is_empty()),
         }
     }
 }
--- a/crates/settings/src/file.rs
+++ b/crates/settings/src/file.rs
@@ -90,7 +90,7 @@
     pub idempotency: IdempotencySetting,
     #[serde(default, rename = "group")]
     pub key_scope: KeyScopeSetting,
-    /// How long servers remember an idempotency key, in milliseconds.
+    /// How long an idempotency key is remembered, in milliseconds.
     #[serde(default, rename = "window_ms")]
     pub key_window_ms: NonNegative,
     #[serde(rename = "soft_limit_ms")]
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -28,7 +28,7 @@
 pub struct ClassPriority {
     /// The time within which a connection should be established; `None` if the class has no objective.
     pub connect_latency_objective: Option<Duration>,
-    /// Weight of one second of latency, relative to other classes.
+    /// Weight of one second of this class, relative to one second of another class.
     pub priority_weight: f64,
 }
 
