--- a/crates/recovery/src/node/shared_entries.rs
+++ b/crates/recovery/src/node/shared_entries.rs
@@ -1,4 +1,4 @@
-//! Changes of the replicated map that other members have made.
+//! Processes changes of the replicated map.
 
 use super::Node;
 use crate::environment::RecoveryEnvironment;
@@ -9,7 +9,7 @@
 use shelfgrade_fleet::{Entry, MemberId, Version};
 
 impl Node {
-    /// Takes in changed entries of the replicated map.
+    /// Processes changed entries of the replicated map.
     pub(super) fn apply_entries(
         &mut self,
         entries: Vec<Entry>,
@@ -28,7 +28,7 @@
         self.check_agreement(now, environment);
     }
 
-    /// Takes in one entry; the server whose record it has changed, if any.
+    /// Processes one entry. Returns the server whose record it contains, if any.
     pub(super) fn apply_entry(&mut self, entry: &Entry, now: Timestamp) -> Option<String> {
         let value = entry.value.as_deref()?;
         if let Some((server, record)) = decode_server(entry) {
@@ -39,7 +39,7 @@
             self.apply_heartbeat(poller, entry.version, postcard::from_bytes(value).ok()?, now);
         } else if entry.key == LIST_KEY {
             let list_history: ListHistory = postcard::from_bytes(value).ok()?;
-            if list_history.is_at_least(&self.list_history) {
+            if list_history.is_at_least_as_new_as(&self.list_history) {
                 self.list_history = list_history;
             }
         }
@@ -47,24 +47,25 @@
     }
 
     fn apply_heartbeat(&mut self, poller: MemberId, version: Version, heartbeat: Heartbeat, now: Timestamp) {
-        if poller == self.fleet.me().member {
+        if poller == self.fleet.local_incarnation().member {
             return;
         }
         let incarnation = self.fleet.incarnation(poller);
-        let is_current = incarnation.is_some_and(|incarnation| incarnation.started_at == version.by);
+        let is_current =
+            incarnation.is_some_and(|incarnation| incarnation.started_at == version.writer_incarnation);
         self.election.on_heartbeat(poller, version.count, heartbeat, is_current, now);
     }
 
     /// Corrects a record of a new epoch that reports a server in service although the snapshot has it as draining or
-    /// gone: discovery and its pollers have lost that. The correction goes out under the record's own version, so that
-    /// any later news from discovery replaces it.
+    /// terminated: discovery and its pollers have lost that state. The correction is shared with the count of the
+    /// record's own version, so that any later update from discovery replaces it.
     fn reassert_restored_health(&mut self, entry: &Entry, environment: &mut dyn RecoveryEnvironment) {
         let Some((server, received)) = decode_server(entry) else { return };
         let Some(known) = self.restored.records.remove(&server) else { return };
         let corrected = received.clone().with_known_health(Some(&known));
         let is_of_newer_epoch = ListHistory::epoch_of(entry.version.count) > self.restored.epoch;
         if is_of_newer_epoch && corrected != received {
-            let version = Version { count: entry.version.count, by: u64::MAX };
+            let version = Version { count: entry.version.count, writer_incarnation: u64::MAX };
             let put = self.fleet.put_version(&entry.key, &corrected, version, environment);
             debug_assert!(put.is_ok(), "{put:?}");
             self.records.insert(server, corrected);
@@ -72,7 +73,7 @@
     }
 }
 
-/// The member whose heartbeats are under this key.
+/// The member whose heartbeats are stored under this key.
 fn heartbeat_sender(key: &str) -> Option<MemberId> {
     let number = key.strip_prefix(HEARTBEAT_PREFIX)?;
     number.parse().ok().map(MemberId)
--- a/crates/recovery/tests/unit/server_record.rs
+++ b/crates/recovery/tests/unit/server_record.rs
@@ -8,22 +8,22 @@
 }
 
 #[test]
-fn known_health_is_kept_within_a_server_incarnation_and_dropped_after_its_restart() {
+fn known_health_is_kept_within_a_server_incarnation_and_discarded_after_a_restart() {
     let merged_health = |new: ServerRecord, known: ServerRecord| new.with_known_health(Some(&known)).health;
     let (serving, draining) = (record(ServerHealth::InService, 5.0), record(ServerHealth::Terminating, 5.0));
     assert_eq!(
         merged_health(serving.clone(), draining.clone()),
         ServerHealth::Terminating,
-        "discovery has lost its state"
+        "discovery has lost the draining state"
     );
     assert_eq!(
         merged_health(record(ServerHealth::InService, 9.0), draining),
         ServerHealth::InService,
         "the server was restarted"
     );
-    let gone = record(ServerHealth::Terminated, 5.0);
-    assert_eq!(merged_health(gone.clone(), serving.clone()), ServerHealth::Terminated);
+    let terminated = record(ServerHealth::Terminated, 5.0);
+    assert_eq!(merged_health(terminated.clone(), serving.clone()), ServerHealth::Terminated);
     let digest = |records: &[(&str, &ServerRecord)]| list_digest(records.iter().copied());
-    assert_eq!(digest(&[("a", &serving), ("b", &gone)]), digest(&[("a", &serving)]));
+    assert_eq!(digest(&[("a", &serving), ("b", &terminated)]), digest(&[("a", &serving)]));
     assert_ne!(digest(&[("a", &serving)]), digest(&[("b", &serving)]));
 }
--- a/crates/testkit/examples/hollow.rs
+++ b/crates/testkit/examples/hollow.rs
@@ -174,8 +174,9 @@
 
     /// The number of distinct states, and the mean and least number of entries that a process has, as JSON.
     fn entry_summary(&self) -> String {
-        let known =
-            self.simulation.map_running(|_, node| node.fleet.under::<(u64, String, f64)>("server/").len());
+        let known = self
+            .simulation
+            .map_running(|_, node| node.fleet.entries_with_prefix::<(u64, String, f64)>("server/").len());
         let known: Vec<usize> = known.into_iter().map(|(_, count)| count).collect();
         let mean = known.iter().sum::<usize>() as f64 / known.len() as f64;
         format!(
--- a/crates/testkit/src/sockets.rs
+++ b/crates/testkit/src/sockets.rs
@@ -56,7 +56,10 @@
         let addresses: Vec<_> = by_name.values().copied().collect();
         let members = addresses.iter().enumerate().map(|(member, address)| (*address, member)).collect();
         let mut fleet = SocketFleet {
-            hollow_members: nodes.iter().map(|node| usize::from(node.fleet.me().member.0)).collect(),
+            hollow_members: nodes
+                .iter()
+                .map(|node| usize::from(node.fleet.local_incarnation().member.0))
+                .collect(),
             timers: BTreeSet::new(),
             wakeups: vec![Timestamp::NEVER; nodes.len()],
             sent: TrafficCounts::default(),
