--- a/crates/proxy/src/discovery/client.rs
+++ b/crates/proxy/src/discovery/client.rs
@@ -1,5 +1,5 @@
-//! The client of discovery: one connection over HTTP/1.1, one call at a time, and a watch for the next version as soon as
-//! a list is received.
+//! HTTP/1.1 client of the discovery service. It uses one connection with one request in flight at a time, and starts a
+//! watch for the next version as soon as it has received an endpoint list.
 
 use crate::discovery::call_error::CallError;
 use crate::discovery::endpoint_list::EndpointList;
@@ -16,31 +16,31 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Size of the buffer of a request, in bytes.
+/// Size in bytes of the buffer that requests are written from.
 const REQUEST_BUFFER_SIZE: usize = 512;
-/// Size of the buffer that responses are read through, in bytes.
+/// Size in bytes of the buffer that responses are read into.
 const RESPONSE_BUFFER_SIZE: usize = 16 << 10;
 
-/// The client of one discovery; outcomes go to `E`.
+/// Client of one discovery service. The outcome of each call is reported to `E`.
 pub struct Discovery<E: DiscoveryEvents> {
     address: Cell<SocketAddr>,
-    /// The version of the endpoint list held, if there is one.
+    /// Version of the endpoint list last received; none if there is none or it must be requested in full.
     version: Cell<Option<u64>>,
     socket: RefCell<Option<Rc<Socket<E>>>>,
     request: RefCell<Ring>,
     response: RefCell<Ring>,
-    /// The call in flight.
+    /// The request in flight, if any.
     exchange: RefCell<Option<Exchange>>,
-    /// When the last call began.
+    /// When the last call started.
     call_started_at: Cell<Timestamp>,
     timer: Cell<Option<RegistrationToken>>,
-    /// Whether the last call brought a list.
+    /// Whether the last call returned an endpoint list.
     last_call_succeeded: Cell<bool>,
     schedule: PollSchedule,
 }
 
 impl<E: DiscoveryEvents> Discovery<E> {
-    /// A client that has not called yet. `version` is that of the list held, if there is one.
+    /// Creates a client without sending a request. `version` is the version of the list known at startup, if any.
     pub fn new(address: SocketAddr, version: Option<u64>, timeouts: CallTimeouts, seed: u64) -> Rc<Self> {
         Rc::new(Discovery {
             address: Cell::new(address),
@@ -56,9 +56,9 @@
         })
     }
 
-    /// Switches to another discovery; returns whether the address is another one. A response that the old one has already
-    /// written still counts and is read first. Versions of the two need not match, so the complete list is requested
-    /// next.
+    /// Switches to the discovery service at `address` and returns whether the address has changed. A response that the
+    /// old service has already sent is processed first. The version numbers of the two services are unrelated, so the
+    /// next request is for the complete list.
     pub fn switch_to(self: &Rc<Self>, address: SocketAddr, events: &mut E) -> bool {
         self.read_pending(events);
         let is_other = self.address.replace(address) != address;
@@ -68,26 +68,27 @@
         is_other
     }
 
-    /// Polls for a list newer than the one held, or for the complete list. A call in flight serves instead.
+    /// Requests a list newer than the current version, or the complete list if there is none. Does nothing while a call
+    /// is in flight.
     pub fn poll(self: &Rc<Self>, events: &mut E) {
         self.start_call(false, events);
     }
 
-    /// Processes a response that has arrived and whose event has not been dispatched: no session may be placed, and no
-    /// first byte written, by a list that is no longer the latest received.
+    /// Processes a response that has arrived but whose readiness event has not been dispatched yet. Sessions must not be
+    /// placed, nor their first bytes sent, based on a list that is older than the latest one received.
     pub fn read_pending(self: &Rc<Self>, events: &mut E) {
         if self.exchange.borrow().is_some() {
             self.on_socket_ready(events);
         }
     }
 
-    /// Drops the call in flight and the version held: the next call requests the complete list.
+    /// Cancels the call in flight and discards the version, so that the next call requests the complete list.
     pub fn reset(&self, events: &E) {
         self.cancel_call(events);
         self.version.set(None);
     }
 
-    /// Drops the call in flight and its connection.
+    /// Cancels the call in flight and closes its connection.
     pub fn cancel_call(&self, events: &E) {
         self.stop_timer(events);
         self.socket.take();
@@ -105,46 +106,46 @@
         self.flush();
     }
 
-    /// Connects where there is no connection, and queues the request.
+    /// Connects if there is no connection, and queues the request.
     fn send(self: &Rc<Self>, path: &str, events: &E) -> Result<(), CallError> {
         let at = self.address.get();
         let (exchange, bytes) = Exchange::get(at, path).map_err(|source| CallError::Http { at, source })?;
         self.request.borrow_mut().clear();
         self.request.borrow_mut().push(&bytes);
         *self.exchange.borrow_mut() = Some(exchange);
-        self.connect(events).map_err(|source| CallError::Dial { at, source })
+        self.connect(events).map_err(|source| CallError::Connect { at, source })
     }
 
     fn connect(self: &Rc<Self>, events: &E) -> std::io::Result<()> {
         if self.socket.borrow().is_none() {
             let socket = Rc::new(Socket::dial(self.address.get())?);
-            let me = self.clone();
-            socket.watch(&events.handle(), move |events| me.on_socket_ready(events))?;
+            let client = self.clone();
+            socket.watch(&events.handle(), move |events| client.on_socket_ready(events))?;
             *self.socket.borrow_mut() = Some(socket);
         }
         Ok(())
     }
 
-    /// Sets the timer of a call: for the connect timeout first, then for what is left until the response deadline. An
-    /// error at once is reported by the timer too, and so never from within the call that met it.
+    /// Sets the timer of a call: first to the connect timeout, then to the time left until the response deadline. An
+    /// immediate `connect_error` is also reported by the timer, so that callbacks never run inside [`Self::poll`].
     fn start_timer(self: &Rc<Self>, request: &PollRequest, connect_error: Option<CallError>, events: &E) {
         let started_at = self.call_started_at.get();
         let response_deadline = request.response_deadline(started_at);
         let refresh_deadline = request.refresh_deadline(started_at);
         let first_check =
             if connect_error.is_none() { self.schedule.connect_timeout() } else { Duration::ZERO };
-        let (me, connect_error) = (self.clone(), Cell::new(connect_error));
+        let (client, connect_error) = (self.clone(), Cell::new(connect_error));
         let timer = Timer::from_duration(first_check);
         let token = events.handle().insert_source(timer, move |_, _, events| {
             let time_left = response_deadline.since(events.now());
-            let is_connected = me.is_connected();
+            let is_connected = client.is_connected();
             if is_connected && time_left > Duration::ZERO {
                 return TimeoutAction::ToDuration(time_left);
             }
-            me.timer.take();
+            client.timer.take();
             match connect_error.take() {
-                Some(error) => me.on_call_failed(&error, events),
-                None => me.on_timeout(is_connected, refresh_deadline, events),
+                Some(error) => client.on_call_failed(&error, events),
+                None => client.on_timeout(is_connected, refresh_deadline, events),
             }
             TimeoutAction::Drop
         });
@@ -157,7 +158,7 @@
 
     fn flush(&self) {
         let Some(socket) = self.socket.borrow().clone() else { return };
-        if socket.is_connected().is_ok_and(|up| up) {
+        if socket.is_connected().is_ok_and(|is_connected| is_connected) {
             while socket.write(&mut self.request.borrow_mut()) > 0 {}
         }
     }
@@ -166,19 +167,19 @@
         let Some(socket) = self.socket.borrow().clone() else { return };
         let at = self.address.get();
         match socket.is_connected() {
-            Err(source) => return self.on_call_failed(&CallError::Dial { at, source }, events),
+            Err(source) => return self.on_call_failed(&CallError::Connect { at, source }, events),
             Ok(false) => return,
             Ok(true) => {}
         }
         self.flush();
         self.read(&socket);
         let has_ended = socket.peer_end.get().is_some();
-        let answer = self.exchange.borrow_mut().as_mut().map(|exchange| exchange.response(has_ended));
-        match answer {
-            // Discovery may close an idle connection; the next call opens another.
+        let parsed = self.exchange.borrow_mut().as_mut().map(|exchange| exchange.response(has_ended));
+        match parsed {
+            // Discovery may close an idle connection; the next call opens a new one.
             None if has_ended => drop(self.socket.take()),
             None | Some(Ok(None)) => {}
-            Some(Ok(Some(answer))) => self.on_response(&answer, events),
+            Some(Ok(Some(response))) => self.on_response(&response, events),
             Some(Err(source)) => self.on_call_failed(&CallError::Http { at, source }, events),
         }
     }
@@ -187,26 +188,30 @@
         let mut exchange = self.exchange.borrow_mut();
         let mut response = self.response.borrow_mut();
         while socket.read(&mut response) > 0 {
-            // Bytes that come between calls answer nothing and are dropped.
+            // Bytes received while no request is in flight belong to no response and are dropped.
             let _ = exchange.as_mut().map(|exchange| response.drain_to(exchange.input()));
             response.clear();
         }
     }
 
-    fn on_response(self: &Rc<Self>, answer: &Response, events: &mut E) {
+    fn on_response(self: &Rc<Self>, response: &Response, events: &mut E) {
         let at = self.address.get();
-        let mut list = match EndpointList::parse(&answer.body) {
+        let mut list = match EndpointList::parse(&response.body) {
             Ok(list) => list,
             Err(source) => return self.on_call_failed(&CallError::List { at, source }, events),
         };
-        // A discovery that was restarted counts versions from the start, and its delta is to a list not held here.
-        if !list.is_complete && self.version.get().is_some_and(|held| list.version < held) {
-            log::warn!("discovery at {at}: back at version {}: requesting the complete list", list.version);
+        // A restarted discovery service numbers its versions from the start again, so its changes cannot be applied to
+        // the list known here.
+        if !list.is_complete && self.version.get().is_some_and(|current| list.version < current) {
+            log::warn!(
+                "discovery at {at}: version went back to {}; requesting the complete list",
+                list.version
+            );
             self.reset(events);
             return self.poll(events);
         }
-        list.sent_at = answer.date;
-        if !answer.keep_alive {
+        list.sent_at = response.date;
+        if !response.keep_alive {
             self.socket.take();
         }
         self.stop_timer(events);
@@ -237,8 +242,9 @@
         if self.exchange.borrow().is_none() {
             return drop(self.socket.take());
         }
-        // A response that has begun may hold a change, so it is requested again at once and not after the backoff of a
-        // refusal. Only after a success: a discovery that sends nothing but garbage must not be polled in a tight loop.
+        // A partial or invalid response may contain a change, so it is requested again immediately instead of after the
+        // backoff. Only if the previous call succeeded: a service that always sends invalid responses must not be polled
+        // in a tight loop.
         if self.response_has_begun(error) && self.last_call_succeeded.get() {
             return self.on_watch_lost(error, events.now(), events);
         }
@@ -246,7 +252,7 @@
         events.on_poll_failed(error, self.call_started_at.get());
     }
 
-    /// Whether the call failed after discovery had begun its response.
+    /// Whether discovery had started to send its response when the call failed.
     fn response_has_begun(&self, error: &CallError) -> bool {
         match error {
             CallError::Http { source: HttpError::Truncated, .. } => {
@@ -254,9 +260,9 @@
             }
             CallError::Http { source: HttpError::Status(_), .. } => false,
             CallError::Http { .. } | CallError::List { .. } => true,
-            CallError::Dial { .. } | CallError::ConnectTimeout { .. } | CallError::ResponseTimeout { .. } => {
-                false
-            }
+            CallError::Connect { .. }
+            | CallError::ConnectTimeout { .. }
+            | CallError::ResponseTimeout { .. } => false,
         }
     }
 
--- a/crates/proxy/src/discovery/endpoint_list.rs
+++ b/crates/proxy/src/discovery/endpoint_list.rs
@@ -1,4 +1,4 @@
-//! The endpoint list in discovery's JSON form.
+//! The endpoint list in the JSON format of the discovery service.
 
 use serde::Deserialize;
 use shelfgrade::host::{Endpoint, EndpointState};
@@ -6,79 +6,80 @@
 use std::net::SocketAddr;
 use std::time::SystemTime;
 
-/// Why a list is rejected. No part of it is applied, and the one held before stays in force.
+/// Why an endpoint list is rejected. No part of it is applied, and the previous list stays in use.
 #[derive(Debug, thiserror::Error)]
 pub enum ListError {
-    /// The text is not JSON of this form.
-    #[error("no list of servers ({0}): see what writes it, and that every entry has `host` and `health`")]
-    Form(#[from] serde_json::Error),
+    /// The text is not valid JSON, or does not have the expected structure.
+    #[error("invalid endpoint list ({0}): check what generates it; every entry needs `host` and `health`")]
+    Format(#[from] serde_json::Error),
     /// A server that is not terminated has no address.
-    #[error("a list in which {host} has no address: give it a `dial`, or say that it is `terminated`")]
+    #[error("invalid endpoint list: {host} has no address: give it a `dial`, or mark it `terminated`")]
     NoAddress {
         /// The server's name.
         host: String,
     },
 }
 
-/// One version of the endpoint list, or the changes that lead to it.
+/// One version of the endpoint list: either the complete list, or the servers that have changed.
 #[derive(Deserialize, Default)]
 pub struct EndpointList {
-    /// Discovery's version number; it counts from the start again when discovery is restarted.
+    /// Version number assigned by discovery; it starts again from the beginning when discovery is restarted.
     #[serde(rename = "seq")]
     pub version: u64,
-    /// Whether all servers are here: one that is absent is gone. Otherwise the list holds changed servers only.
+    /// Whether the list contains all servers, so that an absent server has been removed. Otherwise it contains only
+    /// servers that have changed.
     #[serde(default, rename = "whole")]
     pub is_complete: bool,
-    /// The servers, in the order of the text.
+    /// The servers, in the order of the JSON text.
     #[serde(default, rename = "hosts")]
     pub records: Vec<EndpointRecord>,
-    /// Discovery's clock when it sent the response, where the response says so.
+    /// Time on discovery's clock when it sent the response, if the response has a date.
     #[serde(skip)]
     pub sent_at: Option<SystemTime>,
 }
 
-/// One server of the list.
+/// One server on the list.
 #[derive(Deserialize)]
 pub struct EndpointRecord {
     /// The server's name.
     pub host: String,
-    /// Where to connect; a terminated server may have none.
+    /// The address to connect to; may be absent for a terminated server.
     #[serde(rename = "dial")]
     pub address: Option<SocketAddr>,
-    /// The failure domain it is in.
+    /// The zone that the server is in; may be empty.
     #[serde(default, rename = "site")]
     pub zone: String,
-    /// The kind of machine it is; may be empty.
+    /// The kind of machine that the server runs on; may be empty.
     #[serde(default, rename = "class")]
     pub kind: String,
-    /// The number of the cell it is in.
+    /// The number of the cell that the server is in.
     #[serde(default, rename = "block")]
     pub cell: u64,
-    /// Its state.
+    /// The server's state.
     pub health: Health,
-    /// When the server started, in Unix milliseconds; 0 where that was long ago or is unknown.
+    /// When the server started, in Unix milliseconds; 0 if that was long ago or is unknown.
     #[serde(default, rename = "born_ms")]
     pub started_ms: f64,
 }
 
-/// A server's state as discovery has it.
+/// A server's state as reported by discovery.
 #[derive(Deserialize, PartialEq, Clone, Copy)]
 #[serde(rename_all = "snake_case")]
 pub enum Health {
-    /// Takes sessions.
+    /// Accepts new sessions.
     InService,
-    /// Drains: takes no new sessions.
+    /// Draining: accepts no new sessions.
     Terminating,
-    /// Gone.
+    /// Removed.
     Terminated,
 }
 
 impl EndpointList {
-    /// Reads a response's body.
+    /// Parses and validates the JSON text of a list.
     ///
     /// # Errors
     ///
-    /// [`ListError`] if any part of it cannot be used.
+    /// [`ListError`] if any part of the list is invalid.
     pub fn parse(text: &[u8]) -> Result<Self, ListError> {
         let list: EndpointList = serde_json::from_slice(text)?;
         for record in &list.records {
@@ -89,12 +90,12 @@
         Ok(list)
     }
 
-    /// The list as the load balancer takes it, in the order of the records.
+    /// The servers in the load balancer's format, in the order of the records.
     pub fn endpoints(&self) -> Vec<Endpoint> {
         self.records.iter().map(EndpointRecord::endpoint).collect()
     }
 
-    /// The addresses, in the order of the records.
+    /// The servers' addresses, in the order of the records.
     pub fn addresses(&self) -> impl Iterator<Item = Option<SocketAddr>> + Clone + '_ {
         self.records.iter().map(|record| record.address)
     }
--- a/crates/proxy/src/discovery/mod.rs
+++ b/crates/proxy/src/discovery/mod.rs
@@ -1,6 +1,7 @@
-//! The endpoint list: polling and watching discovery, and reading its responses.
+//! The endpoint list: polling and watching the discovery service, and parsing its responses.
 //!
-//! [`client`] makes the calls, [`poll_schedule`] plans them, and [`events`] is what the owner of the client implements.
+//! [`client`] sends the requests, [`poll_schedule`] decides their parameters and time limits, and the owner of the client
+//! implements the callbacks in [`events`].
 
 pub mod call_error;
 pub mod client;
--- a/crates/proxy/src/discovery/poll_schedule.rs
+++ b/crates/proxy/src/discovery/poll_schedule.rs
@@ -1,40 +1,42 @@
-//! Which call comes next, and how long it may take.
+//! Chooses the next request to discovery and its time limits.
 
 use nanorand::{Rng, WyRand};
 use shelfgrade::time::{DurationExt, Timestamp};
 use std::cell::RefCell;
 use std::time::Duration;
 
-/// Discovery's path of the endpoint list.
+/// Request path of the endpoint list.
 const MEMBERS_PATH: &str = "/catalog/members";
 
-/// A change has to be applied this long after it was made, however the call that missed it ended.
+/// A change must be applied within this time after it was made, even if a call missed it. A missed change is assumed to
+/// have been made when the call started.
 const REFRESH_WITHIN: Duration = Duration::from_millis(6000);
-/// Or this long after the wait of the watch that missed it, whichever is later.
+/// The same limit counted from the end of a watch's wait; the later of the two applies.
 const REFRESH_AFTER_WAIT: Duration = Duration::from_millis(2000);
-/// The fraction of a drawn wait that a new watch asks for, as discovery may hold it back before the wait begins.
+/// A new watch asks for this fraction of the drawn wait, because discovery may delay it before the wait begins.
 const NEW_WATCH_WAIT_FRACTION: f64 = 0.4;
 
-/// Time limits of calls to one kind of discovery.
+/// Time limits of calls to one kind of discovery service.
 pub struct CallTimeouts {
-    /// Bounds of the wait that a watch asks for, drawn for each watch: watches that all end with one change must not all
-    /// be repeated in the same instant.
+    /// Lower bound of the wait that a watch asks for. The wait is random, because watches that all end with the same
+    /// change must not all be repeated at the same moment.
     pub min_watch_wait: Duration,
-    /// The upper bound.
+    /// Upper bound of the wait that a watch asks for.
     pub max_watch_wait: Duration,
-    /// How long past its wait a response may take, for a watch that continues from a response.
+    /// Time that the response to a watch may take beyond its wait, if the watch directly follows a response.
     pub continued_watch_grace: Duration,
-    /// The same for a new watch, before which discovery may have others to serve.
+    /// The same for any other watch; discovery may serve other clients before it.
     pub new_watch_grace: Duration,
-    /// A call without a wait.
+    /// Time limit of a request for the complete list, which has no wait.
     pub response_timeout: Duration,
-    /// Until the connection is established.
+    /// Time limit for establishing the connection.
     pub connect_timeout: Duration,
 }
 
-/// Discovery shared by all proxies. A silent watch is detected within 2.8 s, and a refused connection or silent call is
-/// retried within the four seconds that a proxy has to apply the list of a new discovery.
-pub const SHARED_DISCOVERY: CallTimeouts = CallTimeouts {
+/// Time limits for a discovery service shared by all proxies. A watch without a response is detected within 2.8 s. A
+/// refused connection or a request without a response is retried within 4 s, the time that a proxy has to apply the list
+/// of a new discovery service.
+pub const SHARED_DISCOVERY_TIMEOUTS: CallTimeouts = CallTimeouts {
     min_watch_wait: Duration::from_millis(800),
     max_watch_wait: Duration::from_millis(2000),
     continued_watch_grace: Duration::from_millis(300),
@@ -43,9 +45,9 @@
     connect_timeout: Duration::from_millis(1000),
 };
 
-/// An agent on the same machine, which responds within milliseconds. Its list has to be applied as soon as the agent has
-/// it, so an outage must not leave a call hanging.
-pub const LOCAL_AGENT: CallTimeouts = CallTimeouts {
+/// Time limits for an agent on the same machine, which responds within milliseconds. Its list must be applied as soon as
+/// the agent has it, so a call must not hang for long when the agent fails.
+pub const LOCAL_AGENT_TIMEOUTS: CallTimeouts = CallTimeouts {
     min_watch_wait: Duration::from_millis(150),
     max_watch_wait: Duration::from_millis(300),
     continued_watch_grace: Duration::from_millis(150),
@@ -54,47 +56,47 @@
     connect_timeout: Duration::from_millis(250),
 };
 
-/// A planned call.
+/// A request to be sent, with its time limits.
 pub struct PollRequest {
     /// Path and query of the request.
     pub path: String,
-    /// How long discovery may hold the call back until there is a newer version.
+    /// How long discovery may delay the response until there is a newer version.
     wait: Duration,
-    /// How long the response may take beyond that.
+    /// How long the response may take beyond the wait.
     grace: Duration,
 }
 
 impl PollRequest {
-    /// When a call that begins at `started_at` has timed out.
+    /// When the request times out if it is sent at `started_at`.
     pub fn response_deadline(&self, started_at: Timestamp) -> Timestamp {
         started_at + self.wait + self.grace
     }
 
-    /// When changes that such a call missed have to be applied.
+    /// When changes must be applied that the request misses if it is sent at `started_at`.
     pub fn refresh_deadline(&self, started_at: Timestamp) -> Timestamp {
         started_at + REFRESH_WITHIN.max(self.wait + REFRESH_AFTER_WAIT)
     }
 }
 
-/// Plans the calls to one discovery.
+/// Chooses the requests to one discovery service.
 pub struct PollSchedule {
     timeouts: CallTimeouts,
     rng: RefCell<WyRand>,
 }
 
 impl PollSchedule {
-    /// The plan of a client that has not called yet; waits are drawn from `seed`.
+    /// Creates a schedule whose random waits are generated from `seed`.
     pub fn new(timeouts: CallTimeouts, seed: u64) -> Self {
         PollSchedule { timeouts, rng: RefCell::new(WyRand::new_seed(seed)) }
     }
 
-    /// How long establishing a connection may take.
+    /// Time limit for establishing the connection.
     pub fn connect_timeout(&self) -> Duration {
         self.timeouts.connect_timeout
     }
 
-    /// The next call: for the complete list where no `version` is held, else a watch for a newer one. `is_continuation`
-    /// says that the call before has just been answered.
+    /// The next request: for the complete list if there is no `version`, otherwise a watch for a newer version.
+    /// `is_continuation` is true if the response to the previous request has just been received.
     pub fn next_request(&self, version: Option<u64>, is_continuation: bool) -> PollRequest {
         let Some(version) = version else {
             let (path, grace) = (MEMBERS_PATH.to_owned(), self.timeouts.response_timeout);
@@ -109,7 +111,7 @@
         PollRequest { path: format!("{MEMBERS_PATH}?index={version}&wait={}", wait.as_ms()), wait, grace }
     }
 
-    /// A random wait in whole milliseconds.
+    /// Draws a random wait in whole milliseconds.
     fn draw_wait(&self, fraction: f64) -> Duration {
         let (min, max) = (self.timeouts.min_watch_wait.as_ms(), self.timeouts.max_watch_wait.as_ms());
         let random_unit = f64::from(self.rng.borrow_mut().generate::<f32>());
--- a/crates/proxy/src/discovery/start_times.rs
+++ b/crates/proxy/src/discovery/start_times.rs
@@ -1,7 +1,8 @@
-//! Start times of servers on this process's clock.
+//! Converts the start times of servers to this process's clock.
 //!
-//! Discovery reports a start as Unix time. This process reads Unix time once, at its own start, from a wall clock that
-//! may have been off, so a reported start cannot be compared with this clock as it is.
+//! Discovery reports the start of a server in Unix time. This process reads Unix time only once, when it starts, from a
+//! system clock that may be wrong at that moment. Reported start times therefore cannot be compared with this process's
+//! clock directly.
 
 use shelfgrade::host::{Endpoint, EndpointState, ServerId};
 use shelfgrade::time::{DurationExt, Timestamp};
@@ -9,47 +10,48 @@
 use std::time::Duration;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Most starts tracked, of servers that are or were listed.
+/// Maximum number of servers whose start is tracked, including servers that are no longer listed.
 const MAX_TRACKED_STARTS: usize = 1 << 16;
-/// A change is on the list at most this long after it was made.
+/// Maximum time between a change and the receipt of a list that contains it.
 const MAX_LIST_DELAY: Duration = Duration::from_millis(6000);
-/// Differences between the clocks up to this are ignored: discovery's time comes in whole seconds, and a response takes a
-/// moment.
+/// Clock differences up to this are ignored: discovery's time has a resolution of one second, and a response takes time
+/// to arrive.
 const CLOCK_TOLERANCE_MS: f64 = 2000.0;
 
-/// One start of a server.
+/// The most recent start of a server.
 #[derive(Clone, Copy)]
 struct TrackedStart {
-    /// As discovery reports it.
+    /// Start time as reported by discovery.
     reported: Timestamp,
-    /// When it was first on a list, on this clock.
+    /// When this start was first seen on a list, on this process's clock.
     first_listed: Timestamp,
-    /// When it was on this clock, if it happened while this process was watching.
+    /// Estimated start time on this process's clock, if the server started after this process had received a list.
     observed: Option<Timestamp>,
 }
 
-/// The starts reported so far, and what is known of the difference between the clocks.
+/// The server starts reported so far, and what is known about the difference between the clocks.
 #[derive(Default)]
 pub struct StartTimes {
     starts: BTreeMap<ServerId, TrackedStart>,
-    /// How far this clock is ahead of discovery's; zero if it is behind or that is unknown.
+    /// How far this process's clock is ahead of discovery's; zero if it is behind or if this is unknown.
     clock_lead: Duration,
-    /// The shortest time so far between a reported start and its first listing, in milliseconds: the list's shortest
-    /// delay plus the difference between the clocks, which may be negative.
+    /// The shortest time so far between a reported start and its first listing, in milliseconds. It is the sum of the
+    /// shortest list delay and the difference between the clocks, and may be negative.
     min_listing_delay_ms: Option<f64>,
-    /// Whether a list has come from discovery: a start that is new on a later one has just happened.
+    /// Whether a list from discovery has been applied. A start that first appears on a later list has just happened.
     list_received: bool,
 }
 
 impl StartTimes {
-    /// Takes in discovery's clock as sent with a list. Returns whether starts reported earlier have changed.
+    /// Updates the clock difference from discovery's time as sent with a list. Returns whether the start times of servers
+    /// listed earlier have changed.
     ///
-    /// If this clock was ahead when the process started, servers that had just started would count as warmed up. A clock
-    /// that was behind does no harm, as no start counts as being in the future.
+    /// Without this, if the system clock was ahead when this process started, servers that have just started would be
+    /// treated as warmed up. A clock that was behind is harmless, because start times are never in the future.
     pub fn update_clock_lead(&mut self, discovery_time: SystemTime, now: Timestamp) -> bool {
         let since_epoch = discovery_time.duration_since(UNIX_EPOCH).unwrap_or_default();
         let lead = now.since(Timestamp::from_ms(since_epoch.as_secs_f64() * 1000.0));
-        // A lead that followed every response would move starts later with each.
+        // If the lead were updated by every response, start times would keep moving later.
         let has_changed = (lead.as_ms() - self.clock_lead.as_ms()).abs() > CLOCK_TOLERANCE_MS;
         if has_changed {
             self.clock_lead = lead;
@@ -57,7 +59,7 @@
         has_changed
     }
 
-    /// Endpoints that were localized before, by the present clock lead.
+    /// Recalculates the start times of endpoints that [`Self::localize`] returned earlier, using the current clock lead.
     pub fn relocalize(&self, endpoints: Vec<Endpoint>) -> Vec<Endpoint> {
         let start_of =
             |endpoint: &Endpoint| self.starts.get(&endpoint.server).map(|start| self.on_this_clock(start));
@@ -71,11 +73,11 @@
         start.observed.unwrap_or((start.reported + self.clock_lead).min(start.first_listed))
     }
 
-    /// Endpoints of a list received at `now`, with their starts on this clock. A start that is new on a list has just
-    /// happened, whatever time is reported for it.
+    /// Converts the start times of the endpoints of a list received at `now` to this process's clock. After the first
+    /// list, a start that has not been listed before has just happened, whatever time is reported for it.
     pub fn localize(&mut self, endpoints: Vec<Endpoint>, now: Timestamp) -> Vec<Endpoint> {
         if self.starts.len() > MAX_TRACKED_STARTS {
-            // A server that is listed again after this goes through slow start once more, which is harmless.
+            // Servers listed after this go through slow start once more, which is harmless.
             self.starts.clear();
         }
         endpoints
@@ -99,8 +101,8 @@
         Some(self.on_this_clock(&start))
     }
 
-    /// The time of a start that has just been listed: as long ago as this listing's delay exceeds the shortest one. The
-    /// first one observed, and one that would be older than a list can be late, counts from now.
+    /// Estimates the time of a start that has just been listed, by how much its listing delay exceeds the shortest delay.
+    /// The result is `now` for the first start observed, and if the estimate is older than the maximum list delay.
     fn observe(&mut self, reported: Timestamp, now: Timestamp) -> Timestamp {
         let delay_ms = now.as_ms() - reported.as_ms();
         let min_delay_ms = self.min_listing_delay_ms.map_or(delay_ms, |min_ms| min_ms.min(delay_ms));
@@ -113,7 +115,7 @@
         }
     }
 
-    /// A list from discovery has been applied.
+    /// Called when a list from discovery has been applied.
     pub fn on_list_applied(&mut self) {
         self.list_received = true;
     }
--- a/crates/proxy/src/lifecycle/serve.rs
+++ b/crates/proxy/src/lifecycle/serve.rs
@@ -2,7 +2,7 @@
 
 use crate::discovery::client::Discovery;
 use crate::discovery::endpoint_list::EndpointList;
-use crate::discovery::poll_schedule::{LOCAL_AGENT, SHARED_DISCOVERY};
+use crate::discovery::poll_schedule::{LOCAL_AGENT_TIMEOUTS, SHARED_DISCOVERY_TIMEOUTS};
 use crate::discovery::start_times::StartTimes;
 use crate::downstream::listener::Listener;
 use crate::executor::{Executor, ExecutorSettings};
@@ -99,7 +99,7 @@
     // With a pushed list or peers the complete list is requested first, as a response to that comes at once.
     let requests_complete_list = known.records.is_empty() || is_pushed || fleet.is_some();
     let version = Some(known.version).filter(|_| !requests_complete_list);
-    let timeouts = if is_pushed { LOCAL_AGENT } else { SHARED_DISCOVERY };
+    let timeouts = if is_pushed { LOCAL_AGENT_TIMEOUTS } else { SHARED_DISCOVERY_TIMEOUTS };
     let settings_text = start.settings_text;
     // The settings were valid for the first load balancer, so they are for those of customers.
     let make_balancer =
--- a/crates/proxy/src/proxy/discovery_events.rs
+++ b/crates/proxy/src/proxy/discovery_events.rs
@@ -1,4 +1,4 @@
-//! How the proxy reacts to the outcomes of calls to discovery.
+//! Handles the outcomes of calls to discovery.
 
 use crate::discovery::call_error::CallError;
 use crate::discovery::endpoint_list::EndpointList;
@@ -9,19 +9,19 @@
 impl DiscoveryEvents for Proxy {
     fn on_endpoints(&mut self, list: &EndpointList) -> bool {
         log::debug!(
-            "endpoint list {}: {} records, complete {}",
+            "endpoint list version {}: {} records, complete: {}",
             list.version,
             list.records.len(),
             list.is_complete
         );
         let now = self.now();
         self.executor.list_received.set(true);
-        if let Some(keeps_watching) = self.hand_list_to_peers(list) {
+        if let Some(keeps_watching) = self.submit_list_to_fleet(list) {
             return keeps_watching;
         }
-        if list.sent_at.is_some_and(|time| self.start_times.update_clock_lead(time, now)) {
-            let known = self.start_times.relocalize(self.balancer.endpoints());
-            self.balancer.on_endpoints(&known, false, now);
+        if list.sent_at.is_some_and(|sent_at| self.start_times.update_clock_lead(sent_at, now)) {
+            let corrected = self.start_times.relocalize(self.balancer.endpoints());
+            self.balancer.on_endpoints(&corrected, false, now);
         }
         let endpoints = self.start_times.localize(list.endpoints(), now);
         self.start_times.on_list_applied();
@@ -33,11 +33,11 @@
         true
     }
 
-    fn on_poll_failed(&mut self, error: &CallError, since: Timestamp) {
+    fn on_poll_failed(&mut self, error: &CallError, started_at: Timestamp) {
         log::warn!("{error}");
         self.executor.metrics.count("endpoint polls failed");
         let now = self.now();
-        self.balancer.on_poll_failed(since, now, &mut self.executor);
+        self.balancer.on_poll_failed(started_at, now, &mut self.executor);
         self.run_deferred_actions();
     }
 
--- a/crates/proxy/src/proxy/fleet_membership.rs
+++ b/crates/proxy/src/proxy/fleet_membership.rs
@@ -1,4 +1,4 @@
-//! The proxy as a member of its fleet: joining, and which part of discovery and of the shared files falls to it.
+//! The proxy as a member of its fleet: joins it, passes on lists from discovery, and loads the shared files.
 
 use crate::discovery::endpoint_list::EndpointList;
 use crate::fleet::fleet_file::{FleetError, FleetFile};
@@ -10,7 +10,7 @@
 use shelfgrade_recovery::{EndpointAddress, RecoverySettings};
 
 impl Proxy {
-    /// Joins the fleet that the fleet file describes. `known` is the list of the start-up file.
+    /// Joins the fleet that the fleet file describes. `known` is the endpoint list of the start-up file.
     pub fn join_fleet(
         &mut self,
         file: FleetFile,
@@ -26,7 +26,7 @@
         let peers = Peers::join(file, settings, known.collect(), seed, self)?;
         self.namespaces = TenantNamespaces::new(peers.member());
         self.peers = Some(peers.clone());
-        // Entries restored from the snapshot are not reported as changed.
+        // Entries restored from the snapshot are not reported as changed, so they are processed here.
         for key in peers.keys("") {
             PeerEvents::shared_entry_changed(self, &key);
         }
@@ -34,9 +34,9 @@
         Ok(())
     }
 
-    /// In a fleet, passes a list from discovery to the recovery, which decides what of it is applied. Returns whether to
-    /// go on watching discovery, or none without peers.
-    pub fn hand_list_to_peers(&mut self, list: &EndpointList) -> Option<bool> {
+    /// In a fleet, passes a list from discovery to the recovery state machine, which decides what to apply. Returns
+    /// whether to continue watching discovery; none if this process is not in a fleet.
+    pub fn submit_list_to_fleet(&mut self, list: &EndpointList) -> Option<bool> {
         let peers = self.peers.clone()?;
         let accepted = peers.on_endpoint_list(server_records(list), list.is_complete, list.version, self);
         Some(accepted && peers.is_poller())
@@ -47,11 +47,11 @@
         self.peers.as_ref().is_none_or(|peers| peers.is_poller())
     }
 
-    /// Reads the tenants' namespaces and the maintenance windows that the fleet file names, and shares what is new.
+    /// Reads the namespace and maintenance files that the fleet file names, and replicates newer versions.
     pub fn reload_tenant_files(&mut self) {
         let Some(peers) = self.peers.clone() else { return };
-        if let Some(folder) = peers.namespaces_dir() {
-            self.namespaces.load(&folder, &*peers);
+        if let Some(directory) = peers.namespaces_dir() {
+            self.namespaces.load(&directory, &*peers);
         }
         if let Some(path) = peers.maintenance_file() {
             self.maintenance_windows.load(&path, peers.fleet_ms(self.now()), &*peers);
--- a/crates/proxy/tests/sockets/error_messages.rs
+++ b/crates/proxy/tests/sockets/error_messages.rs
@@ -53,7 +53,7 @@
             ["RELAY_DISCOVERY: nowhere", "not an address with a port", "write one such as"],
         ),
         ("\"seed\":\"1", "\"seed\":\"xyz", ["seed: \"xyz\"", "not a hexadecimal number", "sixteen digits"]),
-        ("\"seq\":1", "\"seq\":-1", ["known: ", "invalid value: integer `-1`", "see what writes it"]),
+        ("\"seq\":1", "\"seq\":-1", ["known: ", "invalid value: integer `-1`", "check what generates it"]),
         ("\"hosts\":[]", host, ["known: ", "s1 has no address", "give it a `dial`"]),
         (
             "\"most_connects\":3",
@@ -86,7 +86,7 @@
         (
             "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nno { json",
             false,
-            ["no list of servers", "see what writes it"],
+            ["invalid endpoint list", "check what generates it"],
         ),
         (&unlisted, false, ["s2 has no address", "give it a `dial`"]),
         (&endless, false, ["an answer of over", "look at it"]),
@@ -105,7 +105,9 @@
     let _silent = program.discovery.next_poll();
     let line = program.next_log_line();
     assert!(
-        [&*place, "silent", "look at it and the way there"].iter().all(|word| line.contains(word)),
+        [&*place, "response timed out", "check discovery and the network path"]
+            .iter()
+            .all(|word| line.contains(word)),
         "{line}"
     );
     // Connections to the first address are not accepted, then those to the second are refused.
