--- a/crates/proxy/src/lib.rs
+++ b/crates/proxy/src/lib.rs
@@ -1,8 +1,8 @@
-//! A balancer for long-lived connections on real sockets, around the load balancer of the crate `shelfgrade`.
+//! A load-balancing proxy for long-lived connections, built on the load balancer of the crate `shelfgrade`.
 //!
-//! [`lifecycle::startup::Start`] holds what a proxy is given at its start; [`lifecycle::serve::serve`] runs it on one thread
-//! and one event loop until it is stopped. The load balancer decides, without I/O; this crate does the I/O and carries the
-//! decisions out.
+//! [`lifecycle::startup::StartupConfig`] holds the configuration of a proxy, and [`lifecycle::serve::serve`] runs the
+//! proxy on one thread with one event loop until it is stopped. The load balancer makes the decisions and performs no
+//! I/O; this crate performs the I/O and carries out the decisions.
 
 mod descriptor_budget;
 mod discovery;
--- a/crates/proxy/src/lifecycle/mod.rs
+++ b/crates/proxy/src/lifecycle/mod.rs
@@ -1,4 +1,5 @@
-//! From the start-up file to the exit: startup, the startup gate, and the schedule of a graceful shutdown.
+//! The life cycle of the proxy: reading the configuration, startup, the startup gate, and the graceful shutdown
+//! schedule.
 
 pub mod serve;
 pub mod serve_error;
--- a/crates/proxy/src/lifecycle/serve.rs
+++ b/crates/proxy/src/lifecycle/serve.rs
@@ -1,4 +1,4 @@
-//! Builds a proxy from its start-up file and runs its event loop.
+//! Builds a proxy from its configuration and runs its event loop.
 
 use crate::discovery::client::Discovery;
 use crate::discovery::endpoint_list::EndpointList;
@@ -10,7 +10,7 @@
 use crate::fleet::recovery_settings::recovery_settings;
 use crate::lifecycle::serve_error::ServeError;
 use crate::lifecycle::shutdown_schedule::ShutdownSchedule;
-use crate::lifecycle::startup::{limit_descriptors, Limits, Start};
+use crate::lifecycle::startup::{limit_descriptors, Limits, StartupConfig};
 use crate::lifecycle::startup_gate::StartupGate;
 use crate::net::line::MAX_LINE_BYTES;
 use crate::proxy::{Proxy, TICK};
@@ -23,7 +23,7 @@
 use shelfgrade_settings::Settings;
 use std::collections::BTreeMap;
 
-/// What [`build`] takes besides the start-up file.
+/// Resources that [`build`] needs in addition to the configuration.
 struct Resources {
     limits: Limits,
     handle: LoopHandle<'static, Proxy>,
@@ -35,24 +35,24 @@
 ///
 /// # Errors
 ///
-/// [`ServeError`] if it cannot start, or if the event loop fails.
-pub fn serve(mut start: Start) -> Result<(), ServeError> {
-    let fleet = FleetFile::from_environment(&start.name)?;
-    let limits = Limits { sockets: limit_descriptors(start.limits.sockets), ..start.limits };
+/// [`ServeError`] if the proxy cannot start, or if the event loop fails.
+pub fn serve(mut config: StartupConfig) -> Result<(), ServeError> {
+    let fleet = FleetFile::from_environment(&config.name)?;
+    let limits = Limits { sockets: limit_descriptors(config.limits.sockets), ..config.limits };
 
     let mut event_loop: EventLoop<'static, Proxy> = EventLoop::try_new()?;
     let handle = event_loop.handle();
-    let cannot_listen = |source| ServeError::Listen { at: start.listen, source };
-    let listener = Listener::open(start.listen, &handle).map_err(cannot_listen)?;
+    let listen_error = |source| ServeError::Listen { at: config.listen_address, source };
+    let listener = Listener::open(config.listen_address, &handle).map_err(listen_error)?;
     watch_signals(&handle)?;
     start_ticks(&handle)?;
 
-    let (listen, seed) = (start.listen, start.seed);
-    let is_pushed = start.settings.list_is_pushed;
-    let known = std::mem::take(&mut start.known);
-    let recovery_settings = fleet.as_ref().map(|fleet| recovery_settings(&start.settings, fleet));
+    let (listen_address, seed) = (config.listen_address, config.seed);
+    let is_pushed = config.settings.list_is_pushed;
+    let known = std::mem::take(&mut config.known_endpoints);
+    let recovery_settings = fleet.as_ref().map(|fleet| recovery_settings(&config.settings, fleet));
     let resources = Resources { limits, handle, listener, stop: event_loop.get_signal() };
-    let mut proxy = build(start, &known, fleet.as_ref(), resources);
+    let mut proxy = build(config, &known, fleet.as_ref(), resources);
     let metrics = proxy.executor.metrics.clone();
 
     start_balancer(&mut proxy, &known, is_pushed, fleet.is_some());
@@ -60,7 +60,8 @@
         proxy.join_fleet(file, settings, &known, seed)?;
     }
     proxy.run_deferred_actions();
-    let address = proxy.listener.address().map_err(|source| ServeError::Listen { at: listen, source })?;
+    let address =
+        proxy.listener.address().map_err(|source| ServeError::Listen { at: listen_address, source })?;
     log::info!("{} listens on {address}, {} servers known", proxy.name, known.records.len());
     event_loop.run(None, &mut proxy, |_| {})?;
     metrics.log();
@@ -84,36 +85,43 @@
     ticks.map(|_| ()).map_err(|error| error.error)
 }
 
-/// The proxy with its parts, before it knows any server.
-fn build(start: Start, known: &EndpointList, fleet: Option<&FleetFile>, resources: Resources) -> Proxy {
+/// Builds the proxy and its components. No endpoints have been applied yet.
+fn build(
+    config: StartupConfig,
+    known: &EndpointList,
+    fleet: Option<&FleetFile>,
+    resources: Resources,
+) -> Proxy {
     let Resources { limits, handle, listener, stop } = resources;
-    let Settings { classes, customers, slow_start, list_is_pushed: is_pushed, .. } = start.settings;
+    let Settings { classes, customers, slow_start, list_is_pushed: is_pushed, .. } = config.settings;
     let executor_settings = ExecutorSettings {
-        dial_timeout: start.settings.dial_timeout,
-        health_checks_allowed: start.settings.health_checks_allowed,
-        servers_report_latency: start.settings.servers_report_latency,
+        dial_timeout: config.settings.dial_timeout,
+        health_checks_allowed: config.settings.health_checks_allowed,
+        servers_report_latency: config.settings.servers_report_latency,
         max_descriptors: limits.sockets as usize,
     };
     let executor = Executor::new(handle, executor_settings);
     let now = executor.clock.now();
-    // With a pushed list or peers the complete list is requested first, as a response to that comes at once.
+    // With a local agent or in a fleet the complete list is requested first, because discovery answers that
+    // immediately.
     let requests_complete_list = known.records.is_empty() || is_pushed || fleet.is_some();
     let version = Some(known.version).filter(|_| !requests_complete_list);
     let timeouts = if is_pushed { LOCAL_AGENT_TIMEOUTS } else { SHARED_DISCOVERY_TIMEOUTS };
-    let settings_text = start.settings_text;
-    // The settings were valid for the first load balancer, so they are for those of customers.
+    let settings_text = config.settings_text;
+    // The settings have been validated for the default load balancer, so parsing them again for the load balancer of a
+    // customer succeeds.
     let make_balancer =
         move |seed| shelfgrade_settings::parse(seed, &settings_text).ok().map(|settings| settings.balancer);
     Proxy {
-        name: start.name,
-        balancer: TenantBalancers::new(start.settings.balancer, Box::new(make_balancer), start.seed),
+        name: config.name,
+        balancer: TenantBalancers::new(config.settings.balancer, Box::new(make_balancer), config.seed),
         executor,
         listener,
         classes,
         customers: customers.into_iter().map(|customer| customer.name).collect(),
         slow_start,
         ring_size: ring_size(limits),
-        discovery: Discovery::new(start.discovery, version, timeouts, start.seed),
+        discovery: Discovery::new(config.discovery_address, version, timeouts, config.seed),
         start_times: StartTimes::default(),
         peers: None,
         fleet_endpoints: BTreeMap::new(),
@@ -128,12 +136,13 @@
         latencies_reported_at: now,
         reload_requested_at: None,
         shutdown_requested_at: None,
-        shutdown_schedule: ShutdownSchedule::new(start.settings.max_request_timeout),
+        shutdown_schedule: ShutdownSchedule::new(config.settings.max_request_timeout),
         stop,
     }
 }
 
-/// Starts the load balancer with the known servers. In a fleet the recovery decides about these.
+/// Starts the load balancer with the servers of the start-up file. In a fleet it starts without servers, because the
+/// recovery decides which of the known servers are used.
 fn start_balancer(proxy: &mut Proxy, known: &EndpointList, is_pushed: bool, is_in_fleet: bool) {
     let now = proxy.latencies_reported_at;
     let endpoints = if is_in_fleet { Vec::new() } else { known.endpoints() };
@@ -143,13 +152,14 @@
     if !is_pushed && !is_in_fleet {
         proxy.startup_gate = StartupGate::until_first_poll(now, proxy.executor.next_wakeup);
     }
-    // Servers that report message latencies need no periodic health checks.
+    // Servers that report message latencies do not need periodic health checks.
     proxy.balancer.start_periodic_checks(!proxy.executor.servers_report_latency, now, &mut proxy.executor);
 }
 
-/// The size of one ring buffer in bytes, such that two for every descriptor take half of the memory at most.
+/// The size of one ring buffer in bytes, chosen so that two buffers per descriptor use at most half of the memory
+/// limit.
 fn ring_size(limits: Limits) -> usize {
-    // One of the longest lines fits; more than the maximum gains nothing for lines this short.
+    // A line of the maximum length must fit. Lines are short, so buffers above the maximum size bring no benefit.
     const MIN: usize = MAX_LINE_BYTES + 512;
     const MAX: usize = 16 << 10;
     let buffers = 2 * limits.sockets.max(1) as usize;
--- a/crates/proxy/src/lifecycle/serve_error.rs
+++ b/crates/proxy/src/lifecycle/serve_error.rs
@@ -4,27 +4,27 @@
 use crate::net::transient::is_transient;
 use std::net::SocketAddr;
 
-/// Why a proxy cannot start to serve, or stopped.
+/// Why a proxy could not start, or stopped serving.
 #[derive(Debug, thiserror::Error)]
 pub enum ServeError {
     /// The listening socket cannot be opened.
-    #[error("cannot listen on {at} ({source}): see that the address is this machine's and that nobody listens there")]
+    #[error("cannot listen on {at} ({source}): check that the address belongs to this machine and has no other listener")]
     Listen {
-        /// The address that was used.
+        /// The address to listen on.
         at: SocketAddr,
         /// The cause.
         source: std::io::Error,
     },
-    /// The fleet file cannot be used, or the socket between peers cannot be opened.
+    /// The fleet file is invalid, or the socket for peer traffic cannot be opened.
     #[error("{0}")]
     Fleet(#[from] FleetError),
-    /// The event loop or one of its sources failed.
-    #[error("the event loop: {0}: see the limits on descriptors and memory, and start it again")]
+    /// The event loop or one of its event sources failed.
+    #[error("event loop failed ({0}): check the limits on descriptors and memory, and restart the proxy")]
     Loop(#[from] calloop::Error),
 }
 
 impl ServeError {
-    /// Whether the same start may succeed a moment later without an operator's help.
+    /// Whether starting again may succeed without an operator's intervention.
     pub fn is_transient(&self) -> bool {
         match self {
             ServeError::Listen { source, .. } => is_transient(source),
--- a/crates/proxy/src/lifecycle/shutdown_schedule.rs
+++ b/crates/proxy/src/lifecycle/shutdown_schedule.rs
@@ -3,44 +3,45 @@
 use shelfgrade::time::{DurationExt, Timestamp};
 use std::time::Duration;
 
-/// The process is killed this long after the signal, plus the longest request timeout of any client.
+/// The process is killed this long plus the longest request timeout of any client after the signal.
 const KILL_GRACE: Duration = Duration::from_millis(700);
-/// The most of a request timeout that counts for this, and what counts where the settings give none.
+/// Upper bound of the request timeout used for the schedule, and the default if the settings specify none.
 const MAX_REQUEST_TIMEOUT: Duration = Duration::from_millis(3000);
-/// How long before the kill the last sessions have been migrated: enough for final lines to be read, and for one more
-/// tick.
+/// Time before the kill at which new sessions are no longer accepted and all sessions have been migrated. It leaves
+/// clients time to read the final lines, and time for one more tick.
 const STOP_ACCEPTING_BEFORE_KILL: Duration = Duration::from_millis(500);
-/// How long before the kill those that sent nothing are answered: one more tick follows, for answers still being written.
+/// Time before the kill at which connections without a first line are answered. One more tick follows for responses
+/// that are still being written.
 const FINAL_ANSWERS_BEFORE_KILL: Duration = Duration::from_millis(350);
-/// How long before the kill the process exits.
+/// Time before the kill at which the process exits.
 const EXIT_BEFORE_KILL: Duration = Duration::from_millis(200);
-/// The fraction of the time for accepting after which sessions are migrated: the rest is enough to migrate them one after
-/// the other.
-const KEEP_SESSIONS_FRACTION: f64 = 0.6;
+/// Fraction of [`ShutdownSchedule::accept_for`] after which established sessions are migrated. The remaining time is
+/// enough to migrate them gradually.
+const MIGRATE_SESSIONS_FRACTION: f64 = 0.6;
 
-/// When each step of a graceful shutdown comes, from the signal on. It follows from the settings: a process must not be
-/// killed while clients, whose request timeouts may be short, are owed answers and moves.
+/// The times of the steps of a graceful shutdown, counted from the signal. They depend on the request timeouts in the
+/// settings, because the process must not be killed before it has answered or migrated all clients.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ShutdownSchedule {
-    /// Established sessions go on for this long and are migrated after it: where proxies are restarted in turn, the one
-    /// before may take two seconds to be back.
-    pub keep_sessions_for: Duration,
-    /// New sessions are accepted for this long; those without a server by then are failed.
+    /// Established sessions are kept for this long and then migrated. When proxies are restarted one after the other,
+    /// the previous one may take two seconds until it accepts connections again.
+    pub migrate_sessions_after: Duration,
+    /// New sessions are accepted for this long; sessions without an established server connection are then failed.
     pub accept_for: Duration,
-    /// After this, connections that sent no first line are rejected.
+    /// After this time, connections that have not sent a first line are rejected.
     pub final_answers_after: Duration,
-    /// The process exits by then, whatever is left.
+    /// The process exits after this time, even if sessions are left.
     pub exit_after: Duration,
 }
 
 impl ShutdownSchedule {
-    /// The schedule for the longest request timeout of any client, if the settings give one.
+    /// The schedule for the longest request timeout of any client, if the settings specify one.
     pub fn new(longest_request_timeout: Option<Duration>) -> Self {
         let request_timeout = longest_request_timeout.unwrap_or(MAX_REQUEST_TIMEOUT).min(MAX_REQUEST_TIMEOUT);
         let killed_at = Timestamp::default() + (request_timeout + KILL_GRACE);
         let before_kill = |duration: Duration| (killed_at - duration).since(Timestamp::default());
         ShutdownSchedule {
-            keep_sessions_for: before_kill(STOP_ACCEPTING_BEFORE_KILL).scaled(KEEP_SESSIONS_FRACTION),
+            migrate_sessions_after: before_kill(STOP_ACCEPTING_BEFORE_KILL).scaled(MIGRATE_SESSIONS_FRACTION),
             accept_for: before_kill(STOP_ACCEPTING_BEFORE_KILL),
             final_answers_after: before_kill(FINAL_ANSWERS_BEFORE_KILL),
             exit_after: before_kill(EXIT_BEFORE_KILL),
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -1,37 +1,37 @@
-//! The proxy on real sockets: reads its start-up file, and serves until a signal stops it.
+//! The proxy process: reads its start-up file and serves connections until a signal stops it.
 
 use shelfgrade_proxy::lifecycle::serve::serve;
 use shelfgrade_proxy::lifecycle::serve_error::ServeError;
-use shelfgrade_proxy::lifecycle::startup::{Start, StartError};
+use shelfgrade_proxy::lifecycle::startup::{StartupConfig, StartupError};
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 
-/// Why the program exits other than on a signal.
+/// Why the program exits without having received a signal.
 #[derive(Debug, thiserror::Error)]
 enum RunError {
     #[error(transparent)]
-    Start(#[from] StartError),
+    Startup(#[from] StartupError),
     #[error(transparent)]
     Serve(#[from] ServeError),
 }
 
 impl RunError {
-    /// Whether the same start may succeed a moment later.
+    /// Whether starting again may succeed without an operator's intervention.
     fn is_transient(&self) -> bool {
         match self {
-            RunError::Start(error) => error.is_transient(),
+            RunError::Startup(error) => error.is_transient(),
             RunError::Serve(error) => error.is_transient(),
         }
     }
 }
 
 fn run() -> Result<(), RunError> {
-    Ok(serve(Start::from_environment()?)?)
+    Ok(serve(StartupConfig::from_environment()?)?)
 }
 
-/// Runs the proxy, retrying a start that the system refused for a moment.
+/// Runs the proxy, and starts it again after transient errors.
 fn run_with_retries() -> Result<(), RunError> {
-    // A process that is not ready after thirty seconds counts as crashed, and a start itself takes most of them.
+    // A process that is not ready after 30 s is considered crashed, and starting it can take most of that time.
     const RETRY_FOR: Duration = Duration::from_secs(8);
     const RETRY_INTERVAL: Duration = Duration::from_millis(20);
     let started_at = Instant::now();
@@ -41,7 +41,7 @@
             Err(error) if error.is_transient() && started_at.elapsed() < RETRY_FOR => {
                 failures += 1;
                 if failures.is_power_of_two() {
-                    log::warn!("start retried: {error}");
+                    log::warn!("start failed, retrying: {error}");
                 }
                 std::thread::sleep(RETRY_INTERVAL);
             }
--- a/crates/proxy/src/proxy/graceful_shutdown.rs
+++ b/crates/proxy/src/proxy/graceful_shutdown.rs
@@ -1,5 +1,5 @@
-//! Graceful shutdown: new sessions are still accepted and answered, and established ones are migrated, until none is left
-//! or the schedule ends.
+//! Graceful shutdown: new sessions are still accepted and answered, and established ones are migrated, until none is
+//! left or the schedule ends.
 
 use crate::net::line::Answer;
 use crate::proxy::{Proxy, TICK};
@@ -29,7 +29,7 @@
         let Some(elapsed) = self.shutdown_requested_at.map(|requested_at| now.since(requested_at)) else {
             return;
         };
-        if elapsed >= schedule.keep_sessions_for {
+        if elapsed >= schedule.migrate_sessions_after {
             self.migrate_some(schedule.accept_for.as_ms() - elapsed.as_ms());
         }
         let sessions: Vec<Rc<Session>> = self.executor.sessions.values().cloned().collect();
@@ -87,8 +87,8 @@
             || !self.listener.queue_is_empty()
     }
 
-    /// Rejects the connections that are pending or still in the system's queue, and fails sessions that come that late: a
-    /// connection that is closed without an answer is a client lost.
+    /// Rejects the connections that are pending or still in the system's queue, and fails sessions that come that late:
+    /// a connection that is closed without an answer is a client lost.
     fn answer_remaining(&mut self) {
         // More than fills up again while the others are answered.
         const MAX_ACCEPT_ROUNDS: usize = 64;
--- a/crates/proxy/src/proxy/reload.rs
+++ b/crates/proxy/src/proxy/reload.rs
@@ -1,27 +1,27 @@
-//! Reload at `SIGHUP`: the start-up file, the fleet file, namespaces and maintenance windows are read again.
+//! Reloads the start-up file, the fleet file, the namespaces and the maintenance windows on `SIGHUP`.
 
-use crate::lifecycle::startup::Start;
+use crate::lifecycle::startup::StartupConfig;
 use crate::proxy::Proxy;
 use std::time::Duration;
 
-/// The list of a new discovery has to be applied this long after the signal.
+/// Time after the signal within which the list of a new discovery service must be applied.
 const REFRESH_WITHIN: Duration = Duration::from_millis(4000);
 
 impl Proxy {
-    /// Requests a reload, and tries it at once.
+    /// Requests a reload and attempts it immediately.
     pub fn request_reload(&mut self) {
         self.reload_requested_at.get_or_insert(self.now());
         self.reload_if_requested();
     }
 
-    /// Called with each tick too: a file that cannot be read for a moment is read with a later one. A file that cannot be
-    /// used leaves everything as it was. Of the start-up file only `discovery` is applied; the rest counts at the next
-    /// start.
+    /// Attempts a pending reload. Also called on each tick, so that a reload is retried after transient read errors. An
+    /// invalid file changes nothing. Only `discovery` of the start-up file is applied; its other values take effect
+    /// when the process is started again.
     pub fn reload_if_requested(&mut self) {
         let Some(requested_at) = self.reload_requested_at else { return };
-        let start = match Start::from_environment() {
-            Ok(start) => start,
-            Err(error) if error.is_transient() => return log::debug!("reload retried later: {error}"),
+        let config = match StartupConfig::from_environment() {
+            Ok(config) => config,
+            Err(error) if error.is_transient() => return log::debug!("reload will be retried: {error}"),
             Err(error) => {
                 self.reload_requested_at = None;
                 return log::error!("reload failed, nothing changes: {error}");
@@ -30,13 +30,17 @@
         let peers = self.peers.clone();
         match peers.map_or(Ok(()), |peers| peers.reload_file(&self.name)) {
             Ok(()) => {}
-            Err(error) if error.is_transient() => return log::debug!("reload retried later: {error}"),
+            Err(error) if error.is_transient() => return log::debug!("reload will be retried: {error}"),
             Err(error) => log::error!("reload of the fleet file failed, nothing changes: {error}"),
         }
         self.reload_requested_at = None;
         self.reload_tenant_files();
-        let is_new = self.discovery.clone().switch_to(start.discovery, self);
-        log::info!("reloaded: discovery {}{}", start.discovery, if is_new { "" } else { ", as before" });
+        let is_new = self.discovery.clone().switch_to(config.discovery_address, self);
+        log::info!(
+            "reloaded: discovery {}{}",
+            config.discovery_address,
+            if is_new { "" } else { ", as before" }
+        );
         if is_new {
             self.balancer.on_watch_lost(requested_at + REFRESH_WITHIN, &mut self.executor);
             self.run_deferred_actions();
