--- a/crates/proxy/src/fleet/peers.rs
+++ b/crates/proxy/src/fleet/peers.rs
@@ -154,8 +154,8 @@
         accepted
     }
 
-    /// A new session's place in the order of admission, or none outside of a recovery. The quota fraction is brought up to
-    /// date first, as leases may have expired while this process was suspended.
+    /// A new session's place in the order of admission, or none outside of a recovery. The quota fraction is brought up
+    /// to date first, as leases may have expired while this process was suspended.
     pub fn admission_turn(
         &self,
         requester: Requester,
@@ -189,7 +189,7 @@
     }
 
     /// The fleet's time by the median of its clocks, in Unix milliseconds.
-    pub fn fleet_ms(&self, now: Timestamp) -> i64 {
+    pub fn fleet_time_ms(&self, now: Timestamp) -> i64 {
         wall_ms(now) as i64 + self.node.borrow().fleet().clock_correction_ms()
     }
 
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -1,5 +1,5 @@
-//! The proxy: composes the load balancers, the executor of their decisions, the listener and the control side. What each
-//! part reports is handled in a module of its own below.
+//! The proxy: owns the load balancers, the executor of their decisions, the listener, and the connections to discovery
+//! and to the peers. The submodules handle the events of these components.
 
 mod admission;
 mod discovery_events;
@@ -32,71 +32,71 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The interval at which work is done that no event triggers.
+/// The interval of periodic work that no event triggers.
 pub const TICK: Duration = Duration::from_millis(100);
 
-/// All state of a running proxy; everything happens on one thread.
+/// The state of a running proxy. It is used by one thread only.
 pub struct Proxy {
     /// This process's name.
     pub name: String,
     /// The load balancers: the default one, and one for each customer with a namespace.
     pub balancer: TenantBalancers,
-    /// Carries out their decisions.
+    /// Carries out the decisions of the load balancers.
     pub executor: Executor,
-    /// Accepts connections, and keeps those without a first line.
+    /// Accepts connections and keeps them until they have sent their first line.
     pub listener: Listener<Proxy>,
     /// The request classes' names, in the order of the settings.
     pub classes: Vec<String>,
     /// The customers' names, in the order of the settings.
     pub customers: Vec<String>,
-    /// How long a server that has started is in slow start.
+    /// How long a server is in slow start after it has started.
     pub slow_start: Duration,
     /// The size of one ring buffer of a session, in bytes.
     pub ring_size: usize,
 
     /// Polls and watches the endpoint list.
     pub discovery: Rc<Discovery<Proxy>>,
-    /// Start times of servers on this process's clock.
+    /// Converts start times of servers to this process's clock.
     pub start_times: StartTimes,
 
-    /// The other processes of the fleet, if a fleet file names them.
+    /// The other processes of the fleet, if there is a fleet file.
     pub peers: Option<Rc<Peers>>,
     /// The endpoints that the fleet has agreed on, before maintenance windows are applied.
     pub fleet_endpoints: BTreeMap<ServerId, EndpointAddress>,
-    /// The customers' namespaces.
+    /// The namespaces of the customers.
     pub namespaces: TenantNamespaces,
-    /// The schedule of maintenance windows, and what is in force of it.
+    /// The schedule of maintenance windows and its current effect on the endpoints.
     pub maintenance_windows: MaintenanceWindows,
 
-    /// Holds sessions until the endpoint list has come.
+    /// Holds sessions until the endpoint list has been received.
     pub startup_gate: StartupGate<Session>,
-    /// When the last session arrived.
+    /// When the most recent session arrived.
     pub last_arrival: Timestamp,
     /// When message latencies were last reported to the load balancer.
     pub latencies_reported_at: Timestamp,
-    /// When a reload was requested, while it is pending.
+    /// When the pending reload was requested; none if no reload is pending.
     pub reload_requested_at: Option<Timestamp>,
-    /// When the shutdown was requested.
+    /// When the shutdown was requested; none if it was not.
     pub shutdown_requested_at: Option<Timestamp>,
-    /// When each step of a shutdown comes.
+    /// The times of the steps of a shutdown.
     pub shutdown_schedule: ShutdownSchedule,
     /// Stops the event loop.
     pub stop: LoopSignal,
 }
 
 impl Proxy {
-    /// The event loop's clock.
+    /// The current time on the event loop's clock.
     pub fn now(&self) -> Timestamp {
         self.executor.clock.now()
     }
 
-    /// Whether there is a server that sessions can be placed at.
+    /// Whether any server is known that sessions can be placed on.
     pub fn is_ready(&self) -> bool {
         !self.executor.servers.is_empty()
     }
 
-    /// Carries out what was put off while the load balancer was being called: outcomes of attempts that ended at once, a
-    /// poll of discovery, and health checks.
+    /// Carries out actions that were deferred while the load balancer was being called: reporting attempts that ended
+    /// immediately, polling discovery, and starting health checks.
     pub fn run_deferred_actions(&mut self) {
         while let Some(ended) = self.executor.unreported.pop_front() {
             let EndedAttempt { session, outcome, client_done } = ended;
--- a/crates/proxy/src/proxy/admission.rs
+++ b/crates/proxy/src/proxy/admission.rs
@@ -1,5 +1,5 @@
-//! Admission of sessions: held at the startup gate, then handed to the load balancer in their turn and by the rule of
-//! their customer's namespace.
+//! Admission of sessions: holds them at the startup gate, then passes them to the load balancer with their admission
+//! turn and the rule of their customer's namespace.
 
 use crate::proxy::Proxy;
 use crate::session::{Session, Stage};
@@ -12,15 +12,15 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// When a session over its namespace's quota is to come again: some connections end every second.
+/// Retry delay of a session that is rejected because its namespace is over quota. Some connections end every second.
 const RETRY_AFTER_OVER_QUOTA: Duration = Duration::from_millis(1000);
-/// A place in the order of admission that is never reached.
+/// A value of [`AdmissionTurn::fraction_ahead`] with which a session is never admitted: any above 1.
 const NOT_ADMITTED: f64 = 2.0;
-/// The fraction of its request timeout for which a session may be held at the startup gate.
+/// The fraction of a session's request timeout for which the session may be held at the startup gate.
 const MAX_HOLD_FRACTION: f64 = 0.5;
 
 impl Proxy {
-    /// Holds a session at the startup gate, and no longer than half of its request timeout.
+    /// Holds a session at the startup gate, for at most half of its request timeout.
     pub fn hold_at_startup_gate(&mut self, session: &Rc<Session>) {
         let max_hold = session.opening.request_timeout.scaled(MAX_HOLD_FRACTION);
         self.startup_gate.hold(session, session.stage_entered_at.get(), max_hold);
@@ -32,8 +32,8 @@
         self.executor.metrics.invariant(set.is_ok(), "a timer can be set");
     }
 
-    /// Opens the startup gate: the sessions held are admitted in the order of their arrival, and pending health checks
-    /// of this proxy are answered.
+    /// Opens the startup gate: admits the held sessions in the order of their arrival, and answers pending health
+    /// checks of this proxy.
     pub fn open_startup_gate(&mut self) {
         let Some(held) = self.startup_gate.open() else { return };
         for session in held {
@@ -46,12 +46,12 @@
             .for_each(|pending_connection| pending_connection.answer_ping(is_ready));
     }
 
-    /// Called with each tick and when a session's hold time is over: opens the gate when it has been closed for too long,
-    /// or admits the sessions that cannot be held any longer.
+    /// Opens the startup gate if its time limit has passed; otherwise admits the sessions whose maximum hold time has
+    /// passed. Called on each tick and when the hold time of a session ends.
     pub fn release_held_sessions(&mut self) {
         let now = self.now();
         if self.startup_gate.is_overdue(now) {
-            log::warn!("no endpoint list yet: serving with the one known at the start");
+            log::warn!("no endpoint list received yet; serving with the list known at startup");
             return self.open_startup_gate();
         }
         for session in self.startup_gate.take_expired(now).iter().filter_map(Weak::upgrade) {
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Passes a session to the load balancer; its request timeout counts from its arrival.
+    /// Passes a session to the load balancer. Its request timeout counts from its arrival.
     pub fn admit(&mut self, session: &Rc<Session>) {
         if session.stage.get() != Stage::Connecting {
             return;
@@ -68,7 +68,7 @@
         let mut turn = self.admission_turn(session);
         let rule = self.rule_for(session);
         if let Some(rule) = rule.as_ref().filter(|rule| rule.is_over_quota) {
-            log::debug!("session {}: the quota of {} is used up", session.id.0, rule.customer);
+            log::debug!("session {}: customer {} is over its namespace quota", session.id.0, rule.customer);
             self.executor.metrics.count("sessions over namespace quota");
             let retry_after = turn.map_or(RETRY_AFTER_OVER_QUOTA, |turn| turn.retry_after);
             turn = Some(AdmissionTurn { fraction_ahead: NOT_ADMITTED, retry_after });
@@ -82,13 +82,13 @@
         *session.namespace_slot.borrow_mut() = rule.as_ref().map(|rule| rule.reservation.clone());
         let customer = rule.as_ref().map(|rule| &rule.customer);
         self.balancer.on_request(customer, &arrival, now, &mut self.executor);
-        // One that was rejected has been answered and left this stage.
+        // A rejected session has already been answered and is no longer in the stage `Connecting`.
         let was_admitted = turn.is_some() && session.stage.get() == Stage::Connecting;
         self.peers.iter().filter(|_| was_admitted).for_each(|peers| peers.record_admission());
         self.run_deferred_actions();
     }
 
-    /// The load balancer of a customer with a namespace is created with its first session.
+    /// Creates the load balancer of a customer with a namespace if it does not exist yet.
     fn ensure_balancer_of(&mut self, customer: &Rc<str>, now: Timestamp) {
         if !self.balancer.has_tenant(customer) {
             if let Some(update) = self.namespaces.update_for(customer) {
@@ -97,17 +97,17 @@
         }
     }
 
-    /// The session's place in the order of admission, during a recovery.
+    /// The session's admission turn during a recovery; none otherwise.
     fn admission_turn(&mut self, session: &Session) -> Option<AdmissionTurn> {
         let peers = self.peers.clone()?;
         let opening = &session.opening;
         let name = opening.customer.as_ref();
-        let customer = name.and_then(|name| self.customers.iter().position(|known| known == name));
+        let customer = name.and_then(|name| self.customers.iter().position(|customer| customer == name));
         let requester = Requester { class: Some(opening.class), customer };
         peers.admission_turn(requester, xxh3_64(opening.key.as_bytes()), self)
     }
 
-    /// What the namespace of its customer decides about a session, if there is one.
+    /// The decision of the customer's namespace about a session; none if the customer has no namespace.
     fn rule_for(&mut self, session: &Session) -> Option<RuleDecision> {
         let opening = &session.opening;
         let class = self.classes.get(opening.class).map_or("", String::as_str);
@@ -115,7 +115,7 @@
     }
 }
 
-/// A session's request as the load balancer takes it.
+/// Describes a session's request to the load balancer.
 pub fn arrival(session: &Session, deadline: Timestamp) -> Arrival<'_> {
     let opening = &session.opening;
     Arrival {
--- a/crates/proxy/src/proxy/fleet_endpoints.rs
+++ b/crates/proxy/src/proxy/fleet_endpoints.rs
@@ -1,4 +1,5 @@
-//! The fleet's endpoints as the load balancer gets them: with maintenance windows applied, and split by namespace.
+//! Passes the endpoints that the fleet has agreed on to the load balancers, after applying maintenance windows and
+//! namespaces.
 
 use crate::proxy::Proxy;
 use crate::session::Stage;
@@ -13,30 +14,31 @@
 }
 
 impl Proxy {
-    /// Takes over endpoints that the fleet has agreed on. The windows are updated first: a process that starts inside a
-    /// window must not send clients there until the next tick.
+    /// Applies endpoints that the fleet has agreed on. The maintenance windows are evaluated first, because otherwise a
+    /// process that starts during a window would send clients to its servers until the next evaluation.
     pub fn apply_fleet_endpoints(&mut self, endpoints: Vec<EndpointAddress>, is_complete: bool) {
         if is_complete {
             self.fleet_endpoints.clear();
         }
-        for known in &endpoints {
-            self.fleet_endpoints.insert(known.endpoint.server.clone(), duplicate(known));
+        for listed in &endpoints {
+            self.fleet_endpoints.insert(listed.endpoint.server.clone(), duplicate(listed));
         }
         self.apply_maintenance_windows();
         self.apply_with_maintenance(endpoints, is_complete);
     }
 
-    /// Called once a second and with each change of the list: begins and ends maintenance windows by the schedule.
+    /// Evaluates the maintenance schedule, applies changes of endpoint states, and migrates sessions away from servers
+    /// whose maintenance window has begun. Called once a second and on each change of the endpoint list.
     pub fn apply_maintenance_windows(&mut self) {
         let Some(peers) = self.peers.clone().filter(|_| self.maintenance_windows.has_schedule()) else {
             return;
         };
-        let fleet_ms = peers.fleet_ms(self.now());
+        let fleet_time_ms = peers.fleet_time_ms(self.now());
         let endpoints: Vec<Endpoint> =
-            self.fleet_endpoints.values().map(|known| known.endpoint.clone()).collect();
+            self.fleet_endpoints.values().map(|listed| listed.endpoint.clone()).collect();
         let sessions = self.sessions_in_zones();
         let sessions_in = |zone: &str| sessions.iter().filter(|session| session.zone == zone).count();
-        let changes = self.maintenance_windows.evaluate(fleet_ms, &endpoints, sessions_in);
+        let changes = self.maintenance_windows.evaluate(fleet_time_ms, &endpoints, sessions_in);
         if changes.endpoints_changed {
             self.apply_with_maintenance(self.fleet_endpoints.values().map(duplicate).collect(), true);
         }
@@ -54,8 +56,8 @@
             self.executor.sessions.values().filter(|session| session.stage.get() == Stage::Established);
         established
             .filter_map(|session| {
-                let known = self.fleet_endpoints.get(&session.attempt.borrow().as_ref()?.server.id)?;
-                Some(SessionInZone { session: session.id, zone: known.endpoint.zone.clone() })
+                let listed = self.fleet_endpoints.get(&session.attempt.borrow().as_ref()?.server.id)?;
+                Some(SessionInZone { session: session.id, zone: listed.endpoint.zone.clone() })
             })
             .collect()
     }
@@ -64,8 +66,8 @@
         let now = self.now();
         let (endpoints, addresses): (Vec<_>, Vec<_>) = endpoints
             .into_iter()
-            .map(|known| {
-                (self.maintenance_windows.apply_to(&known.endpoint, self.slow_start, now), known.address)
+            .map(|listed| {
+                (self.maintenance_windows.apply_to(&listed.endpoint, self.slow_start, now), listed.address)
             })
             .unzip();
         self.executor.servers.apply_endpoints(endpoints.iter().zip(addresses.iter().copied()), is_complete);
@@ -82,6 +84,6 @@
     }
 }
 
-fn duplicate(known: &EndpointAddress) -> EndpointAddress {
-    EndpointAddress { endpoint: known.endpoint.clone(), address: known.address }
+fn duplicate(listed: &EndpointAddress) -> EndpointAddress {
+    EndpointAddress { endpoint: listed.endpoint.clone(), address: listed.address }
 }
--- a/crates/proxy/src/proxy/fleet_membership.rs
+++ b/crates/proxy/src/proxy/fleet_membership.rs
@@ -54,7 +54,7 @@
             self.namespaces.load(&directory, &*peers);
         }
         if let Some(path) = peers.maintenance_file() {
-            self.maintenance_windows.load(&path, peers.fleet_ms(self.now()), &*peers);
+            self.maintenance_windows.load(&path, peers.fleet_time_ms(self.now()), &*peers);
         }
         peers.deliver_notifications(self);
     }
--- a/crates/proxy/src/proxy/graceful_shutdown.rs
+++ b/crates/proxy/src/proxy/graceful_shutdown.rs
@@ -1,5 +1,5 @@
-//! Graceful shutdown: new sessions are still accepted and answered, and established ones are migrated, until none is
-//! left or the schedule ends.
+//! Graceful shutdown: the proxy still accepts and answers new sessions and migrates established ones, until no session
+//! is left or the shutdown schedule ends.
 
 use crate::net::line::Answer;
 use crate::proxy::{Proxy, TICK};
@@ -9,20 +9,21 @@
 use std::time::Duration;
 
 impl Proxy {
-    /// Begins the shutdown; a second request changes nothing.
+    /// Starts the shutdown. Further requests have no effect.
     pub fn request_shutdown(&mut self) {
         let now = self.now();
         self.shutdown_requested_at.get_or_insert(now);
-        log::info!("shutdown requested, with {} connections", self.executor.sessions.len());
+        log::info!("shutdown requested with {} sessions", self.executor.sessions.len());
     }
 
-    /// Whether the shutdown has come to where new sessions are rejected.
+    /// Whether new sessions are rejected because the shutdown schedule no longer accepts them.
     pub fn rejects_new_sessions(&self) -> bool {
         self.shutdown_requested_at
             .is_some_and(|requested_at| self.now().since(requested_at) >= self.shutdown_schedule.accept_for)
     }
 
-    /// Called with each tick: goes on with a shutdown, and stops the event loop when it is complete.
+    /// Performs the next steps of a requested shutdown, and stops the event loop when it is complete. Called on each
+    /// tick.
     pub fn advance_shutdown(&mut self) {
         let schedule = self.shutdown_schedule;
         let now = self.now();
@@ -30,22 +31,24 @@
             return;
         };
         if elapsed >= schedule.migrate_sessions_after {
-            self.migrate_some(schedule.accept_for.as_ms() - elapsed.as_ms());
+            self.migrate_gradually(schedule.accept_for.as_ms() - elapsed.as_ms());
         }
         let sessions: Vec<Rc<Session>> = self.executor.sessions.values().cloned().collect();
         if elapsed >= schedule.accept_for {
-            self.fail_unplaced(&sessions);
+            self.fail_connecting(&sessions);
         }
-        let has_unwritten_answers = sessions
+        let has_unwritten_responses = sessions
             .iter()
             .any(|session| session.stage.get() == Stage::Closing && !session.client.is_closed());
-        let is_done = self.is_quiet(now, elapsed) && !has_unwritten_answers && !self.has_open_work(&sessions);
+        let is_done = self.has_no_recent_arrivals(now, elapsed)
+            && !has_unwritten_responses
+            && !self.has_unfinished_work(&sessions);
         if !is_done && elapsed < schedule.final_answers_after {
             return;
         }
-        self.answer_remaining();
-        // The process must not exit while final lines are being written or are on their way.
-        let is_still_writing = has_unwritten_answers || self.executor.lingering.len() > 0;
+        self.close_remaining();
+        // The process must not exit before clients have received their final lines.
+        let is_still_writing = has_unwritten_responses || self.executor.lingering.len() > 0;
         if elapsed < schedule.exit_after && is_still_writing {
             return;
         }
@@ -54,28 +57,30 @@
         self.stop.stop();
     }
 
-    /// Migrates an equal part of the sessions with each tick that is left.
-    fn migrate_some(&mut self, ms_left: f64) {
-        let ticks_left = (ms_left / TICK.as_millis() as f64) as usize;
+    /// Migrates sessions at an even rate over the remaining ticks.
+    fn migrate_gradually(&mut self, remaining_ms: f64) {
+        let ticks_left = (remaining_ms / TICK.as_millis() as f64) as usize;
         self.balancer.migrate_sessions(ticks_left, &mut self.executor);
         self.run_deferred_actions();
     }
 
-    fn fail_unplaced(&mut self, sessions: &[Rc<Session>]) {
+    /// Fails the sessions that have no established connection to a server yet.
+    fn fail_connecting(&mut self, sessions: &[Rc<Session>]) {
         for session in sessions.iter().filter(|session| session.stage.get() == Stage::Connecting) {
             self.executor.metrics.count("failed at shutdown");
             session.send_final_answer(Answer::Failed, &mut self.executor);
         }
     }
 
-    /// Whether no session has come for a while; clients go on coming for a moment after the signal.
-    fn is_quiet(&self, now: Timestamp, elapsed: Duration) -> bool {
-        const QUIET_FOR: Duration = Duration::from_millis(500);
-        elapsed >= QUIET_FOR && now.since(self.last_arrival) >= QUIET_FOR
+    /// Whether no session has arrived for some time. Clients continue to connect shortly after the shutdown signal.
+    fn has_no_recent_arrivals(&self, now: Timestamp, elapsed: Duration) -> bool {
+        const ARRIVAL_IDLE_TIME: Duration = Duration::from_millis(500);
+        elapsed >= ARRIVAL_IDLE_TIME && now.since(self.last_arrival) >= ARRIVAL_IDLE_TIME
     }
 
-    /// Whether a session is open, or a connection has sent nothing yet or half of its first line.
-    fn has_open_work(&self, sessions: &[Rc<Session>]) -> bool {
+    /// Whether a session is open, a connection may still send a complete first line, or connections wait to be
+    /// accepted.
+    fn has_unfinished_work(&self, sessions: &[Rc<Session>]) -> bool {
         let is_open =
             |session: &Rc<Session>| matches!(session.stage.get(), Stage::Connecting | Stage::Established);
         sessions.iter().any(is_open)
@@ -87,10 +92,10 @@
             || !self.listener.queue_is_empty()
     }
 
-    /// Rejects the connections that are pending or still in the system's queue, and fails sessions that come that late:
-    /// a connection that is closed without an answer is a client lost.
-    fn answer_remaining(&mut self) {
-        // More than fills up again while the others are answered.
+    /// Rejects pending connections and those still in the system's accept queue, and fails the sessions that they open,
+    /// because a connection closed without a response counts as a lost client.
+    fn close_remaining(&mut self) {
+        // More rounds than are needed for the connections that arrive during the loop.
         const MAX_ACCEPT_ROUNDS: usize = 64;
         self.shutdown_schedule.accept_for = Duration::ZERO;
         for _ in 0..MAX_ACCEPT_ROUNDS {
--- a/crates/proxy/src/proxy/peer_events.rs
+++ b/crates/proxy/src/proxy/peer_events.rs
@@ -1,4 +1,4 @@
-//! How the proxy reacts to what it learns from its peers and from its recovery.
+//! Handles the events of the peer protocol and of the recovery state machine.
 
 use crate::fleet::peer_events::PeerEvents;
 use crate::proxy::Proxy;
@@ -8,16 +8,16 @@
 use shelfgrade_recovery::{EndpointAddress, RecoveryState};
 use std::time::Duration;
 
-/// How long a restored flow is remembered: as long as the flow table keeps a connection that has ended.
+/// How long a restored flow is kept: as long as the flow table keeps the entry of a connection that has ended.
 const RESTORED_FLOW_TTL: Duration = Duration::from_millis(30_000);
-/// The load balancer uses half of the bound on a server in slow start, as a proxy without peers guesses its quota. A
-/// leased quota is exact, so it may use half as much again.
+/// The load balancer uses only half of the capacity of a server in slow start, because a proxy without peers can only
+/// estimate its quota. A leased quota is exact, so the load balancer may use 1.5 times as much.
 const LEASED_QUOTA_FACTOR: f64 = 1.5;
 
 impl PeerEvents for Proxy {
     fn apply_endpoints(&mut self, endpoints: Vec<EndpointAddress>, is_complete: bool) {
         self.apply_fleet_endpoints(endpoints, is_complete);
-        self.fleet_endpoints.retain(|_, known| known.endpoint.state != EndpointState::Removed);
+        self.fleet_endpoints.retain(|_, listed| listed.endpoint.state != EndpointState::Removed);
         self.namespaces.set_endpoints(self.balancer.endpoints());
         let customers = self.balancer.customers();
         let updates = customers.iter().filter_map(|customer| self.namespaces.update_for(customer)).collect();
@@ -66,14 +66,14 @@
     fn shared_entry_changed(&mut self, key: &str) {
         let Some(peers) = self.peers.clone() else { return };
         if key.starts_with(SCHEDULE_KEY) {
-            let fleet_ms = peers.fleet_ms(self.now());
-            return self.maintenance_windows.on_schedule_changed(fleet_ms, &*peers);
+            let fleet_time_ms = peers.fleet_time_ms(self.now());
+            return self.maintenance_windows.on_schedule_changed(fleet_time_ms, &*peers);
         }
         let updates = self.namespaces.on_shared_entry_changed(key, &*peers);
         self.apply_namespace_updates(updates);
     }
 
-    fn warn(&self, what: &'static str) {
-        self.executor.metrics.warn(what);
+    fn warn(&self, counter: &'static str) {
+        self.executor.metrics.warn(counter);
     }
 }
--- a/crates/proxy/src/proxy/session_events.rs
+++ b/crates/proxy/src/proxy/session_events.rs
@@ -1,5 +1,4 @@
-//! How the proxy reacts to the events of sessions and servers: each is reported to the load balancer, and what it decides
-//! is carried out.
+//! Handles the events of sessions and servers: reports each to the load balancer and carries out its decisions.
 
 use super::admission::arrival;
 use crate::net::open_request::OpenRequest;
@@ -13,7 +12,7 @@
 use std::time::Duration;
 
 impl Proxy {
-    /// A client has sent its first line.
+    /// Opens the session of a client that has sent its first line.
     pub fn open_session(&mut self, open: OpenRequest, client: Rc<Socket<Proxy>>) {
         log::trace!("{open:?}");
         let now = self.now();
@@ -36,12 +35,12 @@
                 self.admit(&session);
             }
         }
-        // Bytes that came after its first line was read trigger no event of their own.
+        // Bytes that arrived together with the first line trigger no further readiness event.
         session.on_ready(self);
         self.evict_pending_connections();
     }
 
-    /// The session's connection to its server is established.
+    /// Called when the session's connection to its server is established.
     pub fn on_established(&mut self, session: &Session, server: &ServerId) {
         let now = self.now();
         if session.is_restored() {
@@ -53,38 +52,38 @@
         }
     }
 
-    /// An attempt, or an established connection, has ended. `done`: the client's connection has ended with it or been
-    /// answered, so no retry follows.
-    pub fn on_attempt_ended(&mut self, session: SessionId, outcome: AttemptOutcome, done: bool) {
-        log::debug!("session {} ended: {outcome:?}, done {done}", session.0);
+    /// Called when an attempt or an established session has ended. `client_done`: the client has been answered or its
+    /// connection has ended, so no retry follows.
+    pub fn on_attempt_ended(&mut self, session: SessionId, outcome: AttemptOutcome, client_done: bool) {
+        log::debug!("session {}: attempt ended: {outcome:?}, client done: {client_done}", session.0);
         let now = self.now();
-        self.balancer.on_attempt_ended(session, outcome, done, now, &mut self.executor);
+        self.balancer.on_attempt_ended(session, outcome, client_done, now, &mut self.executor);
         self.run_deferred_actions();
     }
 
-    /// The client has left before its answer, and the attempt in flight has ended with it.
+    /// Called when the client has closed its connection before it was answered, which also ends the attempt in flight.
     pub fn on_client_closed(&mut self, session: SessionId) {
         self.balancer.on_client_closed(session);
         self.on_attempt_ended(session, AttemptOutcome::Cancelled, true);
     }
 
-    /// A health check was answered, or given up, after `took`.
-    pub fn on_health_check(&mut self, server: &Server<Proxy>, took: Duration) {
+    /// Called when a health check was answered, or was given up after `latency`.
+    pub fn on_health_check(&mut self, server: &Server<Proxy>, latency: Duration) {
         self.executor.metrics.count("health checks");
-        log::debug!("health check of {} took {} ms", server.id, took.as_ms());
+        log::debug!("health check of {} took {} ms", server.id, latency.as_ms());
         let now = self.now();
-        self.balancer.on_health_check(&server.id, took, now, &mut self.executor);
+        self.balancer.on_health_check(&server.id, latency, now, &mut self.executor);
         self.run_deferred_actions();
     }
 
-    /// A server has reported how long messages take there.
-    pub fn on_message_latency(&mut self, session: SessionId, took: Duration) {
+    /// Called when a server has reported its message latency on a session.
+    pub fn on_message_latency(&mut self, session: SessionId, latency: Duration) {
         let now = self.now();
-        self.balancer.on_message_latency(session, took, now, &mut self.executor);
+        self.balancer.on_message_latency(session, latency, now, &mut self.executor);
         self.run_deferred_actions();
     }
 
-    /// Carries out a migration that waited for the end of a line, if the line has ended.
+    /// Carries out a migration that is waiting for the end of a line, if the line has ended.
     pub fn finish_migration(&mut self, session: &Session) {
         let now = self.now();
         if session.try_migrate(now) {
--- a/crates/proxy/src/proxy/ticks.rs
+++ b/crates/proxy/src/proxy/ticks.rs
@@ -9,7 +9,7 @@
 const REPORT_INTERVAL: Duration = Duration::from_millis(1000);
 
 impl Proxy {
-    /// Called once each [`super::TICK`].
+    /// Performs the periodic work. Called every [`super::TICK`].
     pub fn on_tick(&mut self) {
         for session in self.executor.needing_tick.still_pending(Session::needs_tick) {
             self.executor.metrics.count("session checks");
@@ -35,7 +35,8 @@
         self.report_message_latencies(now);
     }
 
-    /// Reports to the load balancer how long each waiting client has waited, and how long messages take at each server.
+    /// Reports to the load balancer how long clients have been waiting for a reply, and the message latency of each
+    /// server.
     fn report_message_latencies(&mut self, now: Timestamp) {
         let servers: Vec<_> = self.executor.servers.values().cloned().collect();
         let is_waiting = |session: &Session| {
@@ -43,7 +44,7 @@
         };
         for session in self.executor.awaiting_reply.still_pending(is_waiting) {
             self.executor.metrics.count("session checks");
-            // Reports on the sessions before may have migrated this one.
+            // Reports on previous sessions may have caused the migration of this one.
             if let Some(since) =
                 session.awaiting_reply_since.get().filter(|_| session.stage.get() == Stage::Established)
             {
@@ -52,9 +53,9 @@
             }
         }
         for server in servers {
-            if let Some((took, session)) = server.message_latency.take_median() {
-                log::debug!("messages at {} take {} ms", server.id, took.as_ms());
-                self.balancer.on_message_latency(session.id, took, now, &mut self.executor);
+            if let Some((latency, session)) = server.message_latency.take_median() {
+                log::debug!("message latency of {}: {} ms", server.id, latency.as_ms());
+                self.balancer.on_message_latency(session.id, latency, now, &mut self.executor);
                 self.run_deferred_actions();
             }
         }
