--- a/crates/proxy/src/tenants/maintenance_windows.rs
+++ b/crates/proxy/src/tenants/maintenance_windows.rs
@@ -1,7 +1,8 @@
-//! Maintenance windows in one process: the schedule is loaded from a file, replicated over the fleet, and applied to the
-//! endpoint list. For the load balancers the servers of a site in its window drain, and are in slow start after it.
+//! Maintenance windows in one process: loads the schedule from a file, replicates it in the fleet, and applies it to
+//! the endpoint list. The load balancers see the servers of a site as draining during the site's window and in slow
+//! start after it. A site of the schedule is a zone of the endpoint list.
 //!
-//! The file is the fleet file's `maintenance`. A process that loads a newer version replicates it.
+//! The fleet file's key `maintenance` names the schedule file. A process that loads a newer version replicates it.
 
 use crate::tenants::replicated_store::{get_chunked, put_chunked, LoadError, ReplicatedStore};
 use shelfgrade::host::{Endpoint, EndpointState, ServerId};
@@ -16,38 +17,39 @@
 
 /// Key of the schedule in the replicated map.
 pub const SCHEDULE_KEY: &str = "windows";
-/// Rate at which one process migrates sessions off a site: a draining server migrates one in each of four rounds a
-/// second.
+/// Rate at which one process migrates sessions away from a site: the load balancer migrates one session of a draining
+/// server in each of its four rounds per second.
 const MIGRATIONS_PER_S: f64 = 4.0;
 
-/// The schedule in force, and what it makes of sites and servers.
+/// The active schedule, and the resulting states of sites and servers.
 #[derive(Default)]
 pub struct MaintenanceWindows {
     plan: Option<Plan>,
-    /// Of each site, at the last evaluation.
+    /// Phase of each site at the last evaluation.
     phases: BTreeMap<String, Phase>,
-    /// Of each server, at the last evaluation.
+    /// State of each server at the last evaluation.
     states: BTreeMap<ServerId, EndpointState>,
 }
 
-/// What has changed since the last evaluation.
+/// The changes since the previous evaluation.
 #[derive(Default)]
 pub struct WindowChanges {
-    /// A server's state has changed.
+    /// Whether the state of any server has changed.
     pub endpoints_changed: bool,
-    /// Sites whose window begins now: the sessions that are left there are to migrate.
+    /// Sites whose window has begun. Sessions that are still on their servers must be migrated.
     pub closing_sites: Vec<String>,
 }
 
 impl MaintenanceWindows {
-    /// Loads a schedule and replicates it. One that cannot be used is logged.
+    /// Loads a schedule from a file and replicates it. Errors are logged.
     pub fn load(&self, path: &Path, now_ms: i64, store: &impl ReplicatedStore) {
         if let Err(error) = load_schedule(path, now_ms, store) {
-            log::error!("{}: {error}; the version before stays in force", path.display());
+            log::error!("{}: {error}; the previous version stays in force", path.display());
         }
     }
 
-    /// The schedule in the replicated map has changed: a newer version that is complete comes into force.
+    /// Activates the schedule in the replicated map if it is complete and newer. Called when an entry of the schedule
+    /// has changed there.
     pub fn on_schedule_changed(&mut self, now_ms: i64, store: &impl ReplicatedStore) {
         let Some(schedule) = get_chunked::<Schedule>(SCHEDULE_KEY, store) else { return };
         let version = schedule.version;
@@ -55,7 +57,9 @@
             return;
         }
         if let Err(error) = schedule.check(now_ms) {
-            return log::error!("maintenance: version {version}: {error}; the version before stays in force");
+            return log::error!(
+                "maintenance: version {version}: {error}; the previous version stays in force"
+            );
         }
         log::info!("maintenance: version {version} is in force");
         match &mut self.plan {
@@ -64,8 +68,8 @@
         }
     }
 
-    /// Works out the phase of each site. `endpoints` is the list as discovery has it, and `sessions_at` gives how many
-    /// sessions this process has at a site.
+    /// Evaluates the phase of each site. `endpoints` is the list without maintenance windows applied, and `sessions_at`
+    /// returns the number of this process's sessions at a site.
     pub fn evaluate(
         &mut self,
         now_ms: i64,
@@ -117,16 +121,18 @@
         }
     }
 
-    /// An endpoint as the load balancers get it: draining in its site's window, and started anew after it.
+    /// Applies the schedule to an endpoint: it is draining during its site's window, and counts as just started after
+    /// it.
     pub fn apply_to(&self, endpoint: &Endpoint, slow_start: Duration, now: Timestamp) -> Endpoint {
         let Some(plan) = &self.plan else { return endpoint.clone() };
         let state = self.states.get(&endpoint.server).copied().unwrap_or(endpoint.state);
-        let reopened = plan.last_closed_ms(&endpoint.zone).map(|ms| Timestamp::from_ms(ms as f64));
-        let reopened = reopened.filter(|at| now.since(*at) < slow_start && state == EndpointState::Active);
-        Endpoint { state, started: endpoint.started.max(reopened), ..endpoint.clone() }
+        let reopened_at = plan.last_closed_ms(&endpoint.zone).map(|ms| Timestamp::from_ms(ms as f64));
+        let reopened_at =
+            reopened_at.filter(|at| now.since(*at) < slow_start && state == EndpointState::Active);
+        Endpoint { state, started: endpoint.started.max(reopened_at), ..endpoint.clone() }
     }
 
-    /// Whether a schedule is in force.
+    /// Whether a schedule is active.
     pub fn has_schedule(&self) -> bool {
         self.plan.is_some()
     }
@@ -152,15 +158,18 @@
     match phase {
         Phase::Open => log::info!("site {site}: open again"),
         Phase::Draining(period) => {
-            log::info!("site {site}: draining, until its window begins at {}", format_utc(period.ends_ms));
+            log::info!("site {site}: draining until its window begins at {}", format_utc(period.ends_ms));
             let lead_ms = period.ends_ms - now_ms;
-            if let Some(short_ms) = lead_shortfall_ms(sessions_at(site), MIGRATIONS_PER_S, lead_ms) {
-                log::warn!("site {site}: the lead is {} s too short for the sessions here", short_ms / 1000);
+            if let Some(shortfall_ms) = lead_shortfall_ms(sessions_at(site), MIGRATIONS_PER_S, lead_ms) {
+                log::warn!(
+                    "site {site}: the lead time is {} s too short to migrate the sessions of this process",
+                    shortfall_ms / 1000
+                );
             }
         }
         Phase::Closed { until_ms } => {
-            log::info!("site {site}: without traffic, until {}", format_utc(*until_ms));
+            log::info!("site {site}: without traffic until {}", format_utc(*until_ms));
         }
-        Phase::Blocked { reason } => log::warn!("site {site}: its window is held back: {reason}"),
+        Phase::Blocked { reason } => log::warn!("site {site}: its maintenance window is blocked: {reason}"),
     }
 }
--- a/crates/proxy/src/tenants/mod.rs
+++ b/crates/proxy/src/tenants/mod.rs
@@ -1,5 +1,4 @@
-//! What differs between customers and between sites: a load balancer and a namespace for each customer, and the
-//! maintenance windows of each site.
+//! Per-customer load balancers and namespaces, and the maintenance windows of each site.
 
 pub mod maintenance_windows;
 pub mod replicated_store;
--- a/crates/proxy/src/tenants/replicated_store.rs
+++ b/crates/proxy/src/tenants/replicated_store.rs
@@ -1,44 +1,46 @@
-//! Namespaces and schedules in the map that the fleet replicates: each value is written and read in chunks.
+//! Stores namespaces and maintenance schedules in the fleet's replicated map. Each value is written and read in chunks,
+//! as it may be larger than one entry of the map.
 
 use serde::{de::DeserializeOwned, Serialize};
 use shelfgrade_maintenance::error::ScheduleError;
 use shelfgrade_namespaces::chunks::{chunk_key, reassemble, split, ChunkHeader, ChunkedValue, TooLargeError};
 use shelfgrade_namespaces::error::NamespaceError;
 
-/// The replicated map of the fleet, as far as this folder uses it.
+/// Access to the fleet's replicated map.
 pub trait ReplicatedStore {
-    /// The value under a key.
+    /// Returns the value of a key.
     fn get<T: DeserializeOwned>(&self, key: &str) -> Option<T>;
 
-    /// Puts a value under a key; a version that is not newer than the one there changes nothing.
+    /// Stores a value under a key, unless the stored version is at least as new.
     ///
     /// # Errors
     ///
-    /// Why the value cannot be replicated, for the operator.
+    /// A message for the operator if the value cannot be replicated.
     fn put<T: Serialize>(&self, key: &str, value: &T, version: u64) -> Result<(), String>;
 }
 
-/// Why a file was not replicated.
+/// Why a namespace, grants or schedule file was not replicated.
 #[derive(Debug, thiserror::Error)]
 pub enum LoadError {
-    /// It cannot be read.
+    /// The file cannot be read.
     #[error(transparent)]
     Read(#[from] std::io::Error),
-    /// It holds no valid namespace or grants.
+    /// The file contains no valid namespace or grants.
     #[error(transparent)]
     Namespace(#[from] NamespaceError),
-    /// It holds no valid schedule.
+    /// The file contains no valid maintenance schedule.
     #[error(transparent)]
     Schedule(#[from] ScheduleError),
-    /// It is too large for the replicated map.
+    /// The value is too large for the replicated map.
     #[error(transparent)]
     TooLarge(#[from] TooLargeError),
-    /// The replicated map refused it.
+    /// The replicated map rejected the value.
     #[error("{0}")]
     Store(String),
 }
 
-/// Puts a value into the replicated map in chunks. The header goes last, as readers wait for it.
+/// Writes a value to the replicated map in chunks. The header is written last, because readers use the value only when
+/// they have received the header.
 pub fn put_chunked<T: Serialize>(
     key: &str,
     version: u64,
@@ -52,7 +54,7 @@
     store.put(key, &header, version).map_err(LoadError::Store)
 }
 
-/// Reads a value that [`put_chunked`] wrote; none until all of its chunks are there.
+/// Reads a value written by [`put_chunked`]; none until the header and all chunks have been received.
 pub fn get_chunked<T: DeserializeOwned>(key: &str, store: &impl ReplicatedStore) -> Option<T> {
     let header: ChunkHeader = store.get(key)?;
     reassemble(&header, |index| store.get(&chunk_key(key, index)))
--- a/crates/proxy/src/tenants/tenant_balancers.rs
+++ b/crates/proxy/src/tenants/tenant_balancers.rs
@@ -1,5 +1,5 @@
-//! The load balancers of one process: the default one, and one for each customer that has a namespace, so that overload
-//! by one customer does not change the decisions for another. All of them are the same decision module.
+//! The load balancers of one process: a default one, and a separate one for each customer with a namespace, so that
+//! overload caused by one customer does not affect the decisions for others. All are instances of [`LoadBalancer`].
 
 use crate::tenants::tenant_namespaces::NamespaceUpdate;
 use shelfgrade::balancer::LoadBalancer;
@@ -10,49 +10,51 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A customer's load balancer is dropped when the customer has had no session for this long. Its flow table has then
-/// no entry left.
+/// A customer's load balancer is dropped after the customer has had no session for this long. All entries of its flow
+/// table have expired by then.
 const TENANT_IDLE_TIMEOUT: Duration = Duration::from_millis(60_000);
 
-/// Builds a load balancer with the settings of the process, from a seed; none where the settings cannot be used.
+/// Builds a load balancer from a seed, with the settings of the process; none if the settings are invalid.
 pub type BalancerFactory = Box<dyn Fn(u64) -> Option<LoadBalancer>>;
 
 /// A customer's load balancer.
 struct TenantBalancer {
     balancer: LoadBalancer,
-    /// In the order of their ids.
+    /// Servers granted to the customer, in the order of their ids.
     granted_servers: Rc<[ServerId]>,
+    /// The customer's fraction of this process's quota.
     quota_share: f64,
-    /// Since when the customer has no session.
+    /// When the customer was first found to have no session; none while it has sessions.
     idle_since: Option<Timestamp>,
 }
 
-/// A flow entry of an earlier incarnation.
+/// A flow entry restored from an earlier incarnation of this process.
 struct RestoredFlow {
     entry: FlowEntry,
     expires_at: Timestamp,
 }
 
-/// All load balancers of one process. Each event goes to the one that decides the session, or to all of them.
+/// All load balancers of one process. Each event is passed to the load balancer that handles the session, or to all.
 pub struct TenantBalancers {
     default_balancer: LoadBalancer,
     default_quota_share: f64,
     factory: BalancerFactory,
     seed: u64,
-    /// Of customers with a namespace that have had a session recently.
+    /// Load balancers of customers with a namespace that have had a session recently.
     tenants: BTreeMap<Rc<str>, TenantBalancer>,
-    /// Customers of the sessions that the default balancer does not decide.
+    /// The customers of sessions that are not handled by the default load balancer.
     session_tenants: BTreeMap<SessionId, Rc<str>>,
     endpoints: BTreeMap<ServerId, Endpoint>,
-    /// For customers whose load balancer is built later.
+    /// Kept for customers whose load balancer is built later.
     restored_flows: Vec<RestoredFlow>,
     health_checks_enabled: bool,
-    /// As it was set last; 0 before that.
+    /// The last value passed to [`Self::set_quota_fraction`]; 0 before the first call.
     quota_fraction: f64,
 }
 
 impl TenantBalancers {
-    /// The default balancer alone. `factory` and `seed` build those of customers.
+    /// Starts with the default load balancer only. Those of customers are built with `factory` from seeds derived from
+    /// `seed`.
     pub fn new(default_balancer: LoadBalancer, factory: BalancerFactory, seed: u64) -> Self {
         TenantBalancers {
             default_balancer,
@@ -68,7 +70,7 @@
         }
     }
 
-    /// Starts with the endpoint list known from before.
+    /// Starts the default load balancer with the endpoint list known at startup.
     pub fn start(&mut self, known: &[Endpoint], now: Timestamp, host: &mut dyn Host) {
         self.store_endpoints(known, true);
         self.default_balancer.start(known, now, host);
@@ -88,7 +90,7 @@
         self.endpoints.values().cloned().collect()
     }
 
-    /// Applies a change of the endpoint list; a server that is absent from a complete list is removed.
+    /// Applies changed endpoints, or a complete list from which absent servers have been removed.
     pub fn on_endpoints(&mut self, endpoints: &[Endpoint], is_complete: bool, now: Timestamp) {
         self.store_endpoints(endpoints, is_complete);
         self.default_balancer.on_endpoints(endpoints, is_complete, now);
@@ -98,28 +100,29 @@
         }
     }
 
-    /// The watch of the endpoint list was lost: the default balancer polls for the list now. What the lost watch may have
-    /// missed counts as received at `due`.
-    pub fn on_watch_lost(&mut self, due: Timestamp, host: &mut dyn Host) {
-        self.default_balancer.on_watch_lost(due, host);
+    /// Called when the watch of the endpoint list was lost. The default load balancer polls for the list immediately;
+    /// changes that the watch missed must be applied by `refresh_deadline`.
+    pub fn on_watch_lost(&mut self, refresh_deadline: Timestamp, host: &mut dyn Host) {
+        self.default_balancer.on_watch_lost(refresh_deadline, host);
     }
 
-    /// A poll for the endpoint list, sent at `since`, failed: the default balancer schedules the next one.
-    pub fn on_poll_failed(&mut self, since: Timestamp, now: Timestamp, host: &mut dyn Host) {
-        self.default_balancer.on_poll_failed(since, now, host);
+    /// Called when a poll for the endpoint list that started at `started_at` has failed. The default load balancer
+    /// schedules the next one.
+    pub fn on_poll_failed(&mut self, started_at: Timestamp, now: Timestamp, host: &mut dyn Host) {
+        self.default_balancer.on_poll_failed(started_at, now, host);
     }
 
-    /// Customers that have a load balancer now.
+    /// The customers that currently have their own load balancer.
     pub fn customers(&self) -> Vec<Rc<str>> {
         self.tenants.keys().cloned().collect()
     }
 
-    /// Whether a customer has a load balancer now.
+    /// Whether a customer currently has its own load balancer.
     pub fn has_tenant(&self, customer: &str) -> bool {
         self.tenants.contains_key(customer)
     }
 
-    /// What a customer is granted has changed.
+    /// Applies a change of the servers or of the quota share granted to a customer.
     pub fn update_tenant(&mut self, update: &NamespaceUpdate, now: Timestamp) {
         let Some(tenant) = self.tenants.get_mut(&update.customer) else { return };
         tenant.granted_servers = update.servers.clone();
@@ -129,11 +132,11 @@
         self.apply_quota();
     }
 
-    /// Builds the load balancer of a customer. Called with its first session, as the memory of one for each namespace
-    /// would not be bounded by the load.
+    /// Builds the load balancer of a customer. Called on its first session and not for every namespace in advance, so
+    /// that memory use depends on the load and not on the number of namespaces.
     pub fn add_tenant(&mut self, update: NamespaceUpdate, now: Timestamp, host: &mut dyn Host) {
         let seed = self.seed ^ xxhash_rust::xxh3::xxh3_64(update.customer.as_bytes());
-        // The settings were valid for the default balancer, so they are for this one.
+        // The settings were valid for the default load balancer, so they are valid for this one.
         let Some(mut balancer) = (self.factory)(seed) else { return };
         balancer.on_endpoints(&granted_endpoints(&self.endpoints, &update.servers), true, now);
         balancer.start_periodic_checks(self.health_checks_enabled, now, host);
@@ -151,14 +154,14 @@
         self.apply_quota();
     }
 
-    /// Sets the fraction of this process's quota for sessions whose customer has no namespace.
+    /// Sets the fraction of this process's quota that is used for sessions of customers without a namespace.
     pub fn set_default_quota_share(&mut self, quota_share: f64) {
         self.default_quota_share = quota_share;
         self.apply_quota();
     }
 
-    /// Sets this process's quota of what the fleet may send to warming servers, as a multiple of an equal share of all
-    /// proxies. 0 stands for an unknown quota: an equal share is then assumed.
+    /// Sets this process's quota of the load that the fleet may send to servers in slow start, as a multiple of an
+    /// equal share per proxy. 0 means that the quota is unknown; an equal share is then assumed.
     pub fn set_quota_fraction(&mut self, quota_fraction: f64) {
         self.quota_fraction = quota_fraction;
         self.apply_quota();
@@ -172,7 +175,7 @@
         }
     }
 
-    /// Number of proxies that share the servers, by the settings.
+    /// The number of proxies that share the servers, according to the settings.
     pub fn proxies(&self) -> f64 {
         self.default_balancer.proxies()
     }
@@ -185,13 +188,13 @@
         }
     }
 
-    /// The default balancer, then those of customers in the order of their names.
+    /// The default load balancer, then those of customers in the order of the customers' names.
     fn balancers(&mut self) -> impl Iterator<Item = &mut LoadBalancer> {
         let tenants = self.tenants.values_mut().map(|tenant| &mut tenant.balancer);
         std::iter::once(&mut self.default_balancer).chain(tenants)
     }
 
-    /// A session asks for a server. `customer`: whose load balancer decides it; none for the default one.
+    /// Requests a server for a session. `customer` selects the load balancer; none selects the default one.
     pub fn on_request(
         &mut self,
         customer: Option<&Rc<str>>,
@@ -205,44 +208,45 @@
         self.balancer_of(arrival.session).on_request(arrival, now, host);
     }
 
-    /// Takes over a session that was established before this process started.
+    /// Adds a session that was established before this process started.
     pub fn restore_session(&mut self, arrival: &Arrival, server: &str, now: Timestamp) {
         self.balancer_of(arrival.session).restore_session(arrival, server, now);
     }
 
-    /// A session is established with its server.
+    /// Called when a session is established.
     pub fn on_established(&mut self, session: SessionId, now: Timestamp) {
         self.balancer_of(session).on_established(session, now);
     }
 
-    /// Whether the request of a session may be sent to the server of its attempt.
+    /// Whether the request of a session may be sent to the server of its current attempt.
     pub fn may_send_request(&mut self, session: SessionId, now: Timestamp) -> bool {
         self.balancer_of(session).may_send_request(session, now)
     }
 
-    /// An attempt of a session has ended. `done`: the session has its final answer.
+    /// Called when an attempt of a session has ended. `client_done`: the client has been answered or its connection has
+    /// ended, so no retry follows.
     pub fn on_attempt_ended(
         &mut self,
         session: SessionId,
         outcome: AttemptOutcome,
-        done: bool,
+        client_done: bool,
         now: Timestamp,
         host: &mut dyn Host,
     ) {
-        self.balancer_of(session).on_attempt_ended(session, outcome, done, now, host);
+        self.balancer_of(session).on_attempt_ended(session, outcome, client_done, now, host);
     }
 
-    /// The client of a session has closed its connection.
+    /// Called when the client of a session has closed its connection.
     pub fn on_client_closed(&mut self, session: SessionId) {
         self.balancer_of(session).on_client_closed(session);
     }
 
-    /// The server of a session has reported the session's load.
+    /// Called when the server of a session has reported the session's load.
     pub fn on_load_report(&mut self, session: SessionId, load: f64) {
         self.balancer_of(session).on_load_report(session, load);
     }
 
-    /// A message of a session took this long.
+    /// Called when the latency of a message of a session has been measured or reported.
     pub fn on_message_latency(
         &mut self,
         session: SessionId,
@@ -253,12 +257,13 @@
         self.balancer_of(session).on_message_latency(session, latency, now, host);
     }
 
-    /// A wakeup that a load balancer scheduled is due. Which one is not recorded, so all of them look at the time.
+    /// Called when a wakeup scheduled by a load balancer is due. It is not recorded which load balancer scheduled it,
+    /// so all are called and check the time themselves.
     pub fn on_timer(&mut self, now: Timestamp, host: &mut dyn Host) {
         self.balancers().for_each(|balancer| balancer.on_timer(now, host));
     }
 
-    /// Starts the periodic checks of all load balancers, also of those that are built later.
+    /// Starts the periodic checks of the default load balancer, and of those of customers when they are built.
     pub fn start_periodic_checks(
         &mut self,
         health_checks_enabled: bool,
@@ -269,41 +274,41 @@
         self.default_balancer.start_periodic_checks(health_checks_enabled, now, host);
     }
 
-    /// A health check of a server took this long.
+    /// Called when a health check of a server has ended after `latency`.
     pub fn on_health_check(&mut self, server: &str, latency: Duration, now: Timestamp, host: &mut dyn Host) {
         self.balancers().for_each(|balancer| balancer.on_health_check(server, latency, now, host));
     }
 
-    /// Migrates an equal part of the established sessions with each call, as the process shuts down. `calls_left`: calls
-    /// until all sessions are to be gone, this one included.
+    /// Migrates an equal part of the established sessions on each call during a shutdown. `calls_left` is the number of
+    /// calls, including this one, after which no session may be left.
     pub fn migrate_sessions(&mut self, calls_left: usize, host: &mut dyn Host) {
         self.balancers().for_each(|balancer| balancer.migrate_sessions(calls_left, host));
     }
 
-    /// The flow tables of all load balancers.
+    /// The flow table entries of all load balancers.
     pub fn flow_entries(&self) -> Vec<FlowEntry> {
         let mut entries = self.default_balancer.flow_entries();
         entries.extend(self.tenants.values().flat_map(|tenant| tenant.balancer.flow_entries()));
         entries
     }
 
-    /// Restores a flow entry of an earlier incarnation for `lifetime`. Returns whether a load balancer took it.
+    /// Restores a flow entry of an earlier incarnation for `lifetime`. Returns whether any load balancer accepted it.
     pub fn restore_flow(&mut self, entry: &FlowEntry, lifetime: Duration, now: Timestamp) -> bool {
         self.restored_flows.push(RestoredFlow { entry: entry.clone(), expires_at: now + lifetime });
         self.balancers()
             .fold(false, |restored, balancer| balancer.restore_flow(entry, lifetime, now) | restored)
     }
 
-    /// Forgets the customers of sessions that have ended, and drops the load balancers of idle customers. Called once a
+    /// Removes the customers of sessions that have ended, and drops the load balancers of idle customers. Called once a
     /// second.
     pub fn evict_idle(&mut self, is_open: impl Fn(&SessionId) -> bool, now: Timestamp) {
         if self.tenants.is_empty() {
             return;
         }
         self.session_tenants.retain(|session, _| is_open(session));
-        let busy: BTreeSet<&Rc<str>> = self.session_tenants.values().collect();
+        let with_sessions: BTreeSet<&Rc<str>> = self.session_tenants.values().collect();
         self.tenants.retain(|customer, tenant| {
-            if busy.contains(customer) {
+            if with_sessions.contains(customer) {
                 tenant.idle_since = None;
                 return true;
             }
@@ -313,7 +318,7 @@
     }
 }
 
-/// The endpoints of these servers that are on the endpoint list.
+/// The endpoints of the given servers; servers that are not on the endpoint list are left out.
 fn granted_endpoints(endpoints: &BTreeMap<ServerId, Endpoint>, servers: &[ServerId]) -> Vec<Endpoint> {
     servers.iter().filter_map(|server| endpoints.get(server)).cloned().collect()
 }
--- a/crates/proxy/src/tenants/tenant_namespaces.rs
+++ b/crates/proxy/src/tenants/tenant_namespaces.rs
@@ -1,8 +1,9 @@
-//! Customers' namespaces in one process: loaded from a directory, replicated over the fleet, and looked up for each
-//! session.
+//! The customers' namespaces in one process: loads them from a directory, replicates them in the fleet, and looks up
+//! the rule of each session.
 //!
-//! The directory is the fleet file's `namespaces_dir`. It holds `grants.toml` and a file for each customer. A process
-//! that loads a newer version replicates it; each namespace comes into force by itself, in one version.
+//! The fleet file's key `namespaces_dir` names the directory. It contains `grants.toml` and one file for each customer.
+//! A process that loads a newer version of a file replicates it. Namespaces become active independently of each other,
+//! each as a whole.
 
 use crate::tenants::replicated_store::{get_chunked, put_chunked, LoadError, ReplicatedStore};
 use shelfgrade::host::{Endpoint, ServerId};
@@ -13,77 +14,77 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
-/// Key of the grants in the replicated map, and their file's name without `.toml`.
+/// Key of the grants in the replicated map, and the name of the grants file without `.toml`.
 const GRANTS: &str = "grants";
-/// Before the customer's name, in the key of its namespace in the replicated map.
+/// Prefix of the key of a namespace in the replicated map; the customer's name follows.
 const NAMESPACE_KEY_PREFIX: &str = "space/";
 
-/// What a customer's namespace decides for one session.
+/// The decision of a customer's namespace about one session.
 pub struct RuleDecision {
     /// Name of the customer.
     pub customer: Rc<str>,
-    /// Servers that the session may go to, in the order of their ids; may be empty.
+    /// Servers that the session may be placed on, in the order of their ids; may be empty.
     pub servers: Rc<[ServerId]>,
-    /// Counts the session among those of its rule for as long as it is kept.
+    /// Counts the session towards the connections of its rule until it is dropped.
     pub reservation: Rc<()>,
-    /// The rule has no connection left, or no rule matches: the session is to be rejected.
+    /// Whether the session must be rejected, because its rule has no connection left or no rule matches.
     pub is_over_quota: bool,
 }
 
-/// A customer's namespace has come into force or has changed.
+/// The servers and the quota share of a customer with an active namespace.
 pub struct NamespaceUpdate {
     /// Name of the customer.
     pub customer: Rc<str>,
-    /// Servers that the customer is granted, in the order of their ids.
+    /// Servers granted to the customer, in the order of their ids.
     pub servers: Rc<[ServerId]>,
-    /// The customer's fraction of what this process may send to warming servers.
+    /// The customer's fraction of this process's quota of load for servers in slow start.
     pub quota_share: f64,
 }
 
-/// A rule of a customer, by the names of both.
+/// Identifies a rule: the names of the customer and of the rule.
 type RuleKey = (String, String);
 
 /// The namespaces of all customers in one process.
 pub struct TenantNamespaces {
     table: NamespaceTable,
-    /// Each session of a rule holds a clone.
+    /// One reference-counted token for each rule. Each session of the rule holds a clone, so the reference count is the
+    /// number of sessions plus one.
     reservations: BTreeMap<RuleKey, Rc<()>>,
     /// Index of this process in the fleet.
     member: usize,
-    /// Processes in the fleet.
-    members: usize,
-    /// Customers with an entry in the replicated map, in force or not.
+    /// Number of processes in the fleet.
+    member_count: usize,
+    /// Customers with a namespace in the replicated map, whether it is active or not.
     customers: BTreeSet<String>,
 }
 
 impl TenantNamespaces {
-    /// No namespaces, for a process with this index in a fleet of this size.
-    pub fn new((member, members): (usize, usize)) -> Self {
+    /// Starts without namespaces, for the process with the index `member` in a fleet of `member_count` processes.
+    pub fn new((member, member_count): (usize, usize)) -> Self {
         TenantNamespaces {
             table: NamespaceTable::default(),
             reservations: BTreeMap::new(),
             member,
-            members,
+            member_count,
             customers: BTreeSet::new(),
         }
     }
 
-    /// Loads the directory and replicates what it holds. A file that cannot be used is logged and delays no other.
+    /// Loads the files of the directory and replicates them. An invalid file is logged and does not affect the others.
     pub fn load(&mut self, directory: &Path, store: &impl ReplicatedStore) {
         let files = match toml_files(directory) {
             Ok(files) => files,
-            Err(error) => {
-                return log::error!("{}: {error}: no namespaces are read from there", directory.display())
-            }
+            Err(error) => return log::error!("{}: {error}: no namespaces loaded", directory.display()),
         };
         for path in files {
             if let Err(error) = self.load_file(&path, store) {
-                log::error!("{}: {error}; the version before stays in force", path.display());
+                log::error!("{}: {error}; the previous version stays in force", path.display());
             }
         }
     }
 
-    /// Validates a file before it is replicated, as processes that start later have no version to fall back to.
+    /// Loads one file. It is validated before it is replicated, because processes that start later have no previous
+    /// version to fall back to.
     fn load_file(&mut self, path: &Path, store: &impl ReplicatedStore) -> Result<(), LoadError> {
         let text = std::fs::read_to_string(path)?;
         if is_grants_file(path) {
@@ -97,8 +98,8 @@
         put_chunked(&namespace_key(&namespace.customer), namespace.version, &namespace, store)
     }
 
-    /// An entry of the replicated map has changed: what is complete there comes into force. Returns the namespaces that
-    /// may have changed.
+    /// Called when an entry of the replicated map has changed. Activates the grants or the namespace that it belongs
+    /// to, if all chunks are present, and returns the namespaces that may have changed.
     pub fn on_shared_entry_changed(
         &mut self,
         key: &str,
@@ -117,7 +118,7 @@
     fn on_grants_changed(&mut self, store: &impl ReplicatedStore) -> Vec<NamespaceUpdate> {
         let Some(grants) = get_chunked::<Grants>(GRANTS, store) else { return Vec::new() };
         self.apply_grants(grants);
-        // Namespaces that were refused for want of a grant may have one now.
+        // Namespaces that were rejected because of a missing grant may be valid now.
         let customers: Vec<_> = self.customers.iter().cloned().collect();
         customers.iter().for_each(|customer| self.refresh_namespace(customer, store));
         customers.iter().filter_map(|customer| self.update_for(customer)).collect()
@@ -129,17 +130,17 @@
             Ok(deactivated) => {
                 log::info!("grants: version {version} is in force");
                 for namespace in deactivated {
-                    log::error!("namespace of {}: out of force: {}", namespace.customer, namespace.error);
+                    log::error!("namespace of {}: deactivated: {}", namespace.customer, namespace.error);
                 }
             }
-            Err(error) => log::error!("grants: {error}; the version before stays in force"),
+            Err(error) => log::error!("grants: {error}; the previous version stays in force"),
         }
     }
 
     fn refresh_namespace(&mut self, customer: &str, store: &impl ReplicatedStore) {
         let Some(namespace) = get_chunked::<Namespace>(&namespace_key(customer), store) else { return };
         let is_active = self.table.get(customer).is_some_and(|active| active.namespace == namespace);
-        // An entry under another customer's key must not decide that customer's sessions.
+        // A namespace stored under the key of another customer must not be applied to that customer's sessions.
         if namespace.customer != customer || is_active {
             return;
         }
@@ -149,15 +150,17 @@
                 for shadowed in active.namespace.shadowed_rules() {
                     let (rule, covered_by) = (shadowed.rule, shadowed.covered_by);
                     log::warn!(
-                        "namespace of {customer}: rule {rule} never matches, as {covered_by} covers it"
+                        "namespace of {customer}: rule {rule} never matches because rule {covered_by} covers it"
                     );
                 }
             }
-            Err(error) => log::error!("namespace of {customer}: {error}; the version before stays in force"),
+            Err(error) => {
+                log::error!("namespace of {customer}: {error}; the previous version stays in force")
+            }
         }
     }
 
-    /// What a customer is granted now; none where it has no namespace in force.
+    /// The servers and the quota share currently granted to a customer; none if it has no active namespace.
     pub fn update_for(&mut self, customer: &str) -> Option<NamespaceUpdate> {
         let quota_share = self.table.quota_share(customer);
         let active = self.table.get(customer)?;
@@ -168,17 +171,18 @@
         })
     }
 
-    /// Replaces the endpoint list.
+    /// Replaces the endpoint list from which rules select servers.
     pub fn set_endpoints(&mut self, endpoints: Vec<Endpoint>) {
         self.table.set_endpoints(endpoints);
     }
 
-    /// Fraction of what this process may send to warming servers, for sessions whose customer has no namespace.
+    /// Fraction of this process's quota of load for servers in slow start that is used for customers without a
+    /// namespace.
     pub fn default_quota_share(&self) -> f64 {
         self.table.default_quota_share()
     }
 
-    /// Decides a session by the namespace of its customer; none where the customer has no namespace.
+    /// Looks up the rule of a session in the namespace of its customer; none if the customer has no namespace.
     pub fn decide(
         &mut self,
         customer: Option<&str>,
@@ -199,10 +203,11 @@
     }
 
     fn reserve(&mut self, customer: &str, matched: &MatchedRule) -> RuleDecision {
-        let max_connections = member_max_connections(matched.max_connections(), self.member, self.members);
+        let max_connections =
+            member_max_connections(matched.max_connections(), self.member, self.member_count);
         let rule_key = (customer.to_owned(), matched.rule().name.clone());
         let reservation = self.reservations.entry(rule_key).or_default();
-        // The map itself holds one reference.
+        // The map itself holds one of the references.
         let is_over_quota = Rc::strong_count(reservation) > max_connections as usize;
         RuleDecision {
             customer: customer.into(),
@@ -221,7 +226,7 @@
     path.file_stem().is_some_and(|name| name == GRANTS)
 }
 
-/// The TOML files of a directory: the grants first, as the namespaces are validated against them.
+/// The TOML files of a directory. The grants come first, because the namespaces are validated against them.
 fn toml_files(directory: &Path) -> std::io::Result<Vec<PathBuf>> {
     let files = std::fs::read_dir(directory)?;
     let mut paths: Vec<_> = files.filter_map(|file| Some(file.ok()?.path())).collect();
