--- a/crates/proxy/src/fleet/fleet_file.rs
+++ b/crates/proxy/src/fleet/fleet_file.rs
@@ -1,5 +1,5 @@
-//! The fleet file, which makes this process a member of a fleet: `SHELFGRADE_FLEET` names it, and `deploy/fleet.toml` is
-//! one with every key explained. It is checked completely, and read again at `SIGHUP`.
+//! The fleet file, which makes this process a member of a fleet. `SHELFGRADE_FLEET` is its path, and
+//! `deploy/fleet.toml` is an example that explains every key. The file is read again on `SIGHUP`.
 
 use crate::net::transient::is_transient;
 use serde::Deserialize;
@@ -9,33 +9,34 @@
 use std::path::{Path, PathBuf};
 use std::time::Duration;
 
-/// The environment variable that holds the file's path.
-pub const PATH_VARIABLE: &str = "SHELFGRADE_FLEET";
+/// The environment variable that contains the path of the fleet file.
+pub const FLEET_FILE_VARIABLE: &str = "SHELFGRADE_FLEET";
 
-/// Why a fleet file cannot be used, or the fleet not be joined; each text says where the error is and what to do.
+/// Why the fleet file cannot be loaded or the fleet cannot be joined. Each message says where the error is and how to
+/// correct it.
 #[derive(Debug, thiserror::Error)]
 pub enum FleetError {
     /// The file cannot be read.
-    #[error("{path}: cannot be read ({source}): see that the file is there and may be read by this user")]
+    #[error("{path}: cannot be read ({source}): check that the file exists and that this user may read it")]
     Unreadable {
         /// The file's path.
         path: String,
         /// The cause.
         source: std::io::Error,
     },
-    /// The text is not TOML of this form.
-    #[error("{path}, line {line}, column {column}: {what}: correct it there; deploy/fleet.toml explains every key")]
-    Form {
+    /// The text is not valid TOML, or does not have the expected structure.
+    #[error("{path}, line {line}, column {column}: {message}: correct it there; deploy/fleet.toml explains every key")]
+    Format {
         /// The file's path.
         path: String,
-        /// Counts from 1.
+        /// Line of the error, starting at 1.
         line: usize,
-        /// Counts from 1.
+        /// Column of the error, starting at 1.
         column: usize,
-        /// What is wrong there.
-        what: String,
+        /// The message of the TOML parser.
+        message: String,
     },
-    /// The names of the processes cannot be a roster.
+    /// The names of the processes do not form a valid roster.
     #[error("{path}, [fellows]: {source}")]
     Roster {
         /// The file's path.
@@ -43,41 +44,41 @@
         /// The cause.
         source: RosterError,
     },
-    /// A number is out of its bounds.
-    #[error("{path}, {key}: {value} where {min} to {max} is wanted: correct it there")]
-    Bound {
+    /// A number is out of range.
+    #[error("{path}, {key}: {value} is not between {min} and {max}: correct it there")]
+    OutOfRange {
         /// The file's path.
         path: String,
         /// The key in the file.
         key: &'static str,
-        /// The value given.
+        /// The value in the file.
         value: u64,
-        /// The smallest value allowed.
+        /// The smallest allowed value.
         min: u64,
-        /// The largest value allowed.
+        /// The largest allowed value.
         max: u64,
     },
     /// Two processes have the same address.
-    #[error("{path}, [fellows]: {first} and {second} have one address: give each process one of its own")]
+    #[error("{path}, [fellows]: {first} and {second} have the same address: give each process its own")]
     DuplicateAddress {
         /// The file's path.
         path: String,
-        /// Name of the one process.
+        /// Name of one process.
         first: String,
-        /// Name of the other.
+        /// Name of the other process.
         second: String,
     },
-    /// The socket between peers cannot be opened.
-    #[error("cannot receive from peers at {at} ({source}): see that the address is this machine's and that nobody has it")]
+    /// The socket for peer traffic cannot be opened.
+    #[error("cannot receive from peers at {at} ({source}): check that the address is local and not in use")]
     Bind {
-        /// The address that was used.
+        /// The address to bind to.
         at: SocketAddr,
         /// The cause.
         source: std::io::Error,
     },
-    /// A reload changes what is fixed while processes run.
-    #[error("{path}: {key} differs from the start: it counts when all processes are started anew")]
-    Fixed {
+    /// A reload changes a value that cannot change while processes run.
+    #[error("{path}: {key} cannot change at runtime: restart all processes to apply the change")]
+    ImmutableKey {
         /// The file's path.
         path: String,
         /// The key in the file.
@@ -86,7 +87,7 @@
 }
 
 impl FleetError {
-    /// Whether the same call may succeed a moment later without an operator's help.
+    /// Whether the same call may succeed later without an operator's intervention.
     pub fn is_transient(&self) -> bool {
         match self {
             FleetError::Unreadable { source, .. } | FleetError::Bind { source, .. } => is_transient(source),
@@ -95,10 +96,10 @@
     }
 }
 
-/// The file's keys.
+/// The TOML structure of the fleet file.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct File {
+struct RawFleetFile {
     fleet: String,
     #[serde(rename = "fellows")]
     peers: BTreeMap<String, SocketAddr>,
@@ -119,65 +120,66 @@
     1000
 }
 
-/// A fleet file that was read and checked.
+/// A validated fleet file.
 #[derive(Clone)]
 pub struct FleetFile {
-    /// The file's path, for errors.
+    /// The file's path, used in error messages.
     pub path: String,
-    /// The names of all processes, and which is this one's.
+    /// The names of all processes of the fleet, and which of them is this process.
     pub roster: Roster,
     /// The processes' UDP addresses, in the order of the roster.
     pub addresses: Vec<SocketAddr>,
-    /// Where snapshots are kept; without it none are.
+    /// The directory for snapshots; if none, no snapshots are written.
     pub state_dir: Option<PathBuf>,
-    /// The folder of the tenants' namespaces.
+    /// The directory of the tenants' namespaces.
     pub namespaces_dir: Option<PathBuf>,
-    /// The file of the maintenance windows.
+    /// The file with the maintenance schedule.
     pub maintenance: Option<PathBuf>,
-    /// How long a start waits for the endpoint list before it uses the servers known from before.
+    /// How long a starting process waits for the endpoint list before it uses the servers known from earlier.
     pub list_wait: Duration,
-    /// The shortest interval between two snapshots.
-    pub save_every: Duration,
+    /// The minimum interval between two snapshots.
+    pub save_interval: Duration,
 }
 
 impl FleetFile {
-    /// Reads the file that the environment names; none if it names none. `me` is this process's name.
+    /// Reads the file that the environment names; none if the variable is not set. `own_name` is the name of this
+    /// process.
     ///
     /// # Errors
     ///
-    /// [`FleetError`] if the file cannot be read or used.
-    pub fn from_environment(me: &str) -> Result<Option<Self>, FleetError> {
-        std::env::var(PATH_VARIABLE).ok().map(|path| Self::read(Path::new(&path), me)).transpose()
+    /// [`FleetError`] if the file cannot be read or is invalid.
+    pub fn from_environment(own_name: &str) -> Result<Option<Self>, FleetError> {
+        std::env::var(FLEET_FILE_VARIABLE).ok().map(|path| Self::read(Path::new(&path), own_name)).transpose()
     }
 
-    /// Reads the file at `path`.
+    /// Reads and validates the file at `path`.
     ///
     /// # Errors
     ///
-    /// [`FleetError`] if the file cannot be read or used.
-    pub fn read(path: &Path, me: &str) -> Result<Self, FleetError> {
-        let shown = path.display().to_string();
+    /// [`FleetError`] if the file cannot be read or is invalid.
+    pub fn read(path: &Path, own_name: &str) -> Result<Self, FleetError> {
+        let display_path = path.display().to_string();
         let text = std::fs::read_to_string(path)
-            .map_err(|source| FleetError::Unreadable { path: shown.clone(), source })?;
-        Self::parse(&shown, &text, me)
+            .map_err(|source| FleetError::Unreadable { path: display_path.clone(), source })?;
+        Self::parse(&display_path, &text, own_name)
     }
 
-    /// Checks the file's text; `path` is for errors.
+    /// Parses and validates the text of the file; `path` is used in error messages.
     ///
     /// # Errors
     ///
-    /// [`FleetError`] if any part of it cannot be used.
-    pub fn parse(path: &str, text: &str, me: &str) -> Result<Self, FleetError> {
+    /// [`FleetError`] if any part of the file is invalid.
+    pub fn parse(path: &str, text: &str, own_name: &str) -> Result<Self, FleetError> {
         let path = path.to_owned();
-        let file: File = toml::from_str(text).map_err(|error| form_error(&path, text, &error))?;
+        let file: RawFleetFile = toml::from_str(text).map_err(|error| format_error(&path, text, &error))?;
         let list_wait = duration_within(&path, "list_wait_ms", file.list_wait_ms, 100, 10_000)?;
-        let save_every = duration_within(&path, "save_every_ms", file.save_every_ms, 100, 60_000)?;
-        let roster = Roster::new(&file.fleet, file.peers.keys().cloned(), me)
+        let save_interval = duration_within(&path, "save_every_ms", file.save_every_ms, 100, 60_000)?;
+        let roster = Roster::new(&file.fleet, file.peers.keys().cloned(), own_name)
             .map_err(|source| FleetError::Roster { path: path.clone(), source })?;
-        check_addresses_differ(&path, &file.peers)?;
-        // The roster sorts its names, as this map does.
+        check_unique_addresses(&path, &file.peers)?;
+        // The roster is sorted by name, as this map is.
         let addresses = file.peers.values().copied().collect();
-        let File { state_dir, namespaces_dir, maintenance, .. } = file;
+        let RawFleetFile { state_dir, namespaces_dir, maintenance, .. } = file;
         Ok(FleetFile {
             path,
             roster,
@@ -186,33 +188,34 @@
             namespaces_dir,
             maintenance,
             list_wait,
-            save_every,
+            save_interval,
         })
     }
 
-    /// Checks that `next` changes nothing that is fixed while processes run: the quota leases go by the roster.
+    /// Checks that `next` may replace this file at runtime. The roster must not change, because the quota leases depend
+    /// on it, and neither must the state directory.
     ///
     /// # Errors
     ///
-    /// [`FleetError::Fixed`] with the key that differs.
-    pub fn may_follow(&self, next: &Self) -> Result<(), FleetError> {
-        let fixed = |key| Err(FleetError::Fixed { path: next.path.clone(), key });
+    /// [`FleetError::ImmutableKey`] with the key that differs.
+    pub fn check_reload(&self, next: &Self) -> Result<(), FleetError> {
+        let immutable = |key| Err(FleetError::ImmutableKey { path: next.path.clone(), key });
         if self.roster != next.roster {
-            return fixed("fleet, or a name under [fellows],");
+            return immutable("fleet, or a name under [fellows],");
         }
         if self.state_dir != next.state_dir {
-            return fixed("state_dir");
+            return immutable("state_dir");
         }
         Ok(())
     }
 }
 
-/// A TOML error with its line and column, which count from 1.
-fn form_error(path: &str, text: &str, error: &toml::de::Error) -> FleetError {
+/// Converts a TOML error into one with line and column, starting at 1.
+fn format_error(path: &str, text: &str, error: &toml::de::Error) -> FleetError {
     let before = &text[..error.span().map_or(0, |span| span.start.min(text.len()))];
     let line = before.matches('\n').count() + 1;
     let column = before.chars().rev().take_while(|c| *c != '\n').count() + 1;
-    FleetError::Form { path: path.to_owned(), line, column, what: error.message().replace('\n', ", ") }
+    FleetError::Format { path: path.to_owned(), line, column, message: error.message().replace('\n', ", ") }
 }
 
 fn duration_within(
@@ -225,14 +228,14 @@
     if (min..=max).contains(&value) {
         Ok(Duration::from_millis(value))
     } else {
-        Err(FleetError::Bound { path: path.to_owned(), key, value, min, max })
+        Err(FleetError::OutOfRange { path: path.to_owned(), key, value, min, max })
     }
 }
 
-fn check_addresses_differ(path: &str, peers: &BTreeMap<String, SocketAddr>) -> Result<(), FleetError> {
-    let mut taken: BTreeMap<SocketAddr, &String> = BTreeMap::new();
+fn check_unique_addresses(path: &str, peers: &BTreeMap<String, SocketAddr>) -> Result<(), FleetError> {
+    let mut owners: BTreeMap<SocketAddr, &String> = BTreeMap::new();
     for (name, address) in peers {
-        if let Some(first) = taken.insert(*address, name) {
+        if let Some(first) = owners.insert(*address, name) {
             let (path, first, second) = (path.to_owned(), first.clone(), name.clone());
             return Err(FleetError::DuplicateAddress { path, first, second });
         }
--- a/crates/proxy/src/fleet/mod.rs
+++ b/crates/proxy/src/fleet/mod.rs
@@ -1,5 +1,4 @@
-//! What the processes of one fleet share: the socket between peers, the state kept on disk, and the fleet file that
-//! enables both.
+//! Membership in a fleet: the fleet file that enables it, the communication with the peers, and the snapshots on disk.
 
 pub mod fleet_file;
 pub mod peer_events;
--- a/crates/proxy/src/fleet/peer_events.rs
+++ b/crates/proxy/src/fleet/peer_events.rs
@@ -1,27 +1,27 @@
-//! What the driver of the peer protocol reports to its owner.
+//! Callbacks of the peer protocol and the recovery.
 
 use crate::net::event_loop::EventLoopOwner;
 use shelfgrade::warm_restart::FlowEntry;
 use shelfgrade_recovery::{EndpointAddress, RecoveryState};
 
-/// Receives what this process learns from its peers and from its recovery; its event loop carries the socket.
+/// Receives the events of the peer protocol and of the recovery state machine, on the implementor's event loop.
 pub trait PeerEvents: EventLoopOwner {
-    /// These endpoints are in force: all there are if `is_complete`, else changed ones only.
+    /// Applies endpoints: the complete list if `is_complete`, otherwise only the changed ones.
     fn apply_endpoints(&mut self, endpoints: Vec<EndpointAddress>, is_complete: bool);
-    /// This process has become one that polls discovery for the fleet, or has ceased to be.
+    /// This process has become a poller, which polls discovery for the fleet, or is no longer one.
     fn set_polling(&mut self, is_poller: bool);
-    /// The recovery has reached another state.
+    /// The recovery has entered another state.
     fn state_changed(&mut self, state: RecoveryState);
-    /// Where a client's connection was before this process started.
+    /// Restores a flow entry: the server that a client was connected to before this process started.
     fn restore_flow(&mut self, flow: &FlowEntry);
-    /// The list from discovery was rejected: the complete list is to be requested, after a backoff.
+    /// A list from discovery was rejected. The implementor requests the complete list after a backoff.
     fn list_rejected(&mut self);
-    /// The fraction of the fleet's quotas that this process may use, from 0 to 1.
+    /// Sets the fraction of the fleet's quota that this process may use, from 0 to 1.
     fn set_quota_fraction(&mut self, fraction: f64);
-    /// The flow table, for the snapshot.
+    /// The entries of the flow table, for the snapshot.
     fn flow_entries(&self) -> Vec<FlowEntry>;
     /// An entry of the shared map was added or has changed.
     fn shared_entry_changed(&mut self, key: &str);
-    /// Counts and logs a warning.
-    fn warn(&self, what: &'static str);
+    /// Increments a counter and logs a warning.
+    fn warn(&self, counter: &'static str);
 }
--- a/crates/proxy/src/fleet/peers.rs
+++ b/crates/proxy/src/fleet/peers.rs
@@ -1,7 +1,7 @@
-//! The driver of the peer protocol: the UDP socket, the timer and the snapshots around the recovery state machine
-//! [`Node`], which does no I/O.
+//! Runs the recovery state machine [`Node`], which performs no I/O itself: drives its UDP socket and timer, and reads
+//! and writes its snapshots.
 //!
-//! What happens is reported to the owner through [`PeerEvents`] only.
+//! All events are reported to the owner through [`PeerEvents`].
 
 mod environment;
 mod notification;
@@ -34,12 +34,13 @@
     timer: Cell<Option<RegistrationToken>>,
     snapshot_writer: RefCell<Option<SnapshotWriter>>,
     last_save: Cell<LastSave>,
-    /// What the node reported during a call, delivered when the call has returned and the node can be called again.
+    /// Events that the node reported during a call. They are delivered after the call has returned, because handling
+    /// them may call the node again.
     notifications: RefCell<Vec<Notification>>,
 }
 
 impl Peers {
-    /// Restores the snapshot of the last run and joins the fleet; `known` are the endpoints of the start-up file.
+    /// Restores the newest snapshot and joins the fleet. `known` are the endpoints of the start-up file.
     ///
     /// # Errors
     ///
@@ -60,7 +61,7 @@
         let mut node = Node::new(file.roster.clone(), settings, snapshot, seed, clock(now));
         node.add_known_endpoints(known.into_iter(), now);
         let (state, size, fleet) = (node.state().name(), file.roster.size(), file.roster.fleet());
-        log::info!("recovery: {state}; one of {size} in {fleet}");
+        log::info!("recovery: {state}; fleet {fleet} has {size} members");
         let snapshot_writer = file.state_dir.as_deref().map(SnapshotWriter::start);
         let peers = Rc::new(Peers {
             node: RefCell::new(node),
@@ -71,10 +72,10 @@
             notifications: RefCell::default(),
             socket: socket.try_clone().map_err(bind_error)?,
         });
-        let me = peers.clone();
+        let handler = peers.clone();
         let source = Generic::new(socket, Interest::READ, Mode::Level);
         let watched = events.handle().insert_source(source, move |_, _, events| {
-            me.on_socket_ready(events);
+            handler.on_socket_ready(events);
             Ok(PostAction::Continue)
         });
         watched.map_err(|error| bind_error(std::io::Error::other(error.error)))?;
@@ -83,7 +84,7 @@
     }
 
     fn on_socket_ready(self: &Rc<Self>, events: &mut impl PeerEvents) {
-        // Bounded, so that a flood of datagrams does not starve the clients.
+        // Limited so that a flood of datagrams does not delay the processing of client connections.
         const MAX_DATAGRAMS_PER_EVENT: usize = 64;
         let mut datagram = [0; shelfgrade_fleet::MAX_DATAGRAM_BYTES];
         for _ in 0..MAX_DATAGRAMS_PER_EVENT {
@@ -110,7 +111,7 @@
         self.deliver_notifications(events);
     }
 
-    /// Delivers what the node has reported, and schedules its next wakeup.
+    /// Delivers the events that the node has reported, and schedules its next wakeup.
     pub fn deliver_notifications(self: &Rc<Self>, events: &mut impl PeerEvents) {
         loop {
             let notifications = std::mem::take(&mut *self.notifications.borrow_mut());
@@ -129,16 +130,16 @@
             events.handle().remove(token);
         }
         let timer = Timer::from_duration(self.node.borrow().next_wakeup().since(now));
-        let me = self.clone();
+        let handler = self.clone();
         let token = events.handle().insert_source(timer, move |_, _, events| {
-            me.timer.take();
-            me.on_timer(events);
+            handler.timer.take();
+            handler.on_timer(events);
             TimeoutAction::Drop
         });
         self.timer.set(token.ok());
     }
 
-    /// Passes a list from discovery to the node; returns whether it was accepted.
+    /// Passes a list from discovery to the node and returns whether it was accepted.
     pub fn on_endpoint_list(
         self: &Rc<Self>,
         records: Vec<(String, ServerRecord)>,
@@ -154,8 +155,8 @@
         accepted
     }
 
-    /// A new session's place in the order of admission, or none outside of a recovery. The quota fraction is brought up
-    /// to date first, as leases may have expired while this process was suspended.
+    /// The admission turn of a new session; none outside of a recovery. The quota fraction is updated first, because
+    /// quota leases may have expired while this process was suspended.
     pub fn admission_turn(
         &self,
         requester: Requester,
@@ -167,7 +168,7 @@
         self.node.borrow_mut().admission_turn(requester, key, now)
     }
 
-    /// Records that the session which came last was admitted.
+    /// Records that the session of the last admission turn was admitted.
     pub fn record_admission(&self) {
         self.node.borrow_mut().record_admission();
     }
@@ -178,17 +179,17 @@
         (usize::from(file.roster.me().0), file.roster.size())
     }
 
-    /// The folder of the tenants' namespaces, if this process reads one.
+    /// The directory of the tenants' namespaces, if the fleet file names one.
     pub fn namespaces_dir(&self) -> Option<PathBuf> {
         self.file.borrow().namespaces_dir.clone()
     }
 
-    /// The file of the maintenance windows, if this process reads one.
+    /// The file with the maintenance schedule, if the fleet file names one.
     pub fn maintenance_file(&self) -> Option<PathBuf> {
         self.file.borrow().maintenance.clone()
     }
 
-    /// The fleet's time by the median of its clocks, in Unix milliseconds.
+    /// The time in Unix milliseconds according to the median of the fleet's clocks.
     pub fn fleet_time_ms(&self, now: Timestamp) -> i64 {
         wall_ms(now) as i64 + self.node.borrow().fleet().clock_correction_ms()
     }
@@ -198,19 +199,20 @@
         self.node.borrow().is_poller()
     }
 
-    /// Reads the fleet file again and applies what may change at runtime.
+    /// Reads the fleet file again and applies it.
     ///
     /// # Errors
     ///
-    /// [`FleetError`] if the file cannot be used or changes what is fixed; nothing changes then.
+    /// [`FleetError`] if the file cannot be read, is invalid, or changes a value that cannot change at runtime. The
+    /// current file then stays in use.
     pub fn reload_file(&self, name: &str) -> Result<(), FleetError> {
         let Some(next) = FleetFile::from_environment(name)? else { return Ok(()) };
-        self.file.borrow().may_follow(&next)?;
+        self.file.borrow().check_reload(&next)?;
         *self.file.borrow_mut() = next;
         Ok(())
     }
 
-    /// Leaves the fleet: notifies the peers, and waits until the last snapshot is written.
+    /// Leaves the fleet: notifies the peers and writes the last snapshot, within a time limit.
     pub fn leave(&self, events: &impl PeerEvents) {
         let now = events.now();
         self.node.borrow_mut().leave(clock(now), &mut NodeEnvironment { peers: self });
@@ -218,23 +220,23 @@
     }
 }
 
-/// The newest usable snapshot of this process, if it keeps any.
+/// The newest valid snapshot of this process, if there is any.
 fn newest_snapshot(file: &FleetFile) -> Option<Snapshot> {
     let name = file.roster.name(file.roster.me()).unwrap_or_default();
-    let found = file.state_dir.as_deref().map(snapshot_writer::read).unwrap_or_default();
-    let loaded = snapshot::select_newest(&found, file.roster.fleet(), name);
-    for rejected in loaded.rejected {
+    let generations = file.state_dir.as_deref().map(snapshot_writer::read_generations).unwrap_or_default();
+    let selection = snapshot::select_newest(&generations, file.roster.fleet(), name);
+    for rejected in selection.rejected {
         log::warn!("snapshot {}: {}", rejected.generation, rejected.error);
     }
-    loaded.newest
+    selection.newest
 }
 
-/// What the node is given of the time with each call.
+/// The clock reading that is passed to the node.
 fn clock(now: Timestamp) -> ClockReading {
     ClockReading { now, wall_ms: wall_ms(now) }
 }
 
-/// This machine's Unix time in milliseconds, by the event loop's clock.
+/// The Unix time in milliseconds, according to the event loop's clock.
 fn wall_ms(now: Timestamp) -> u64 {
     now.as_ms() as u64
 }
--- a/crates/proxy/src/fleet/peers/environment.rs
+++ b/crates/proxy/src/fleet/peers/environment.rs
@@ -1,4 +1,4 @@
-//! The environment of the recovery state machine: sends datagrams, and queues what the owner is to be notified of.
+//! The environment of the recovery state machine: sends its datagrams, and queues its events for the owner.
 
 use super::notification::Notification;
 use super::Peers;
@@ -9,10 +9,10 @@
     EndpointAddress, RecoveryEnvironment, RecoveryState, HEARTBEAT_PREFIX, LIST_KEY, SERVER_PREFIX,
 };
 
-/// Keys of the shared map that the recovery state machine handles by itself.
+/// Key prefixes of entries in the shared map that the recovery state machine handles itself; changes are not reported.
 const INTERNAL_KEY_PREFIXES: [&str; 3] = [SERVER_PREFIX, HEARTBEAT_PREFIX, LIST_KEY];
 
-/// Passed to each call of the node.
+/// Passed to every call of the node that needs an environment.
 pub(super) struct NodeEnvironment<'a> {
     pub(super) peers: &'a Peers,
 }
@@ -30,12 +30,12 @@
 impl Environment for NodeEnvironment<'_> {
     fn send(&mut self, to: MemberId, datagram: Vec<u8>) {
         let address = self.peers.file.borrow().addresses.get(usize::from(to.0)).copied();
-        // The protocol repeats what a lost datagram carried.
+        // Errors are ignored: the protocol repeats the contents of lost datagrams.
         let _ = address.map(|address| self.peers.socket.send_to(&datagram, address));
     }
 
     fn entry_changed(&mut self, entry: &Entry) {
-        log::trace!("{} is known at version {:?}", entry.key, entry.version);
+        log::trace!("entry {} has version {:?}", entry.key, entry.version);
         if !INTERNAL_KEY_PREFIXES.iter().any(|prefix| entry.key.starts_with(prefix)) {
             self.notify(Notification::SharedEntryChanged(entry.key.clone()));
         }
@@ -49,8 +49,8 @@
         log::info!("peer {} left", self.name(member));
     }
 
-    fn datagram_rejected(&mut self, why: &'static str) {
-        self.notify(Notification::Warning(why));
+    fn datagram_rejected(&mut self, reason: &'static str) {
+        self.notify(Notification::Warning(reason));
     }
 }
 
@@ -60,14 +60,13 @@
     }
 
     fn set_polling(&mut self, is_poller: bool) {
-        let what =
-            if is_poller { "polls discovery for the fleet" } else { "leaves polling discovery to peers" };
-        log::info!("{what}");
+        let role = if is_poller { "now polling discovery for the fleet" } else { "peers now poll discovery" };
+        log::info!("{role}");
         self.notify(Notification::Polling { is_poller });
     }
 
-    fn state_changed(&mut self, state: RecoveryState, why: &str) {
-        log::info!("recovery: {}; {why}", state.name());
+    fn state_changed(&mut self, state: RecoveryState, reason: &str) {
+        log::info!("recovery: {}; {reason}", state.name());
         self.notify(Notification::StateChanged(state));
     }
 
@@ -76,8 +75,8 @@
         self.notify(Notification::RestoredFlow(FlowEntry { key, server: server.to_owned(), started }));
     }
 
-    fn list_rejected(&mut self, why: &str) {
-        log::warn!("endpoint list rejected: {why}");
+    fn list_rejected(&mut self, reason: &str) {
+        log::warn!("endpoint list rejected: {reason}");
         self.notify(Notification::ListRejected);
     }
 }
--- a/crates/proxy/src/fleet/peers/notification.rs
+++ b/crates/proxy/src/fleet/peers/notification.rs
@@ -1,10 +1,10 @@
-//! What the recovery state machine reports during a call, kept until the call has returned.
+//! Events that the recovery state machine reports during a call, queued until the call has returned.
 
 use crate::fleet::peer_events::PeerEvents;
 use shelfgrade::warm_restart::FlowEntry;
 use shelfgrade_recovery::{EndpointAddress, RecoveryState};
 
-/// One call of [`PeerEvents`] to be made.
+/// A pending call of a [`PeerEvents`] method.
 pub(super) enum Notification {
     Endpoints { endpoints: Vec<EndpointAddress>, is_complete: bool },
     Polling { is_poller: bool },
@@ -26,7 +26,7 @@
             Notification::RestoredFlow(flow) => events.restore_flow(&flow),
             Notification::ListRejected => events.list_rejected(),
             Notification::SharedEntryChanged(key) => events.shared_entry_changed(&key),
-            Notification::Warning(what) => events.warn(what),
+            Notification::Warning(counter) => events.warn(counter),
         }
     }
 }
--- a/crates/proxy/src/fleet/peers/shared_map.rs
+++ b/crates/proxy/src/fleet/peers/shared_map.rs
@@ -1,4 +1,4 @@
-//! Access to the replicated map that all processes of the fleet share.
+//! Access to the replicated map that is shared by all processes of the fleet.
 
 use super::environment::NodeEnvironment;
 use super::Peers;
@@ -7,7 +7,7 @@
 use shelfgrade_fleet::Version;
 
 impl Peers {
-    /// All keys that begin with `prefix`.
+    /// All keys that start with `prefix`.
     pub fn keys(&self, prefix: &str) -> Vec<String> {
         let node = self.node.borrow();
         let keys = node.fleet().entries().into_iter().map(|entry| entry.key);
--- a/crates/proxy/src/fleet/recovery_settings.rs
+++ b/crates/proxy/src/fleet/recovery_settings.rs
@@ -1,10 +1,10 @@
-//! The recovery settings that follow from the start-up file and the fleet file.
+//! Derives the settings of the recovery from the start-up file and the fleet file.
 
 use crate::fleet::fleet_file::FleetFile;
 use shelfgrade_recovery::{ClassPriority, RecoverySettings};
 use shelfgrade_settings::Settings;
 
-/// What the recovery of this process goes by.
+/// The settings of this process's recovery.
 pub fn recovery_settings(settings: &Settings, file: &FleetFile) -> RecoverySettings {
     let priorities = settings.class_priorities.iter().map(|class| ClassPriority {
         connect_latency_objective: class.connect_latency_objective,
--- a/crates/proxy/src/fleet/server_records.rs
+++ b/crates/proxy/src/fleet/server_records.rs
@@ -1,9 +1,9 @@
-//! Records of discovery in the form that peers share.
+//! Converts the records of an endpoint list into the format that peers exchange.
 
 use crate::discovery::endpoint_list::{EndpointList, EndpointRecord, Health};
 use shelfgrade_recovery::{ServerHealth, ServerRecord};
 
-/// The records of a list, each under its host's name.
+/// The records of a list, each with the server's name.
 pub fn server_records(list: &EndpointList) -> Vec<(String, ServerRecord)> {
     list.records.iter().map(|record| (record.host.clone(), server_record(record))).collect()
 }
--- a/crates/proxy/src/fleet/snapshot_writer.rs
+++ b/crates/proxy/src/fleet/snapshot_writer.rs
@@ -1,4 +1,4 @@
-//! Snapshots on disk, written by a thread of their own: no session waits for the disk.
+//! Reads snapshots from disk, and writes them on a separate thread so that disk I/O does not delay sessions.
 
 use crate::net::transient::is_transient;
 use shelfgrade_recovery::snapshot::{generation, GENERATIONS};
@@ -10,37 +10,41 @@
 
 /// An encoded snapshot to be written.
 pub struct SnapshotJob {
-    /// Counts up with each snapshot; decides which of the generations' files it replaces.
-    pub number: u64,
+    /// Sequence number of the snapshot; determines which generation's file is replaced.
+    pub sequence: u64,
     /// The contents of the file.
     pub bytes: Vec<u8>,
 }
 
-/// The owner's side of the writer thread.
+/// Handle to the writer thread.
 pub struct SnapshotWriter {
     jobs: Option<SyncSender<SnapshotJob>>,
-    /// Receives one message when the thread has finished.
+    /// Receives a message when the thread has finished.
     finished: Receiver<()>,
 }
 
-fn path(folder: &Path, generation: usize) -> PathBuf {
-    folder.join(format!("shelfgrade.{generation}"))
+fn generation_path(directory: &Path, generation: usize) -> PathBuf {
+    directory.join(format!("shelfgrade.{generation}"))
 }
 
-/// The bytes of each generation's file; none for a file that is absent or cannot be read.
-pub fn read(folder: &Path) -> Vec<Option<Vec<u8>>> {
-    let read = |generation| match read_with_retries(&path(folder, generation)) {
+/// Reads the file of each generation; none for a file that does not exist or cannot be read.
+pub fn read_generations(directory: &Path) -> Vec<Option<Vec<u8>>> {
+    let read = |generation| match read_with_retries(&generation_path(directory, generation)) {
         Ok(bytes) => Some(bytes),
         Err(error) if error.kind() == io::ErrorKind::NotFound => None,
         Err(error) => {
-            log::warn!("{}: {error}: started without it", path(folder, generation).display());
+            log::warn!(
+                "cannot read snapshot {}: {error}; started without it",
+                generation_path(directory, generation).display()
+            );
             None
         }
     };
     (0..GENERATIONS).map(read).collect()
 }
 
-/// Reads a file, retrying transient errors: a start must not fall back to an older generation for one of them.
+/// Reads a file and retries after transient errors, so that such an error does not cause a fallback to an older
+/// generation.
 fn read_with_retries(path: &Path) -> io::Result<Vec<u8>> {
     const MAX_ATTEMPTS: usize = 20;
     const RETRY_INTERVAL: Duration = Duration::from_millis(25);
@@ -53,28 +57,30 @@
     fs::read(path)
 }
 
-/// Replaces the file of the snapshot's generation atomically.
-fn replace(folder: &Path, snapshot: &SnapshotJob) -> io::Result<()> {
-    let (path, new) = (path(folder, generation(snapshot.number)), folder.join("shelfgrade.new"));
+/// Atomically replaces the file of the snapshot's generation.
+fn replace_generation(directory: &Path, snapshot: &SnapshotJob) -> io::Result<()> {
+    let (path, new) =
+        (generation_path(directory, generation(snapshot.sequence)), directory.join("shelfgrade.new"));
     let mut file = File::create(&new)?;
     file.write_all(&snapshot.bytes)?;
     file.sync_all()?;
     fs::rename(&new, path)?;
-    File::open(folder)?.sync_all()
+    File::open(directory)?.sync_all()
 }
 
-/// The thread's side.
+/// State of the writer thread.
 struct WriterThread {
-    folder: PathBuf,
+    directory: PathBuf,
     jobs: Receiver<SnapshotJob>,
     failures: u64,
 }
 
 impl WriterThread {
-    /// Writes each snapshot, retrying until it is written or a newer one has arrived.
+    /// Writes each snapshot, and retries until it is written or a newer one is queued.
     fn run(mut self) {
         const RETRY_INTERVAL: Duration = Duration::from_millis(50);
-        // The process is ending by then and does not wait any longer.
+        // Attempts after the queue has been closed. The process is shutting down then and waits only for a limited
+        // time.
         const ATTEMPTS_AFTER_CLOSE: usize = 6;
         let mut unwritten: Option<SnapshotJob> = None;
         let mut attempts_left = ATTEMPTS_AFTER_CLOSE;
@@ -98,35 +104,38 @@
 
     /// Returns whether the snapshot was written.
     fn write(&mut self, snapshot: &SnapshotJob) -> bool {
-        let Err(error) = replace(&self.folder, snapshot) else {
+        let Err(error) = replace_generation(&self.directory, snapshot) else {
             metrics::counter!("snapshots written").increment(1);
             return true;
         };
         self.failures += 1;
         metrics::counter!("snapshots failed").increment(1);
-        // Logged at each doubling: a full disk must not fill the log as well.
+        // Logged only when the number of failures reaches a power of two, so that a full disk does not flood the log.
         if self.failures.is_power_of_two() {
-            let (folder, failures) = (self.folder.display(), self.failures);
-            log::error!("{folder}: no snapshot ({error}), {failures} so far: see the disk; service goes on");
+            let (directory, failures) = (self.directory.display(), self.failures);
+            log::error!(
+                "{directory}: cannot write snapshot ({error}), {failures} failures so far: check the disk"
+            );
         }
         false
     }
 }
 
 impl SnapshotWriter {
-    /// Starts the thread. Without a thread no snapshot is written, and service goes on.
-    pub fn start(folder: &Path) -> Self {
-        // One snapshot is written while the next waits; the owner offers a newer one later.
+    /// Starts the thread. If that fails, the proxy runs without writing snapshots.
+    pub fn start(directory: &Path) -> Self {
+        // One snapshot can be queued while another is being written. If the queue is full, the owner queues a newer
+        // snapshot later.
         let (jobs, received) = sync_channel::<SnapshotJob>(1);
-        let (finish, finished) = sync_channel(1);
-        let writer = WriterThread { folder: folder.to_owned(), jobs: received, failures: 0 };
+        let (finished_sender, finished) = sync_channel(1);
+        let writer = WriterThread { directory: directory.to_owned(), jobs: received, failures: 0 };
         let run = move || {
             writer.run();
-            let _ = finish.send(());
+            let _ = finished_sender.send(());
         };
         let thread = std::thread::Builder::new().name("disk".into()).spawn(run);
         if let Err(error) = thread {
-            log::error!("no thread for the disk ({error}): no snapshots");
+            log::error!("cannot start the snapshot writer thread ({error}): no snapshots will be written");
         }
         SnapshotWriter { jobs: Some(jobs), finished }
     }
@@ -137,8 +146,8 @@
         !self.jobs.as_ref().is_some_and(|jobs| is_full(jobs.try_send(snapshot)))
     }
 
-    /// Writes the last snapshot and waits for it, but not for a disk that hangs: all clients have had their answers by
-    /// now, and a process that stays is killed.
+    /// Writes the last snapshot and waits until it is written, but only for a limited time: a process that does not
+    /// exit in time is killed, and all clients have been answered by now.
     pub fn finish(mut self, last: SnapshotJob) {
         const TIMEOUT: Duration = Duration::from_millis(400);
         const QUEUE_POLL_INTERVAL: Duration = Duration::from_millis(5);
@@ -147,7 +156,7 @@
         let mut last = last;
         while let Err(TrySendError::Full(unsent)) = jobs.try_send(last) {
             if started_at.elapsed() >= TIMEOUT {
-                return log::error!("the disk hangs: the last snapshot is not written");
+                return log::error!("disk did not respond in time: the last snapshot was not written");
             }
             last = unsent;
             std::thread::sleep(QUEUE_POLL_INTERVAL);
@@ -155,7 +164,7 @@
         drop(jobs);
         let time_left = TIMEOUT.saturating_sub(started_at.elapsed());
         if self.finished.recv_timeout(time_left) == Err(RecvTimeoutError::Timeout) {
-            log::error!("the disk hangs: the last snapshot may not be written");
+            log::error!("disk did not respond in time: the last snapshot may not have been written");
         }
     }
 }
--- a/crates/testkit/tests/processes.rs
+++ b/crates/testkit/tests/processes.rs
@@ -86,8 +86,14 @@
     let (took, calls) = (trial.recorder.now() - back, trial.calls(back, trial.recorder.now()));
     println!("back after {took:?} with {calls} calls to discovery");
     assert!(calls <= 6, "a few ask for all: {calls}");
-    let words =
-        ["torn at", "snapshot 0: empty", "of format 99", "of the process n004", "recovery:", "no snapshot ("];
+    let words = [
+        "torn at",
+        "snapshot 0: empty",
+        "of format 99",
+        "of the process n004",
+        "recovery:",
+        "cannot write snapshot (",
+    ];
     for (process, word) in trial.processes.iter().zip(words) {
         assert!(process.log().contains(word), "{word} in {}", process.log());
     }
