--- a/crates/proxy/src/discovery/client.rs
+++ b/crates/proxy/src/discovery/client.rs
@@ -1,5 +1,6 @@
-//! HTTP/1.1 client of the discovery service. It uses one connection with one request in flight at a time, and starts a
-//! watch for the next version as soon as it has received an endpoint list.
+//! HTTP/1.1 client of the discovery service. A call is one request and its response. The client uses one connection
+//! with one call in flight at a time, and starts a watch for the next version as soon as it has received an endpoint
+//! list.
 
 use crate::discovery::call_error::CallError;
 use crate::discovery::endpoint_list::EndpointList;
@@ -29,7 +30,7 @@
     socket: RefCell<Option<Rc<Socket<E>>>>,
     request: RefCell<Ring>,
     response: RefCell<Ring>,
-    /// The request in flight, if any.
+    /// The call in flight, if any.
     exchange: RefCell<Option<Exchange>>,
     /// When the last call started.
     call_started_at: Cell<Timestamp>,
@@ -74,8 +75,8 @@
         self.start_call(false, events);
     }
 
-    /// Processes a response that has arrived but whose readiness event has not been dispatched yet. Sessions must not be
-    /// placed, nor their first bytes sent, based on a list that is older than the latest one received.
+    /// Processes a response that has arrived but whose readiness event has not been dispatched yet. Sessions must not
+    /// be placed, nor their first bytes sent, based on a list that is older than the latest one received.
     pub fn read_pending(self: &Rc<Self>, events: &mut E) {
         if self.exchange.borrow().is_some() {
             self.on_socket_ready(events);
@@ -243,8 +244,8 @@
             return drop(self.socket.take());
         }
         // A partial or invalid response may contain a change, so it is requested again immediately instead of after the
-        // backoff. Only if the previous call succeeded: a service that always sends invalid responses must not be polled
-        // in a tight loop.
+        // backoff. Only if the previous call succeeded: a service that always sends invalid responses must not be
+        // polled in a tight loop.
         if self.response_has_begun(error) && self.last_call_succeeded.get() {
             return self.on_watch_lost(error, events.now(), events);
         }
--- a/crates/proxy/src/fleet/fleet_file.rs
+++ b/crates/proxy/src/fleet/fleet_file.rs
@@ -134,7 +134,7 @@
     /// The directory of the tenants' namespaces.
     pub namespaces_dir: Option<PathBuf>,
     /// The file with the maintenance schedule.
-    pub maintenance: Option<PathBuf>,
+    pub maintenance_file: Option<PathBuf>,
     /// How long a starting process waits for the endpoint list before it uses the servers known from earlier.
     pub list_wait: Duration,
     /// The minimum interval between two snapshots.
@@ -186,7 +186,7 @@
             addresses,
             state_dir,
             namespaces_dir,
-            maintenance,
+            maintenance_file: maintenance,
             list_wait,
             save_interval,
         })
--- a/crates/proxy/src/fleet/peers.rs
+++ b/crates/proxy/src/fleet/peers.rs
@@ -58,7 +58,7 @@
         socket.set_nonblocking(true).map_err(bind_error)?;
         let snapshot = newest_snapshot(&file);
         let now = events.now();
-        let mut node = Node::new(file.roster.clone(), settings, snapshot, seed, clock(now));
+        let mut node = Node::new(file.roster.clone(), settings, snapshot, seed, clock_reading(now));
         node.add_known_endpoints(known.into_iter(), now);
         let (state, size, fleet) = (node.state().name(), file.roster.size(), file.roster.fleet());
         log::info!("recovery: {state}; fleet {fleet} has {size} members");
@@ -92,7 +92,7 @@
             if self.is_peer_address(from) {
                 let now = events.now();
                 let mut environment = NodeEnvironment { peers: self };
-                self.node.borrow_mut().on_datagram(&datagram[..length], clock(now), &mut environment);
+                self.node.borrow_mut().on_datagram(&datagram[..length], clock_reading(now), &mut environment);
             } else {
                 events.warn("fleet datagrams from unknown addresses");
             }
@@ -106,7 +106,7 @@
 
     fn on_timer(self: &Rc<Self>, events: &mut impl PeerEvents) {
         let now = events.now();
-        self.node.borrow_mut().on_timer(clock(now), &mut NodeEnvironment { peers: self });
+        self.node.borrow_mut().on_timer(clock_reading(now), &mut NodeEnvironment { peers: self });
         self.save_if_due(now, events);
         self.deliver_notifications(events);
     }
@@ -186,7 +186,7 @@
 
     /// The file with the maintenance schedule, if the fleet file names one.
     pub fn maintenance_file(&self) -> Option<PathBuf> {
-        self.file.borrow().maintenance.clone()
+        self.file.borrow().maintenance_file.clone()
     }
 
     /// The time in Unix milliseconds according to the median of the fleet's clocks.
@@ -215,7 +215,7 @@
     /// Leaves the fleet: notifies the peers and writes the last snapshot, within a time limit.
     pub fn leave(&self, events: &impl PeerEvents) {
         let now = events.now();
-        self.node.borrow_mut().leave(clock(now), &mut NodeEnvironment { peers: self });
+        self.node.borrow_mut().leave(clock_reading(now), &mut NodeEnvironment { peers: self });
         self.write_last_snapshot(now, events);
     }
 }
@@ -232,7 +232,7 @@
 }
 
 /// The clock reading that is passed to the node.
-fn clock(now: Timestamp) -> ClockReading {
+fn clock_reading(now: Timestamp) -> ClockReading {
     ClockReading { now, wall_ms: wall_ms(now) }
 }
 
--- a/crates/proxy/src/fleet/peers/environment.rs
+++ b/crates/proxy/src/fleet/peers/environment.rs
@@ -49,8 +49,8 @@
         log::info!("peer {} left", self.name(member));
     }
 
-    fn datagram_rejected(&mut self, reason: &'static str) {
-        self.notify(Notification::Warning(reason));
+    fn datagram_rejected(&mut self, counter: &'static str) {
+        self.notify(Notification::Warning(counter));
     }
 }
 
--- a/crates/proxy/src/lifecycle/serve.rs
+++ b/crates/proxy/src/lifecycle/serve.rs
@@ -48,14 +48,14 @@
     start_ticks(&handle)?;
 
     let (listen_address, seed) = (config.listen_address, config.seed);
-    let is_pushed = config.settings.list_is_pushed;
+    let list_is_pushed = config.settings.list_is_pushed;
     let known = std::mem::take(&mut config.known_endpoints);
     let recovery_settings = fleet.as_ref().map(|fleet| recovery_settings(&config.settings, fleet));
     let resources = Resources { limits, handle, listener, stop: event_loop.get_signal() };
     let mut proxy = build(config, &known, fleet.as_ref(), resources);
     let metrics = proxy.executor.metrics.clone();
 
-    start_balancer(&mut proxy, &known, is_pushed, fleet.is_some());
+    start_balancer(&mut proxy, &known, list_is_pushed, fleet.is_some());
     if let Some((file, settings)) = fleet.zip(recovery_settings) {
         proxy.join_fleet(file, settings, &known, seed)?;
     }
@@ -93,7 +93,7 @@
     resources: Resources,
 ) -> Proxy {
     let Resources { limits, handle, listener, stop } = resources;
-    let Settings { classes, customers, slow_start, list_is_pushed: is_pushed, .. } = config.settings;
+    let Settings { classes, customers, slow_start, list_is_pushed, .. } = config.settings;
     let executor_settings = ExecutorSettings {
         dial_timeout: config.settings.dial_timeout,
         health_checks_allowed: config.settings.health_checks_allowed,
@@ -104,9 +104,9 @@
     let now = executor.clock.now();
     // With a local agent or in a fleet the complete list is requested first, because discovery answers that
     // immediately.
-    let requests_complete_list = known.records.is_empty() || is_pushed || fleet.is_some();
+    let requests_complete_list = known.records.is_empty() || list_is_pushed || fleet.is_some();
     let version = Some(known.version).filter(|_| !requests_complete_list);
-    let timeouts = if is_pushed { LOCAL_AGENT_TIMEOUTS } else { SHARED_DISCOVERY_TIMEOUTS };
+    let timeouts = if list_is_pushed { LOCAL_AGENT_TIMEOUTS } else { SHARED_DISCOVERY_TIMEOUTS };
     let settings_text = config.settings_text;
     // The settings have been validated for the default load balancer, so parsing them again for the load balancer of a
     // customer succeeds.
@@ -129,7 +129,7 @@
         maintenance_windows: MaintenanceWindows::default(),
         startup_gate: match fleet {
             Some(fleet) => StartupGate::until_recovery(now, fleet.list_wait),
-            None if is_pushed => StartupGate::until_pushed_list(now),
+            None if list_is_pushed => StartupGate::until_pushed_list(now),
             None => StartupGate::opened(),
         },
         last_arrival: now,
@@ -143,13 +143,13 @@
 
 /// Starts the load balancer with the servers of the start-up file. In a fleet it starts without servers, because the
 /// recovery decides which of the known servers are used.
-fn start_balancer(proxy: &mut Proxy, known: &EndpointList, is_pushed: bool, is_in_fleet: bool) {
+fn start_balancer(proxy: &mut Proxy, known: &EndpointList, list_is_pushed: bool, is_in_fleet: bool) {
     let now = proxy.latencies_reported_at;
     let endpoints = if is_in_fleet { Vec::new() } else { known.endpoints() };
     let endpoints = proxy.start_times.localize(endpoints, now);
     proxy.executor.servers.apply_endpoints(endpoints.iter().zip(known.addresses()), true);
     proxy.balancer.start(&endpoints, now, &mut proxy.executor);
-    if !is_pushed && !is_in_fleet {
+    if !list_is_pushed && !is_in_fleet {
         proxy.startup_gate = StartupGate::until_first_poll(now, proxy.executor.next_wakeup);
     }
     // Servers that report message latencies do not need periodic health checks.
--- a/crates/proxy/src/lifecycle/shutdown_schedule.rs
+++ b/crates/proxy/src/lifecycle/shutdown_schedule.rs
@@ -12,7 +12,7 @@
 const STOP_ACCEPTING_BEFORE_KILL: Duration = Duration::from_millis(500);
 /// Time before the kill at which connections without a first line are answered. One more tick follows for responses
 /// that are still being written.
-const FINAL_ANSWERS_BEFORE_KILL: Duration = Duration::from_millis(350);
+const FINAL_RESPONSES_BEFORE_KILL: Duration = Duration::from_millis(350);
 /// Time before the kill at which the process exits.
 const EXIT_BEFORE_KILL: Duration = Duration::from_millis(200);
 /// Fraction of [`ShutdownSchedule::accept_for`] after which established sessions are migrated. The remaining time is
@@ -29,7 +29,7 @@
     /// New sessions are accepted for this long; sessions without an established server connection are then failed.
     pub accept_for: Duration,
     /// After this time, connections that have not sent a first line are rejected.
-    pub final_answers_after: Duration,
+    pub final_responses_after: Duration,
     /// The process exits after this time, even if sessions are left.
     pub exit_after: Duration,
 }
@@ -43,7 +43,7 @@
         ShutdownSchedule {
             migrate_sessions_after: before_kill(STOP_ACCEPTING_BEFORE_KILL).scaled(MIGRATE_SESSIONS_FRACTION),
             accept_for: before_kill(STOP_ACCEPTING_BEFORE_KILL),
-            final_answers_after: before_kill(FINAL_ANSWERS_BEFORE_KILL),
+            final_responses_after: before_kill(FINAL_RESPONSES_BEFORE_KILL),
             exit_after: before_kill(EXIT_BEFORE_KILL),
         }
     }
--- a/crates/proxy/src/proxy/graceful_shutdown.rs
+++ b/crates/proxy/src/proxy/graceful_shutdown.rs
@@ -43,7 +43,7 @@
         let is_done = self.has_no_recent_arrivals(now, elapsed)
             && !has_unwritten_responses
             && !self.has_unfinished_work(&sessions);
-        if !is_done && elapsed < schedule.final_answers_after {
+        if !is_done && elapsed < schedule.final_responses_after {
             return;
         }
         self.close_remaining();
--- a/crates/proxy/src/proxy/peer_events.rs
+++ b/crates/proxy/src/proxy/peer_events.rs
@@ -10,7 +10,7 @@
 
 /// How long a restored flow is kept: as long as the flow table keeps the entry of a connection that has ended.
 const RESTORED_FLOW_TTL: Duration = Duration::from_millis(30_000);
-/// The load balancer uses only half of the capacity of a server in slow start, because a proxy without peers can only
+/// The load balancer uses only half of the limit of a server in slow start, because a proxy without peers can only
 /// estimate its quota. A leased quota is exact, so the load balancer may use 1.5 times as much.
 const LEASED_QUOTA_FACTOR: f64 = 1.5;
 
--- a/crates/proxy/src/proxy/ticks.rs
+++ b/crates/proxy/src/proxy/ticks.rs
@@ -1,11 +1,11 @@
-//! Periodic work.
+//! The periodic work of the proxy.
 
 use crate::proxy::Proxy;
 use crate::session::{Session, Stage};
 use shelfgrade::time::{DurationExt, Timestamp};
 use std::time::Duration;
 
-/// The interval at which message latencies are reported and maintenance windows are updated.
+/// The interval at which message latencies are reported and maintenance windows are evaluated.
 const REPORT_INTERVAL: Duration = Duration::from_millis(1000);
 
 impl Proxy {
@@ -23,6 +23,8 @@
         self.advance_shutdown();
     }
 
+    /// Performs the work that is done once per [`REPORT_INTERVAL`]: drops idle load balancers, evaluates maintenance
+    /// windows and reports message latencies.
     fn report_if_due(&mut self) {
         let now = self.now();
         if now.since(self.latencies_reported_at) < REPORT_INTERVAL {
--- a/crates/proxy/tests/unit/fleet_file.rs
+++ b/crates/proxy/tests/unit/fleet_file.rs
@@ -17,7 +17,7 @@
         example.replace("# namespaces_dir =", "namespaces_dir =").replace("# maintenance =", "maintenance =");
     let file = FleetFile::parse("deploy/fleet.toml", &all_keys, "n2").expect("the example file");
     assert_eq!(file.roster.size(), 3);
-    assert!(file.state_dir.is_some() && file.namespaces_dir.is_some() && file.maintenance.is_some());
+    assert!(file.state_dir.is_some() && file.namespaces_dir.is_some() && file.maintenance_file.is_some());
 }
 
 #[test]
