--- a/crates/proxy/src/discovery/call_error.rs
+++ b/crates/proxy/src/discovery/call_error.rs
@@ -27,7 +27,7 @@
     },
     /// The connection was established, but no complete response arrived before the deadline.
     #[error(
-        "discovery at {at}: response timed out; polling again now: if this persists, check discovery and the network path"
+        "discovery at {at}: response timed out; polling again: if this persists, check discovery and the network path"
     )]
     ResponseTimeout {
         /// The address of the discovery service.
--- a/crates/proxy/src/discovery/poll_schedule.rs
+++ b/crates/proxy/src/discovery/poll_schedule.rs
@@ -34,8 +34,8 @@
 }
 
 /// Time limits for a discovery service shared by all proxies. A watch without a response is detected within 2.8 s. A
-/// refused connection or a request without a response is retried within 4 s, the time that a proxy has to apply the list
-/// of a new discovery service.
+/// refused connection or a request without a response is retried within 4 s, the time that a proxy has to apply the
+/// list of a new discovery service.
 pub const SHARED_DISCOVERY_TIMEOUTS: CallTimeouts = CallTimeouts {
     min_watch_wait: Duration::from_millis(800),
     max_watch_wait: Duration::from_millis(2000),
@@ -45,8 +45,8 @@
     connect_timeout: Duration::from_millis(1000),
 };
 
-/// Time limits for an agent on the same machine, which responds within milliseconds. Its list must be applied as soon as
-/// the agent has it, so a call must not hang for long when the agent fails.
+/// Time limits for an agent on the same machine, which responds within milliseconds. Its list must be applied as soon
+/// as the agent has it, so a call must not hang for long when the agent fails.
 pub const LOCAL_AGENT_TIMEOUTS: CallTimeouts = CallTimeouts {
     min_watch_wait: Duration::from_millis(150),
     max_watch_wait: Duration::from_millis(300),
--- a/crates/proxy/src/discovery/start_times.rs
+++ b/crates/proxy/src/discovery/start_times.rs
@@ -43,8 +43,8 @@
 }
 
 impl StartTimes {
-    /// Updates the clock difference from discovery's time as sent with a list. Returns whether the start times of servers
-    /// listed earlier have changed.
+    /// Updates the clock difference from discovery's time as sent with a list. Returns whether the start times of
+    /// servers listed earlier have changed.
     ///
     /// Without this, if the system clock was ahead when this process started, servers that have just started would be
     /// treated as warmed up. A clock that was behind is harmless, because start times are never in the future.
@@ -59,17 +59,18 @@
         has_changed
     }
 
-    /// Recalculates the start times of endpoints that [`Self::localize`] returned earlier, using the current clock lead.
+    /// Recalculates the start times of endpoints that [`Self::localize`] returned earlier, using the current clock
+    /// lead.
     pub fn relocalize(&self, endpoints: Vec<Endpoint>) -> Vec<Endpoint> {
         let start_of =
-            |endpoint: &Endpoint| self.starts.get(&endpoint.server).map(|start| self.on_this_clock(start));
+            |endpoint: &Endpoint| self.starts.get(&endpoint.server).map(|start| self.local_start_time(start));
         endpoints
             .into_iter()
             .map(|endpoint| Endpoint { started: start_of(&endpoint).or(endpoint.started), ..endpoint })
             .collect()
     }
 
-    fn on_this_clock(&self, start: &TrackedStart) -> Timestamp {
+    fn local_start_time(&self, start: &TrackedStart) -> Timestamp {
         start.observed.unwrap_or((start.reported + self.clock_lead).min(start.first_listed))
     }
 
@@ -93,17 +94,18 @@
         }
         let tracked = self.starts.get(&endpoint.server).copied();
         let start = tracked.filter(|start| start.reported == reported).unwrap_or_else(|| {
-            let observed = self.list_received.then(|| self.observe(reported, now));
+            let observed = self.list_received.then(|| self.estimate_start(reported, now));
             let start = TrackedStart { reported, first_listed: now, observed };
             self.starts.insert(endpoint.server.clone(), start);
             start
         });
-        Some(self.on_this_clock(&start))
+        Some(self.local_start_time(&start))
     }
 
-    /// Estimates the time of a start that has just been listed, by how much its listing delay exceeds the shortest delay.
-    /// The result is `now` for the first start observed, and if the estimate is older than the maximum list delay.
-    fn observe(&mut self, reported: Timestamp, now: Timestamp) -> Timestamp {
+    /// Estimates the time of a start that has just been listed, by how much its listing delay exceeds the shortest
+    /// delay. The result is `now` for the first start observed, and if the estimate is older than the maximum list
+    /// delay.
+    fn estimate_start(&mut self, reported: Timestamp, now: Timestamp) -> Timestamp {
         let delay_ms = now.as_ms() - reported.as_ms();
         let min_delay_ms = self.min_listing_delay_ms.map_or(delay_ms, |min_ms| min_ms.min(delay_ms));
         self.min_listing_delay_ms = Some(min_delay_ms);
--- a/crates/proxy/src/fleet/peers/environment.rs
+++ b/crates/proxy/src/fleet/peers/environment.rs
@@ -22,7 +22,7 @@
         self.peers.notifications.borrow_mut().push(notification);
     }
 
-    fn name(&self, member: MemberId) -> String {
+    fn member_name(&self, member: MemberId) -> String {
         self.peers.file.borrow().roster.name(member).unwrap_or("?").to_owned()
     }
 }
@@ -42,11 +42,11 @@
     }
 
     fn member_joined(&mut self, member: MemberId) {
-        log::info!("peer {} joined", self.name(member));
+        log::info!("peer {} joined", self.member_name(member));
     }
 
     fn member_left(&mut self, member: MemberId) {
-        log::info!("peer {} left", self.name(member));
+        log::info!("peer {} left", self.member_name(member));
     }
 
     fn datagram_rejected(&mut self, counter: &'static str) {
--- a/crates/proxy/src/lifecycle/serve_error.rs
+++ b/crates/proxy/src/lifecycle/serve_error.rs
@@ -8,7 +8,7 @@
 #[derive(Debug, thiserror::Error)]
 pub enum ServeError {
     /// The listening socket cannot be opened.
-    #[error("cannot listen on {at} ({source}): check that the address belongs to this machine and has no other listener")]
+    #[error("cannot listen on {at} ({source}): check that the address belongs to this machine and is free")]
     Listen {
         /// The address to listen on.
         at: SocketAddr,
--- a/crates/proxy/src/lifecycle/startup_gate.rs
+++ b/crates/proxy/src/lifecycle/startup_gate.rs
@@ -37,9 +37,9 @@
         StartupGate { opens_by: Some(now + LIST_TIMEOUT), held: Vec::new() }
     }
 
-    /// A gate that waits for the list if the poll at `poll_at` is not soon; with many proxies, polls are spread over a
-    /// long time. Changes made while this process was down must be applied within six seconds, so it must not use the
-    /// list known at startup for long.
+    /// A gate that waits for the first poll if it is scheduled late: with many proxies, the first polls are spread over
+    /// time. Changes made while this process was down must be applied within six seconds, so it must not use the list
+    /// known at startup for long.
     pub fn until_first_poll(now: Timestamp, poll_at: Timestamp) -> Self {
         let is_late = poll_at.since(now) > LIST_TIMEOUT;
         StartupGate { opens_by: is_late.then_some(poll_at + POLL_RESPONSE_TIMEOUT), held: Vec::new() }
--- a/crates/proxy/src/tenants/maintenance_windows.rs
+++ b/crates/proxy/src/tenants/maintenance_windows.rs
@@ -80,7 +80,7 @@
         let phases = match plan.evaluate(now_ms, &sites(endpoints)) {
             Ok(phases) => phases,
             Err(error) => {
-                log::error!("maintenance: {error}");
+                log::error!("maintenance: cannot evaluate the schedule: {error}");
                 return WindowChanges::default();
             }
         };
@@ -108,9 +108,9 @@
         let is_draining = match self.phases.get(&endpoint.zone) {
             Some(Phase::Closed { .. }) => true,
             Some(Phase::Draining(period)) => {
-                let of_site = || endpoints.iter().filter(|other| other.zone == endpoint.zone);
-                let index = of_site().filter(|other| other.server < endpoint.server).count();
-                period.is_server_draining(index, of_site().count(), now_ms)
+                let site_servers = || endpoints.iter().filter(|other| other.zone == endpoint.zone);
+                let index = site_servers().filter(|other| other.server < endpoint.server).count();
+                period.is_server_draining(index, site_servers().count(), now_ms)
             }
             Some(Phase::Open | Phase::Blocked { .. }) | None => false,
         };
--- a/crates/proxy/tests/unit/start_times.rs
+++ b/crates/proxy/tests/unit/start_times.rs
@@ -36,8 +36,8 @@
     );
 }
 
-/// The shortest list delay is half a second. This process's clock agrees with discovery's, is an hour ahead of it, and is
-/// an hour behind it.
+/// The shortest list delay is half a second. This process's clock agrees with discovery's, is an hour ahead of it, and
+/// is an hour behind it.
 #[test]
 fn starts_new_on_a_later_list_are_estimated_from_the_shortest_list_delay() {
     for ahead_ms in [0.0, 3_600_000.0, -3_600_000.0] {
