--- a/crates/proxy/src/lifecycle/serve.rs
+++ b/crates/proxy/src/lifecycle/serve.rs
@@ -28,7 +28,7 @@
     limits: Limits,
     handle: LoopHandle<'static, Proxy>,
     listener: Listener<Proxy>,
-    stop: LoopSignal,
+    stop_signal: LoopSignal,
 }
 
 /// Runs a proxy until a signal stops it.
@@ -51,7 +51,7 @@
     let list_is_pushed = config.settings.list_is_pushed;
     let known = std::mem::take(&mut config.known_endpoints);
     let recovery_settings = fleet.as_ref().map(|fleet| recovery_settings(&config.settings, fleet));
-    let resources = Resources { limits, handle, listener, stop: event_loop.get_signal() };
+    let resources = Resources { limits, handle, listener, stop_signal: event_loop.get_signal() };
     let mut proxy = build(config, &known, fleet.as_ref(), resources);
     let metrics = proxy.executor.metrics.clone();
 
@@ -92,7 +92,7 @@
     fleet: Option<&FleetFile>,
     resources: Resources,
 ) -> Proxy {
-    let Resources { limits, handle, listener, stop } = resources;
+    let Resources { limits, handle, listener, stop_signal } = resources;
     let Settings { classes, customers, slow_start, list_is_pushed, .. } = config.settings;
     let executor_settings = ExecutorSettings {
         dial_timeout: config.settings.dial_timeout,
@@ -137,7 +137,7 @@
         reload_requested_at: None,
         shutdown_requested_at: None,
         shutdown_schedule: ShutdownSchedule::new(config.settings.max_request_timeout),
-        stop,
+        stop_signal,
     }
 }
 
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -81,7 +81,7 @@
     /// The times of the steps of a shutdown.
     pub shutdown_schedule: ShutdownSchedule,
     /// Stops the event loop.
-    pub stop: LoopSignal,
+    pub stop_signal: LoopSignal,
 }
 
 impl Proxy {
--- a/crates/proxy/src/proxy/graceful_shutdown.rs
+++ b/crates/proxy/src/proxy/graceful_shutdown.rs
@@ -54,7 +54,7 @@
         }
         let peers = self.peers.take();
         peers.inspect(|peers| peers.leave(self));
-        self.stop.stop();
+        self.stop_signal.stop();
     }
 
     /// Migrates sessions at an even rate over the remaining ticks.
