--- a/crates/proxy/src/downstream/events.rs
+++ b/crates/proxy/src/downstream/events.rs
@@ -26,7 +26,7 @@
     }
 
     fn request_classes(&self) -> &[String] {
-        &self.classes
+        &self.class_names
     }
 
     fn readiness(&self) -> Option<bool> {
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -46,9 +46,9 @@
     /// Accepts connections and keeps them until they have sent their first line.
     pub listener: Listener<Proxy>,
     /// The request classes' names, in the order of the settings.
-    pub classes: Vec<String>,
+    pub class_names: Vec<String>,
     /// The customers' names, in the order of the settings.
-    pub customers: Vec<String>,
+    pub customer_names: Vec<String>,
     /// How long a server is in slow start after it has started.
     pub slow_start: Duration,
     /// The size of one ring buffer of a session, in bytes.
--- a/crates/proxy/src/proxy/admission.rs
+++ b/crates/proxy/src/proxy/admission.rs
@@ -102,7 +102,7 @@
         let peers = self.peers.clone()?;
         let opening = &session.opening;
         let name = opening.customer.as_ref();
-        let customer = name.and_then(|name| self.customers.iter().position(|customer| customer == name));
+        let customer = name.and_then(|name| self.customer_names.iter().position(|customer| customer == name));
         let requester = Requester { class: Some(opening.class), customer };
         peers.admission_turn(requester, xxh3_64(opening.key.as_bytes()), self)
     }
@@ -110,7 +110,7 @@
     /// The decision of the customer's namespace about a session; none if the customer has no namespace.
     fn rule_for(&mut self, session: &Session) -> Option<RuleDecision> {
         let opening = &session.opening;
-        let class = self.classes.get(opening.class).map_or("", String::as_str);
+        let class = self.class_names.get(opening.class).map_or("", String::as_str);
         self.namespaces.decide(opening.customer.as_deref(), class, opening.group.as_deref())
     }
 }
