--- a/crates/proxy/src/discovery/client.rs
+++ b/crates/proxy/src/discovery/client.rs
@@ -6,7 +6,7 @@
 use crate::discovery::events::DiscoveryEvents;
 use crate::discovery::poll_schedule::{CallTimeouts, PollRequest, PollSchedule};
 use crate::net::http::{Exchange, HttpError, Response};
-use crate::net::ring::Ring;
+use crate::net::ring_buffer::RingBuffer;
 use crate::net::socket::Socket;
 use calloop::timer::{TimeoutAction, Timer};
 use calloop::RegistrationToken;
@@ -27,8 +27,8 @@
     /// The version of the endpoint list held, if there is one.
     version: Cell<Option<u64>>,
     socket: RefCell<Option<Rc<Socket<E>>>>,
-    request: RefCell<Ring>,
-    response: RefCell<Ring>,
+    request: RefCell<RingBuffer>,
+    response: RefCell<RingBuffer>,
     /// The call in flight.
     exchange: RefCell<Option<Exchange>>,
     /// When the last call began.
@@ -46,8 +46,8 @@
             address: Cell::new(address),
             version: Cell::new(version),
             socket: RefCell::default(),
-            request: RefCell::new(Ring::new(REQUEST_BUFFER_SIZE)),
-            response: RefCell::new(Ring::new(RESPONSE_BUFFER_SIZE)),
+            request: RefCell::new(RingBuffer::new(REQUEST_BUFFER_SIZE)),
+            response: RefCell::new(RingBuffer::new(RESPONSE_BUFFER_SIZE)),
             exchange: RefCell::default(),
             call_started_at: Cell::default(),
             timer: Cell::default(),
@@ -117,7 +117,7 @@
 
     fn connect(self: &Rc<Self>, events: &E) -> std::io::Result<()> {
         if self.socket.borrow().is_none() {
-            let socket = Rc::new(Socket::dial(self.address.get())?);
+            let socket = Rc::new(Socket::connect(self.address.get())?);
             let me = self.clone();
             socket.watch(&events.handle(), move |events| me.on_socket_ready(events))?;
             *self.socket.borrow_mut() = Some(socket);
--- a/crates/proxy/src/downstream/client_side.rs
+++ b/crates/proxy/src/downstream/client_side.rs
@@ -1,7 +1,7 @@
 //! The client's side of a session: from its first line to the final answer.
 
 use crate::executor::Executor;
-use crate::net::line::Answer;
+use crate::net::line::ProxyResponse;
 use crate::net::socket::End;
 use crate::proxy::Proxy;
 use crate::session::{Session, Stage};
@@ -19,9 +19,9 @@
         if self.client.peer_end.get().is_some() {
             executor.metrics.count("clients closed before answer");
         } else {
-            executor.metrics.warn("data before answer");
+            executor.metrics.count_and_warn("data before answer");
         }
-        self.send_final_answer(Answer::Failed, executor);
+        self.send_final_response(ProxyResponse::Failed, executor);
         false
     }
 
@@ -84,7 +84,7 @@
     }
 
     /// Sends the final answer of a session that gets no server, and closes the connection behind it.
-    pub fn send_final_answer(&self, answer: Answer, executor: &mut Executor) {
+    pub fn send_final_response(&self, answer: ProxyResponse, executor: &mut Executor) {
         self.client.send_line(&answer.line());
         self.close(executor);
         executor.close_after_final_answer(self.client.clone());
--- a/crates/proxy/src/downstream/events.rs
+++ b/crates/proxy/src/downstream/events.rs
@@ -76,7 +76,7 @@
     }
 
     /// Closes connections whose first line has timed out.
-    pub fn close_silent_connections(&mut self) {
-        Listener::close_silent_connections(self);
+    pub fn expire_pending_connections(&mut self) {
+        Listener::expire_pending_connections(self);
     }
 }
--- a/crates/proxy/src/downstream/lingering.rs
+++ b/crates/proxy/src/downstream/lingering.rs
@@ -58,7 +58,7 @@
         }
         self.last_number += 1;
         let number = self.last_number;
-        close.socket.on_ready(move |owner: &mut T| owner.lingering().on_ready(number));
+        close.socket.set_on_ready(move |owner: &mut T| owner.lingering().on_ready(number));
         self.closes.insert(number, close);
     }
 
--- a/crates/proxy/src/downstream/listener.rs
+++ b/crates/proxy/src/downstream/listener.rs
@@ -3,7 +3,7 @@
 use crate::downstream::pending_connection::{PendingConnection, PendingConnectionOwner};
 use crate::downstream::pending_connection_table::PendingConnectionTable;
 use crate::downstream::recent_request_ids::RecentRequestIds;
-use crate::net::line::Answer;
+use crate::net::line::ProxyResponse;
 use crate::net::socket::Socket;
 use calloop::generic::Generic;
 use calloop::timer::{TimeoutAction, Timer};
@@ -115,13 +115,13 @@
         if std::mem::replace(&mut owner.listener().is_paused, true) {
             return;
         }
-        owner.metrics().warn("accept paused");
+        owner.metrics().count_and_warn("accept paused");
         log::debug!("accept: {error}");
         let handle = owner.handle();
         let _ = handle.disable(&owner.listener().registration);
         let timer = Timer::from_duration(ACCEPT_PAUSE);
         let set = handle.insert_source(timer, |_, _, owner| Self::resume(owner));
-        owner.metrics().invariant(set.is_ok(), "a timer can be set");
+        owner.metrics().check_invariant(set.is_ok(), "a timer can be set");
     }
 
     /// Accepts again after a pause. If the loop cannot watch the listener yet, accepting goes on by this timer.
@@ -146,7 +146,7 @@
         });
         if let Err(error) = watched {
             log::warn!("a client's connection cannot be watched: {error}");
-            connection.socket.send_line(&Answer::Rejected.line());
+            connection.socket.send_line(&ProxyResponse::Rejected.line());
             let now = owner.now();
             return owner.lingering().close(connection.socket.clone(), now);
         }
@@ -166,14 +166,14 @@
             let Some(oldest) = owner.pending_connections().oldest() else { return };
             oldest.on_ready(owner);
             if owner.pending_connections().contains(&oldest) {
-                oldest.reject(Answer::Rejected, "pending connections evicted", owner);
+                oldest.reject(ProxyResponse::Rejected, "pending connections evicted", owner);
             }
         }
     }
 
     /// Called with each tick: closes connections that have not sent their first line in time. One that waits for the
     /// answer to its health check is left.
-    pub fn close_silent_connections(owner: &mut T) {
+    pub fn expire_pending_connections(owner: &mut T) {
         let now = owner.now();
         let timed_out = |connection: &PendingConnection<T>, now: Timestamp| {
             now.since(connection.last_active.get()) > FIRST_LINE_TIMEOUT
@@ -185,7 +185,7 @@
             // Its first line may not have been read yet.
             connection.on_ready(owner);
             if timed_out(&connection, owner.now()) && owner.pending_connections().contains(&connection) {
-                connection.reject(Answer::Failed, "first line timeouts", owner);
+                connection.reject(ProxyResponse::Failed, "first line timeouts", owner);
             }
         }
     }
--- a/crates/proxy/src/downstream/pending_connection.rs
+++ b/crates/proxy/src/downstream/pending_connection.rs
@@ -5,7 +5,7 @@
 use crate::downstream::pending_connection_table::PendingConnectionTable;
 use crate::metrics::Metrics;
 use crate::net::event_loop::EventLoopOwner;
-use crate::net::line::{well_formed_line, Answer, MAX_FRAMED_LINE_BYTES, PING};
+use crate::net::line::{well_formed_line, ProxyResponse, MAX_FRAMED_LINE_BYTES, PING};
 use crate::net::open_request::OpenRequest;
 use crate::net::socket::{End, Socket};
 use shelfgrade::time::Timestamp;
@@ -24,10 +24,10 @@
 }
 
 impl AdmissionError {
-    fn answer(self) -> Answer {
+    fn answer(self) -> ProxyResponse {
         match self {
-            AdmissionError::OutOfDescriptors | AdmissionError::ShuttingDown => Answer::Rejected,
-            AdmissionError::DuplicateRequestId => Answer::Failed,
+            AdmissionError::OutOfDescriptors | AdmissionError::ShuttingDown => ProxyResponse::Rejected,
+            AdmissionError::DuplicateRequestId => ProxyResponse::Failed,
         }
     }
 
@@ -107,7 +107,7 @@
             }
             // A client that sends on does not wait for its answer.
             Some(line_end) if line_end + 1 < received.len() => {
-                self.reject(Answer::Failed, "data after first line", owner);
+                self.reject(ProxyResponse::Failed, "data after first line", owner);
             }
             Some(_) => {
                 let line = std::mem::take(&mut *received);
@@ -115,7 +115,7 @@
                 self.on_line(&line, owner);
             }
             None if received.len() > MAX_FRAMED_LINE_BYTES => {
-                self.reject(Answer::Failed, "overlong lines", owner);
+                self.reject(ProxyResponse::Failed, "overlong lines", owner);
             }
             None => {}
         }
@@ -135,7 +135,7 @@
         }
         match line.and_then(|line| OpenRequest::parse(line, owner.request_classes())) {
             Some(request) => self.on_request(request, owner),
-            None => self.reject(Answer::Failed, "malformed first lines", owner),
+            None => self.reject(ProxyResponse::Failed, "malformed first lines", owner),
         }
     }
 
@@ -143,7 +143,7 @@
         self.awaits_pong.set(true);
         self.has_sent_ping.set(true);
         if let Some(is_ready) = owner.readiness() {
-            self.answer_ping(is_ready);
+            self.respond_to_ping(is_ready);
         }
         self.move_to_back(owner);
     }
@@ -177,15 +177,15 @@
     }
 
     /// Answers a health check that is outstanding.
-    pub fn answer_ping(&self, is_healthy: bool) {
+    pub fn respond_to_ping(&self, is_healthy: bool) {
         if self.awaits_pong.take() {
             self.socket.send_line(&health_answer(is_healthy).line());
         }
     }
 
     /// Sends the final answer, counts the reason, and closes the connection behind the answer.
-    pub fn reject(&self, answer: Answer, reason: &'static str, owner: &mut T) {
-        owner.metrics().warn(reason);
+    pub fn reject(&self, answer: ProxyResponse, reason: &'static str, owner: &mut T) {
+        owner.metrics().count_and_warn(reason);
         self.socket.send_line(&answer.line());
         owner.pending_connections().remove(self);
         let now = owner.now();
@@ -193,10 +193,10 @@
     }
 }
 
-fn health_answer(is_healthy: bool) -> Answer {
+fn health_answer(is_healthy: bool) -> ProxyResponse {
     if is_healthy {
-        Answer::Healthy
+        ProxyResponse::Healthy
     } else {
-        Answer::Failed
+        ProxyResponse::Failed
     }
 }
--- a/crates/proxy/src/executor.rs
+++ b/crates/proxy/src/executor.rs
@@ -4,7 +4,7 @@
 use crate::downstream::lingering::LingeringCloses;
 use crate::metrics::Metrics;
 use crate::net::clock::Clock;
-use crate::net::line::Answer;
+use crate::net::line::ProxyResponse;
 use crate::net::socket::Socket;
 use crate::pending_sessions::PendingSessions;
 use crate::proxy::Proxy;
@@ -77,9 +77,9 @@
     /// When the load balancer last asked to be woken.
     pub next_wakeup: Timestamp,
     /// Attempts that ended while the load balancer was being called, to be reported when it has returned.
-    pub unreported: VecDeque<EndedAttempt>,
+    pub deferred_outcomes: VecDeque<EndedAttempt>,
     /// Servers to be health-checked once the load balancer has returned.
-    pub health_checks_due: VecDeque<Rc<Server<Proxy>>>,
+    pub deferred_health_checks: VecDeque<Rc<Server<Proxy>>>,
     budget: DescriptorBudget,
 }
 
@@ -102,8 +102,8 @@
             list_received: Cell::new(false),
             poll_requested: Cell::new(false),
             next_wakeup: Timestamp::default(),
-            unreported: VecDeque::new(),
-            health_checks_due: VecDeque::new(),
+            deferred_outcomes: VecDeque::new(),
+            deferred_health_checks: VecDeque::new(),
             budget: DescriptorBudget::new(settings.max_descriptors),
         }
     }
@@ -149,12 +149,12 @@
 
     /// Has a session's sockets looked at again after the other sources of the loop had their turn.
     pub fn schedule_ready(&self, session: &Session) {
-        let weak = session.weak.clone();
+        let weak = session.weak_self.clone();
         let timer = self.handle.insert_source(Timer::immediate(), move |_, _, proxy| {
             weak.upgrade().inspect(|session| session.on_ready(proxy));
             TimeoutAction::Drop
         });
-        self.metrics.invariant(timer.is_ok(), "a timer can be set");
+        self.metrics.check_invariant(timer.is_ok(), "a timer can be set");
     }
 
     /// Connects a session that was established before the start to its server, or keeps it until that is listed.
@@ -162,13 +162,13 @@
         if !session.client_is_waiting(self) {
             return;
         }
-        let server = session.opening.restored_from.as_ref().and_then(|at| self.servers.get(at).cloned());
-        let Some(server) = server else { return self.awaiting_endpoint.push(session.weak.clone()) };
+        let server = session.open_request.restored_from.as_ref().and_then(|at| self.servers.get(at).cloned());
+        let Some(server) = server else { return self.awaiting_endpoint.push(session.weak_self.clone()) };
         match Attempt::start(session, server, RESTORE_TIMEOUT, self) {
             Ok(attempt) => drop(session.attempt.replace(Some(attempt))),
             Err(error) => {
                 log::warn!("session {}: {error}", session.id.0);
-                session.send_final_answer(Answer::Failed, self);
+                session.send_final_response(ProxyResponse::Failed, self);
             }
         }
     }
@@ -188,14 +188,14 @@
         server: Rc<Server<Proxy>>,
         timeout: Duration,
     ) -> io::Result<()> {
-        self.metrics.invariant(session.attempt.borrow().is_none(), "one attempt at a time");
+        self.metrics.check_invariant(session.attempt.borrow().is_none(), "one attempt at a time");
         let attempt = Attempt::start(session, server, timeout, self)?;
         session.attempt.replace(Some(attempt));
         Ok(())
     }
 
     fn report_later(&mut self, session: SessionId, outcome: AttemptOutcome, client_done: bool) {
-        self.unreported.push_back(EndedAttempt { session, outcome, client_done });
+        self.deferred_outcomes.push_back(EndedAttempt { session, outcome, client_done });
     }
 }
 
@@ -204,7 +204,7 @@
         log::debug!("session {} connects to {server}, timeout {} ms", session.0, timeout.as_ms());
         let (found, server) = (self.sessions.get(session).cloned(), self.servers.get(server).cloned());
         let exist = found.is_some() && server.is_some();
-        self.metrics.invariant(exist, "an attempt is for a session and a server that exist");
+        self.metrics.check_invariant(exist, "an attempt is for a session and a server that exist");
         let Some(found) = found else {
             return self.report_later(session, AttemptOutcome::NotSent, false);
         };
@@ -226,7 +226,7 @@
         self.metrics.count("rejected");
         log::debug!("session {} rejected, retry after {} ms", session.0, retry_after.as_ms());
         if let Some(session) = self.sessions.get(session).cloned() {
-            session.send_final_answer(Answer::RejectedFor(retry_after), self);
+            session.send_final_response(ProxyResponse::RejectedFor(retry_after), self);
         }
     }
 
@@ -234,7 +234,7 @@
         self.metrics.count("failed");
         log::debug!("session {} failed", session.0);
         if let Some(session) = self.sessions.get(session).cloned() {
-            session.send_final_answer(Answer::Failed, self);
+            session.send_final_response(ProxyResponse::Failed, self);
         }
     }
 
@@ -256,7 +256,7 @@
 
     fn check_health(&mut self, server: &ServerId) -> bool {
         let server = self.servers.get(server).filter(|_| self.health_checks_allowed).cloned();
-        self.health_checks_due.extend(server.clone());
+        self.deferred_health_checks.extend(server.clone());
         server.is_some()
     }
 
@@ -273,6 +273,6 @@
             proxy.run_deferred_actions();
             TimeoutAction::Drop
         });
-        self.metrics.invariant(set.is_ok(), "a timer can be set");
+        self.metrics.check_invariant(set.is_ok(), "a timer can be set");
     }
 }
--- a/crates/proxy/src/lifecycle/serve.rs
+++ b/crates/proxy/src/lifecycle/serve.rs
@@ -63,7 +63,7 @@
     let address = proxy.listener.address().map_err(|source| ServeError::Listen { at: listen, source })?;
     log::info!("{} listens on {address}, {} servers known", proxy.name, known.records.len());
     event_loop.run(None, &mut proxy, |_| {})?;
-    metrics.log();
+    metrics.log_counters();
     Ok(())
 }
 
--- a/crates/proxy/src/metrics.rs
+++ b/crates/proxy/src/metrics.rs
@@ -74,7 +74,7 @@
 
     /// Counts an error of the other side, and logs each doubling of the count: misbehaving clients or peers must not fill
     /// the log.
-    pub fn warn(&self, what: &'static str) {
+    pub fn count_and_warn(&self, what: &'static str) {
         self.count(what);
         let so_far = self.0.count(what);
         if so_far.is_power_of_two() {
@@ -83,7 +83,7 @@
     }
 
     /// Checks an invariant: asserted in debug builds, logged and counted in release builds.
-    pub fn invariant(&self, holds: bool, what: &'static str) {
+    pub fn check_invariant(&self, holds: bool, what: &'static str) {
         debug_assert!(holds, "{what}");
         if !holds {
             log::error!("does not hold: {what}");
@@ -92,7 +92,7 @@
     }
 
     /// Logs all counters that have moved, and the invariant violations in any case.
-    pub fn log(&self) {
+    pub fn log_counters(&self) {
         let mut counts = self.0.counts();
         let violations = counts.remove(INVARIANT_VIOLATIONS).unwrap_or(0);
         let counts: Vec<_> = counts.iter().map(|(what, count)| format!("{what} {count}")).collect();
--- a/crates/proxy/src/net/line.rs
+++ b/crates/proxy/src/net/line.rs
@@ -78,7 +78,7 @@
 
 /// What the proxy answers a client that gets no server, or one that asked for a health check.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Answer {
+pub enum ProxyResponse {
     /// The client may retry after a delay of its own choice.
     Rejected,
     /// The client may retry after this delay.
@@ -89,14 +89,14 @@
     Healthy,
 }
 
-impl Answer {
+impl ProxyResponse {
     /// The answer as it is sent, without its line end.
     pub fn line(self) -> String {
         match self {
-            Answer::Rejected => BUSY.to_owned(),
-            Answer::RejectedFor(retry_after) => format!("{BUSY} {}", retry_after.as_ms().ceil()),
-            Answer::Failed => ERR.to_owned(),
-            Answer::Healthy => PONG.to_owned(),
+            ProxyResponse::Rejected => BUSY.to_owned(),
+            ProxyResponse::RejectedFor(retry_after) => format!("{BUSY} {}", retry_after.as_ms().ceil()),
+            ProxyResponse::Failed => ERR.to_owned(),
+            ProxyResponse::Healthy => PONG.to_owned(),
         }
     }
 }
--- a/crates/proxy/src/net/mod.rs
+++ b/crates/proxy/src/net/mod.rs
@@ -5,6 +5,6 @@
 pub mod http;
 pub mod line;
 pub mod open_request;
-pub mod ring;
+pub mod ring_buffer;
 pub mod socket;
 pub mod transient;
--- a/crates/proxy/src/net/open_request.rs
+++ b/crates/proxy/src/net/open_request.rs
@@ -43,7 +43,7 @@
     /// The flow is known to a server.
     pub mid_flow: bool,
     /// The client connects again after it was rejected or migrated.
-    pub returned: bool,
+    pub reconnected: bool,
 }
 
 impl OpenRequest {
@@ -66,7 +66,7 @@
             customer: fields.text(field::CUSTOMER),
             restored_from: fields.text(field::SERVER),
             mid_flow: fields.flag(field::MID_FLOW)?,
-            returned: fields.flag(field::RETURNED)?,
+            reconnected: fields.flag(field::RETURNED)?,
         };
         (request.restored_from.is_none() || !request.mid_flow).then_some(request)
     }
--- a/crates/proxy/src/net/ring.rs
+++ b/crates/proxy/src/net/ring_buffer.rs
@@ -3,7 +3,7 @@
 use std::io::{self, Read, Write};
 
 /// A ring buffer of bytes, with an optional reserve for lines of the proxy's own.
-pub struct Ring {
+pub struct RingBuffer {
     bytes: Box<[u8]>,
     start: usize,
     len: usize,
@@ -11,7 +11,7 @@
     reserve: usize,
 }
 
-impl Ring {
+impl RingBuffer {
     /// A ring of `size` bytes.
     pub fn new(size: usize) -> Self {
         Self::with_reserve(size, 0)
@@ -19,7 +19,7 @@
 
     /// A ring of `size` bytes that are read into, and `reserve` bytes more for what is pushed.
     pub fn with_reserve(size: usize, reserve: usize) -> Self {
-        Ring { bytes: vec![0; size + reserve].into_boxed_slice(), start: 0, len: 0, reserve }
+        RingBuffer { bytes: vec![0; size + reserve].into_boxed_slice(), start: 0, len: 0, reserve }
     }
 
     /// Whether nothing is held.
@@ -112,5 +112,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../tests/unit/ring.rs"]
+#[path = "../../tests/unit/ring_buffer.rs"]
 mod tests;
--- a/crates/proxy/src/net/socket.rs
+++ b/crates/proxy/src/net/socket.rs
@@ -1,6 +1,6 @@
 //! A non-blocking TCP connection that an event loop watches until it is dropped.
 
-use crate::net::ring::Ring;
+use crate::net::ring_buffer::RingBuffer;
 use crate::net::transient::is_shortage;
 use calloop::generic::Generic;
 use calloop::timer::{TimeoutAction, Timer};
@@ -79,7 +79,7 @@
     /// # Errors
     ///
     /// The socket cannot be opened, or the connection is refused at once.
-    pub fn dial(to: SocketAddr) -> io::Result<Self> {
+    pub fn connect(to: SocketAddr) -> io::Result<Self> {
         let socket = socket2::Socket::new(
             socket2::Domain::for_address(to),
             socket2::Type::STREAM.nonblocking().cloexec(),
@@ -104,7 +104,7 @@
         handle: &LoopHandle<'static, T>,
         on_ready: impl Fn(&mut T) + 'static,
     ) -> io::Result<()> {
-        self.on_ready(on_ready);
+        self.set_on_ready(on_ready);
         let on_ready = self.on_ready.clone();
         let source = Generic::new(self.stream.clone(), Interest::BOTH, Mode::Edge);
         let token = handle.insert_source(source, move |_, _, data| {
@@ -117,7 +117,7 @@
     }
 
     /// Replaces the callback.
-    pub fn on_ready(&self, on_ready: impl Fn(&mut T) + 'static) {
+    pub fn set_on_ready(&self, on_ready: impl Fn(&mut T) + 'static) {
         *self.on_ready.borrow_mut() = Rc::new(on_ready);
     }
 
@@ -156,7 +156,7 @@
     }
 
     /// Reads once into the ring; 0 if there is nothing to read now, no room, or nothing any more.
-    pub fn read(&self, ring: &mut Ring) -> usize {
+    pub fn read(&self, ring: &mut RingBuffer) -> usize {
         if self.peer_end.get().is_some() || ring.is_full() {
             return 0;
         }
@@ -224,7 +224,7 @@
     }
 
     /// Writes once from the ring; how many bytes were written. Once either side has ended, what is held is dropped.
-    pub fn write(&self, ring: &mut Ring) -> usize {
+    pub fn write(&self, ring: &mut RingBuffer) -> usize {
         if !self.flush_lines() || ring.is_empty() {
             return 0;
         }
--- a/crates/proxy/src/pending_sessions.rs
+++ b/crates/proxy/src/pending_sessions.rs
@@ -22,7 +22,7 @@
     }
 
     /// The sessions for which `is_pending` holds; all others are removed.
-    pub fn still_pending(&mut self, is_pending: impl Fn(&S) -> bool) -> Vec<Rc<S>> {
+    pub fn retain_pending(&mut self, is_pending: impl Fn(&S) -> bool) -> Vec<Rc<S>> {
         let mut pending = Vec::with_capacity(self.0.len());
         self.0.retain(|_, session| {
             let session = session.upgrade().filter(|session| is_pending(session));
--- a/crates/proxy/src/proxy.rs
+++ b/crates/proxy/src/proxy.rs
@@ -98,7 +98,7 @@
     /// Carries out what was put off while the load balancer was being called: outcomes of attempts that ended at once, a
     /// poll of discovery, and health checks.
     pub fn run_deferred_actions(&mut self) {
-        while let Some(ended) = self.executor.unreported.pop_front() {
+        while let Some(ended) = self.executor.deferred_outcomes.pop_front() {
             let EndedAttempt { session, outcome, client_done } = ended;
             let now = self.now();
             self.balancer.on_attempt_ended(session, outcome, client_done, now, &mut self.executor);
@@ -106,7 +106,7 @@
         if self.executor.poll_requested.take() && self.polls_discovery() {
             self.discovery.clone().poll(self);
         }
-        while let Some(server) = self.executor.health_checks_due.pop_front() {
+        while let Some(server) = self.executor.deferred_health_checks.pop_front() {
             HealthCheck::start(&server, self);
         }
     }
--- a/crates/proxy/src/proxy/admission.rs
+++ b/crates/proxy/src/proxy/admission.rs
@@ -22,14 +22,14 @@
 impl Proxy {
     /// Holds a session at the startup gate, and no longer than half of its request timeout.
     pub fn hold_at_startup_gate(&mut self, session: &Rc<Session>) {
-        let max_hold = session.opening.request_timeout.scaled(MAX_HOLD_FRACTION);
+        let max_hold = session.open_request.request_timeout.scaled(MAX_HOLD_FRACTION);
         self.startup_gate.hold(session, session.stage_entered_at.get(), max_hold);
         let timer = Timer::from_duration(max_hold);
         let set = self.executor.handle.insert_source(timer, |_, _, proxy| {
             proxy.release_held_sessions();
             TimeoutAction::Drop
         });
-        self.executor.metrics.invariant(set.is_ok(), "a timer can be set");
+        self.executor.metrics.check_invariant(set.is_ok(), "a timer can be set");
     }
 
     /// Opens the startup gate: the sessions held are admitted in the order of their arrival, and pending health checks
@@ -43,7 +43,7 @@
         self.listener
             .pending
             .values()
-            .for_each(|pending_connection| pending_connection.answer_ping(is_ready));
+            .for_each(|pending_connection| pending_connection.respond_to_ping(is_ready));
     }
 
     /// Called with each tick and when a session's hold time is over: opens the gate when it has been closed for too long,
@@ -76,7 +76,7 @@
         if let Some(rule) = &rule {
             self.ensure_balancer_of(&rule.customer, now);
         }
-        let deadline = session.stage_entered_at.get() + session.opening.request_timeout;
+        let deadline = session.stage_entered_at.get() + session.open_request.request_timeout;
         let allowed_servers = rule.as_ref().map(|rule| &rule.servers);
         let arrival = Arrival { admission_turn: turn, allowed_servers, ..arrival(session, deadline) };
         *session.namespace_slot.borrow_mut() = rule.as_ref().map(|rule| rule.reservation.clone());
@@ -100,7 +100,7 @@
     /// The session's place in the order of admission, during a recovery.
     fn admission_turn(&mut self, session: &Session) -> Option<AdmissionTurn> {
         let peers = self.peers.clone()?;
-        let opening = &session.opening;
+        let opening = &session.open_request;
         let name = opening.customer.as_ref();
         let customer = name.and_then(|name| self.customers.iter().position(|known| known == name));
         let requester = Requester { class: Some(opening.class), customer };
@@ -109,7 +109,7 @@
 
     /// What the namespace of its customer decides about a session, if there is one.
     fn rule_for(&mut self, session: &Session) -> Option<RuleDecision> {
-        let opening = &session.opening;
+        let opening = &session.open_request;
         let class = self.classes.get(opening.class).map_or("", String::as_str);
         self.namespaces.decide(opening.customer.as_deref(), class, opening.group.as_deref())
     }
@@ -117,7 +117,7 @@
 
 /// A session's request as the load balancer takes it.
 pub fn arrival(session: &Session, deadline: Timestamp) -> Arrival<'_> {
-    let opening = &session.opening;
+    let opening = &session.open_request;
     Arrival {
         session: session.id,
         class: Some(opening.class),
@@ -125,7 +125,7 @@
         group: opening.group.as_deref(),
         deadline,
         mid_flow: opening.mid_flow,
-        reconnected: opening.returned,
+        reconnected: opening.reconnected,
         admission_turn: None,
         allowed_servers: None,
     }
--- a/crates/proxy/src/proxy/graceful_shutdown.rs
+++ b/crates/proxy/src/proxy/graceful_shutdown.rs
@@ -1,7 +1,7 @@
 //! Graceful shutdown: new sessions are still accepted and answered, and established ones are migrated, until none is left
 //! or the schedule ends.
 
-use crate::net::line::Answer;
+use crate::net::line::ProxyResponse;
 use crate::proxy::{Proxy, TICK};
 use crate::session::{Session, Stage};
 use shelfgrade::time::{DurationExt, Timestamp};
@@ -64,7 +64,7 @@
     fn fail_unplaced(&mut self, sessions: &[Rc<Session>]) {
         for session in sessions.iter().filter(|session| session.stage.get() == Stage::Connecting) {
             self.executor.metrics.count("failed at shutdown");
-            session.send_final_answer(Answer::Failed, &mut self.executor);
+            session.send_final_response(ProxyResponse::Failed, &mut self.executor);
         }
     }
 
@@ -102,12 +102,16 @@
         for pending_connection in self.listener.pending.values().cloned().collect::<Vec<_>>() {
             pending_connection.on_ready(self);
             if self.listener.pending.contains(&pending_connection) {
-                pending_connection.reject(Answer::Rejected, "pending connections closed at shutdown", self);
+                pending_connection.reject(
+                    ProxyResponse::Rejected,
+                    "pending connections closed at shutdown",
+                    self,
+                );
             }
         }
         for session in self.executor.sessions.values().cloned().collect::<Vec<_>>() {
             if session.stage.get() == Stage::Connecting {
-                session.send_final_answer(Answer::Failed, &mut self.executor);
+                session.send_final_response(ProxyResponse::Failed, &mut self.executor);
             }
         }
     }
--- a/crates/proxy/src/proxy/peer_events.rs
+++ b/crates/proxy/src/proxy/peer_events.rs
@@ -48,7 +48,7 @@
     }
 
     fn list_rejected(&mut self) {
-        self.executor.metrics.warn("endpoint lists rejected");
+        self.executor.metrics.count_and_warn("endpoint lists rejected");
         self.discovery.reset(self);
         let now = self.now();
         self.balancer.on_poll_failed(now, now, &mut self.executor);
@@ -74,6 +74,6 @@
     }
 
     fn warn(&self, what: &'static str) {
-        self.executor.metrics.warn(what);
+        self.executor.metrics.count_and_warn(what);
     }
 }
--- a/crates/proxy/src/proxy/session_events.rs
+++ b/crates/proxy/src/proxy/session_events.rs
@@ -17,9 +17,9 @@
     pub fn open_session(&mut self, open: OpenRequest, client: Rc<Socket<Proxy>>) {
         log::trace!("{open:?}");
         let now = self.now();
-        let session = Session::new(self.executor.sessions.next_id(), open, client, self.ring_size, now);
-        let weak = session.weak.clone();
-        session.client.on_ready(move |proxy| {
+        let session = Session::new(self.executor.sessions.allocate_id(), open, client, self.ring_size, now);
+        let weak = session.weak_self.clone();
+        session.client.set_on_ready(move |proxy| {
             weak.upgrade().inspect(|session| session.on_ready(proxy));
         });
         self.executor.sessions.insert(&session);
--- a/crates/proxy/src/proxy/ticks.rs
+++ b/crates/proxy/src/proxy/ticks.rs
@@ -11,11 +11,11 @@
 impl Proxy {
     /// Called once each [`super::TICK`].
     pub fn on_tick(&mut self) {
-        for session in self.executor.needing_tick.still_pending(Session::needs_tick) {
+        for session in self.executor.needing_tick.retain_pending(Session::needs_tick) {
             self.executor.metrics.count("session checks");
             session.on_tick(self);
         }
-        self.close_silent_connections();
+        self.expire_pending_connections();
         self.executor.lingering.close_expired(self.now());
         self.reload_if_requested();
         self.release_held_sessions();
@@ -41,7 +41,7 @@
         let is_waiting = |session: &Session| {
             session.stage.get() == Stage::Established && session.awaiting_reply_since.get().is_some()
         };
-        for session in self.executor.awaiting_reply.still_pending(is_waiting) {
+        for session in self.executor.awaiting_reply.retain_pending(is_waiting) {
             self.executor.metrics.count("session checks");
             // Reports on the sessions before may have migrated this one.
             if let Some(since) =
--- a/crates/proxy/src/session.rs
+++ b/crates/proxy/src/session.rs
@@ -4,9 +4,9 @@
 //! side is ended the same way after the last byte of its buffer.
 
 use crate::executor::Executor;
-use crate::net::line::{Answer, LineDecoder, LineTooLong, MIGRATE_LINE};
+use crate::net::line::{LineDecoder, LineTooLong, ProxyResponse, MIGRATE_LINE};
 use crate::net::open_request::OpenRequest;
-use crate::net::ring::Ring;
+use crate::net::ring_buffer::RingBuffer;
 use crate::net::socket::{End, Socket};
 use crate::proxy::Proxy;
 use crate::session_table::SessionEntry;
@@ -51,7 +51,7 @@
     /// When the stage began.
     pub stage_entered_at: Cell<Timestamp>,
     /// The client's first line.
-    pub opening: OpenRequest,
+    pub open_request: OpenRequest,
     /// The client's connection.
     pub client: Rc<Socket<Proxy>>,
     /// Splits what the client sends into lines.
@@ -59,9 +59,9 @@
     /// The attempt at a server that is under way or established.
     pub attempt: RefCell<Option<Rc<Attempt>>>,
     /// Bytes on their way to the server.
-    pub to_server: RefCell<Ring>,
+    pub to_server: RefCell<RingBuffer>,
     /// Bytes on their way to the client.
-    pub to_client: RefCell<Ring>,
+    pub to_client: RefCell<RingBuffer>,
     /// How the direction to the server ends after its last byte.
     pub to_server_end: Cell<Option<End>>,
     /// How the direction to the client ends after its last byte.
@@ -73,7 +73,7 @@
     /// Its share of its namespace's capacity, freed when the session closes.
     pub namespace_slot: RefCell<Option<Rc<()>>>,
     /// A reference to itself, for callbacks.
-    pub weak: Weak<Session>,
+    pub weak_self: Weak<Session>,
 }
 
 impl SessionEntry for Session {
@@ -82,11 +82,11 @@
     }
 
     fn request_id(&self) -> u64 {
-        self.opening.id
+        self.open_request.id
     }
 
     fn downgrade(&self) -> Weak<Self> {
-        self.weak.clone()
+        self.weak_self.clone()
     }
 }
 
@@ -94,7 +94,7 @@
     /// A session whose client has sent its first line. Each buffer takes `buffer_size` bytes.
     pub fn new(
         id: SessionId,
-        opening: OpenRequest,
+        open_request: OpenRequest,
         client: Rc<Socket<Proxy>>,
         buffer_size: usize,
         now: Timestamp,
@@ -103,24 +103,24 @@
             id,
             stage: Cell::new(Stage::Connecting),
             stage_entered_at: Cell::new(now),
-            opening,
+            open_request,
             client,
             client_decoder: RefCell::default(),
             attempt: RefCell::default(),
-            to_server: RefCell::new(Ring::new(buffer_size)),
-            to_client: RefCell::new(Ring::with_reserve(buffer_size, MIGRATE_LINE.len())),
+            to_server: RefCell::new(RingBuffer::new(buffer_size)),
+            to_client: RefCell::new(RingBuffer::with_reserve(buffer_size, MIGRATE_LINE.len())),
             to_server_end: Cell::default(),
             to_client_end: Cell::default(),
             migrating_since: Cell::default(),
             awaiting_reply_since: Cell::default(),
             namespace_slot: RefCell::default(),
-            weak: weak.clone(),
+            weak_self: weak.clone(),
         })
     }
 
     /// Whether the session was established before this proxy started.
     pub fn is_restored(&self) -> bool {
-        self.opening.restored_from.is_some()
+        self.open_request.restored_from.is_some()
     }
 
     /// Enters a stage.
@@ -182,7 +182,7 @@
 
     /// A peer of an established session has broken the protocol, which ends the session.
     pub fn protocol_error(&self, _: LineTooLong, outcome: AttemptOutcome, proxy: &mut Proxy) {
-        proxy.executor.metrics.warn("overlong lines");
+        proxy.executor.metrics.count_and_warn("overlong lines");
         self.end_both_directions(End::Fin, outcome, proxy);
         self.enter(Stage::Closing, proxy.now());
     }
@@ -246,7 +246,7 @@
         let line_timed_out = || self.migrating_since.get().is_some_and(|at| now.since(at) > LINE_END_TIMEOUT);
         match self.stage.get() {
             Stage::Connecting if self.is_restored() && in_stage > self.restore_timeout(proxy) => {
-                self.send_final_answer(Answer::Failed, &mut proxy.executor);
+                self.send_final_response(ProxyResponse::Failed, &mut proxy.executor);
             }
             Stage::Closing if in_stage > CLOSE_TIMEOUT => self.close(&mut proxy.executor),
             Stage::Established if line_timed_out() => self.migrate_inside_line(proxy),
--- a/crates/proxy/src/session_table.rs
+++ b/crates/proxy/src/session_table.rs
@@ -29,7 +29,7 @@
 
 impl<S: SessionEntry> SessionTable<S> {
     /// An id that no session of this process has had.
-    pub fn next_id(&mut self) -> SessionId {
+    pub fn allocate_id(&mut self) -> SessionId {
         self.last_id += 1;
         SessionId(self.last_id)
     }
--- a/crates/proxy/src/upstream/attempt.rs
+++ b/crates/proxy/src/upstream/attempt.rs
@@ -2,7 +2,7 @@
 
 use crate::executor::Executor;
 use crate::net::line::LineDecoder;
-use crate::net::ring::Ring;
+use crate::net::ring_buffer::RingBuffer;
 use crate::net::socket::Socket;
 use crate::proxy::Proxy;
 use crate::session::Session;
@@ -32,7 +32,7 @@
     pub socket: Socket<Proxy>,
     phase: Cell<Phase>,
     /// The bytes of the first line that are still to be written.
-    request: RefCell<Ring>,
+    request: RefCell<RingBuffer>,
     /// Splits what the server sends into lines.
     pub decoder: RefCell<LineDecoder>,
     deadline: Timestamp,
@@ -54,8 +54,8 @@
         executor: &Executor,
     ) -> io::Result<Rc<Self>> {
         let deadline = executor.clock.now() + timeout;
-        let socket = Socket::dial(server.address.get())?;
-        let weak = session.weak.clone();
+        let socket = Socket::connect(server.address.get())?;
+        let weak = session.weak_self.clone();
         socket.watch(&executor.handle, move |proxy| {
             weak.upgrade().inspect(|session| session.on_ready(proxy));
         })?;
@@ -63,7 +63,7 @@
             server,
             socket,
             phase: Cell::new(Phase::Connecting),
-            request: RefCell::new(Ring::new(1)),
+            request: RefCell::new(RingBuffer::new(1)),
             decoder: RefCell::default(),
             deadline,
             timer: Cell::default(),
@@ -98,8 +98,8 @@
 
     /// The connection is up: sends the session's first line, and waits for the answer until the deadline.
     pub fn send_request(self: &Rc<Self>, session: &Session, proxy: &Proxy) {
-        let line = session.opening.for_server(self.deadline.since(proxy.now()));
-        let mut request = Ring::new(line.len());
+        let line = session.open_request.for_server(self.deadline.since(proxy.now()));
+        let mut request = RingBuffer::new(line.len());
         request.push(line.as_bytes());
         *self.request.borrow_mut() = request;
         self.phase.set(Phase::SendingRequest);
@@ -141,7 +141,7 @@
         handle: &LoopHandle<'static, Proxy>,
     ) {
         self.cancel_timeout();
-        let (session, attempt) = (session.weak.clone(), Rc::downgrade(self));
+        let (session, attempt) = (session.weak_self.clone(), Rc::downgrade(self));
         let timer = Timer::from_duration(timeout);
         let token = handle.insert_source(timer, move |_, _, proxy| {
             if let (Some(session), Some(attempt)) = (session.upgrade(), attempt.upgrade()) {
--- a/crates/proxy/src/upstream/health_check.rs
+++ b/crates/proxy/src/upstream/health_check.rs
@@ -2,7 +2,7 @@
 
 use crate::net::event_loop::EventLoopOwner;
 use crate::net::line::{line_text, LineDecoder, LineTooLong, ServerLine, PING_LINE};
-use crate::net::ring::Ring;
+use crate::net::ring_buffer::RingBuffer;
 use crate::net::socket::Socket;
 use crate::upstream::server::Server;
 use shelfgrade::time::Timestamp;
@@ -32,8 +32,8 @@
 /// The health check connection to one server.
 pub struct HealthCheck<T: HealthCheckEvents> {
     socket: Socket<T>,
-    outgoing: RefCell<Ring>,
-    incoming: RefCell<Ring>,
+    outgoing: RefCell<RingBuffer>,
+    incoming: RefCell<RingBuffer>,
     decoder: RefCell<LineDecoder>,
     /// When the outstanding check was started.
     started_at: Cell<Option<Timestamp>>,
@@ -69,9 +69,9 @@
     fn open(server: &Rc<Server<T>>, owner: &mut T) -> Option<Rc<Self>> {
         owner.before_health_check_dial();
         let check = Rc::new(HealthCheck {
-            socket: Socket::dial(server.address.get()).ok()?,
-            outgoing: RefCell::new(Ring::new(BUFFER_BYTES)),
-            incoming: RefCell::new(Ring::new(BUFFER_BYTES)),
+            socket: Socket::connect(server.address.get()).ok()?,
+            outgoing: RefCell::new(RingBuffer::new(BUFFER_BYTES)),
+            incoming: RefCell::new(RingBuffer::new(BUFFER_BYTES)),
             decoder: RefCell::default(),
             started_at: Cell::default(),
             last_used: Cell::new(owner.now()),
--- a/crates/proxy/src/upstream/server_side.rs
+++ b/crates/proxy/src/upstream/server_side.rs
@@ -1,6 +1,6 @@
 //! The server's side of a session: drives its attempt, and acts on the lines that the server sends.
 
-use crate::net::line::{line_text, Answer, ServerLine};
+use crate::net::line::{line_text, ProxyResponse, ServerLine};
 use crate::net::socket::End;
 use crate::proxy::Proxy;
 use crate::session::{Session, Stage};
@@ -148,7 +148,7 @@
             (ServerLine::Load(value), _) => self.on_load_report(&attempt.server, value, proxy),
             (ServerLine::Completed | ServerLine::Migrate, _) | (_, None) => {}
             (_, Some(since)) => {
-                attempt.server.message_latency.record(self.weak.clone(), proxy.now().since(since))
+                attempt.server.message_latency.record(self.weak_self.clone(), proxy.now().since(since))
             }
         }
     }
@@ -182,7 +182,7 @@
         self.attempt.borrow_mut().take();
         self.to_client.borrow_mut().clear();
         if self.is_restored() {
-            return self.send_final_answer(Answer::Failed, &mut proxy.executor);
+            return self.send_final_response(ProxyResponse::Failed, &mut proxy.executor);
         }
         proxy.on_attempt_ended(self.id, outcome, false);
     }
--- a/crates/proxy/tests/unit/ring.rs
+++ b/crates/proxy/tests/unit/ring_buffer.rs
@@ -1,10 +1,10 @@
 //! Unit tests of `ring.rs`.
 
-use super::Ring;
+use super::RingBuffer;
 
 #[test]
 fn bytes_keep_their_order_across_the_wrap_around() {
-    let mut ring = Ring::new(7);
+    let mut ring = RingBuffer::new(7);
     let (mut source, mut out) = (&b"the quick brown fox jumps over the lazy dog"[..], Vec::new());
     while !source.is_empty() || !ring.is_empty() {
         if !ring.is_full() {
@@ -21,7 +21,7 @@
 
 #[test]
 fn the_reserve_is_used_by_push_only() {
-    let mut ring = Ring::with_reserve(7, 4);
+    let mut ring = RingBuffer::with_reserve(7, 4);
     assert_eq!(ring.fill_from(&b"the quick brown fox"[..]).unwrap(), 7);
     assert!(ring.is_full() && ring.push(b"MOVE") && !ring.push(b"."));
     assert_eq!(ring.latest(4), b"MOVE");
@@ -29,7 +29,7 @@
 
 #[test]
 fn a_partial_line_is_discarded_if_its_beginning_is_held() {
-    let mut ring = Ring::new(8);
+    let mut ring = RingBuffer::new(8);
     ring.fill_from(&b"abcd"[..]).unwrap();
     assert!(!ring.discard_partial_line(), "it may have begun before");
     ring.skip(3);
@@ -47,7 +47,7 @@
 
 #[test]
 fn a_push_that_does_not_fit_adds_nothing() {
-    let mut ring = Ring::new(7);
+    let mut ring = RingBuffer::new(7);
     assert!(ring.push(b"MOVE"));
     assert!(!ring.push(b"MOVE") && ring.latest(4) == b"MOVE");
     assert!(ring.push(b"...") && ring.is_full());
