--- a/crates/proxy/src/downstream/client_side.rs
+++ b/crates/proxy/src/downstream/client_side.rs
@@ -1,17 +1,19 @@
-//! The client's side of a session: from its first line to the final answer.
+//! The client side of a session: reads from the client, and sends its final response.
 
 use crate::executor::Executor;
 use crate::net::line::ProxyResponse;
-use crate::net::socket::End;
+use crate::net::socket::StreamEnd;
 use crate::proxy::Proxy;
 use crate::session::{Session, Stage};
 use shelfgrade::host::AttemptOutcome;
 
 impl Session {
-    /// Whether the client still waits for its answer and has sent nothing more; otherwise it gets its final answer here.
+    /// Whether the client is still connected and has sent nothing after its first line. Otherwise the session is
+    /// failed here.
     ///
-    /// No attempt may start for a client that has closed or reset its connection, even if no event of that has been
-    /// handled yet. A client that has ended only its sending is indistinguishable from one that has closed.
+    /// No attempt may start for a client that has closed or reset its connection, even if that event has not been
+    /// handled yet. A client that has shut down only its sending direction cannot be distinguished from one that has
+    /// closed its connection.
     pub fn client_is_waiting(&self, executor: &mut Executor) -> bool {
         if self.client.is_idle() {
             return true;
@@ -25,7 +27,8 @@
         false
     }
 
-    /// Reads once from the client; whether anything was received, or the client has left.
+    /// Reads once from the client. Returns whether anything was received, or the client has closed its connection
+    /// before the session was established.
     pub fn read_client(&self, proxy: &mut Proxy) -> bool {
         if self.stage.get() == Stage::Connecting {
             return self.check_for_abort(proxy);
@@ -37,16 +40,16 @@
         }
         match self.client.peer_end.get() {
             Some(end) if end_before.is_none() => self.on_client_end(end, proxy),
-            // A failed write has noticed the reset before this read.
-            Some(End::Reset) if self.stage.get() == Stage::Established => {
-                self.on_client_end(End::Reset, proxy);
+            // The reset was already noticed by a failed write, before this read.
+            Some(StreamEnd::Reset) if self.stage.get() == Stage::Established => {
+                self.on_client_end(StreamEnd::Reset, proxy);
             }
             _ => {}
         }
         read > 0
     }
 
-    /// Whether the client has left while an attempt was under way, which the load balancer is notified of.
+    /// Whether the client has aborted while an attempt is in progress. The load balancer is then notified.
     fn check_for_abort(&self, proxy: &mut Proxy) -> bool {
         let aborted = !self.client_is_waiting(&mut proxy.executor);
         if aborted {
@@ -55,7 +58,7 @@
         aborted
     }
 
-    /// The last `read` bytes of the buffer to the server have just come from the client.
+    /// Handles the last `read` bytes of the buffer to the server, which the client has just sent.
     fn on_client_data(&self, read: usize, proxy: &mut Proxy) {
         if self.to_server_end.get().is_some() {
             self.to_server.borrow_mut().clear();
@@ -72,21 +75,21 @@
         }
     }
 
-    fn on_client_end(&self, end: End, proxy: &mut Proxy) {
+    fn on_client_end(&self, end: StreamEnd, proxy: &mut Proxy) {
         if self.stage.get() != Stage::Established {
             return;
         }
         self.to_server_end.set(Some(end));
-        if end == End::Reset {
+        if end == StreamEnd::Reset {
             self.to_client_end.set(Some(end));
         }
         self.finish(AttemptOutcome::Cancelled, proxy);
     }
 
-    /// Sends the final answer of a session that gets no server, and closes the connection behind it.
-    pub fn send_final_response(&self, answer: ProxyResponse, executor: &mut Executor) {
-        self.client.send_line(&answer.line());
+    /// Sends the final response of a session that is not established, and closes the connection after it.
+    pub fn send_final_response(&self, response: ProxyResponse, executor: &mut Executor) {
+        self.client.send_line(&response.line());
         self.close(executor);
-        executor.close_after_final_answer(self.client.clone());
+        executor.close_after_final_response(self.client.clone());
     }
 }
--- a/crates/proxy/src/downstream/lingering.rs
+++ b/crates/proxy/src/downstream/lingering.rs
@@ -1,22 +1,23 @@
-//! Lingering closes: after its final answer a client's connection is kept for a moment past the end of our sending, and
-//! what still comes on it is read and dropped. A close with bytes unread, or still on their way, resets the connection,
-//! and the reset may overtake the answer.
+//! Lingering close: after the final response the sending direction is shut down, and the connection is kept open for a
+//! short time while incoming bytes are read and discarded. Closing a connection with unread or still arriving bytes
+//! resets it, and the client may receive the reset before it has read the response.
 
-use crate::net::socket::{End, Socket};
+use crate::net::socket::{Socket, StreamEnd};
 use shelfgrade::time::Timestamp;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long a connection lingers: longer than bytes take that were sent before the peer read its answer. With the two
-/// seconds for a first line it stays under the three in which a silent client is owed an answer or a close.
+/// How long a connection lingers: longer than bytes that the peer sent before reading its response take to arrive.
+/// Together with the 2 s timeout of the first line this stays below the 3 s within which a silent client must receive
+/// a response or a close.
 const LINGER_TIMEOUT: Duration = Duration::from_millis(600);
-/// How much is read and dropped: more than a well-behaved client sends without an answer.
+/// Maximum number of bytes that are discarded: more than a well-behaved client sends before it has a response.
 const MAX_DISCARDED_BYTES: usize = 256 << 10;
 
-/// What owns the lingering connections, so that their socket events find them.
+/// The owner of the lingering connections, through which socket events access them.
 pub trait LingeringOwner: Sized + 'static {
-    /// The connections that are lingering.
+    /// The lingering connections.
     fn lingering(&mut self) -> &mut LingeringCloses<Self>;
 }
 
@@ -27,58 +28,60 @@
 }
 
 impl<T> LingeringClose<T> {
-    /// Writes and reads what is left; whether the connection can be closed.
+    /// Writes pending lines and discards input. Returns whether the connection can be closed.
     fn advance(&mut self) -> bool {
         self.discarded += self.socket.discard(MAX_DISCARDED_BYTES - self.discarded);
-        let flushed = self.socket.flush_lines();
+        let is_flushed = self.socket.flush_lines();
         let end = self.socket.peer_end.get();
-        end == Some(End::Reset) || flushed && (end.is_some() || self.discarded >= MAX_DISCARDED_BYTES)
+        end == Some(StreamEnd::Reset)
+            || is_flushed && (end.is_some() || self.discarded >= MAX_DISCARDED_BYTES)
     }
 }
 
-/// The connections that are lingering, in the order in which that began.
+/// The lingering connections, oldest first.
 pub struct LingeringCloses<T: 'static> {
     closes: BTreeMap<u64, LingeringClose<T>>,
-    last_number: u64,
+    last_id: u64,
 }
 
 impl<T> Default for LingeringCloses<T> {
     fn default() -> Self {
-        LingeringCloses { closes: BTreeMap::new(), last_number: 0 }
+        LingeringCloses { closes: BTreeMap::new(), last_id: 0 }
     }
 }
 
 impl<T: LingeringOwner> LingeringCloses<T> {
-    /// Ends our side of a connection after its last line, and closes it once its peer has ended too, or after a timeout.
+    /// Shuts down the sending direction of a connection after its pending lines. The connection is closed when the
+    /// peer has closed it too, when too many bytes have been discarded, or after [`LINGER_TIMEOUT`].
     pub fn close(&mut self, socket: Rc<Socket<T>>, now: Timestamp) {
-        socket.end(End::Fin);
+        socket.end_stream(StreamEnd::Fin);
         let mut close = LingeringClose { socket, since: now, discarded: 0 };
         if close.advance() {
             return;
         }
-        self.last_number += 1;
-        let number = self.last_number;
-        close.socket.set_on_ready(move |owner: &mut T| owner.lingering().on_ready(number));
-        self.closes.insert(number, close);
+        self.last_id += 1;
+        let id = self.last_id;
+        close.socket.set_on_ready(move |owner: &mut T| owner.lingering().on_ready(id));
+        self.closes.insert(id, close);
     }
 
-    fn on_ready(&mut self, number: u64) {
-        if self.closes.get_mut(&number).is_some_and(LingeringClose::advance) {
-            self.closes.remove(&number);
+    fn on_ready(&mut self, id: u64) {
+        if self.closes.get_mut(&id).is_some_and(LingeringClose::advance) {
+            self.closes.remove(&id);
         }
     }
 
-    /// Called with each tick: closes the connections whose time is up.
+    /// Closes the connections whose timeout has expired; called on each tick.
     pub fn close_expired(&mut self, now: Timestamp) {
         self.closes.retain(|_, close| now.since(close.since) < LINGER_TIMEOUT);
     }
 
-    /// Closes the connection that has lingered longest, to free its descriptor; false if there is none.
+    /// Closes the connection that has been lingering longest, to free its descriptor. Returns false if there is none.
     pub fn close_oldest(&mut self) -> bool {
         self.closes.pop_first().is_some()
     }
 
-    /// How many connections linger.
+    /// The number of lingering connections.
     pub fn len(&self) -> usize {
         self.closes.len()
     }
--- a/crates/proxy/src/downstream/listener.rs
+++ b/crates/proxy/src/downstream/listener.rs
@@ -1,4 +1,5 @@
-//! Accepts connections, and bounds those that have yet to send their first line in number and in time.
+//! Accepts connections, and limits the number of those that have not sent their first line yet, and the time they
+//! take.
 
 use crate::downstream::pending_connection::{PendingConnection, PendingConnectionOwner};
 use crate::downstream::pending_connection_table::PendingConnectionTable;
@@ -14,47 +15,48 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Connections waiting to be accepted: all clients may come at once. The system caps it.
+/// Length of the accept queue, as all clients may connect at once. The system may cap it.
 const BACKLOG: i32 = 4096;
-/// Connections accepted before established sessions have their turn.
-const MAX_ACCEPTS_PER_TURN: usize = 32;
-/// Failures in a row after which accepting pauses. A single one may be that of one connection, or be over with the next
-/// call.
+/// Connections accepted per event, so that accepting does not delay the I/O of established sessions.
+const MAX_ACCEPTS_PER_EVENT: usize = 32;
+/// Consecutive failures after which accepting is paused. A single failure may concern only one connection, or be gone
+/// with the next call.
 const MAX_ACCEPT_FAILURES: usize = 16;
-/// The pause, so that the loop does not spin while descriptors have run out: short against any request timeout.
+/// Duration of a pause, which keeps the event loop from spinning while descriptors are exhausted. It is short compared
+/// with any request timeout.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(10);
-/// How long a connection may take to send its first line; three seconds after connecting it is owed an answer or a
-/// close.
+/// How long a connection may take to send its first line. It must receive a response or be closed within 3 s of
+/// connecting.
 const FIRST_LINE_TIMEOUT: Duration = Duration::from_millis(2000);
 
-/// Who owns a listener, and bounds its pending connections.
+/// The owner of a listener, which limits the number of pending connections.
 pub trait ListenerOwner: PendingConnectionOwner {
     /// The listener.
     fn listener(&mut self) -> &mut Listener<Self>;
-    /// How many connections without a first line there are descriptors for, lingering ones included.
+    /// The maximum number of pending and lingering connections that the descriptors allow.
     fn max_pending_connections(&self) -> usize;
 }
 
-/// The listening socket, and the connections that have yet to send their first line.
+/// The listening socket, and the connections that have not sent their first line yet.
 pub struct Listener<T: ListenerOwner> {
     listener: TcpListener,
     registration: RegistrationToken,
     is_paused: bool,
     queue_is_empty: bool,
-    /// Connections that have yet to send their first line.
+    /// Connections that have not sent their first line yet.
     pub pending: PendingConnectionTable<T>,
-    /// The request ids that came of late.
+    /// The request ids received recently.
     pub recent_request_ids: RecentRequestIds,
 }
 
 impl<T: ListenerOwner> Listener<T> {
-    /// Listens, and has the loop accept connections.
+    /// Binds the listening socket and registers it with the event loop, which accepts connections from then on.
     ///
     /// # Errors
     ///
-    /// The address is not this machine's, or something else listens there.
-    pub fn open(at: SocketAddr, handle: &LoopHandle<'static, T>) -> io::Result<Self> {
-        let listener = listen(at)?;
+    /// The address is not one of this machine, or it is already in use.
+    pub fn open(address: SocketAddr, handle: &LoopHandle<'static, T>) -> io::Result<Self> {
+        let listener = listen(address)?;
         let source = Generic::new(listener.try_clone()?, Interest::READ, Mode::Level);
         let registration = handle.insert_source(source, |_, _, owner| {
             Self::accept(owner);
@@ -70,31 +72,31 @@
         })
     }
 
-    /// The address that it listens on.
+    /// The local address of the listening socket.
     ///
     /// # Errors
     ///
-    /// The system does not tell it.
+    /// The system call fails.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.listener.local_addr()
     }
 
-    /// Whether the last accept found no connection in the system's queue.
+    /// Whether the accept queue was empty at the last call of [`Listener::accept`].
     pub fn queue_is_empty(&self) -> bool {
         self.queue_is_empty
     }
 
-    /// Accepts the connections in the system's queue, up to the limit for one turn.
+    /// Accepts the connections in the system's accept queue, up to the limit per event.
     pub fn accept(owner: &mut T) {
         owner.listener().queue_is_empty = false;
         let mut failures = 0;
-        for _ in 0..MAX_ACCEPTS_PER_TURN {
+        for _ in 0..MAX_ACCEPTS_PER_EVENT {
             match owner.listener().listener.accept() {
                 Ok((stream, _)) => {
                     failures = 0;
                     match Socket::new(stream) {
                         Ok(socket) => Self::add_connection(socket, owner),
-                        Err(error) => log::warn!("a client's socket: {error}"),
+                        Err(error) => log::warn!("cannot set up client socket: {error}"),
                     }
                 }
                 Err(error) if error.kind() == ErrorKind::WouldBlock => {
@@ -124,12 +126,13 @@
         owner.metrics().check_invariant(set.is_ok(), "a timer can be set");
     }
 
-    /// Accepts again after a pause. If the loop cannot watch the listener yet, accepting goes on by this timer.
+    /// Resumes accepting after a pause. If the event loop cannot register the listener yet, this timer is repeated and
+    /// accepts connections meanwhile.
     fn resume(owner: &mut T) -> TimeoutAction {
-        let watched = owner.handle().enable(&owner.listener().registration).is_ok();
-        owner.listener().is_paused = !watched;
+        let is_registered = owner.handle().enable(&owner.listener().registration).is_ok();
+        owner.listener().is_paused = !is_registered;
         Self::accept(owner);
-        if watched {
+        if is_registered {
             TimeoutAction::Drop
         } else {
             TimeoutAction::ToDuration(ACCEPT_PAUSE)
@@ -138,64 +141,66 @@
 
     fn add_connection(client: Socket<T>, owner: &mut T) {
         owner.metrics().count("connections accepted");
-        let number = owner.pending_connections().next_number();
-        let connection = PendingConnection::new(number, client, owner.now());
+        let sequence = owner.pending_connections().next_sequence();
+        let connection = PendingConnection::new(sequence, client, owner.now());
         let weak = Rc::downgrade(&connection);
         let watched = connection.socket.watch(&owner.handle(), move |owner| {
             weak.upgrade().inspect(|connection| connection.on_ready(owner));
         });
         if let Err(error) = watched {
-            log::warn!("a client's connection cannot be watched: {error}");
+            log::warn!("cannot register client connection with the event loop: {error}");
             connection.socket.send_line(&ProxyResponse::Rejected.line());
             let now = owner.now();
             return owner.lingering().close(connection.socket.clone(), now);
         }
         owner.pending_connections().insert(connection.clone());
-        // Most clients have sent their first line by now, and need no place among those that are pending.
+        // Most clients have sent their first line by now. Reading it first keeps their connections from causing
+        // evictions.
         connection.on_ready(owner);
-        Self::evict_connections(owner);
+        Self::evict_pending_connections(owner);
     }
 
-    /// Closes connections until no more are held than descriptors are left for: lingering ones first, then the least
-    /// recently active that have yet to send their first line.
-    pub fn evict_connections(owner: &mut T) {
+    /// Closes connections until the rest fit into the descriptor budget: lingering ones first, then the least recently
+    /// active pending ones.
+    pub fn evict_pending_connections(owner: &mut T) {
         while owner.pending_connections().len() + owner.lingering().len() > owner.max_pending_connections() {
             if owner.lingering().close_oldest() {
                 continue;
             }
-            let Some(oldest) = owner.pending_connections().oldest() else { return };
-            oldest.on_ready(owner);
-            if owner.pending_connections().contains(&oldest) {
-                oldest.reject(ProxyResponse::Rejected, "pending connections evicted", owner);
+            let Some(evicted) = owner.pending_connections().least_recently_active() else { return };
+            // Its first line may have arrived and not been read yet.
+            evicted.on_ready(owner);
+            if owner.pending_connections().contains(&evicted) {
+                evicted.reject(ProxyResponse::Rejected, "pending connections evicted", owner);
             }
         }
     }
 
-    /// Called with each tick: closes connections that have not sent their first line in time. One that waits for the
-    /// answer to its health check is left.
+    /// Closes connections that have not sent their first line in time, except those that wait for a health check
+    /// response; called on each tick.
     pub fn expire_pending_connections(owner: &mut T) {
         let now = owner.now();
-        let timed_out = |connection: &PendingConnection<T>, now: Timestamp| {
+        let has_timed_out = |connection: &PendingConnection<T>, now: Timestamp| {
             now.since(connection.last_active.get()) > FIRST_LINE_TIMEOUT
         };
         let pending = owner.pending_connections().values();
-        let silent = pending.take_while(|connection| timed_out(connection, now));
-        let silent: Vec<_> = silent.filter(|connection| !connection.awaits_pong()).cloned().collect();
-        for connection in silent {
-            // Its first line may not have been read yet.
+        let expired = pending.take_while(|connection| has_timed_out(connection, now));
+        let expired: Vec<_> = expired.filter(|connection| !connection.awaits_pong()).cloned().collect();
+        for connection in expired {
+            // Its first line may have arrived and not been read yet.
             connection.on_ready(owner);
-            if timed_out(&connection, owner.now()) && owner.pending_connections().contains(&connection) {
+            if has_timed_out(&connection, owner.now()) && owner.pending_connections().contains(&connection) {
                 connection.reject(ProxyResponse::Failed, "first line timeouts", owner);
             }
         }
     }
 }
 
-fn listen(at: SocketAddr) -> io::Result<TcpListener> {
+fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let socket =
-        socket2::Socket::new(socket2::Domain::for_address(at), socket2::Type::STREAM.cloexec(), None)?;
+        socket2::Socket::new(socket2::Domain::for_address(address), socket2::Type::STREAM.cloexec(), None)?;
     socket.set_reuse_address(true)?;
-    socket.bind(&at.into())?;
+    socket.bind(&address.into())?;
     socket.listen(BACKLOG)?;
     socket.set_nonblocking(true)?;
     Ok(socket.into())
--- a/crates/proxy/src/downstream/mod.rs
+++ b/crates/proxy/src/downstream/mod.rs
@@ -1,9 +1,9 @@
-//! Connections from clients: accepting them, their first line, and their final answers.
+//! Client connections: accepting them, reading their first line, and sending final responses.
 
 mod client_side;
-mod events;
 pub mod lingering;
 pub mod listener;
+mod owner_impls;
 pub mod pending_connection;
 mod pending_connection_table;
 mod recent_request_ids;
--- a/crates/proxy/src/downstream/events.rs
+++ b/crates/proxy/src/downstream/owner_impls.rs
@@ -1,4 +1,4 @@
-//! What the parts of this folder ask of their owner, answered by the proxy.
+//! Implements the owner traits of this module for [`Proxy`].
 
 use crate::downstream::lingering::{LingeringCloses, LingeringOwner};
 use crate::downstream::listener::{Listener, ListenerOwner};
@@ -40,7 +40,7 @@
         if self.rejects_new_sessions() {
             return Err(AdmissionError::ShuttingDown);
         }
-        // Servers answer the second request of an id with an error, which would count against their health.
+        // A server responds to a second request with the same id with an error, which would count against its health.
         let is_duplicate = self.executor.sessions.has_request_id(request_id)
             || !self.listener.recent_request_ids.insert(request_id);
         if is_duplicate {
@@ -49,7 +49,7 @@
         Ok(())
     }
 
-    fn open(&mut self, request: OpenRequest, socket: Rc<Socket<Self>>) {
+    fn start_session(&mut self, request: OpenRequest, socket: Rc<Socket<Self>>) {
         Proxy::open_session(self, request, socket);
     }
 }
@@ -65,17 +65,17 @@
 }
 
 impl Proxy {
-    /// Accepts the connections that wait in the system's queue.
+    /// Accepts the connections in the system's accept queue.
     pub fn accept(&mut self) {
         Listener::accept(self);
     }
 
-    /// Closes connections without a session until all fit into the descriptor budget.
+    /// Closes connections without a session until the rest fit into the descriptor budget.
     pub fn evict_pending_connections(&mut self) {
-        Listener::evict_connections(self);
+        Listener::evict_pending_connections(self);
     }
 
-    /// Closes connections whose first line has timed out.
+    /// Closes connections that have not sent their first line in time.
     pub fn expire_pending_connections(&mut self) {
         Listener::expire_pending_connections(self);
     }
--- a/crates/proxy/src/downstream/pending_connection_table.rs
+++ b/crates/proxy/src/downstream/pending_connection_table.rs
@@ -1,54 +1,53 @@
-//! The connections that have yet to send their first line.
+//! The table of pending connections: those that have not sent their first line yet.
 
 use crate::downstream::pending_connection::{PendingConnection, PendingConnectionOwner};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// Connections in the order of their last sign of activity, the least recent first.
+/// Pending connections, ordered from the least to the most recently active.
 pub struct PendingConnectionTable<T: PendingConnectionOwner> {
     connections: BTreeMap<u64, Rc<PendingConnection<T>>>,
-    last_number: u64,
+    last_sequence: u64,
 }
-
 impl<T: PendingConnectionOwner> Default for PendingConnectionTable<T> {
     fn default() -> Self {
-        PendingConnectionTable { connections: BTreeMap::new(), last_number: 0 }
+        PendingConnectionTable { connections: BTreeMap::new(), last_sequence: 0 }
     }
 }
 
 impl<T: PendingConnectionOwner> PendingConnectionTable<T> {
-    /// A number after all that were given out.
-    pub fn next_number(&mut self) -> u64 {
-        self.last_number += 1;
-        self.last_number
+    /// Allocates a sequence number higher than all before.
+    pub fn next_sequence(&mut self) -> u64 {
+        self.last_sequence += 1;
+        self.last_sequence
     }
 
-    /// Adds a connection under its number.
+    /// Adds a connection under its sequence number.
     pub fn insert(&mut self, connection: Rc<PendingConnection<T>>) {
-        self.connections.insert(connection.number.get(), connection);
+        self.connections.insert(connection.activity_sequence.get(), connection);
     }
 
-    /// Removes a connection, and gives it back if it was there.
+    /// Removes a connection. Returns it if the table contained it.
     pub fn remove(&mut self, connection: &PendingConnection<T>) -> Option<Rc<PendingConnection<T>>> {
-        self.connections.remove(&connection.number.get())
+        self.connections.remove(&connection.activity_sequence.get())
     }
 
-    /// Whether a connection is here.
+    /// Whether the table contains a connection.
     pub fn contains(&self, connection: &PendingConnection<T>) -> bool {
-        self.connections.contains_key(&connection.number.get())
+        self.connections.contains_key(&connection.activity_sequence.get())
     }
 
-    /// All connections, the least recently active first.
+    /// All connections, from the least to the most recently active.
     pub fn values(&self) -> impl Iterator<Item = &Rc<PendingConnection<T>>> {
         self.connections.values()
     }
 
     /// The least recently active connection.
-    pub fn oldest(&self) -> Option<Rc<PendingConnection<T>>> {
+    pub fn least_recently_active(&self) -> Option<Rc<PendingConnection<T>>> {
         self.connections.values().next().cloned()
     }
 
-    /// How many connections there are.
+    /// The number of connections.
     pub fn len(&self) -> usize {
         self.connections.len()
     }
--- a/crates/proxy/src/downstream/recent_request_ids.rs
+++ b/crates/proxy/src/downstream/recent_request_ids.rs
@@ -1,11 +1,11 @@
-//! The request ids that clients sent of late.
+//! The request ids that clients have sent recently.
 
 use std::collections::{BTreeSet, VecDeque};
 
-/// How many ids are remembered: some minutes of clients that come again as soon as they are rejected.
+/// Maximum number of stored ids: those of a few minutes even if clients retry immediately after each rejection.
 const MAX_IDS: usize = 4096;
 
-/// A bounded set of request ids, which evicts the oldest first.
+/// A bounded set of request ids that evicts the oldest id first.
 #[derive(Default)]
 pub struct RecentRequestIds {
     order: VecDeque<u64>,
@@ -13,7 +13,7 @@
 }
 
 impl RecentRequestIds {
-    /// Remembers an id; false if it is remembered already.
+    /// Adds an id. Returns false if the set already contains it.
     pub fn insert(&mut self, id: u64) -> bool {
         if !self.ids.insert(id) {
             return false;
--- a/crates/proxy/src/executor.rs
+++ b/crates/proxy/src/executor.rs
@@ -142,7 +142,7 @@
     }
 
     /// Closes a client's connection after its final answer.
-    pub fn close_after_final_answer(&mut self, client: Rc<Socket<Proxy>>) {
+    pub fn close_after_final_response(&mut self, client: Rc<Socket<Proxy>>) {
         let now = self.clock.now();
         self.lingering.close(client, now);
     }
@@ -226,7 +226,7 @@
         self.metrics.count("rejected");
         log::debug!("session {} rejected, retry after {} ms", session.0, retry_after.as_ms());
         if let Some(session) = self.sessions.get(session).cloned() {
-            session.send_final_response(ProxyResponse::RejectedFor(retry_after), self);
+            session.send_final_response(ProxyResponse::RejectedWithRetryAfter(retry_after), self);
         }
     }
 
--- a/crates/proxy/src/net/event_loop.rs
+++ b/crates/proxy/src/net/event_loop.rs
@@ -1,12 +1,12 @@
-//! What code that runs on the event loop needs of the loop's data.
+//! Access to the event loop for the code that runs on it.
 
 use calloop::LoopHandle;
 use shelfgrade::time::Timestamp;
 
-/// The data of an event loop, which its callbacks are given.
+/// The shared state that every callback of an event loop receives.
 pub trait EventLoopOwner: Sized + 'static {
-    /// The loop, for watching sockets and setting timers.
+    /// The event loop, for registering sockets and timers.
     fn handle(&self) -> LoopHandle<'static, Self>;
-    /// The time on the process's clock.
+    /// The current time of the process clock.
     fn now(&self) -> Timestamp;
 }
--- a/crates/proxy/src/net/http.rs
+++ b/crates/proxy/src/net/http.rs
@@ -1,4 +1,4 @@
-//! One HTTP/1.1 request and its response: bytes in and out, no I/O.
+//! The HTTP/1.1 client protocol for one request and its response. It works on buffers and does no I/O.
 
 use std::net::SocketAddr;
 use std::time::SystemTime;
@@ -6,70 +6,74 @@
 use ureq_proto::client::{Call, RecvBodyResult, RecvResponseResult, SendRequestResult};
 use ureq_proto::http::{Request, StatusCode};
 
-/// The longest response, in bytes: far more than any endpoint list.
+/// Maximum size of a response in bytes, far more than any endpoint list takes.
 const MAX_RESPONSE_BYTES: usize = 4 << 20;
-/// The longest request, in bytes: a path and a host.
+/// Maximum size of a request in bytes: the path and the `Host` header.
 const MAX_REQUEST_BYTES: usize = 512;
 
-/// What is wrong with a response, or with the request.
+/// Why a request could not be built, or its response not be used.
 #[derive(Debug, thiserror::Error)]
 pub enum HttpError {
-    /// The peer does not keep to HTTP/1.1.
-    #[error("no HTTP/1.1 ({0}): see what listens at discovery's address, and name the right one")]
+    /// The response violates HTTP/1.1.
+    #[error("not a valid HTTP/1.1 response ({0}): check that the configured address is that of discovery")]
     Protocol(#[from] ureq_proto::Error),
     /// The request's URL is invalid.
-    #[error("no address to ask ({0}): correct `discovery` in the start-up file")]
+    #[error("invalid request URL ({0}): correct `discovery` in the start-up file")]
     Address(#[from] ureq_proto::http::Error),
-    /// The response has another status than 200.
-    #[error("answered {0}: look at discovery's own log; it is asked again by itself")]
+    /// The response has a status other than 200.
+    #[error("HTTP status {0}: see discovery's log; the poll is retried automatically")]
     Status(StatusCode),
-    /// The response exceeds its limit.
+    /// The response exceeds [`MAX_RESPONSE_BYTES`].
     #[error(
-        "an answer of over {MAX_RESPONSE_BYTES} bytes: discovery tells too much, or without end; look at it"
+        "response exceeds {MAX_RESPONSE_BYTES} bytes: check why discovery sends a response of this size"
     )]
     TooLarge,
-    /// The connection ended inside the response.
+    /// The connection was closed before the response was complete.
     #[error(
-        "the connection ended in an answer: discovery went down or is being restarted; it is asked again"
+        "connection closed in the middle of a response: discovery stopped or is restarting; the poll is retried"
     )]
     Truncated,
 }
 
 /// A complete response.
 pub struct Response {
-    /// Its body.
+    /// The response body.
     pub body: Vec<u8>,
-    /// The peer's own time, if it sent one.
+    /// The `Date` header, if there is a valid one.
     pub date: Option<SystemTime>,
-    /// Whether the connection can carry another request.
+    /// Whether the connection can be reused for another request.
     pub keep_alive: bool,
 }
 
-enum Stage {
+/// Which part of the response is parsed next.
+enum ParseState {
     Head(Call<RecvResponse>),
     Body(Call<RecvBody>),
 }
 
-/// The stage that follows a read, and whether the read consumed anything.
+/// The result of one parsing step.
 struct Progress {
-    stage: Stage,
+    state: ParseState,
+    /// Whether the step consumed any input.
     has_advanced: bool,
 }
 
-/// A request whose response is still being received.
+/// A request whose response is being received.
 pub struct Exchange {
-    stage: Option<Stage>,
+    /// None once the response is complete, or parsing has failed.
+    state: Option<ParseState>,
+    /// Received bytes that are not parsed yet.
     input: Vec<u8>,
     body: Vec<u8>,
     date: Option<SystemTime>,
 }
 
 impl Exchange {
-    /// A GET request, and the bytes to send for it.
+    /// Creates a GET request; returns it with the bytes to send.
     ///
     /// # Errors
     ///
-    /// The address and path make no valid request.
+    /// The address and path form no valid URL, or the request exceeds [`MAX_REQUEST_BYTES`].
     pub fn get(at: SocketAddr, path: &str) -> Result<(Self, Vec<u8>), HttpError> {
         let mut call = Call::new(Request::get(format!("http://{at}{path}")).body(())?)?.proceed();
         let mut request = vec![0; MAX_REQUEST_BYTES];
@@ -79,88 +83,89 @@
             return Err(HttpError::Truncated);
         };
         let exchange =
-            Exchange { stage: Some(Stage::Head(call)), input: Vec::new(), body: Vec::new(), date: None };
+            Exchange { state: Some(ParseState::Head(call)), input: Vec::new(), body: Vec::new(), date: None };
         Ok((exchange, request))
     }
 
-    /// Where received bytes are put before the next call of [`Exchange::response`].
+    /// The buffer to append received bytes to before the next call of [`Exchange::response`].
     pub fn input(&mut self) -> &mut Vec<u8> {
         &mut self.input
     }
 
-    /// Whether a part of the response has been received.
+    /// Whether any part of the response has been received.
     pub fn has_begun(&self) -> bool {
-        !self.input.is_empty() || matches!(self.stage, Some(Stage::Body(_)))
+        !self.input.is_empty() || matches!(self.state, Some(ParseState::Body(_)))
     }
 
-    /// The response, once it is complete. `ended`: the connection has ended, so that nothing more can be received.
+    /// Parses the input received so far, and returns the response once it is complete. `is_eof` tells that the peer
+    /// has closed the connection, so that no more input will follow.
     ///
     /// # Errors
     ///
-    /// The response is malformed, unsuccessful, too long or truncated.
-    pub fn response(&mut self, ended: bool) -> Result<Option<Response>, HttpError> {
+    /// The response is malformed, truncated, too large, or has a status other than 200.
+    pub fn response(&mut self, is_eof: bool) -> Result<Option<Response>, HttpError> {
         if self.input.len() + self.body.len() > MAX_RESPONSE_BYTES {
             return Err(HttpError::TooLarge);
         }
-        while let Some(stage) = self.stage.take() {
-            let Progress { stage, has_advanced } = match stage {
-                Stage::Head(call) => self.read_head(call)?,
-                Stage::Body(call) => self.read_body(call)?,
+        while let Some(state) = self.state.take() {
+            let Progress { state, has_advanced } = match state {
+                ParseState::Head(call) => self.parse_head(call)?,
+                ParseState::Body(call) => self.parse_body(call)?,
             };
-            let call = match stage {
-                Stage::Body(call) => call,
+            let call = match state {
+                ParseState::Body(call) => call,
                 head => {
-                    self.stage = Some(head);
+                    self.state = Some(head);
                     break;
                 }
             };
-            if is_complete(&call, ended) {
-                return Ok(Some(self.complete(call, ended)));
+            if is_complete(&call, is_eof) {
+                return Ok(Some(self.complete(call, is_eof)));
             }
-            self.stage = Some(Stage::Body(call));
+            self.state = Some(ParseState::Body(call));
             if !has_advanced {
                 break;
             }
         }
-        if ended {
+        if is_eof {
             return Err(HttpError::Truncated);
         }
         Ok(None)
     }
 
-    fn complete(&mut self, call: Call<RecvBody>, ended: bool) -> Response {
+    fn complete(&mut self, call: Call<RecvBody>, is_eof: bool) -> Response {
         let next = call.proceed();
         let keep_alive = matches!(next, Some(RecvBodyResult::Cleanup(c)) if !c.must_close_connection());
-        Response { body: std::mem::take(&mut self.body), date: self.date, keep_alive: keep_alive && !ended }
+        Response { body: std::mem::take(&mut self.body), date: self.date, keep_alive: keep_alive && !is_eof }
     }
 
-    fn read_head(&mut self, mut call: Call<RecvResponse>) -> Result<Progress, HttpError> {
-        let (used, head) = call.try_response(&self.input, false)?;
-        self.input.drain(..used);
+    fn parse_head(&mut self, mut call: Call<RecvResponse>) -> Result<Progress, HttpError> {
+        let (consumed, head) = call.try_response(&self.input, false)?;
+        self.input.drain(..consumed);
         let Some(head) = head else {
-            return Ok(Progress { stage: Stage::Head(call), has_advanced: used > 0 });
+            return Ok(Progress { state: ParseState::Head(call), has_advanced: consumed > 0 });
         };
         let date = head.headers().get("date").and_then(|date| date.to_str().ok());
         self.date = date.and_then(|date| httpdate::parse_http_date(date).ok());
         match call.proceed() {
             Some(RecvResponseResult::RecvBody(call)) if head.status() == StatusCode::OK => {
-                Ok(Progress { stage: Stage::Body(call), has_advanced: true })
+                Ok(Progress { state: ParseState::Body(call), has_advanced: true })
             }
             _ => Err(HttpError::Status(head.status())),
         }
     }
 
-    fn read_body(&mut self, mut call: Call<RecvBody>) -> Result<Progress, HttpError> {
+    fn parse_body(&mut self, mut call: Call<RecvBody>) -> Result<Progress, HttpError> {
         let (body_len, input_len) = (self.body.len(), self.input.len());
         self.body.resize(body_len + input_len, 0);
-        let (used, written) = call.read(&self.input, &mut self.body[body_len..])?;
+        let (consumed, written) = call.read(&self.input, &mut self.body[body_len..])?;
         self.body.truncate(body_len + written);
-        self.input.drain(..used);
-        Ok(Progress { stage: Stage::Body(call), has_advanced: used > 0 })
+        self.input.drain(..consumed);
+        Ok(Progress { state: ParseState::Body(call), has_advanced: consumed > 0 })
     }
 }
 
-/// A body without a length of its own is complete when the connection ends, and not before.
-fn is_complete(call: &Call<RecvBody>, ended: bool) -> bool {
-    call.can_proceed() && (ended || call.body_mode() != ureq_proto::BodyMode::CloseDelimited)
+/// Whether the whole body has been received. A body without a declared length ends with the connection.
+fn is_complete(call: &Call<RecvBody>, is_eof: bool) -> bool {
+    call.can_proceed() && (is_eof || call.body_mode() != ureq_proto::BodyMode::CloseDelimited)
 }
--- a/crates/proxy/src/net/line.rs
+++ b/crates/proxy/src/net/line.rs
@@ -1,20 +1,21 @@
-//! Lines of the client and server protocol: framing, and the words that the wire uses for the proxy's own terms.
+//! The line protocol spoken with clients and servers: framing, keywords, and the messages that the proxy reads and
+//! writes.
 
 use shelfgrade::time::DurationExt;
 use std::time::Duration;
 
-/// The longest line, without its line end, in bytes.
+/// Maximum length of a line without its line ending, in bytes.
 pub const MAX_LINE_BYTES: usize = 4096;
-/// The longest line end, `\r\n`, in bytes.
-const MAX_LINE_END_BYTES: usize = 2;
-/// The longest line with its line end, in bytes.
-pub const MAX_FRAMED_LINE_BYTES: usize = MAX_LINE_BYTES + MAX_LINE_END_BYTES;
+/// Length of the longest line ending, `\r\n`, in bytes.
+const MAX_LINE_ENDING_BYTES: usize = 2;
+/// Maximum length of a line with its line ending, in bytes.
+pub const MAX_FRAMED_LINE_BYTES: usize = MAX_LINE_BYTES + MAX_LINE_ENDING_BYTES;
 
-/// Health check request, without its line end.
+/// The text of a health check request.
 pub const PING: &str = "PING";
-/// A health check request as it is sent.
+/// A health check request as sent on the wire.
 pub const PING_LINE: &[u8] = b"PING\r\n";
-/// Tells a client to connect again, which migrates its session; as it is sent.
+/// Tells a client to reconnect, which migrates its session; as sent on the wire.
 pub const MIGRATE_LINE: &[u8] = b"MOVE\r\n";
 
 const UP: &str = "UP";
@@ -25,19 +26,19 @@
 const LOAD: &str = "LOAD";
 const PONG: &str = "PONG";
 
-/// A peer sent a line of more than [`MAX_LINE_BYTES`].
+/// A peer sent a line longer than [`MAX_LINE_BYTES`].
 #[derive(Debug, PartialEq)]
 pub struct LineTooLong;
 
-/// Splits the byte stream of one peer into lines. It copies what it needs, so that the bytes themselves can be
-/// forwarded without waiting for the end of a line.
+/// Splits the byte stream of one peer into lines. It copies the bytes, so that they can be forwarded before a line is
+/// complete.
 #[derive(Default)]
 pub struct LineDecoder {
     partial: Vec<u8>,
 }
 
 impl LineDecoder {
-    /// The lines that these bytes complete, with their line ends.
+    /// Consumes bytes and returns the lines that they complete, with their line endings.
     ///
     /// # Errors
     ///
@@ -56,75 +57,77 @@
         Ok(lines)
     }
 
-    /// Whether all bytes so far belong to lines that have ended.
+    /// Whether no incomplete line is buffered.
     pub fn is_at_line_start(&self) -> bool {
         self.partial.is_empty()
     }
 }
 
-/// The text of a line without its line end; empty if it is not UTF-8.
+/// The text of a line without its line ending; empty if it is not UTF-8.
 pub fn line_text(line: &[u8]) -> &str {
     let line = line.strip_suffix(b"\n").unwrap_or(line);
     std::str::from_utf8(line.strip_suffix(b"\r").unwrap_or(line)).unwrap_or("")
 }
 
-/// The text of a line that keeps to the protocol, without its line end: it ends in CRLF, holds printable ASCII only,
-/// and is no longer than [`MAX_LINE_BYTES`].
+/// The text of a line without its line ending, if the line is well formed: it ends in CRLF, consists of printable
+/// ASCII characters, and is no longer than [`MAX_LINE_BYTES`].
 pub fn well_formed_line(line: &[u8]) -> Option<&str> {
     let line = line.strip_suffix(b"\r\n").filter(|line| line.len() <= MAX_LINE_BYTES)?;
-    let printable = line.iter().all(|b| matches!(b, b' '..=b'~'));
-    std::str::from_utf8(line).ok().filter(|_| printable)
+    let is_printable = line.iter().all(|b| matches!(b, b' '..=b'~'));
+    std::str::from_utf8(line).ok().filter(|_| is_printable)
 }
 
-/// What the proxy answers a client that gets no server, or one that asked for a health check.
+/// A response of the proxy itself: to a client whose session is not established, or to a health check.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ProxyResponse {
-    /// The client may retry after a delay of its own choice.
+    /// The client may retry after a delay that it chooses.
     Rejected,
-    /// The client may retry after this delay.
-    RejectedFor(Duration),
-    /// The request has failed.
+    /// The client may retry after the given delay.
+    RejectedWithRetryAfter(Duration),
+    /// The request has failed, or the health check has.
     Failed,
     /// The proxy is ready.
     Healthy,
 }
 
 impl ProxyResponse {
-    /// The answer as it is sent, without its line end.
+    /// The response as sent on the wire, without its line ending.
     pub fn line(self) -> String {
         match self {
             ProxyResponse::Rejected => BUSY.to_owned(),
-            ProxyResponse::RejectedFor(retry_after) => format!("{BUSY} {}", retry_after.as_ms().ceil()),
+            ProxyResponse::RejectedWithRetryAfter(retry_after) => {
+                format!("{BUSY} {}", retry_after.as_ms().ceil())
+            }
             ProxyResponse::Failed => ERR.to_owned(),
             ProxyResponse::Healthy => PONG.to_owned(),
         }
     }
 }
 
-/// A line from a server.
+/// A parsed line from a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ServerLine<'a> {
     /// The session is established.
     Established,
-    /// The server sheds load.
+    /// The server rejects the session because it is overloaded.
     Rejected,
-    /// The client is to connect again.
+    /// The client is to reconnect.
     Migrate,
     /// The session has completed; the server closes the connection next.
     Completed,
-    /// A load report, with its value as it was sent.
+    /// A load report with its value, not parsed yet.
     Load(&'a str),
-    /// The answer to a health check.
+    /// The response to a health check.
     Healthy,
-    /// Anything else.
+    /// Any other line.
     Other,
 }
 
 impl<'a> ServerLine<'a> {
-    /// Reads the text of one line.
+    /// Parses the text of one line, without its line ending.
     pub fn parse(text: &'a str) -> Self {
-        let (word, value) = text.split_once(' ').unwrap_or((text, ""));
-        match word {
+        let (keyword, value) = text.split_once(' ').unwrap_or((text, ""));
+        match keyword {
             UP => ServerLine::Established,
             BUSY => ServerLine::Rejected,
             MOVE => ServerLine::Migrate,
--- a/crates/proxy/src/net/mod.rs
+++ b/crates/proxy/src/net/mod.rs
@@ -1,4 +1,4 @@
-//! Sockets, buffers, lines, HTTP and the clock. Nothing here decides where a session goes.
+//! Sockets, buffers, the line protocol, HTTP and the clock. Nothing in this module decides where a session is placed.
 
 pub mod clock;
 pub mod event_loop;
--- a/crates/proxy/src/net/open_request.rs
+++ b/crates/proxy/src/net/open_request.rs
@@ -1,16 +1,18 @@
-//! The first line of a client, `OPEN ID KEY NAME=VALUE,...`: reading it, and writing it for a server.
+//! The request that opens a session, `OPEN ID KEY NAME=VALUE,...`: parsing the line of a client, and rewriting it for
+//! a server.
 
 use shelfgrade::time::DurationExt;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 const OPEN: &str = "OPEN";
-/// Hexadecimal digits of a request id.
+/// Number of hexadecimal digits of a request id.
 const REQUEST_ID_DIGITS: usize = 16;
-/// The longest request timeout, in milliseconds: what 32 bits hold. Restored sessions without a deadline send it.
+/// Maximum request timeout in milliseconds: the range of 32 bits, as restored sessions without a deadline send up to
+/// that.
 const MAX_REQUEST_TIMEOUT_MS: f64 = u32::MAX as f64;
 
-/// The names of fields on the wire.
+/// Field names on the wire.
 mod field {
     pub const CLASS: &str = "c";
     pub const REQUEST_TIMEOUT_MS: &str = "d";
@@ -18,37 +20,37 @@
     pub const CUSTOMER: &str = "t";
     pub const SERVER: &str = "at";
     pub const MID_FLOW: &str = "mid";
-    pub const RETURNED: &str = "again";
+    pub const RECONNECTED: &str = "again";
     pub const IS_REPLAYABLE: &str = "r";
 }
 
-/// A client's first line.
+/// A parsed request to open a session: the first line of a client.
 #[derive(Debug)]
 pub struct OpenRequest {
     line: String,
-    /// Unique for each connection.
+    /// The request id, unique for each client connection.
     pub id: u64,
-    /// The key of the client's flow.
+    /// The client key, by which sessions are placed.
     pub key: String,
-    /// The request class's position among the configured names.
+    /// Index of the request class in the settings.
     pub class: usize,
-    /// How long the client waits for its final answer.
+    /// How long the client waits for the final response.
     pub request_timeout: Duration,
-    /// The group whose sessions share servers.
+    /// The group of sessions that benefit from sharing a server.
     pub group: Option<String>,
-    /// The tenant.
+    /// The customer's name.
     pub customer: Option<String>,
-    /// The server that held the session before the proxy started.
+    /// The id of the server that held the session before the proxy started; set for a restored session.
     pub restored_from: Option<String>,
-    /// The flow is known to a server.
+    /// Whether the session continues a flow that a server already holds.
     pub mid_flow: bool,
-    /// The client connects again after it was rejected or migrated.
+    /// Whether the client reconnects after it was rejected or migrated.
     pub reconnected: bool,
 }
 
 impl OpenRequest {
-    /// Reads a line, or rejects all of it: a server would answer a malformed one with an error, which would count
-    /// against the server's health. Unknown fields are forwarded if they are well formed.
+    /// Parses a line. The whole line is rejected if any part of it is malformed: a server would respond to it with an
+    /// error, which would count against the server's health. Unknown fields are accepted if they are well formed.
     pub fn parse(line: &str, classes: &[String]) -> Option<Self> {
         let parts: Vec<_> = line.splitn(5, ' ').collect();
         let [OPEN, id, key, fields] = parts[..] else { return None };
@@ -66,14 +68,14 @@
             customer: fields.text(field::CUSTOMER),
             restored_from: fields.text(field::SERVER),
             mid_flow: fields.flag(field::MID_FLOW)?,
-            reconnected: fields.flag(field::RETURNED)?,
+            reconnected: fields.flag(field::RECONNECTED)?,
         };
         (request.restored_from.is_none() || !request.mid_flow).then_some(request)
     }
 
-    /// The line as the server gets it, with its line end: unchanged but for the request timeout, which tells how long
-    /// the proxy will wait.
-    pub fn for_server(&self, timeout: Duration) -> String {
+    /// The line to send to a server, with its line ending. The request timeout is replaced by how long the proxy will
+    /// wait; everything else is unchanged.
+    pub fn to_server_line(&self, timeout: Duration) -> String {
         let (head, fields) = self.line.rsplit_once(' ').unwrap_or(("", &self.line));
         let prefix = format!("{}=", field::REQUEST_TIMEOUT_MS);
         let timeout = format!("{prefix}{}", timeout.as_ms().floor());
@@ -90,17 +92,17 @@
     is_hexadecimal.then(|| u64::from_str_radix(id, 16).ok())?
 }
 
-/// The fields of a first line by their names.
+/// The fields of a request by their names.
 struct Fields<'a>(BTreeMap<&'a str, &'a str>);
 
 impl<'a> Fields<'a> {
-    /// None if a field is malformed or comes twice.
+    /// Returns none if a field is malformed or occurs twice.
     fn parse(text: &'a str) -> Option<Self> {
         let mut fields = BTreeMap::new();
         for field in text.split(',') {
             let (name, value) = field.split_once('=')?;
-            let well_formed = !name.is_empty() && !value.is_empty() && !value.contains('=');
-            if !well_formed || fields.insert(name, value).is_some() {
+            let is_well_formed = !name.is_empty() && !value.is_empty() && !value.contains('=');
+            if !is_well_formed || fields.insert(name, value).is_some() {
                 return None;
             }
         }
@@ -115,7 +117,7 @@
         self.get(name).map(str::to_owned)
     }
 
-    /// None if the value is neither 0 nor 1; false if the field is missing.
+    /// The value of a flag: false if the field is missing, none if its value is neither 0 nor 1.
     fn flag(&self, name: &str) -> Option<bool> {
         match self.get(name) {
             None | Some("0") => Some(false),
--- a/crates/proxy/src/net/ring_buffer.rs
+++ b/crates/proxy/src/net/ring_buffer.rs
@@ -1,47 +1,48 @@
-//! The bounded buffer of one direction of a session.
+//! The bounded buffer for the bytes of one direction of a connection.
 
 use std::io::{self, Read, Write};
 
-/// A ring buffer of bytes, with an optional reserve for lines of the proxy's own.
+/// A ring buffer of bytes, with an optional reserve for lines that the proxy itself sends.
 pub struct RingBuffer {
     bytes: Box<[u8]>,
     start: usize,
     len: usize,
-    /// Bytes that are never read into, so that a last line can always be pushed.
+    /// Capacity that [`RingBuffer::fill_from`] leaves free, so that a final line can always be pushed.
     reserve: usize,
 }
 
 impl RingBuffer {
-    /// A ring of `size` bytes.
+    /// A buffer of `size` bytes.
     pub fn new(size: usize) -> Self {
         Self::with_reserve(size, 0)
     }
 
-    /// A ring of `size` bytes that are read into, and `reserve` bytes more for what is pushed.
+    /// A buffer of `size` bytes, and `reserve` more that only [`RingBuffer::push`] uses.
     pub fn with_reserve(size: usize, reserve: usize) -> Self {
         RingBuffer { bytes: vec![0; size + reserve].into_boxed_slice(), start: 0, len: 0, reserve }
     }
 
-    /// Whether nothing is held.
+    /// Whether the buffer is empty.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
-    /// Whether nothing more can be read into it.
+    /// Whether there is no space left to read into.
     pub fn is_full(&self) -> bool {
         self.len + self.reserve >= self.bytes.len()
     }
 
-    /// Drops all that is held.
+    /// Drops all bytes.
     pub fn clear(&mut self) {
         (self.start, self.len) = (0, 0);
     }
 
-    /// Reads once into what is free, up to the buffer's end; 0 if the peer has ended.
+    /// Reads once into the free space, up to the wrap-around. Returns the number of bytes read; 0 at the end of the
+    /// stream.
     ///
     /// # Errors
     ///
-    /// Those of the source.
+    /// The errors of the source.
     pub fn fill_from(&mut self, mut source: impl Read) -> io::Result<usize> {
         let size = self.bytes.len();
         let from = (self.start + self.len) % size;
@@ -52,11 +53,11 @@
         Ok(read)
     }
 
-    /// Writes once from what is held, up to the buffer's end; how many bytes were written.
+    /// Writes once from the buffer, up to the wrap-around. Returns the number of bytes written.
     ///
     /// # Errors
     ///
-    /// Those of the sink.
+    /// The errors of the sink.
     pub fn drain_to(&mut self, mut sink: impl Write) -> io::Result<usize> {
         let to = (self.start + self.len).min(self.bytes.len());
         let written = sink.write(&self.bytes[self.start..to])?;
@@ -68,7 +69,7 @@
         Ok(written)
     }
 
-    /// The last `count` bytes, all of which one call of `fill_from` has read.
+    /// The last `count` bytes, which must come from one call of `fill_from`, as these are contiguous.
     pub fn latest(&self, count: usize) -> &[u8] {
         let end = (self.start + self.len - 1) % self.bytes.len() + 1;
         &self.bytes[end - count..end]
@@ -85,19 +86,19 @@
         self.len -= count;
     }
 
-    /// Drops what follows the last line end. False, with nothing dropped, if no line end is held: the bytes may then
-    /// continue a line whose beginning has been written already.
+    /// Drops the incomplete line at the end. Returns false, and drops nothing, if the buffer contains no line ending:
+    /// its bytes may then continue a line whose beginning has already been written.
     pub fn discard_partial_line(&mut self) -> bool {
         let size = self.bytes.len();
         let byte_at = |i: usize| self.bytes[(self.start + i) % size];
-        let last_line_end = (0..self.len).rev().find(|i| byte_at(*i) == b'\n');
-        if let Some(last_line_end) = last_line_end {
-            self.len = last_line_end + 1;
+        let last_newline = (0..self.len).rev().find(|i| byte_at(*i) == b'\n');
+        if let Some(last_newline) = last_newline {
+            self.len = last_newline + 1;
         }
-        last_line_end.is_some()
+        last_newline.is_some()
     }
 
-    /// Adds all of `text`, or nothing if it does not fit; whether it was added.
+    /// Appends all of `text`, or nothing if it does not fit. Returns whether it was appended.
     pub fn push(&mut self, text: &[u8]) -> bool {
         let fits = text.len() <= self.bytes.len() - self.len;
         if fits {
--- a/crates/proxy/src/net/socket.rs
+++ b/crates/proxy/src/net/socket.rs
@@ -1,7 +1,7 @@
-//! A non-blocking TCP connection that an event loop watches until it is dropped.
+//! A non-blocking TCP connection that is registered with an event loop until it is dropped.
 
 use crate::net::ring_buffer::RingBuffer;
-use crate::net::transient::is_shortage;
+use crate::net::transient::is_resource_shortage;
 use calloop::generic::Generic;
 use calloop::timer::{TimeoutAction, Timer};
 use calloop::{Interest, LoopHandle, Mode, PostAction, RegistrationToken};
@@ -11,59 +11,59 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Failures of one call in a row after which it is left for later.
+/// Consecutive transient failures of one system call after which it is retried only after [`RETRY_DELAY`].
 const MAX_FAILURES: usize = 16;
-/// When it is called again then.
+/// Delay before a system call that keeps failing is retried.
 const RETRY_DELAY: Duration = Duration::from_millis(10);
-/// Bytes that are read at once in order to be dropped.
+/// Size of the buffer for reading bytes that are discarded, in bytes.
 const DISCARD_BYTES: usize = 4096;
 
-/// How a peer ended its sending, or how we end ours.
+/// How one side ends the stream that it sends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
-    /// In order, after the last byte.
+pub enum StreamEnd {
+    /// Orderly, after its last byte.
     Fin,
-    /// With a reset.
+    /// Abruptly, with a reset of the connection.
     Reset,
 }
 
 type Callback<T> = Rc<dyn Fn(&mut T)>;
 
-/// A TCP connection. `T` is the event loop's data, which callbacks are given.
+/// A TCP connection. `T` is the shared state of the event loop, which callbacks receive.
 pub struct Socket<T: 'static> {
     stream: Rc<TcpStream>,
-    watch: Cell<Option<(LoopHandle<'static, T>, RegistrationToken)>>,
+    registration: Cell<Option<(LoopHandle<'static, T>, RegistrationToken)>>,
     /// Called when the socket may have become readable or writable.
     on_ready: Rc<RefCell<Callback<T>>>,
-    /// Lines of the proxy's own that the system has yet to take.
+    /// Lines that the proxy itself sends and that are not written yet.
     unsent_lines: RefCell<Vec<u8>>,
-    /// How connecting has failed.
+    /// Why the connection attempt failed, once it has.
     connect_error: Cell<Option<ErrorKind>>,
-    /// A timer is set that calls `on_ready`.
+    /// Whether a timer is set that calls `on_ready`.
     retry_is_scheduled: Rc<Cell<bool>>,
-    /// How the peer has ended, however that was noticed.
-    pub peer_end: Cell<Option<End>>,
-    /// How our side has ended, or is to end after its last byte.
-    local_end: Cell<Option<End>>,
-    /// The end of our sending has been handed to the system.
+    /// How the peer has ended its stream, as noticed by a read or a failed write.
+    pub peer_end: Cell<Option<StreamEnd>>,
+    /// How our stream ends, or is to end once pending lines are written.
+    local_end: Cell<Option<StreamEnd>>,
+    /// Whether the sending direction has been shut down.
     is_shut_down: Cell<bool>,
 }
 
 impl<T> Socket<T> {
-    /// A socket over a connection that is up or coming up.
+    /// Wraps a connection that is established or being established.
     ///
     /// # Errors
     ///
-    /// The connection cannot be made non-blocking.
+    /// The stream cannot be made non-blocking.
     pub fn new(stream: TcpStream) -> io::Result<Self> {
         stream.set_nonblocking(true)?;
-        // Without this option small writes may be delayed, which is no reason to close a connection.
+        // Not fatal: without this option small writes may merely be delayed.
         if let Err(error) = stream.set_nodelay(true) {
-            log::debug!("no TCP_NODELAY: {error}");
+            log::debug!("cannot set TCP_NODELAY: {error}");
         }
         Ok(Socket {
             stream: Rc::new(stream),
-            watch: Cell::default(),
+            registration: Cell::default(),
             on_ready: Rc::new(RefCell::new(Rc::new(|_| {}))),
             unsent_lines: RefCell::default(),
             connect_error: Cell::default(),
@@ -74,11 +74,11 @@
         })
     }
 
-    /// Starts to connect; [`Socket::is_connected`] tells the result once the socket is ready.
+    /// Starts to connect. [`Socket::is_connected`] returns the result once the socket is ready.
     ///
     /// # Errors
     ///
-    /// The socket cannot be opened, or the connection is refused at once.
+    /// The socket cannot be opened, or the connection attempt fails immediately.
     pub fn connect(to: SocketAddr) -> io::Result<Self> {
         let socket = socket2::Socket::new(
             socket2::Domain::for_address(to),
@@ -93,12 +93,12 @@
         Self::new(socket.into())
     }
 
-    /// Calls `on_ready` whenever the socket may have become readable or writable: at each change, not for as long as it
-    /// lasts, so the callback has to read and write until that would block.
+    /// Registers the socket with the event loop, which calls `on_ready` whenever the socket may have become readable
+    /// or writable. Events are edge-triggered: the callback has to read and write until the call would block.
     ///
     /// # Errors
     ///
-    /// The loop cannot watch the socket.
+    /// The event loop cannot register the socket.
     pub fn watch(
         &self,
         handle: &LoopHandle<'static, T>,
@@ -112,20 +112,20 @@
             callback(data);
             Ok(PostAction::Continue)
         });
-        self.watch.set(Some((handle.clone(), token.map_err(|error| io::Error::other(error.error))?)));
+        self.registration.set(Some((handle.clone(), token.map_err(|error| io::Error::other(error.error))?)));
         Ok(())
     }
 
-    /// Replaces the callback.
+    /// Replaces the callback for readiness.
     pub fn set_on_ready(&self, on_ready: impl Fn(&mut T) + 'static) {
         *self.on_ready.borrow_mut() = Rc::new(on_ready);
     }
 
-    /// Whether the connection is up.
+    /// Whether the connection is established.
     ///
     /// # Errors
     ///
-    /// Connecting has failed. The error is kept, as the system reports it only once.
+    /// The connection attempt has failed. The error is stored, as the system reports it only once.
     pub fn is_connected(&self) -> io::Result<bool> {
         if let Some(error) = self.stream.take_error()? {
             self.connect_error.set(Some(error.kind()));
@@ -140,12 +140,12 @@
         }
     }
 
-    /// Whether the peer has ended, with nothing left to read.
+    /// Whether the peer has ended its stream and nothing is left to read.
     pub fn peer_has_closed(&self) -> bool {
         matches!(self.stream.peek(&mut [0]), Ok(0))
     }
 
-    /// Whether the peer has neither ended nor sent anything that is left to read. Sets `peer_end` if it has ended.
+    /// Whether the peer has not ended its stream and nothing is left to read. Sets `peer_end` if the stream has ended.
     pub fn is_idle(&self) -> bool {
         if self.peer_end.get().is_some() {
             return false;
@@ -155,17 +155,18 @@
         available.is_none() && self.peer_end.get().is_none()
     }
 
-    /// Reads once into the ring; 0 if there is nothing to read now, no room, or nothing any more.
-    pub fn read(&self, ring: &mut RingBuffer) -> usize {
-        if self.peer_end.get().is_some() || ring.is_full() {
+    /// Reads once into the buffer. Returns the number of bytes read; 0 if nothing is available, the buffer is full, or
+    /// the stream has ended.
+    pub fn read(&self, buffer: &mut RingBuffer) -> usize {
+        if self.peer_end.get().is_some() || buffer.is_full() {
             return 0;
         }
-        let read = self.retry_transient(|stream| ring.fill_from(stream));
+        let read = self.retry_transient(|stream| buffer.fill_from(stream));
         self.note_end_of_stream(read);
         read.unwrap_or(0)
     }
 
-    /// Reads once to the end of `buffer`, which grows to `max_len` bytes at most; how many were read.
+    /// Reads once and appends to `buffer`, which grows to at most `max_len` bytes. Returns the number of bytes read.
     pub fn read_to_vec(&self, buffer: &mut Vec<u8>, max_len: usize) -> usize {
         let len = buffer.len();
         if self.peer_end.get().is_some() || len >= max_len {
@@ -178,7 +179,7 @@
         read.unwrap_or(0)
     }
 
-    /// Reads at most `max` bytes and drops them; how many there were.
+    /// Reads and drops at most `max` bytes. Returns the number of bytes dropped.
     pub fn discard(&self, max: usize) -> usize {
         let mut scratch = [0; DISCARD_BYTES];
         let mut discarded = 0;
@@ -194,58 +195,59 @@
 
     fn note_end_of_stream(&self, read: Option<usize>) {
         if read == Some(0) {
-            self.peer_end.set(Some(End::Fin));
+            self.peer_end.set(Some(StreamEnd::Fin));
         }
     }
 
-    /// Sends a line of the proxy's own, before all else that is to be written. What the system does not take at once is
-    /// kept for [`Socket::flush_lines`].
+    /// Sends a line of the proxy itself, ahead of all forwarded bytes that are not written yet. What cannot be written
+    /// immediately is kept for [`Socket::flush_lines`].
     pub fn send_line(&self, line: &str) {
         self.unsent_lines.borrow_mut().extend_from_slice(format!("{line}\r\n").as_bytes());
         self.flush_lines();
     }
 
-    /// Writes what is left of lines of the proxy's own, and ends our side after them if that was asked for; whether
-    /// nothing is left.
+    /// Writes the pending lines of the proxy itself, then shuts down the sending direction if that was requested.
+    /// Returns whether no pending lines are left.
     pub fn flush_lines(&self) -> bool {
         let mut unsent = self.unsent_lines.borrow_mut();
         while !unsent.is_empty() {
             match self.retry_transient(|mut stream| stream.write(&unsent)) {
                 Some(written) if written > 0 => drop(unsent.drain(..written)),
-                _ if self.peer_end.get() == Some(End::Reset) => unsent.clear(),
+                _ if self.peer_end.get() == Some(StreamEnd::Reset) => unsent.clear(),
                 _ => return false,
             }
         }
-        if self.local_end.get() == Some(End::Fin) && !self.is_shut_down.replace(true) {
-            // This fails only if the connection has broken, which an event tells.
+        if self.local_end.get() == Some(StreamEnd::Fin) && !self.is_shut_down.replace(true) {
+            // This fails only if the connection is broken, which an event reports.
             let _ = self.stream.shutdown(Shutdown::Write);
         }
         true
     }
 
-    /// Writes once from the ring; how many bytes were written. Once either side has ended, what is held is dropped.
-    pub fn write(&self, ring: &mut RingBuffer) -> usize {
-        if !self.flush_lines() || ring.is_empty() {
+    /// Writes once from the buffer. Returns the number of bytes written. If our stream has ended, or the peer has
+    /// reset the connection, the buffer is cleared instead.
+    pub fn write(&self, buffer: &mut RingBuffer) -> usize {
+        if !self.flush_lines() || buffer.is_empty() {
             return 0;
         }
-        if self.local_end.get().is_some() || self.peer_end.get() == Some(End::Reset) {
-            ring.clear();
+        if self.local_end.get().is_some() || self.peer_end.get() == Some(StreamEnd::Reset) {
+            buffer.clear();
             return 0;
         }
-        self.retry_transient(|stream| ring.drain_to(stream)).unwrap_or(0)
+        self.retry_transient(|stream| buffer.drain_to(stream)).unwrap_or(0)
     }
 
-    /// Repeats a call that fails for lack of memory or buffers, which breaks no connection. None if the call would block,
-    /// if the connection has broken, or if the call went on failing: then `on_ready` is called after a delay, as no
-    /// event tells that memory is available again.
+    /// Repeats a call that fails for lack of memory or buffers, as that leaves the connection intact. Returns none if
+    /// the call would block, if the connection is broken, or if the call keeps failing. In the last case `on_ready` is
+    /// called after a delay, as no event reports that memory is available again.
     fn retry_transient(&self, mut call: impl FnMut(&TcpStream) -> io::Result<usize>) -> Option<usize> {
         for _ in 0..MAX_FAILURES {
             match call(&self.stream) {
                 Ok(count) => return Some(count),
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return None,
-                Err(error) if is_shortage(&error) => {}
+                Err(error) if is_resource_shortage(&error) => {}
                 Err(_) => {
-                    self.peer_end.set(Some(End::Reset));
+                    self.peer_end.set(Some(StreamEnd::Reset));
                     return None;
                 }
             }
@@ -255,7 +257,7 @@
     }
 
     fn schedule_retry(&self) {
-        let Some((handle, token)) = self.watch.take() else { return };
+        let Some((handle, token)) = self.registration.take() else { return };
         if !self.retry_is_scheduled.replace(true) {
             let (on_ready, is_scheduled) = (Rc::downgrade(&self.on_ready), self.retry_is_scheduled.clone());
             let set = handle.insert_source(Timer::from_duration(RETRY_DELAY), move |_, _, data| {
@@ -266,17 +268,18 @@
             });
             self.retry_is_scheduled.set(set.is_ok());
         }
-        self.watch.set(Some((handle, token)));
+        self.registration.set(Some((handle, token)));
     }
 
-    /// Ends our side: in order after what is to be written, or with a reset once the socket is dropped.
-    pub fn end(&self, end: End) {
+    /// Ends our stream: orderly after the pending lines, or with a reset when the socket is dropped. Only the first
+    /// call has an effect.
+    pub fn end_stream(&self, end: StreamEnd) {
         if self.local_end.replace(Some(end)).is_some() {
             return;
         }
         match end {
-            End::Fin => drop(self.flush_lines()),
-            End::Reset => {
+            StreamEnd::Fin => drop(self.flush_lines()),
+            StreamEnd::Reset => {
                 let _ = socket2::SockRef::from(&*self.stream).set_linger(Some(Duration::ZERO));
             }
         }
@@ -285,14 +288,14 @@
     /// Whether nothing more can be received or sent.
     pub fn is_closed(&self) -> bool {
         let (peer, local) = (self.peer_end.get(), self.local_end.get());
-        let is_reset = peer == Some(End::Reset) || local == Some(End::Reset);
+        let is_reset = peer == Some(StreamEnd::Reset) || local == Some(StreamEnd::Reset);
         is_reset || peer.is_some() && local.is_some()
     }
 }
 
 impl<T> Drop for Socket<T> {
     fn drop(&mut self) {
-        if let Some((handle, token)) = self.watch.take() {
+        if let Some((handle, token)) = self.registration.take() {
             handle.remove(token);
         }
     }
--- a/crates/proxy/src/net/transient.rs
+++ b/crates/proxy/src/net/transient.rs
@@ -1,11 +1,11 @@
-//! Which errors of system calls are transient: the same call may succeed a moment later, with nothing changed by an
+//! Classifies errors of system calls as transient: the same call may succeed a moment later without any action of an
 //! operator.
 
 use rustix::io::Errno;
 use std::io;
 
-/// Out of memory, buffers, descriptors or disk space, interrupted, or a device that failed to read or write: as Linux
-/// documents them.
+/// Lack of memory, buffers, descriptors or disk space, an interrupted call, and I/O errors of a device, as documented
+/// for Linux.
 const TRANSIENT: [Errno; 8] = [
     Errno::NOMEM,
     Errno::NOBUFS,
@@ -17,15 +17,16 @@
     Errno::NOSPC,
 ];
 
-/// Those that a call on a connection may fail with while the connection stays intact.
-const SHORTAGES: [Errno; 3] = [Errno::NOMEM, Errno::NOBUFS, Errno::INTR];
+/// Errors of a call on a connection that leave the connection intact.
+const RESOURCE_SHORTAGES: [Errno; 3] = [Errno::NOMEM, Errno::NOBUFS, Errno::INTR];
 
-/// Whether a call on a connection failed for lack of memory or buffers, or was interrupted, which breaks no connection.
-pub fn is_shortage(error: &io::Error) -> bool {
-    is_one_of(&SHORTAGES, error)
+/// Whether a call on a connection failed for lack of memory or buffers, or was interrupted. The connection stays
+/// intact.
+pub fn is_resource_shortage(error: &io::Error) -> bool {
+    is_one_of(&RESOURCE_SHORTAGES, error)
 }
 
-/// Whether a call that failed with this error may be retried.
+/// Whether a call that failed with this error is worth retrying.
 pub fn is_transient(error: &io::Error) -> bool {
     is_one_of(&TRANSIENT, error)
 }
--- a/crates/proxy/src/session.rs
+++ b/crates/proxy/src/session.rs
@@ -7,7 +7,7 @@
 use crate::net::line::{LineDecoder, LineTooLong, ProxyResponse, MIGRATE_LINE};
 use crate::net::open_request::OpenRequest;
 use crate::net::ring_buffer::RingBuffer;
-use crate::net::socket::{End, Socket};
+use crate::net::socket::{Socket, StreamEnd};
 use crate::proxy::Proxy;
 use crate::session_table::SessionEntry;
 use crate::upstream::attempt::Attempt;
@@ -63,9 +63,9 @@
     /// Bytes on their way to the client.
     pub to_client: RefCell<RingBuffer>,
     /// How the direction to the server ends after its last byte.
-    pub to_server_end: Cell<Option<End>>,
+    pub to_server_end: Cell<Option<StreamEnd>>,
     /// How the direction to the client ends after its last byte.
-    pub to_client_end: Cell<Option<End>>,
+    pub to_client_end: Cell<Option<StreamEnd>>,
     /// Since when it is to migrate, and waits for the end of a line.
     pub migrating_since: Cell<Option<Timestamp>>,
     /// When the client sent the first line that nothing has come back for.
@@ -152,20 +152,20 @@
         if let Some(attempt) = attempt.as_ref().filter(|attempt| attempt.is_established()) {
             written += attempt.socket.write(&mut to_server);
             if let (Some(end), true) = (self.to_server_end.get(), to_server.is_empty()) {
-                attempt.socket.end(end);
+                attempt.socket.end_stream(end);
             }
         }
         if matches!(self.stage.get(), Stage::Established | Stage::Closing) {
             written += self.client.write(&mut to_client);
             if let (Some(end), true) = (self.to_client_end.get(), to_client.is_empty()) {
-                self.client.end(end);
+                self.client.end_stream(end);
             }
         }
         written > 0
     }
 
     /// Ends both directions after their last bytes, and the session for the load balancer.
-    pub fn end_both_directions(&self, end: End, outcome: AttemptOutcome, proxy: &mut Proxy) {
+    pub fn end_both_directions(&self, end: StreamEnd, outcome: AttemptOutcome, proxy: &mut Proxy) {
         self.to_client_end.set(Some(end));
         self.to_server_end.set(Some(end));
         self.finish(outcome, proxy);
@@ -183,7 +183,7 @@
     /// A peer of an established session has broken the protocol, which ends the session.
     pub fn protocol_error(&self, _: LineTooLong, outcome: AttemptOutcome, proxy: &mut Proxy) {
         proxy.executor.metrics.count_and_warn("overlong lines");
-        self.end_both_directions(End::Fin, outcome, proxy);
+        self.end_both_directions(StreamEnd::Fin, outcome, proxy);
         self.enter(Stage::Closing, proxy.now());
     }
 
@@ -193,8 +193,8 @@
         let migrates = at_line_start && self.to_client.borrow_mut().push(MIGRATE_LINE);
         if migrates {
             self.migrating_since.set(None);
-            self.to_client_end.set(Some(End::Fin));
-            self.to_server_end.set(Some(End::Fin));
+            self.to_client_end.set(Some(StreamEnd::Fin));
+            self.to_server_end.set(Some(StreamEnd::Fin));
             self.enter(Stage::Closing, now);
             self.flush();
         }
@@ -209,7 +209,7 @@
             return proxy.finish_migration(self);
         }
         proxy.executor.metrics.count("migrated inside a line");
-        self.end_both_directions(End::Fin, AttemptOutcome::Cancelled, proxy);
+        self.end_both_directions(StreamEnd::Fin, AttemptOutcome::Cancelled, proxy);
         self.flush();
     }
 
--- a/crates/proxy/src/upstream/attempt.rs
+++ b/crates/proxy/src/upstream/attempt.rs
@@ -98,7 +98,7 @@
 
     /// The connection is up: sends the session's first line, and waits for the answer until the deadline.
     pub fn send_request(self: &Rc<Self>, session: &Session, proxy: &Proxy) {
-        let line = session.open_request.for_server(self.deadline.since(proxy.now()));
+        let line = session.open_request.to_server_line(self.deadline.since(proxy.now()));
         let mut request = RingBuffer::new(line.len());
         request.push(line.as_bytes());
         *self.request.borrow_mut() = request;
--- a/crates/proxy/src/upstream/server_side.rs
+++ b/crates/proxy/src/upstream/server_side.rs
@@ -1,7 +1,7 @@
 //! The server's side of a session: drives its attempt, and acts on the lines that the server sends.
 
 use crate::net::line::{line_text, ProxyResponse, ServerLine};
-use crate::net::socket::End;
+use crate::net::socket::StreamEnd;
 use crate::proxy::Proxy;
 use crate::session::{Session, Stage};
 use crate::upstream::attempt::Attempt;
@@ -36,7 +36,7 @@
             self.on_server_data(&attempt, read, proxy);
         }
         match attempt.socket.peer_end.get() {
-            Some(end) if self.is_current(&attempt) && (end_before.is_none() || end == End::Reset) => {
+            Some(end) if self.is_current(&attempt) && (end_before.is_none() || end == StreamEnd::Reset) => {
                 self.on_server_end(&attempt, end, proxy) || read > 0
             }
             _ => read > 0,
@@ -58,7 +58,7 @@
     }
 
     /// The server has ended its connection; whether that ended the attempt.
-    fn on_server_end(&self, attempt: &Rc<Attempt>, end: End, proxy: &mut Proxy) -> bool {
+    fn on_server_end(&self, attempt: &Rc<Attempt>, end: StreamEnd, proxy: &mut Proxy) -> bool {
         match self.stage.get() {
             Stage::Connecting => {
                 let outcome = attempt.unreachable_or(AttemptOutcome::ConnectionLost);
--- a/crates/proxy/tests/sockets/descriptor_limits.rs
+++ b/crates/proxy/tests/sockets/descriptor_limits.rs
@@ -231,7 +231,7 @@
         drop(self.idle_clients);
         drop(self.established);
         let log = self.program.shut_down();
-        let refused = ["accept paused", "os error 24", "a client's socket"];
+        let refused = ["accept paused", "os error 24", "client socket"];
         assert!(!refused.iter().any(|word| log.contains(word)), "{log}");
     }
 }
--- a/crates/proxy/tests/sockets/error_messages.rs
+++ b/crates/proxy/tests/sockets/error_messages.rs
@@ -80,17 +80,25 @@
         (
             "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n",
             false,
-            ["answered 503", "look at discovery's own log"],
+            ["HTTP status 503", "see discovery's log; the poll is retried"],
+        ),
+        (
+            "nothing like HTTP\r\n\r\n",
+            false,
+            ["not a valid HTTP/1.1 response", "check that the configured address"],
         ),
-        ("nothing like HTTP\r\n\r\n", false, ["no HTTP/1.1", "name the right one"]),
         (
             "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nno { json",
             false,
             ["no list of servers", "see what writes it"],
         ),
         (&unlisted, false, ["s2 has no address", "give it a `dial`"]),
-        (&endless, false, ["an answer of over", "look at it"]),
-        ("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{", true, ["ended in an answer", "it is asked again"]),
+        (&endless, false, ["response exceeds 4194304 bytes", "check why discovery sends"]),
+        (
+            "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n{",
+            true,
+            ["closed in the middle of a response", "the poll is retried"],
+        ),
     ];
     for (answer, ends, [cause, remedy]) in errors {
         let (mut call, _) = program.discovery.next_poll();
--- a/crates/proxy/tests/unit/open_request.rs
+++ b/crates/proxy/tests/unit/open_request.rs
@@ -15,7 +15,7 @@
     assert_eq!((open.id, &*open.key, open.class), (0x9b1f_03aa_5c7e_2d41, "7f3a9c21e0b4d655", 1));
     assert_eq!((open.request_timeout, open.group.as_deref()), (Duration::from_millis(2000), Some("5c0f")));
     assert!(open.reconnected && !open.mid_flow && open.restored_from.is_none());
-    assert_eq!(open.for_server(Duration::from_ms(730.9)), line.replace("2000", "730") + "\r\n");
+    assert_eq!(open.to_server_line(Duration::from_ms(730.9)), line.replace("2000", "730") + "\r\n");
     assert!(parse(&format!("{HEAD} c=chat,d=1800.5,mid=1")).expect("good").mid_flow);
     assert_eq!(
         parse(&format!("{HEAD} c=chat,d=9,at=s-1")).expect("good").restored_from.as_deref(),
