--- a/crates/proxy/src/metrics.rs
+++ b/crates/proxy/src/metrics.rs
@@ -1,4 +1,5 @@
-//! Counters on the `metrics` facade, with an exporter into the log. `docs/on-call.md` explains each of them.
+//! Counters on the `metrics` facade, with an exporter that writes them to the log. `docs/on-call.md` documents each of
+//! them.
 
 use metrics::{Counter, Gauge, Histogram, Key, KeyName, Metadata, Recorder, SharedString, Unit};
 use metrics_util::registry::{AtomicStorage, Registry};
@@ -6,11 +7,11 @@
 use std::sync::atomic::Ordering;
 use std::sync::{Arc, OnceLock};
 
-/// The counter of invariants that did not hold.
+/// Counts checks of invariants that failed.
 const INVARIANT_VIOLATIONS: &str = "invariant violations";
 
-/// Keeps counters until they are logged. A program that embeds this crate may have set a recorder of its own, which then
-/// receives all counters, and the log none.
+/// Stores the counters until they are logged. If a program that embeds this crate has already installed a recorder,
+/// that recorder receives all counters, and none are logged.
 #[derive(Clone)]
 struct Exporter(Arc<Registry<Key, AtomicStorage>>);
 
@@ -23,8 +24,8 @@
         counts
     }
 
-    fn count(&self, what: &'static str) -> u64 {
-        let key = Key::from_static_name(what);
+    fn count(&self, counter: &'static str) -> u64 {
+        let key = Key::from_static_name(counter);
         self.0.get_or_create_counter(&key, |counter| counter.load(Ordering::Relaxed))
     }
 }
@@ -38,7 +39,7 @@
         self.0.get_or_create_counter(key, |counter| Counter::from_arc(counter.clone()))
     }
 
-    // This crate uses counters only.
+    // This crate uses only counters.
     fn register_gauge(&self, _: &Key, _: &Metadata<'_>) -> Gauge {
         Gauge::noop()
     }
@@ -48,17 +49,19 @@
     }
 }
 
-/// The proxy's counters; each is named by what it counts.
+/// The proxy's counters, each named by the event that it counts.
 pub struct Metrics(Exporter);
 
 impl Default for Metrics {
-    /// The process has one recorder, however often a start is retried.
+    /// All instances share one recorder, as a process can install only one and may retry its start.
     fn default() -> Self {
         static EXPORTER: OnceLock<Exporter> = OnceLock::new();
         let exporter = EXPORTER.get_or_init(|| {
             let exporter = Exporter(Arc::new(Registry::atomic()));
             if metrics::set_global_recorder(exporter.clone()).is_err() {
-                log::info!("counters go to the recorder that is set already, and not to the log");
+                log::info!(
+                    "another metrics recorder is installed: it receives the counters, none are logged"
+                );
             }
             exporter
         });
@@ -67,35 +70,35 @@
 }
 
 impl Metrics {
-    /// Adds one to a counter.
-    pub fn count(&self, what: &'static str) {
-        metrics::counter!(what).increment(1);
+    /// Increments a counter.
+    pub fn count(&self, counter: &'static str) {
+        metrics::counter!(counter).increment(1);
     }
 
-    /// Counts an error of the other side, and logs each doubling of the count: misbehaving clients or peers must not fill
-    /// the log.
-    pub fn count_and_warn(&self, what: &'static str) {
-        self.count(what);
-        let so_far = self.0.count(what);
-        if so_far.is_power_of_two() {
-            log::warn!("{what}: {so_far} so far");
+    /// Counts an error caused by a client or a peer. It is logged only when the count reaches a power of two, so that
+    /// misbehaving clients or peers cannot flood the log.
+    pub fn count_and_warn(&self, counter: &'static str) {
+        self.count(counter);
+        let total = self.0.count(counter);
+        if total.is_power_of_two() {
+            log::warn!("{counter}: {total} so far");
         }
     }
 
-    /// Checks an invariant: asserted in debug builds, logged and counted in release builds.
-    pub fn check_invariant(&self, holds: bool, what: &'static str) {
-        debug_assert!(holds, "{what}");
+    /// Checks an invariant. A violation panics in debug builds; in release builds it is logged and counted.
+    pub fn check_invariant(&self, holds: bool, invariant: &'static str) {
+        debug_assert!(holds, "{invariant}");
         if !holds {
-            log::error!("does not hold: {what}");
+            log::error!("invariant violated: {invariant}");
             self.count(INVARIANT_VIOLATIONS);
         }
     }
 
-    /// Logs all counters that have moved, and the invariant violations in any case.
+    /// Logs all counters that have been incremented, and the number of invariant violations even if it is 0.
     pub fn log_counters(&self) {
         let mut counts = self.0.counts();
         let violations = counts.remove(INVARIANT_VIOLATIONS).unwrap_or(0);
-        let counts: Vec<_> = counts.iter().map(|(what, count)| format!("{what} {count}")).collect();
+        let counts: Vec<_> = counts.iter().map(|(counter, count)| format!("{counter} {count}")).collect();
         log::info!("counted: {}; {INVARIANT_VIOLATIONS} {violations}", counts.join(", "));
     }
 }
--- a/crates/proxy/tests/sockets/soak/mod.rs
+++ b/crates/proxy/tests/sockets/soak/mod.rs
@@ -141,7 +141,7 @@
     while signalled_at.elapsed() < run.request_timeout + KILLED_AFTER {
         if program.child.try_wait().unwrap().is_some() {
             let (code, log) = program.wait_for_exit();
-            if code != Some(0) || log.contains("panicked") || log.contains("does not hold") {
+            if code != Some(0) || log.contains("panicked") || log.contains("invariant violated") {
                 run.breach(format!("ended with {code:?}: {log}"));
             }
             return;
--- a/crates/testkit/src/trial.rs
+++ b/crates/testkit/src/trial.rs
@@ -298,7 +298,7 @@
         self.until(Duration::from_secs(6), "all processes have ended", running).await;
         for process in &self.processes {
             let log = process.log();
-            let broken = log.lines().any(|l| l.contains("panicked") || l.contains("does not hold"));
+            let broken = log.lines().any(|l| l.contains("panicked") || l.contains("invariant violated"));
             assert!(!broken, "{}:\n{log}", process.name);
         }
     }
