--- a/crates/proxy/src/downstream/client_side.rs
+++ b/crates/proxy/src/downstream/client_side.rs
@@ -71,7 +71,7 @@
                 proxy.executor.awaiting_reply.add(self);
             }
             Ok(_) => {}
-            Err(error) => self.protocol_error(error, AttemptOutcome::Cancelled, proxy),
+            Err(error) => self.on_protocol_error(error, AttemptOutcome::Cancelled, proxy),
         }
     }
 
@@ -83,7 +83,7 @@
         if end == StreamEnd::Reset {
             self.to_client_end.set(Some(end));
         }
-        self.finish(AttemptOutcome::Cancelled, proxy);
+        self.report_end(AttemptOutcome::Cancelled, proxy);
     }
 
     /// Sends the final response of a session that is not established, and closes the connection after it.
--- a/crates/proxy/src/pending_sessions.rs
+++ b/crates/proxy/src/pending_sessions.rs
@@ -1,12 +1,12 @@
-//! Sessions that wait for something that no socket event comes for. Keeping them apart saves a walk over all sessions,
-//! most of which are idle.
+//! Sessions that have to be checked periodically, as they wait for something that no socket event reports. Tracking
+//! them separately avoids iterating over all sessions, most of which are idle.
 
 use crate::session_table::SessionEntry;
 use shelfgrade::host::SessionId;
 use std::collections::BTreeMap;
 use std::rc::{Rc, Weak};
 
-/// A set of waiting sessions, in the order in which they came.
+/// A set of sessions to be checked, in the order of their arrival.
 pub struct PendingSessions<S>(BTreeMap<SessionId, Weak<S>>);
 
 impl<S> Default for PendingSessions<S> {
@@ -21,7 +21,7 @@
         self.0.insert(session.id(), session.downgrade());
     }
 
-    /// The sessions for which `is_pending` holds; all others are removed.
+    /// Removes the sessions for which `is_pending` does not hold, and returns the others.
     pub fn retain_pending(&mut self, is_pending: impl Fn(&S) -> bool) -> Vec<Rc<S>> {
         let mut pending = Vec::with_capacity(self.0.len());
         self.0.retain(|_, session| {
--- a/crates/proxy/src/session.rs
+++ b/crates/proxy/src/session.rs
@@ -1,7 +1,8 @@
-//! A client's proxied connection: the client's socket, the attempt at a server, and a buffer for each direction.
+//! A session: a client's proxied connection, with the client socket, the attempt at a server, and one buffer for each
+//! direction.
 //!
-//! Each direction ends by itself: `to_server_end` and `to_client_end` say how, once that is known, and the receiving
-//! side is ended the same way after the last byte of its buffer.
+//! The directions end independently. `to_server_end` and `to_client_end` tell how the sender ended, once it has; the
+//! stream to the receiver is then ended the same way after the last buffered byte.
 
 use crate::executor::Executor;
 use crate::net::line::{LineDecoder, LineTooLong, ProxyResponse, MIGRATE_LINE};
@@ -17,62 +18,62 @@
 use std::rc::{Rc, Weak};
 use std::time::Duration;
 
-/// How long a restored session waits for its server, connection and answer included.
+/// How long a restored session may take to be established at its server.
 pub const RESTORE_TIMEOUT: Duration = Duration::from_millis(40_000);
-/// How long a restored session waits for its server to be listed, once there is an endpoint list.
+/// How long a restored session waits for its server to be listed, once an endpoint list has been received.
 const ENDPOINT_TIMEOUT: Duration = Duration::from_millis(2500);
-/// How long a session that is closing waits for both peers to end: long enough for them to read the last bytes, short
-/// enough to free the descriptors.
+/// How long a closing session waits for both peers to close: long enough for them to read the last bytes, and short
+/// enough to free the descriptors soon.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(2000);
-/// How long a migration waits for the server to end the line that it has begun.
+/// How long a migration waits for the server to complete a partially sent line.
 const LINE_END_TIMEOUT: Duration = Duration::from_millis(800);
-/// Rounds of reading and writing before other sessions have their turn.
-const MAX_ROUNDS_PER_TURN: usize = 32;
+/// Rounds of reads and writes per event, so that one busy session does not starve the others.
+const MAX_IO_ROUNDS_PER_EVENT: usize = 32;
 
-/// How far a session has come.
+/// The stages in the life of a session.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
-    /// The load balancer is finding a server for it.
+    /// It is not established yet: it waits for admission, or for an attempt at a server.
     Connecting,
-    /// Lines pass both ways.
+    /// Lines are forwarded in both directions.
     Established,
-    /// It has ended for the load balancer; the last bytes are being written.
+    /// Its end has been reported to the load balancer; the last bytes are being written.
     Closing,
     /// Both connections are closed.
     Closed,
 }
 
-/// A client's proxied connection, from its first line to its end.
+/// A client's proxied connection, from its first line until it is closed.
 pub struct Session {
-    /// Its id in this process.
+    /// The session's id in this process.
     pub id: SessionId,
-    /// How far it has come.
+    /// The current stage.
     pub stage: Cell<Stage>,
-    /// When the stage began.
+    /// When the current stage was entered.
     pub stage_entered_at: Cell<Timestamp>,
-    /// The client's first line.
+    /// The request that opened the session.
     pub open_request: OpenRequest,
     /// The client's connection.
     pub client: Rc<Socket<Proxy>>,
     /// Splits what the client sends into lines.
     pub client_decoder: RefCell<LineDecoder>,
-    /// The attempt at a server that is under way or established.
+    /// The current attempt at a server, which is in progress or established.
     pub attempt: RefCell<Option<Rc<Attempt>>>,
-    /// Bytes on their way to the server.
+    /// Bytes to be written to the server.
     pub to_server: RefCell<RingBuffer>,
-    /// Bytes on their way to the client.
+    /// Bytes to be written to the client.
     pub to_client: RefCell<RingBuffer>,
-    /// How the direction to the server ends after its last byte.
+    /// How the stream to the server is to end after the bytes in `to_server`.
     pub to_server_end: Cell<Option<StreamEnd>>,
-    /// How the direction to the client ends after its last byte.
+    /// How the stream to the client is to end after the bytes in `to_client`.
     pub to_client_end: Cell<Option<StreamEnd>>,
-    /// Since when it is to migrate, and waits for the end of a line.
+    /// When a migration was requested that still waits for the end of a line.
     pub migrating_since: Cell<Option<Timestamp>>,
-    /// When the client sent the first line that nothing has come back for.
+    /// When the client sent the oldest line without a reply; none while no reply is outstanding.
     pub awaiting_reply_since: Cell<Option<Timestamp>>,
-    /// Its share of its namespace's capacity, freed when the session closes.
+    /// The reserved share of its namespace's capacity, released when the session is closed.
     pub namespace_slot: RefCell<Option<Rc<()>>>,
-    /// A reference to itself, for callbacks.
+    /// A weak reference to the session itself, for callbacks.
     pub weak_self: Weak<Session>,
 }
 
@@ -91,7 +92,7 @@
 }
 
 impl Session {
-    /// A session whose client has sent its first line. Each buffer takes `buffer_size` bytes.
+    /// Creates a session from the client's request. Each buffer holds `buffer_size` bytes.
     pub fn new(
         id: SessionId,
         open_request: OpenRequest,
@@ -118,20 +119,20 @@
         })
     }
 
-    /// Whether the session was established before this proxy started.
+    /// Whether the session was already established before this proxy started.
     pub fn is_restored(&self) -> bool {
         self.open_request.restored_from.is_some()
     }
 
     /// Enters a stage.
-    pub fn enter(&self, stage: Stage, now: Timestamp) {
+    pub fn enter_stage(&self, stage: Stage, now: Timestamp) {
         self.stage.set(stage);
         self.stage_entered_at.set(now);
     }
 
-    /// One of its sockets may have become readable or writable.
+    /// Called when one of the sockets may have become readable or writable: forwards bytes in both directions.
     pub fn on_ready(&self, proxy: &mut Proxy) {
-        for _ in 0..MAX_ROUNDS_PER_TURN {
+        for _ in 0..MAX_IO_ROUNDS_PER_EVENT {
             if self.stage.get() == Stage::Closed {
                 return;
             }
@@ -140,10 +141,11 @@
                 return self.close_if_done(proxy);
             }
         }
-        proxy.executor.schedule_ready(self);
+        proxy.executor.reschedule(self);
     }
 
-    /// Writes what can be written, and ends the sides that have had their last byte; whether anything was written.
+    /// Writes as much as possible, and ends the streams whose last byte is written. Returns whether anything was
+    /// written.
     pub fn flush(&self) -> bool {
         let attempt = self.attempt.borrow().clone();
         let (mut to_server, mut to_client) = (self.to_server.borrow_mut(), self.to_client.borrow_mut());
@@ -164,52 +166,54 @@
         written > 0
     }
 
-    /// Ends both directions after their last bytes, and the session for the load balancer.
-    pub fn end_both_directions(&self, end: StreamEnd, outcome: AttemptOutcome, proxy: &mut Proxy) {
+    /// Ends both streams after their last bytes, and reports the end to the load balancer.
+    pub fn end_both_streams(&self, end: StreamEnd, outcome: AttemptOutcome, proxy: &mut Proxy) {
         self.to_client_end.set(Some(end));
         self.to_server_end.set(Some(end));
-        self.finish(outcome, proxy);
+        self.report_end(outcome, proxy);
     }
 
-    /// Reports the end of an established session to the load balancer; the last bytes may still be on their way.
-    pub fn finish(&self, outcome: AttemptOutcome, proxy: &mut Proxy) {
+    /// Reports the end of an established session to the load balancer. Its last bytes may not be written yet.
+    pub fn report_end(&self, outcome: AttemptOutcome, proxy: &mut Proxy) {
         if self.stage.get() == Stage::Established {
-            self.enter(Stage::Closing, proxy.now());
+            self.enter_stage(Stage::Closing, proxy.now());
             proxy.executor.needing_tick.add(self);
             proxy.on_attempt_ended(self.id, outcome, true);
         }
     }
 
-    /// A peer of an established session has broken the protocol, which ends the session.
-    pub fn protocol_error(&self, _: LineTooLong, outcome: AttemptOutcome, proxy: &mut Proxy) {
+    /// Ends an established session after a peer has violated the protocol.
+    pub fn on_protocol_error(&self, _: LineTooLong, outcome: AttemptOutcome, proxy: &mut Proxy) {
         proxy.executor.metrics.count_and_warn("overlong lines");
-        self.end_both_directions(StreamEnd::Fin, outcome, proxy);
-        self.enter(Stage::Closing, proxy.now());
+        self.end_both_streams(StreamEnd::Fin, outcome, proxy);
+        self.enter_stage(Stage::Closing, proxy.now());
     }
 
-    /// Tells the client to connect again, unless the server is inside a line; whether that was sent.
+    /// Migrates the session by telling the client to reconnect, unless the server has sent part of a line. Returns
+    /// whether the session was migrated.
     pub fn try_migrate(&self, now: Timestamp) -> bool {
         let at_line_start = self.attempt.borrow().as_ref().is_some_and(|attempt| attempt.is_at_line_start());
-        let migrates = at_line_start && self.to_client.borrow_mut().push(MIGRATE_LINE);
-        if migrates {
+        let is_migrated = at_line_start && self.to_client.borrow_mut().push(MIGRATE_LINE);
+        if is_migrated {
             self.migrating_since.set(None);
             self.to_client_end.set(Some(StreamEnd::Fin));
             self.to_server_end.set(Some(StreamEnd::Fin));
-            self.enter(Stage::Closing, now);
+            self.enter_stage(Stage::Closing, now);
             self.flush();
         }
-        migrates
+        is_migrated
     }
 
-    /// Migrates although the server has not ended its line in time, or the client does not read what comes before it.
-    /// What is left here of that line is dropped; if its beginning has been written, the connection ends inside it.
+    /// Migrates although the server has not completed its line in time, or the client does not read what precedes it.
+    /// The partial line is dropped from the buffer; if its beginning has already been written, the connection is ended
+    /// in the middle of the line.
     fn migrate_inside_line(&self, proxy: &mut Proxy) {
         if self.to_client.borrow_mut().discard_partial_line() {
             self.attempt.borrow().iter().for_each(|attempt| attempt.discard_partial_line());
             return proxy.finish_migration(self);
         }
         proxy.executor.metrics.count("migrated inside a line");
-        self.end_both_directions(StreamEnd::Fin, AttemptOutcome::Cancelled, proxy);
+        self.end_both_streams(StreamEnd::Fin, AttemptOutcome::Cancelled, proxy);
         self.flush();
     }
 
@@ -221,7 +225,7 @@
         }
     }
 
-    /// Closes both connections at once, and removes the session.
+    /// Closes both connections immediately, and removes the session.
     pub fn close(&self, executor: &mut Executor) {
         self.attempt.borrow_mut().take();
         self.stage.set(Stage::Closed);
@@ -229,7 +233,7 @@
         executor.sessions.remove(self);
     }
 
-    /// Whether the session waits for something that no socket event comes for.
+    /// Whether a timeout applies to the session that [`Session::on_tick`] has to check.
     pub fn needs_tick(&self) -> bool {
         match self.stage.get() {
             Stage::Connecting => self.is_restored(),
@@ -239,22 +243,23 @@
         }
     }
 
-    /// Called with each tick while [`Session::needs_tick`]: applies the timeouts of the session's stage.
+    /// Applies the timeouts of the current stage; called on each tick while [`Session::needs_tick`] holds.
     pub fn on_tick(&self, proxy: &mut Proxy) {
         let now = proxy.now();
-        let in_stage = now.since(self.stage_entered_at.get());
+        let time_in_stage = now.since(self.stage_entered_at.get());
         let line_timed_out = || self.migrating_since.get().is_some_and(|at| now.since(at) > LINE_END_TIMEOUT);
         match self.stage.get() {
-            Stage::Connecting if self.is_restored() && in_stage > self.restore_timeout(proxy) => {
+            Stage::Connecting if self.is_restored() && time_in_stage > self.restore_timeout(proxy) => {
                 self.send_final_response(ProxyResponse::Failed, &mut proxy.executor);
             }
-            Stage::Closing if in_stage > CLOSE_TIMEOUT => self.close(&mut proxy.executor),
+            Stage::Closing if time_in_stage > CLOSE_TIMEOUT => self.close(&mut proxy.executor),
             Stage::Established if line_timed_out() => self.migrate_inside_line(proxy),
             _ => {}
         }
     }
 
-    /// Shorter if the endpoint list does not name the session's server, as discovery names all of them at once.
+    /// The timeout of a restored session. It is shorter if the endpoint list does not contain the session's server, as
+    /// discovery sends all servers at once.
     fn restore_timeout(&self, proxy: &Proxy) -> Duration {
         let is_unlisted = proxy.executor.list_received.get() && self.attempt.borrow().is_none();
         if is_unlisted {
--- a/crates/proxy/src/session_table.rs
+++ b/crates/proxy/src/session_table.rs
@@ -1,20 +1,20 @@
-//! The sessions of the process by their ids.
+//! The table of all sessions of the process.
 
 use shelfgrade::host::SessionId;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::{Rc, Weak};
 
-/// What a table needs of the sessions that it holds.
+/// What a table needs to know about the sessions that it contains.
 pub trait SessionEntry {
     /// The session's id in this process.
     fn id(&self) -> SessionId;
-    /// The id that its client sent.
+    /// The request id that the client sent.
     fn request_id(&self) -> u64;
     /// A reference that does not keep the session alive.
     fn downgrade(&self) -> Weak<Self>;
 }
 
-/// All sessions whose connections are not closed yet, and the request ids that their clients sent.
+/// All sessions that are not closed yet, by id, and their request ids.
 pub struct SessionTable<S> {
     sessions: BTreeMap<SessionId, Rc<S>>,
     request_ids: BTreeSet<u64>,
@@ -28,7 +28,7 @@
 }
 
 impl<S: SessionEntry> SessionTable<S> {
-    /// An id that no session of this process has had.
+    /// Allocates a session id that has not been used in this process.
     pub fn allocate_id(&mut self) -> SessionId {
         self.last_id += 1;
         SessionId(self.last_id)
@@ -40,33 +40,33 @@
         self.request_ids.insert(session.request_id());
     }
 
-    /// Removes a session, and frees its request id.
+    /// Removes a session and its request id.
     pub fn remove(&mut self, session: &S) {
         self.sessions.remove(&session.id());
         self.request_ids.remove(&session.request_id());
     }
 
-    /// The session of this id.
+    /// The session with this id.
     pub fn get(&self, id: SessionId) -> Option<&Rc<S>> {
         self.sessions.get(&id)
     }
 
-    /// Whether there is a session of this id.
+    /// Whether there is a session with this id.
     pub fn contains(&self, id: SessionId) -> bool {
         self.sessions.contains_key(&id)
     }
 
-    /// Whether a session came with this request id.
+    /// Whether there is a session with this request id.
     pub fn has_request_id(&self, request_id: u64) -> bool {
         self.request_ids.contains(&request_id)
     }
 
-    /// All sessions, in the order in which they came.
+    /// All sessions in the order of their arrival.
     pub fn values(&self) -> impl Iterator<Item = &Rc<S>> {
         self.sessions.values()
     }
 
-    /// How many sessions there are.
+    /// The number of sessions.
     pub fn len(&self) -> usize {
         self.sessions.len()
     }
--- a/crates/proxy/src/upstream/attempt.rs
+++ b/crates/proxy/src/upstream/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of a session at a server: its connection, its timeout, and how far it has come.
+//! An attempt to establish a session at a server: its connection, its timeout, and its progress.
 
 use crate::executor::Executor;
 use crate::net::line::LineDecoder;
@@ -16,37 +16,38 @@
 use std::rc::Rc;
 use std::time::Duration;
 
+/// The progress of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd)]
 enum Phase {
     Connecting,
     SendingRequest,
-    AwaitingReply,
+    AwaitingResponse,
     Established,
 }
 
-/// An attempt, from the dial to the end of its connection.
+/// An attempt, from connecting until its connection is closed.
 pub struct Attempt {
-    /// The server that it is for.
+    /// The server of the attempt.
     pub server: Rc<Server<Proxy>>,
     /// The connection to that server.
     pub socket: Socket<Proxy>,
     phase: Cell<Phase>,
-    /// The bytes of the first line that are still to be written.
+    /// The bytes of the request that are not written yet.
     request: RefCell<RingBuffer>,
     /// Splits what the server sends into lines.
     pub decoder: RefCell<LineDecoder>,
     deadline: Timestamp,
     timer: Cell<Option<(LoopHandle<'static, Proxy>, RegistrationToken)>>,
-    /// The outcome if the server closes the connection now, by the last line that it sent.
+    /// The outcome if the server closes the connection now, as determined by the last line that it sent.
     pub outcome_if_closed: Cell<AttemptOutcome>,
 }
 
 impl Attempt {
-    /// Dials the server. The timeout covers the connection and the wait for the first answer.
+    /// Starts to connect to the server. The timeout covers connecting and waiting for the response.
     ///
     /// # Errors
     ///
-    /// The socket cannot be opened or watched, or the connection is refused at once.
+    /// The socket cannot be opened or registered, or the connection attempt fails immediately.
     pub fn start(
         session: &Rc<Session>,
         server: Rc<Server<Proxy>>,
@@ -69,14 +70,14 @@
             timer: Cell::default(),
             outcome_if_closed: Cell::new(AttemptOutcome::ConnectionLost),
         });
-        // A restored session has only this one attempt.
-        let dial_timeout = executor.dial_timeout.filter(|_| !session.is_restored());
-        let dial_timeout = dial_timeout.map_or(timeout, |dial| dial.min(timeout));
-        attempt.set_timeout(dial_timeout, session, &executor.handle);
+        // A restored session has only this one attempt, so its connection may take the whole timeout.
+        let connect_timeout = executor.dial_timeout.filter(|_| !session.is_restored());
+        let connect_timeout = connect_timeout.map_or(timeout, |connect_timeout| connect_timeout.min(timeout));
+        attempt.set_timeout(connect_timeout, session, &executor.handle);
         Ok(attempt)
     }
 
-    /// Whether the connection is still to come up.
+    /// Whether the connection is not established yet.
     pub fn is_connecting(&self) -> bool {
         self.phase.get() == Phase::Connecting
     }
@@ -86,17 +87,17 @@
         self.phase.get() == Phase::Established
     }
 
-    /// Whether the server has sent no part of a line that it has not ended.
+    /// Whether the server has sent no incomplete line.
     pub fn is_at_line_start(&self) -> bool {
         self.decoder.borrow().is_at_line_start()
     }
 
-    /// Drops the part of a line that the server has begun.
+    /// Drops the incomplete line of the server.
     pub fn discard_partial_line(&self) {
         *self.decoder.borrow_mut() = LineDecoder::default();
     }
 
-    /// The connection is up: sends the session's first line, and waits for the answer until the deadline.
+    /// Sends the session's request over the established connection, and sets the timeout for the response.
     pub fn send_request(self: &Rc<Self>, session: &Session, proxy: &Proxy) {
         let line = session.open_request.to_server_line(self.deadline.since(proxy.now()));
         let mut request = RingBuffer::new(line.len());
@@ -106,34 +107,34 @@
         self.set_timeout(self.deadline.since(proxy.now()), session, &proxy.executor.handle);
     }
 
-    /// Writes what is left of the first line, as far as the system takes it.
+    /// Writes as much as possible of what is left of the request.
     pub fn flush_request(&self) {
         if self.phase.get() != Phase::SendingRequest {
             return;
         }
         while self.socket.write(&mut self.request.borrow_mut()) > 0 {}
         if self.request.borrow().is_empty() && self.socket.peer_end.get().is_none() {
-            self.phase.set(Phase::AwaitingReply);
+            self.phase.set(Phase::AwaitingResponse);
         }
     }
 
-    /// The server has accepted the session.
+    /// Marks the attempt as established, after the server has accepted the session.
     pub fn establish(&self) {
         self.phase.set(Phase::Established);
         self.cancel_timeout();
     }
 
-    /// `Unreachable` before the last byte of the first line is written, as nothing can have run until then; otherwise
-    /// `outcome`.
+    /// Returns `Unreachable` if the request has not been written completely, as the server cannot have run it then;
+    /// otherwise returns `outcome`.
     pub fn unreachable_or(&self, outcome: AttemptOutcome) -> AttemptOutcome {
-        if self.phase.get() < Phase::AwaitingReply {
+        if self.phase.get() < Phase::AwaitingResponse {
             AttemptOutcome::Unreachable
         } else {
             outcome
         }
     }
 
-    /// Replaces the timeout that was set before.
+    /// Sets the timeout, replacing the previous one.
     fn set_timeout(
         self: &Rc<Self>,
         timeout: Duration,
--- a/crates/proxy/src/upstream/health_check.rs
+++ b/crates/proxy/src/upstream/health_check.rs
@@ -1,4 +1,4 @@
-//! Health checks of a server: a connection of its own, on which one `PING` at a time is outstanding.
+//! Health checks of a server, over a separate connection with at most one outstanding `PING`.
 
 use crate::net::event_loop::EventLoopOwner;
 use crate::net::line::{line_text, LineDecoder, LineTooLong, ServerLine, PING_LINE};
@@ -10,44 +10,45 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The buffers hold a short line each way, in bytes.
+/// Size of the buffer of each direction in bytes; both carry only short lines.
 const BUFFER_BYTES: usize = 256;
-/// A check that is outstanding for less than this answers the next request too. It is longer than any waits for a
-/// health check, and shorter than the interval between rounds of them.
+/// While a check has been outstanding for less than this, further checks are merged into it. It is longer than any
+/// caller waits for a health check, and shorter than the interval between periodic checks.
 const CHECK_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// Who starts health checks, and whose loop carries them.
-pub trait HealthCheckEvents: EventLoopOwner {
-    /// The sessions that servers hold.
+/// The owner of health checks, which starts them and receives their results.
+pub trait HealthCheckOwner: EventLoopOwner {
+    /// The type of the sessions at a server.
     type Session;
 
-    /// A connection is about to be opened: makes sure that there is a descriptor for it.
-    fn before_health_check_dial(&mut self);
-    /// A health check was answered, or timed out, after this long.
+    /// Called before a connection is opened: makes sure that there is a descriptor for it.
+    fn before_health_check_connect(&mut self);
+    /// Called when a health check has been answered, or has timed out, after `latency`.
     fn on_health_check(&mut self, server: &Server<Self>, latency: Duration);
-    /// Whether a connection stays open between checks.
+    /// Whether connections are kept open between checks.
     fn keeps_health_check_connections(&self) -> bool;
 }
 
 /// The health check connection to one server.
-pub struct HealthCheck<T: HealthCheckEvents> {
+pub struct HealthCheck<T: HealthCheckOwner> {
     socket: Socket<T>,
     outgoing: RefCell<RingBuffer>,
     incoming: RefCell<RingBuffer>,
     decoder: RefCell<LineDecoder>,
-    /// When the outstanding check was started.
+    /// When the outstanding check was started, if there is one.
     started_at: Cell<Option<Timestamp>>,
     /// When the last check was started.
     pub last_used: Cell<Timestamp>,
 }
 
-impl<T: HealthCheckEvents> HealthCheck<T> {
-    /// Starts a check over the connection that there is, or over a new one. A check that is outstanding answers this
-    /// request too, unless it has timed out: then its time so far is reported as its result.
+impl<T: HealthCheckOwner> HealthCheck<T> {
+    /// Starts a check, over the existing connection or a new one. Does nothing while a check is outstanding, as its
+    /// result serves this request too. If the outstanding check has timed out, the time since its start is reported as
+    /// its latency, and a new check is started over a new connection.
     pub fn start(server: &Rc<Server<T>>, owner: &mut T) {
         let now = owner.now();
-        let open = server.health_check.borrow().clone();
-        let outstanding_since = open.as_ref().and_then(|check| check.started_at.get());
+        let existing = server.health_check.borrow().clone();
+        let outstanding_since = existing.as_ref().and_then(|check| check.started_at.get());
         if outstanding_since.is_some_and(|started| now.since(started) < CHECK_TIMEOUT) {
             return;
         }
@@ -55,10 +56,10 @@
             server.health_check.take();
             owner.on_health_check(server, now.since(started));
         }
-        let is_usable =
+        let is_reusable =
             |check: &Rc<Self>| outstanding_since.is_none() && check.socket.peer_end.get().is_none();
-        let usable = open.filter(is_usable);
-        let Some(check) = usable.or_else(|| Self::open(server, owner)) else { return };
+        let reusable = existing.filter(is_reusable);
+        let Some(check) = reusable.or_else(|| Self::open(server, owner)) else { return };
         check.started_at.set(Some(now));
         check.last_used.set(now);
         check.outgoing.borrow_mut().push(PING_LINE);
@@ -67,7 +68,7 @@
     }
 
     fn open(server: &Rc<Server<T>>, owner: &mut T) -> Option<Rc<Self>> {
-        owner.before_health_check_dial();
+        owner.before_health_check_connect();
         let check = Rc::new(HealthCheck {
             socket: Socket::connect(server.address.get()).ok()?,
             outgoing: RefCell::new(RingBuffer::new(BUFFER_BYTES)),
@@ -77,12 +78,12 @@
             last_used: Cell::new(owner.now()),
         });
         let (weak, server) = (Rc::downgrade(&check), Rc::downgrade(server));
-        let watched = check.socket.watch(&owner.handle(), move |owner: &mut T| {
+        let registered = check.socket.watch(&owner.handle(), move |owner: &mut T| {
             if let (Some(check), Some(server)) = (weak.upgrade(), server.upgrade()) {
                 check.on_ready(&server, owner);
             }
         });
-        watched.ok().map(|()| check)
+        registered.ok().map(|()| check)
     }
 
     fn flush(&self) {
@@ -106,7 +107,7 @@
         }
     }
 
-    /// Reads once; none if there is nothing to read.
+    /// Reads once, and returns the complete lines; none if nothing is available.
     fn read_lines(&self) -> Option<Result<Vec<Vec<u8>>, LineTooLong>> {
         let mut incoming = self.incoming.borrow_mut();
         let read = self.socket.read(&mut incoming);
@@ -118,7 +119,7 @@
         Some(lines)
     }
 
-    /// Any line ends the check, but only the right answer has a meaningful duration.
+    /// Handles a line from the server. Any line ends the check, but only a proper response gives a meaningful latency.
     fn on_line(&self, line: &[u8], server: &Server<T>, owner: &mut T) {
         let started_at = self.started_at.take();
         if let (Some(started), ServerLine::Healthy) = (started_at, ServerLine::parse(line_text(line))) {
--- a/crates/proxy/src/upstream/load_reports.rs
+++ b/crates/proxy/src/upstream/load_reports.rs
@@ -1,34 +1,34 @@
-//! Tells apart the two kinds of load reports that a server sends with the same word, `LOAD` and a number.
+//! Classifies load reports: servers send two kinds of them in the same format, `LOAD` and a number.
 //!
-//! A connection load report gives the load of the connection that it comes on, in microseconds of work a second, and
-//! comes when that changes. A message latency report gives how many milliseconds a message takes at the server now,
-//! and comes once a second while that is long, on one connection of each proxy.
+//! A connection load report contains the load of the connection on which it is sent, in microseconds of work per
+//! second. It is sent when that load changes. A message latency report contains the server's current message latency
+//! in milliseconds. It is sent once a second while that latency is high, on one connection of each proxy.
 
 use shelfgrade::time::{DurationExt, Timestamp};
 use std::cell::Cell;
 use std::time::Duration;
 
-/// Reports below this are message latencies in milliseconds, not connection load.
+/// Reports with a value below this are message latencies.
 const MIN_CONNECTION_LOAD_US_PER_S: f64 = 300.0;
-/// Reports from here on are connection load, not message latencies.
+/// Reports with this value or a higher one are connection loads.
 const MAX_MESSAGE_LATENCY_MS: f64 = 4000.0;
-/// The interval of message latency reports. A report between the two limits is one if it comes a multiple of this after
-/// the last.
+/// The interval of message latency reports. A report with a value between the two limits is a message latency if the
+/// time since the last one is a multiple of this interval.
 const REPORT_INTERVAL_MS: f64 = 1000.0;
-/// How far a report may be off a multiple of the interval.
+/// Maximum deviation of a report from a multiple of the interval.
 const REPORT_JITTER_MS: f64 = 40.0;
-/// After a longer gap the interval proves nothing.
+/// After a longer gap, the time since the last report gives no evidence of its kind.
 const MAX_REPORT_GAP: Duration = Duration::from_millis(5500);
 
-/// The timing of one server's message latency reports.
+/// Classifies the load reports of one server by their values and their timing.
 #[derive(Default)]
-pub struct LoadReports {
-    /// When the last report came that may have been a message latency.
+pub struct LoadReportClassifier {
+    /// When the last report was received that may have been a message latency.
     last_report_at: Cell<Option<Timestamp>>,
 }
 
-impl LoadReports {
-    /// Whether a report that comes now gives a message latency.
+impl LoadReportClassifier {
+    /// Whether a report received now contains a message latency.
     pub fn is_message_latency(&self, value: f64, now: Timestamp) -> bool {
         if value >= MAX_MESSAGE_LATENCY_MS {
             return false;
--- a/crates/proxy/src/upstream/message_latency.rs
+++ b/crates/proxy/src/upstream/message_latency.rs
@@ -1,11 +1,11 @@
-//! How long messages take at a server, as seen on the sessions established there.
+//! Message latencies of a server, measured on the sessions that are established there.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
 use std::rc::{Rc, Weak};
 use std::time::Duration;
 
-/// The samples kept for each server, the latest ones.
+/// Maximum number of samples that are kept for each server.
 const MAX_SAMPLES: usize = 64;
 
 struct Sample<S> {
@@ -13,19 +13,19 @@
     session: Weak<S>,
 }
 
-/// The latest latencies of one server, with the sessions that they were seen on.
-pub struct MessageLatency<S> {
+/// The most recent message latencies of one server, each with the session on which it was measured.
+pub struct MessageLatencySamples<S> {
     samples: RefCell<VecDeque<Sample<S>>>,
 }
 
-impl<S> Default for MessageLatency<S> {
+impl<S> Default for MessageLatencySamples<S> {
     fn default() -> Self {
-        MessageLatency { samples: RefCell::default() }
+        MessageLatencySamples { samples: RefCell::default() }
     }
 }
 
-impl<S> MessageLatency<S> {
-    /// A message of this session was answered after `latency`.
+impl<S> MessageLatencySamples<S> {
+    /// Records that a message of this session received a reply after `latency`.
     pub fn record(&self, session: Weak<S>, latency: Duration) {
         let mut samples = self.samples.borrow_mut();
         samples.push_back(Sample { latency, session });
@@ -34,8 +34,8 @@
         }
     }
 
-    /// The median of what was recorded since the last call, with the session that it was seen on. Samples of closed
-    /// sessions do not count.
+    /// Returns the median of the samples since the last call, with the session on which it was measured, and removes
+    /// them. Samples of closed sessions are ignored.
     pub fn take_median(&self) -> Option<(Duration, Rc<S>)> {
         let samples = std::mem::take(&mut *self.samples.borrow_mut());
         let mut live: Vec<_> = samples
--- a/crates/proxy/src/upstream/events.rs
+++ b/crates/proxy/src/upstream/owner_impls.rs
@@ -1,16 +1,16 @@
-//! What the parts of this folder ask of their owner, answered by the proxy.
+//! Implements the owner trait of this module for [`Proxy`].
 
 use crate::proxy::Proxy;
 use crate::session::Session;
-use crate::upstream::health_check::HealthCheckEvents;
+use crate::upstream::health_check::HealthCheckOwner;
 use crate::upstream::server::Server;
 use std::time::Duration;
 
-impl HealthCheckEvents for Proxy {
+impl HealthCheckOwner for Proxy {
     type Session = Session;
 
-    fn before_health_check_dial(&mut self) {
-        self.executor.make_room_for_health_check();
+    fn before_health_check_connect(&mut self) {
+        self.executor.free_health_check_descriptor();
         self.evict_pending_connections();
     }
 
@@ -18,7 +18,8 @@
         Proxy::on_health_check(self, server, latency);
     }
 
-    /// Where servers report message latencies no check is periodic, and the next may be wanted minutes later.
+    /// Connections are not kept if servers report message latencies: there are no periodic checks then, and minutes
+    /// may pass before the next one.
     fn keeps_health_check_connections(&self) -> bool {
         !self.executor.servers_report_latency
     }
--- a/crates/proxy/src/upstream/server.rs
+++ b/crates/proxy/src/upstream/server.rs
@@ -1,38 +1,38 @@
-//! A server of the endpoint list.
+//! A server in the endpoint list.
 
-use crate::upstream::health_check::{HealthCheck, HealthCheckEvents};
-use crate::upstream::load_reports::LoadReports;
-use crate::upstream::message_latency::MessageLatency;
+use crate::upstream::health_check::{HealthCheck, HealthCheckOwner};
+use crate::upstream::load_reports::LoadReportClassifier;
+use crate::upstream::message_latency::MessageLatencySamples;
 use shelfgrade::host::{Endpoint, EndpointState, ServerId};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// A server, as far as executing decisions needs it.
-pub struct Server<T: HealthCheckEvents> {
-    /// Its id on the endpoint list.
+/// The state of a server that is needed to execute decisions.
+pub struct Server<T: HealthCheckOwner> {
+    /// Its id in the endpoint list.
     pub id: ServerId,
-    /// Its state on the endpoint list.
+    /// Its state in the endpoint list.
     pub state: Cell<EndpointState>,
-    /// Where to connect.
+    /// The address to connect to.
     pub address: Cell<SocketAddr>,
-    /// How long messages have taken of late.
-    pub message_latency: MessageLatency<T::Session>,
-    /// Tells its two kinds of load reports apart.
-    pub load_reports: LoadReports,
-    /// The connection for health checks, while there is one.
+    /// The recent message latencies.
+    pub message_latency: MessageLatencySamples<T::Session>,
+    /// Distinguishes the two kinds of load reports.
+    pub load_report_classifier: LoadReportClassifier,
+    /// The connection for health checks, if one is open.
     pub health_check: RefCell<Option<Rc<HealthCheck<T>>>>,
 }
 
-impl<T: HealthCheckEvents> Server<T> {
-    /// A server that is new on the endpoint list.
+impl<T: HealthCheckOwner> Server<T> {
+    /// Creates a server that is new in the endpoint list.
     pub fn new(endpoint: &Endpoint, address: SocketAddr) -> Self {
         Server {
             id: endpoint.server.clone(),
             state: Cell::new(endpoint.state),
             address: Cell::new(address),
-            message_latency: MessageLatency::default(),
-            load_reports: LoadReports::default(),
+            message_latency: MessageLatencySamples::default(),
+            load_report_classifier: LoadReportClassifier::default(),
             health_check: RefCell::default(),
         }
     }
--- a/crates/proxy/src/upstream/server_pool.rs
+++ b/crates/proxy/src/upstream/server_pool.rs
@@ -1,44 +1,44 @@
-//! The servers of the endpoint list, and the health check connections that they hold.
+//! The servers in the endpoint list, and their health check connections.
 
-use crate::upstream::health_check::HealthCheckEvents;
+use crate::upstream::health_check::HealthCheckOwner;
 use crate::upstream::server::Server;
 use shelfgrade::host::{Endpoint, EndpointState, ServerId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Servers that are active or draining, by their ids.
-pub struct ServerPool<T: HealthCheckEvents>(BTreeMap<ServerId, Rc<Server<T>>>);
+/// The active and draining servers, by id.
+pub struct ServerPool<T: HealthCheckOwner>(BTreeMap<ServerId, Rc<Server<T>>>);
 
-impl<T: HealthCheckEvents> Default for ServerPool<T> {
+impl<T: HealthCheckOwner> Default for ServerPool<T> {
     fn default() -> Self {
         ServerPool(BTreeMap::new())
     }
 }
 
-impl<T: HealthCheckEvents> ServerPool<T> {
-    /// The server of this id.
+impl<T: HealthCheckOwner> ServerPool<T> {
+    /// The server with this id.
     pub fn get(&self, id: &str) -> Option<&Rc<Server<T>>> {
         self.0.get(id)
     }
 
-    /// All servers, in the order of their ids.
+    /// All servers in the order of their ids.
     pub fn values(&self) -> impl Iterator<Item = &Rc<Server<T>>> {
         self.0.values()
     }
 
-    /// How many servers there are.
+    /// The number of servers.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Whether there is no server.
+    /// Whether there are no servers.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
 
-    /// Applies endpoints, each with its address if it has one; if the list is complete, servers that it leaves out are
-    /// removed.
+    /// Applies endpoints, each with its address if it has one. If the list is complete, servers that it does not
+    /// contain are removed.
     pub fn apply_endpoints<'a>(
         &mut self,
         endpoints: impl Iterator<Item = (&'a Endpoint, Option<SocketAddr>)> + Clone,
@@ -54,21 +54,21 @@
     }
 
     fn apply_endpoint(&mut self, endpoint: &Endpoint, address: Option<SocketAddr>) {
-        let known = self.0.get(&endpoint.server).cloned();
-        let new = || Some(Rc::new(Server::new(endpoint, address?)));
-        let Some(server) = known.or_else(new) else { return };
+        let existing = self.0.get(&endpoint.server).cloned();
+        let create = || Some(Rc::new(Server::new(endpoint, address?)));
+        let Some(server) = existing.or_else(create) else { return };
         server.state.set(endpoint.state);
         server.address.set(address.unwrap_or(server.address.get()));
         self.0.insert(endpoint.server.clone(), server);
     }
 
-    /// How many servers hold a health check connection.
+    /// The number of open health check connections.
     pub fn health_check_count(&self) -> usize {
         self.0.values().filter(|server| server.health_check.borrow().is_some()).count()
     }
 
     /// Closes health check connections until at most `max` are left, the least recently used first.
-    pub fn close_health_checks(&self, max: usize) {
+    pub fn close_excess_health_checks(&self, max: usize) {
         let last_used = |server: &Rc<Server<T>>| {
             Some((server.health_check.borrow().as_ref()?.last_used.get(), server.clone()))
         };
--- a/crates/proxy/src/upstream/server_side.rs
+++ b/crates/proxy/src/upstream/server_side.rs
@@ -1,4 +1,4 @@
-//! The server's side of a session: drives its attempt, and acts on the lines that the server sends.
+//! The server side of a session: advances its attempt, and handles the lines that the server sends.
 
 use crate::net::line::{line_text, ProxyResponse, ServerLine};
 use crate::net::socket::StreamEnd;
@@ -11,11 +11,13 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Load reports from here on are invalid, in microseconds of work a second: a thousand cores' work.
+/// Load reports with this value or a higher one are invalid, in microseconds of work per second: the work of a
+/// thousand cores.
 const MAX_LOAD_US_PER_S: f64 = 1e9;
 
 impl Session {
-    /// Advances the attempt, or reads once from the server; whether anything was received or has ended.
+    /// Advances the attempt, and reads once from the server. Returns whether anything was received, or the attempt has
+    /// ended.
     pub fn read_server(&self, proxy: &mut Proxy) -> bool {
         let Some(attempt) = self.attempt.borrow().clone() else { return false };
         if attempt.is_connecting() {
@@ -43,21 +45,21 @@
         }
     }
 
-    /// Whether the first line may be sent over a connection that has just come up. It may not if the server has left
-    /// the list or is draining by now, if the balancer no longer wants this attempt, or if the server has closed the
-    /// connection: nothing is sent then, so nothing can have run.
+    /// Whether the request may be sent over a connection that has just been established. It may not if the server has
+    /// been removed or is draining by now, if the load balancer does not want this attempt any more, or if the server
+    /// has closed the connection. As nothing is sent then, the server cannot have run the request.
     fn may_send_request(&self, attempt: &Attempt, proxy: &mut Proxy) -> bool {
         proxy.discovery.clone().read_pending(proxy);
-        let eligible = attempt.server.state.get() == EndpointState::Active || self.is_restored();
+        let is_eligible = attempt.server.state.get() == EndpointState::Active || self.is_restored();
         let now = proxy.now();
-        eligible && proxy.balancer.may_send_request(self.id, now) && !attempt.socket.peer_has_closed()
+        is_eligible && proxy.balancer.may_send_request(self.id, now) && !attempt.socket.peer_has_closed()
     }
 
     fn is_current(&self, attempt: &Rc<Attempt>) -> bool {
         self.attempt.borrow().as_ref().is_some_and(|current| Rc::ptr_eq(current, attempt))
     }
 
-    /// The server has ended its connection; whether that ended the attempt.
+    /// Handles the end of the server's stream. Returns whether that ended the attempt before it was established.
     fn on_server_end(&self, attempt: &Rc<Attempt>, end: StreamEnd, proxy: &mut Proxy) -> bool {
         match self.stage.get() {
             Stage::Connecting => {
@@ -65,8 +67,8 @@
                 self.on_attempt_ended(attempt, outcome, proxy);
                 return true;
             }
-            Stage::Established => self.end_both_directions(end, attempt.outcome_if_closed.get(), proxy),
-            // The client's end came first, and the server's follows it.
+            Stage::Established => self.end_both_streams(end, attempt.outcome_if_closed.get(), proxy),
+            // The client ended its stream first.
             Stage::Closing | Stage::Closed => {
                 self.to_client_end.set(self.to_client_end.get().or(Some(end)));
             }
@@ -74,10 +76,10 @@
         false
     }
 
-    /// The last `read` bytes of the ring to the client have just come from the server.
+    /// Handles the last `read` bytes of the buffer to the client, which the server has just sent.
     fn on_server_data(&self, attempt: &Rc<Attempt>, read: usize, proxy: &mut Proxy) {
         if self.to_client_end.get().is_some() {
-            // The client has had its last line.
+            // The client's stream ends with what is buffered already, so later bytes are dropped.
             self.to_client.borrow_mut().truncate_by(read);
             return;
         }
@@ -88,7 +90,7 @@
         match lines {
             Ok(lines) => lines.iter().for_each(|line| self.on_server_line(attempt, line_text(line), proxy)),
             Err(error) if attempt.is_established() => {
-                self.protocol_error(error, AttemptOutcome::ConnectionLost, proxy);
+                self.on_protocol_error(error, AttemptOutcome::ConnectionLost, proxy);
             }
             Err(_) => {
                 proxy.executor.metrics.count("overlong lines");
@@ -97,38 +99,38 @@
         }
     }
 
-    /// Keeps a migration from falling between the pieces of a line: if a line ends in the bytes just read, what
-    /// follows the last one is dropped. Whether one does.
+    /// Prepares a migration that waits for the end of a line: if a line ends in the bytes just read, the incomplete
+    /// line after it is dropped, so that the migration does not interrupt a line. Returns whether a line ends there.
     fn drop_partial_line(&self, attempt: &Attempt, read: usize) -> bool {
         let mut to_client = self.to_client.borrow_mut();
-        let partial = to_client.latest(read).iter().rev().take_while(|b| **b != b'\n').count();
-        let line_ended = partial < read;
-        if line_ended {
-            to_client.truncate_by(partial);
+        let partial_len = to_client.latest(read).iter().rev().take_while(|b| **b != b'\n').count();
+        let has_line_end = partial_len < read;
+        if has_line_end {
+            to_client.truncate_by(partial_len);
             attempt.discard_partial_line();
         }
-        line_ended
+        has_line_end
     }
 
     fn on_server_line(&self, attempt: &Rc<Attempt>, text: &str, proxy: &mut Proxy) {
-        log::trace!("session {} at {}: {text}", self.id.0, attempt.server.id);
+        log::trace!("session {}: line from {}: {text}", self.id.0, attempt.server.id);
         if !self.is_current(attempt) {
             return;
         }
         let line = ServerLine::parse(text);
         if attempt.is_established() {
-            self.on_line_of_established(attempt, line, proxy);
+            self.on_established_line(attempt, line, proxy);
         } else {
-            self.on_first_line(attempt, line, proxy);
+            self.on_response(attempt, line, proxy);
         }
     }
 
-    /// The server's answer to the client's first line.
-    fn on_first_line(&self, attempt: &Rc<Attempt>, line: ServerLine, proxy: &mut Proxy) {
+    /// Handles the server's response to the request.
+    fn on_response(&self, attempt: &Rc<Attempt>, line: ServerLine, proxy: &mut Proxy) {
         match line {
             ServerLine::Established => {
                 attempt.establish();
-                self.enter(Stage::Established, proxy.now());
+                self.enter_stage(Stage::Established, proxy.now());
                 proxy.on_established(self, &attempt.server.id);
             }
             ServerLine::Rejected => self.on_attempt_ended(attempt, AttemptOutcome::Rejected, proxy),
@@ -137,7 +139,8 @@
         }
     }
 
-    fn on_line_of_established(&self, attempt: &Attempt, line: ServerLine, proxy: &mut Proxy) {
+    /// Handles a line on an established session.
+    fn on_established_line(&self, attempt: &Attempt, line: ServerLine, proxy: &mut Proxy) {
         attempt.outcome_if_closed.set(match line {
             ServerLine::Completed => AttemptOutcome::Completed,
             ServerLine::Migrate => AttemptOutcome::Cancelled,
@@ -153,21 +156,24 @@
         }
     }
 
-    /// Servers use the same word for a connection's load, in microseconds of work a second, and for how long messages
-    /// take there now, in milliseconds. Values out of range are ignored.
+    /// Handles a load report, which contains either the load of a connection in microseconds of work per second or the
+    /// server's message latency in milliseconds. Values out of range are ignored.
     fn on_load_report(&self, server: &Server<Proxy>, value: &str, proxy: &mut Proxy) {
-        let valid = |value: &f64| (0.0..MAX_LOAD_US_PER_S).contains(value);
-        let Some(value) = value.parse().ok().filter(valid) else { return };
+        let is_valid = |value: &f64| (0.0..MAX_LOAD_US_PER_S).contains(value);
+        let Some(value) = value.parse().ok().filter(is_valid) else { return };
         let now = proxy.now();
-        if proxy.executor.servers_report_latency && server.load_reports.is_message_latency(value, now) {
-            log::debug!("messages at {} take {value} ms by its own report", server.id);
+        if proxy.executor.servers_report_latency
+            && server.load_report_classifier.is_message_latency(value, now)
+        {
+            log::debug!("{} reports a message latency of {value} ms", server.id);
             proxy.on_message_latency(self.id, Duration::from_ms(value));
         } else {
             proxy.balancer.on_load_report(self.id, value);
         }
     }
 
-    /// The attempt's time has run out, unless its answer or the client's end has come in just now.
+    /// Called when the timer of an attempt expires. The attempt does not time out if its response has arrived, or the
+    /// client has closed its connection, and that event has not been handled yet.
     pub fn on_attempt_timeout(&self, attempt: &Rc<Attempt>, proxy: &mut Proxy) {
         self.on_ready(proxy);
         if self.is_current(attempt) && !attempt.is_established() {
@@ -176,9 +182,9 @@
         }
     }
 
-    /// An attempt has ended before the session was established; the load balancer decides on a retry.
+    /// Handles the end of an attempt before the session was established; the load balancer decides on a retry.
     fn on_attempt_ended(&self, attempt: &Attempt, outcome: AttemptOutcome, proxy: &mut Proxy) {
-        log::debug!("session {} at {}: {outcome:?}", self.id.0, attempt.server.id);
+        log::debug!("session {}: attempt at {} ended: {outcome:?}", self.id.0, attempt.server.id);
         self.attempt.borrow_mut().take();
         self.to_client.borrow_mut().clear();
         if self.is_restored() {
--- a/crates/proxy/tests/unit/ring_buffer.rs
+++ b/crates/proxy/tests/unit/ring_buffer.rs
@@ -1,4 +1,4 @@
-//! Unit tests of `ring.rs`.
+//! Unit tests of `ring_buffer.rs`.
 
 use super::RingBuffer;
 
@@ -12,9 +12,9 @@
             let read = ring.fill_from(&mut source).unwrap();
             assert_eq!(ring.latest(read), &before[..read]);
         }
-        let mut few = [0; 3];
-        let written = ring.drain_to(&mut few[..]).unwrap();
-        out.extend_from_slice(&few[..written]);
+        let mut chunk = [0; 3];
+        let written = ring.drain_to(&mut chunk[..]).unwrap();
+        out.extend_from_slice(&chunk[..written]);
     }
     assert_eq!(out, b"the quick brown fox jumps over the lazy dog");
 }
@@ -31,9 +31,9 @@
 fn a_partial_line_is_discarded_if_its_beginning_is_held() {
     let mut ring = RingBuffer::new(8);
     ring.fill_from(&b"abcd"[..]).unwrap();
-    assert!(!ring.discard_partial_line(), "it may have begun before");
+    assert!(!ring.discard_partial_line(), "the beginning of the line may have been written already");
     ring.skip(3);
-    // Round the end of the buffer.
+    // These reads wrap around the end of the buffer.
     ring.fill_from(&b"\nef"[..]).unwrap();
     ring.fill_from(&b"g"[..]).unwrap();
     ring.fill_from(&b"\nhi"[..]).unwrap();
