--- a/crates/proxy/src/discovery/client.rs
+++ b/crates/proxy/src/discovery/client.rs
@@ -119,7 +119,7 @@
         if self.socket.borrow().is_none() {
             let socket = Rc::new(Socket::connect(self.address.get())?);
             let me = self.clone();
-            socket.watch(&events.handle(), move |events| me.on_socket_ready(events))?;
+            socket.register(&events.handle(), move |events| me.on_socket_ready(events))?;
             *self.socket.borrow_mut() = Some(socket);
         }
         Ok(())
--- a/crates/proxy/src/downstream/listener.rs
+++ b/crates/proxy/src/downstream/listener.rs
@@ -144,7 +144,7 @@
         let sequence = owner.pending_connections().next_sequence();
         let connection = PendingConnection::new(sequence, client, owner.now());
         let weak = Rc::downgrade(&connection);
-        let watched = connection.socket.watch(&owner.handle(), move |owner| {
+        let watched = connection.socket.register(&owner.handle(), move |owner| {
             weak.upgrade().inspect(|connection| connection.on_ready(owner));
         });
         if let Err(error) = watched {
--- a/crates/proxy/src/net/socket.rs
+++ b/crates/proxy/src/net/socket.rs
@@ -99,7 +99,7 @@
     /// # Errors
     ///
     /// The event loop cannot register the socket.
-    pub fn watch(
+    pub fn register(
         &self,
         handle: &LoopHandle<'static, T>,
         on_ready: impl Fn(&mut T) + 'static,
--- a/crates/proxy/src/upstream/attempt.rs
+++ b/crates/proxy/src/upstream/attempt.rs
@@ -57,7 +57,7 @@
         let deadline = executor.clock.now() + timeout;
         let socket = Socket::connect(server.address.get())?;
         let weak = session.weak_self.clone();
-        socket.watch(&executor.handle, move |proxy| {
+        socket.register(&executor.handle, move |proxy| {
             weak.upgrade().inspect(|session| session.on_ready(proxy));
         })?;
         let attempt = Rc::new(Attempt {
--- a/crates/proxy/src/upstream/health_check.rs
+++ b/crates/proxy/src/upstream/health_check.rs
@@ -78,7 +78,7 @@
             last_used: Cell::new(owner.now()),
         });
         let (weak, server) = (Rc::downgrade(&check), Rc::downgrade(server));
-        let registered = check.socket.watch(&owner.handle(), move |owner: &mut T| {
+        let registered = check.socket.register(&owner.handle(), move |owner: &mut T| {
             if let (Some(check), Some(server)) = (weak.upgrade(), server.upgrade()) {
                 check.on_ready(&server, owner);
             }
