--- a/crates/proxy/src/downstream/lingering.rs
+++ b/crates/proxy/src/downstream/lingering.rs
@@ -17,7 +17,6 @@
 
 /// The owner of the lingering connections, through which socket events access them.
 pub trait LingeringOwner: Sized + 'static {
-    /// The lingering connections.
     fn lingering(&mut self) -> &mut LingeringCloses<Self>;
 }
 
@@ -81,7 +80,6 @@
         self.closes.pop_first().is_some()
     }
 
-    /// The number of lingering connections.
     pub fn len(&self) -> usize {
         self.closes.len()
     }
--- a/crates/proxy/src/downstream/listener.rs
+++ b/crates/proxy/src/downstream/listener.rs
@@ -31,7 +31,6 @@
 
 /// The owner of a listener, which limits the number of pending connections.
 pub trait ListenerOwner: PendingConnectionOwner {
-    /// The listener.
     fn listener(&mut self) -> &mut Listener<Self>;
     /// The maximum number of pending and lingering connections that the descriptors allow.
     fn max_pending_connections(&self) -> usize;
@@ -144,10 +143,10 @@
         let sequence = owner.pending_connections().next_sequence();
         let connection = PendingConnection::new(sequence, client, owner.now());
         let weak = Rc::downgrade(&connection);
-        let watched = connection.socket.register(&owner.handle(), move |owner| {
+        let registered = connection.socket.register(&owner.handle(), move |owner| {
             weak.upgrade().inspect(|connection| connection.on_ready(owner));
         });
-        if let Err(error) = watched {
+        if let Err(error) = registered {
             log::warn!("cannot register client connection with the event loop: {error}");
             connection.socket.send_line(&ProxyResponse::Rejected.line());
             let now = owner.now();
--- a/crates/proxy/src/downstream/pending_connection.rs
+++ b/crates/proxy/src/downstream/pending_connection.rs
@@ -56,7 +56,6 @@
     ///
     /// The reason if it may not.
     fn admit(&mut self, request_id: u64) -> Result<(), AdmissionError>;
-    /// Starts a session.
     fn start_session(&mut self, request: OpenRequest, socket: Rc<Socket<Self>>);
 }
 
--- a/crates/proxy/src/downstream/pending_connection_table.rs
+++ b/crates/proxy/src/downstream/pending_connection_table.rs
@@ -32,7 +32,6 @@
         self.connections.remove(&connection.activity_sequence.get())
     }
 
-    /// Whether the table contains a connection.
     pub fn contains(&self, connection: &PendingConnection<T>) -> bool {
         self.connections.contains_key(&connection.activity_sequence.get())
     }
@@ -42,12 +41,10 @@
         self.connections.values()
     }
 
-    /// The least recently active connection.
     pub fn least_recently_active(&self) -> Option<Rc<PendingConnection<T>>> {
         self.connections.values().next().cloned()
     }
 
-    /// The number of connections.
     pub fn len(&self) -> usize {
         self.connections.len()
     }
--- a/crates/proxy/src/executor.rs
+++ b/crates/proxy/src/executor.rs
@@ -39,9 +39,7 @@
 
 /// An attempt, or an established session, that has ended and is to be reported to the load balancer.
 pub struct EndedAttempt {
-    /// The session of the attempt.
     pub session: SessionId,
-    /// How it ended.
     pub outcome: AttemptOutcome,
     /// Whether the client is gone or has its final response, so that no further attempt is needed.
     pub client_done: bool,
@@ -53,7 +51,6 @@
     pub handle: LoopHandle<'static, Proxy>,
     /// Counters and rate-limited warnings.
     pub metrics: Rc<Metrics>,
-    /// The process clock.
     pub clock: Clock,
     /// See [`ExecutorSettings::dial_timeout`].
     pub dial_timeout: Option<Duration>,
--- a/crates/proxy/src/net/http.rs
+++ b/crates/proxy/src/net/http.rs
@@ -37,7 +37,6 @@
 
 /// A complete response.
 pub struct Response {
-    /// The response body.
     pub body: Vec<u8>,
     /// The `Date` header, if there is a valid one.
     pub date: Option<SystemTime>,
--- a/crates/proxy/src/net/ring_buffer.rs
+++ b/crates/proxy/src/net/ring_buffer.rs
@@ -22,7 +22,6 @@
         RingBuffer { bytes: vec![0; size + reserve].into_boxed_slice(), start: 0, len: 0, reserve }
     }
 
-    /// Whether the buffer is empty.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
@@ -32,7 +31,6 @@
         self.len + self.reserve >= self.bytes.len()
     }
 
-    /// Drops all bytes.
     pub fn clear(&mut self) {
         (self.start, self.len) = (0, 0);
     }
@@ -75,7 +73,6 @@
         &self.bytes[end - count..end]
     }
 
-    /// Drops the first `count` bytes.
     pub fn skip(&mut self, count: usize) {
         self.start = (self.start + count) % self.bytes.len();
         self.len -= count;
--- a/crates/proxy/src/net/socket.rs
+++ b/crates/proxy/src/net/socket.rs
@@ -151,7 +151,7 @@
             return false;
         }
         let available = self.retry_transient(|stream| stream.peek(&mut [0]));
-        self.note_end_of_stream(available);
+        self.record_end_of_stream(available);
         available.is_none() && self.peer_end.get().is_none()
     }
 
@@ -162,7 +162,7 @@
             return 0;
         }
         let read = self.retry_transient(|stream| buffer.fill_from(stream));
-        self.note_end_of_stream(read);
+        self.record_end_of_stream(read);
         read.unwrap_or(0)
     }
 
@@ -175,7 +175,7 @@
         buffer.resize(max_len, 0);
         let read = self.retry_transient(|mut stream| stream.read(&mut buffer[len..]));
         buffer.truncate(len + read.unwrap_or(0));
-        self.note_end_of_stream(read);
+        self.record_end_of_stream(read);
         read.unwrap_or(0)
     }
 
@@ -186,14 +186,14 @@
         while discarded < max && self.peer_end.get().is_none() {
             let len = scratch.len().min(max - discarded);
             let read = self.retry_transient(|mut stream| stream.read(&mut scratch[..len]));
-            self.note_end_of_stream(read);
+            self.record_end_of_stream(read);
             let Some(read) = read else { break };
             discarded += read;
         }
         discarded
     }
 
-    fn note_end_of_stream(&self, read: Option<usize>) {
+    fn record_end_of_stream(&self, read: Option<usize>) {
         if read == Some(0) {
             self.peer_end.set(Some(StreamEnd::Fin));
         }
--- a/crates/proxy/src/pending_sessions.rs
+++ b/crates/proxy/src/pending_sessions.rs
@@ -16,7 +16,6 @@
 }
 
 impl<S: SessionEntry> PendingSessions<S> {
-    /// Adds a session.
     pub fn add(&mut self, session: &S) {
         self.0.insert(session.id(), session.downgrade());
     }
--- a/crates/proxy/src/session.rs
+++ b/crates/proxy/src/session.rs
@@ -47,7 +47,6 @@
 pub struct Session {
     /// The session's id in this process.
     pub id: SessionId,
-    /// The current stage.
     pub stage: Cell<Stage>,
     /// When the current stage was entered.
     pub stage_entered_at: Cell<Timestamp>,
@@ -124,7 +123,6 @@
         self.open_request.restored_from.is_some()
     }
 
-    /// Enters a stage.
     pub fn enter_stage(&self, stage: Stage, now: Timestamp) {
         self.stage.set(stage);
         self.stage_entered_at.set(now);
--- a/crates/proxy/src/session_table.rs
+++ b/crates/proxy/src/session_table.rs
@@ -34,7 +34,6 @@
         SessionId(self.last_id)
     }
 
-    /// Adds a session.
     pub fn insert(&mut self, session: &Rc<S>) {
         self.sessions.insert(session.id(), session.clone());
         self.request_ids.insert(session.request_id());
@@ -46,17 +45,14 @@
         self.request_ids.remove(&session.request_id());
     }
 
-    /// The session with this id.
     pub fn get(&self, id: SessionId) -> Option<&Rc<S>> {
         self.sessions.get(&id)
     }
 
-    /// Whether there is a session with this id.
     pub fn contains(&self, id: SessionId) -> bool {
         self.sessions.contains_key(&id)
     }
 
-    /// Whether there is a session with this request id.
     pub fn has_request_id(&self, request_id: u64) -> bool {
         self.request_ids.contains(&request_id)
     }
@@ -66,7 +62,6 @@
         self.sessions.values()
     }
 
-    /// The number of sessions.
     pub fn len(&self) -> usize {
         self.sessions.len()
     }
--- a/crates/proxy/src/upstream/attempt.rs
+++ b/crates/proxy/src/upstream/attempt.rs
@@ -27,7 +27,6 @@
 
 /// An attempt, from connecting until its connection is closed.
 pub struct Attempt {
-    /// The server of the attempt.
     pub server: Rc<Server<Proxy>>,
     /// The connection to that server.
     pub socket: Socket<Proxy>,
--- a/crates/proxy/src/upstream/server_pool.rs
+++ b/crates/proxy/src/upstream/server_pool.rs
@@ -17,7 +17,6 @@
 }
 
 impl<T: HealthCheckOwner> ServerPool<T> {
-    /// The server with this id.
     pub fn get(&self, id: &str) -> Option<&Rc<Server<T>>> {
         self.0.get(id)
     }
@@ -27,12 +26,10 @@
         self.0.values()
     }
 
-    /// The number of servers.
     pub fn len(&self) -> usize {
         self.0.len()
     }
 
-    /// Whether there are no servers.
     pub fn is_empty(&self) -> bool {
         self.0.is_empty()
     }
