--- a/crates/proxy/src/lifecycle/serve.rs
+++ b/crates/proxy/src/lifecycle/serve.rs
@@ -64,7 +64,7 @@
         proxy.listener.address().map_err(|source| ServeError::Listen { at: listen_address, source })?;
     log::info!("{} listens on {address}, {} servers known", proxy.name, known.records.len());
     event_loop.run(None, &mut proxy, |_| {})?;
-    metrics.log();
+    metrics.log_counters();
     Ok(())
 }
 
--- a/crates/testkit/src/trial.rs
+++ b/crates/testkit/src/trial.rs
@@ -331,7 +331,7 @@
         self.wait_until(Duration::from_secs(6), "all processes have exited", all_exited).await;
         for process in &self.processes {
             let log = process.log();
-            let has_failed = log.lines().any(|l| l.contains("panicked") || l.contains("does not hold"));
+            let has_failed = log.lines().any(|l| l.contains("panicked") || l.contains("invariant violated"));
             assert!(!has_failed, "{}:\n{log}", process.name);
         }
     }
