--- a/crates/cells/src/apply.rs
+++ b/crates/cells/src/apply.rs
@@ -59,33 +59,35 @@
             return Err(ChangeError::OutOfBounds);
         }
         match &change.action {
-            Action::AddCell { cell, region, places, quota } => {
+            Action::AddCell { cell, region, capacity, quota } => {
                 let new = Cell {
                     region: *region,
                     quota: *quota,
                     escrow: 0,
                     shrunk_at: Version(0),
-                    places: *places,
+                    capacity: *capacity,
                     members: 0,
                     contacts: Vec::new(),
                 };
                 self.add_cell(*cell, new, version)
             }
-            Action::Add { cell, name, address, incarnation } => {
-                let new = Member { address: *address, incarnation: *incarnation, place: 0, removed: false };
+            Action::AddMember { cell, name, address, incarnation } => {
+                let new = Member { address: *address, incarnation: *incarnation, index: 0, removed: false };
                 self.add_member(*cell, name, new, version)
             }
-            Action::Replace { cell, name, address, incarnation } => {
-                let new = Member { address: *address, incarnation: *incarnation, place: 0, removed: false };
+            Action::ReplaceMember { cell, name, address, incarnation } => {
+                let new = Member { address: *address, incarnation: *incarnation, index: 0, removed: false };
                 self.replace_member(*cell, name, new, version)
             }
-            Action::Remove { cell, name } => self.remove_member(*cell, name, version),
-            Action::Ended { cell, name, incarnation } => self.end_member(*cell, name, *incarnation, version),
-            Action::Put { key, value } => self.put_entry(key, value, version),
-            Action::Delete { key } => self.delete_entry(key, version),
-            Action::Grow { cell, by } => self.grow(*cell, *by, version),
-            Action::Shrink { cell, by } => self.shrink(*cell, *by, version),
-            Action::Release { cell, at } => self.release(*cell, *at, version),
+            Action::RemoveMember { cell, name } => self.remove_member(*cell, name, version),
+            Action::RecordMemberEnd { cell, name, incarnation } => {
+                self.end_member(*cell, name, *incarnation, version)
+            }
+            Action::PutEntry { key, value } => self.put_entry(key, value, version),
+            Action::DeleteEntry { key } => self.delete_entry(key, version),
+            Action::GrowQuota { cell, by } => self.grow(*cell, *by, version),
+            Action::ShrinkQuota { cell, by } => self.shrink(*cell, *by, version),
+            Action::ReleaseEscrow { cell, at } => self.release(*cell, *at, version),
         }
     }
 
@@ -108,18 +110,18 @@
         new: Member,
         version: Version,
     ) -> Result<(), ChangeError> {
-        let places = self.cell(cell).ok_or(ChangeError::UnknownCell)?.places;
+        let capacity = self.cell(cell).ok_or(ChangeError::UnknownCell)?.capacity;
         if self.cells().any(|(cell, _)| self.member(cell, name).is_some()) {
             return Err(ChangeError::MemberExists);
         }
-        let mut is_taken = vec![false; usize::from(places)];
+        let mut is_taken = vec![false; usize::from(capacity)];
         for (_, holder) in self.place_holders(cell) {
-            if let Some(is_taken) = is_taken.get_mut(usize::from(holder.place)) {
+            if let Some(is_taken) = is_taken.get_mut(usize::from(holder.index)) {
                 *is_taken = true;
             }
         }
-        let place = is_taken.iter().position(|is_taken| !is_taken).ok_or(ChangeError::CellFull)? as u16;
-        self.write_member(cell, name, Some(Member { place, ..new }), version);
+        let index = is_taken.iter().position(|is_taken| !is_taken).ok_or(ChangeError::CellFull)? as u16;
+        self.write_member(cell, name, Some(Member { index, ..new }), version);
         Ok(())
     }
 
@@ -131,8 +133,8 @@
         version: Version,
     ) -> Result<(), ChangeError> {
         let held = self.member(cell, name).filter(|held| held.incarnation < new.incarnation);
-        let place = held.ok_or(ChangeError::UnknownMember)?.place;
-        self.write_member(cell, name, Some(Member { place, ..new }), version);
+        let index = held.ok_or(ChangeError::UnknownMember)?.index;
+        self.write_member(cell, name, Some(Member { index, ..new }), version);
         Ok(())
     }
 
--- a/crates/cells/src/cell_members.rs
+++ b/crates/cells/src/cell_members.rs
@@ -22,7 +22,7 @@
 struct CellMember {
     name: String,
     address: SocketAddr,
-    place: u16,
+    index: u16,
     incarnation: u32,
     rank: u64,
     is_alive: bool,
@@ -75,7 +75,7 @@
             .map(|(name, member)| CellMember {
                 name: name.to_owned(),
                 address: member.address,
-                place: member.place,
+                index: member.index,
                 incarnation: member.incarnation,
                 rank: rank(cell, name),
                 is_alive: false,
@@ -94,9 +94,9 @@
     fn refresh_liveness(&mut self) {
         if let Some(detector) = &self.detector {
             let alive: BTreeMap<u16, u32> =
-                detector.swim.alive().map(|id| (id.place, id.incarnation)).collect();
+                detector.swim.alive().map(|id| (id.index, id.incarnation)).collect();
             for member in &mut self.members {
-                member.is_alive = alive.get(&member.place) == Some(&member.incarnation);
+                member.is_alive = alive.get(&member.index) == Some(&member.incarnation);
             }
         }
         let mut ranked: Vec<_> = self.members.iter().filter(|member| member.is_alive).collect();
@@ -183,13 +183,13 @@
         detector.next_announce_at =
             now + if is_joining { JOINING_ANNOUNCE_PERIOD } else { period.scaled(jitter) };
         let unreachable: Vec<_> =
-            self.members.iter().filter(|member| !member.is_alive).map(|member| member.place).collect();
+            self.members.iter().filter(|member| !member.is_alive).map(|member| member.index).collect();
         if unreachable.is_empty() {
             return;
         }
-        let place = unreachable[rng.generate_range(0..unreachable.len())];
+        let index = unreachable[rng.generate_range(0..unreachable.len())];
         let mut swim_sends = Vec::new();
-        detector.swim.announce(place, now, &mut swim_sends);
+        detector.swim.announce(index, now, &mut swim_sends);
         self.address(swim_sends, sends);
     }
 
@@ -210,8 +210,8 @@
 
     /// Finds the addresses of places, and takes over what the failure detector has found.
     fn address(&mut self, swim_sends: Vec<SwimDatagram>, sends: &mut Vec<MembershipDatagram>) {
-        for SwimDatagram { place, bytes } in swim_sends {
-            if let Some(member) = self.members.iter().find(|member| member.place == place) {
+        for SwimDatagram { index, bytes } in swim_sends {
+            if let Some(member) = self.members.iter().find(|member| member.index == index) {
                 sends.push(MembershipDatagram { to: member.address, bytes });
             }
         }
--- a/crates/cells/src/change.rs
+++ b/crates/cells/src/change.rs
@@ -13,7 +13,7 @@
 /// Longest value of an entry.
 pub const MAX_VALUE_BYTES: usize = 900;
 /// Places of a cell at most.
-pub const MAX_PLACES: u16 = 1024;
+pub const MAX_CELL_CAPACITY: u16 = 1024;
 /// Entries with a value at most: some thousands of servers, and what customers and sites need.
 pub const MAX_ENTRIES: usize = 16_384;
 
@@ -27,12 +27,12 @@
         /// Its region.
         region: u8,
         /// Equal parts that its quota is divided into.
-        places: u16,
+        capacity: u16,
         /// Its quota, in units.
         quota: u32,
     },
     /// Adds a member to a cell.
-    Add {
+    AddMember {
         /// The cell.
         cell: CellId,
         /// Name of the member, unique in the fleet.
@@ -43,7 +43,7 @@
         incarnation: u32,
     },
     /// A member was restarted: its process before has ended.
-    Replace {
+    ReplaceMember {
         /// The cell.
         cell: CellId,
         /// Name of the member.
@@ -54,14 +54,14 @@
         incarnation: u32,
     },
     /// Removes a member. It keeps its place until it is known to have ended.
-    Remove {
+    RemoveMember {
         /// The cell.
         cell: CellId,
         /// Name of the member.
         name: String,
     },
     /// The process of a member has ended and no other replaces it: its place is free.
-    Ended {
+    RecordMemberEnd {
         /// The cell.
         cell: CellId,
         /// Name of the member.
@@ -70,33 +70,33 @@
         incarnation: u32,
     },
     /// Sets an entry.
-    Put {
+    PutEntry {
         /// Key of the entry.
         key: String,
         /// Its value.
         value: Vec<u8>,
     },
     /// Deletes an entry.
-    Delete {
+    DeleteEntry {
         /// Key of the entry.
         key: String,
     },
     /// Gives a cell quota that no cell has.
-    Grow {
+    GrowQuota {
         /// The cell.
         cell: CellId,
         /// Units of quota.
         by: u32,
     },
     /// Takes quota from a cell into escrow.
-    Shrink {
+    ShrinkQuota {
         /// The cell.
         cell: CellId,
         /// Units of quota.
         by: u32,
     },
     /// No member uses the escrow of a cell any more: it is free.
-    Release {
+    ReleaseEscrow {
         /// The cell.
         cell: CellId,
         /// [`crate::Cell::shrunk_at`] of the shrink.
@@ -155,17 +155,17 @@
     /// Whether its values are within their bounds, whatever the state is.
     pub fn is_within_bounds(&self) -> bool {
         match &self.action {
-            Action::Add { name, .. }
-            | Action::Replace { name, .. }
-            | Action::Remove { name, .. }
-            | Action::Ended { name, .. } => !name.is_empty() && name.len() <= MAX_NAME_BYTES,
-            Action::Put { key, value } => key.len() <= MAX_KEY_BYTES && value.len() <= MAX_VALUE_BYTES,
-            Action::Delete { key } => key.len() <= MAX_KEY_BYTES,
-            Action::AddCell { places, quota, .. } => {
-                (1..=MAX_PLACES).contains(places) && *quota <= TOTAL_QUOTA
+            Action::AddMember { name, .. }
+            | Action::ReplaceMember { name, .. }
+            | Action::RemoveMember { name, .. }
+            | Action::RecordMemberEnd { name, .. } => !name.is_empty() && name.len() <= MAX_NAME_BYTES,
+            Action::PutEntry { key, value } => key.len() <= MAX_KEY_BYTES && value.len() <= MAX_VALUE_BYTES,
+            Action::DeleteEntry { key } => key.len() <= MAX_KEY_BYTES,
+            Action::AddCell { capacity, quota, .. } => {
+                (1..=MAX_CELL_CAPACITY).contains(capacity) && *quota <= TOTAL_QUOTA
             }
-            Action::Grow { by, .. } | Action::Shrink { by, .. } => *by <= TOTAL_QUOTA,
-            Action::Release { .. } => true,
+            Action::GrowQuota { by, .. } | Action::ShrinkQuota { by, .. } => *by <= TOTAL_QUOTA,
+            Action::ReleaseEscrow { .. } => true,
         }
     }
 
@@ -173,12 +173,12 @@
     pub fn estimated_bytes(&self) -> usize {
         const OVERHEAD_BYTES: usize = 16;
         let action = match &self.action {
-            Action::Add { name, .. } | Action::Replace { name, .. } => name.len() + 30,
-            Action::Remove { name, .. } | Action::Ended { name, .. } => name.len() + 10,
-            Action::Put { key, value } => key.len() + value.len() + 4,
-            Action::Delete { key } => key.len() + 2,
-            Action::AddCell { .. } | Action::Grow { .. } | Action::Shrink { .. } => 16,
-            Action::Release { .. } => 14,
+            Action::AddMember { name, .. } | Action::ReplaceMember { name, .. } => name.len() + 30,
+            Action::RemoveMember { name, .. } | Action::RecordMemberEnd { name, .. } => name.len() + 10,
+            Action::PutEntry { key, value } => key.len() + value.len() + 4,
+            Action::DeleteEntry { key } => key.len() + 2,
+            Action::AddCell { .. } | Action::GrowQuota { .. } | Action::ShrinkQuota { .. } => 16,
+            Action::ReleaseEscrow { .. } => 14,
         };
         OVERHEAD_BYTES + action
     }
--- a/crates/cells/src/lib.rs
+++ b/crates/cells/src/lib.rs
@@ -34,7 +34,7 @@
 pub use acceptor::Vote;
 pub use apply::DEFAULT_HORIZON_SLOTS;
 pub use change::{
-    Action, Batch, Change, ChangeError, MAX_ENTRIES, MAX_KEY_BYTES, MAX_NAME_BYTES, MAX_PLACES,
+    Action, Batch, Change, ChangeError, MAX_CELL_CAPACITY, MAX_ENTRIES, MAX_KEY_BYTES, MAX_NAME_BYTES,
     MAX_VALUE_BYTES,
 };
 pub use delta::{Delta, DeltaError, Merged};
--- a/crates/cells/src/process/log_sync.rs
+++ b/crates/cells/src/process/log_sync.rs
@@ -123,7 +123,7 @@
     fn activate(&mut self, now: Timestamp) {
         let own = self.state().member(self.cell, &self.name);
         let Some(own) = own.filter(|own| own.incarnation == self.incarnation) else { return };
-        let me = SwimId { place: own.place, incarnation: self.incarnation, refutations: 0 };
+        let me = SwimId { index: own.index, incarnation: self.incarnation, refutations: 0 };
         self.is_active = true;
         self.members.activate(me, self.seed, now);
     }
--- a/crates/cells/src/quota.rs
+++ b/crates/cells/src/quota.rs
@@ -56,12 +56,12 @@
 /// The change that releases the quota in escrow. Its id is the same whichever delegate submits it.
 pub fn release_change(cell: CellId, shrunk_at: Version) -> Change {
     let id = xxh3_64(&postcard::to_stdvec(&("release", cell, shrunk_at)).unwrap_or_default());
-    Change { id, action: Action::Release { cell, at: shrunk_at } }
+    Change { id, action: Action::ReleaseEscrow { cell, at: shrunk_at } }
 }
 
 /// Units of quota that a member may use by the records of this state; 0 where they do not have this incarnation.
 pub fn member_quota(state: &State, cell: CellId, name: &str, incarnation: u32) -> u32 {
     let is_member = state.member(cell, name).is_some_and(|member| member.incarnation == incarnation);
     let cell = state.cell(cell).filter(|_| is_member);
-    cell.map_or(0, |cell| cell.quota / u32::from(cell.places.max(1)))
+    cell.map_or(0, |cell| cell.quota / u32::from(cell.capacity.max(1)))
 }
--- a/crates/cells/src/record.rs
+++ b/crates/cells/src/record.rs
@@ -65,7 +65,7 @@
     /// Version of the record by which it last gave up quota.
     pub shrunk_at: Version,
     /// Equal parts that the quota is divided into, fixed when the cell is added.
-    pub places: u16,
+    pub capacity: u16,
     /// Members that are not removed.
     pub members: u16,
     /// Addresses of its highest ranked members, for processes of other cells.
@@ -80,7 +80,7 @@
     /// Greater at each of its starts.
     pub incarnation: u32,
     /// Index of its part of the cell's quota.
-    pub place: u16,
+    pub index: u16,
     /// Removed, but not known to have ended, so that it keeps its place.
     pub removed: bool,
 }
--- a/crates/cells/src/replica/mod.rs
+++ b/crates/cells/src/replica/mod.rs
@@ -67,7 +67,7 @@
 impl Replica {
     /// Founds a fleet: the first start of its replica. To be called only where the operator says so, as an empty disk
     /// may be a lost one.
-    pub fn found(
+    pub fn initialize(
         fleet: &str,
         replicas: ReplicaSet,
         id: u8,
@@ -75,7 +75,7 @@
         now: Timestamp,
         environment: &mut dyn Environment,
     ) -> Self {
-        environment.store(Stored::Founded);
+        environment.store(Stored::Initialized);
         let mut replica = Self::empty(fleet, replicas, id, seed, now);
         replica.acceptor.votes_from = Some(0);
         replica
--- a/crates/cells/src/replica/storage.rs
+++ b/crates/cells/src/replica/storage.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Stored {
     /// The operator founded a fleet with this replica.
-    Founded,
+    Initialized,
     /// The storage was lost: no vote until it is known from which slot on.
     Recovering,
     /// The first slot in which a replica that lost its storage may vote.
@@ -46,7 +46,7 @@
     /// Applies one thing that was stored. Returns false where there is a gap before it.
     pub(super) fn replay(&mut self, stored: Stored) -> bool {
         match stored {
-            Stored::Founded => self.acceptor.votes_from = Some(0),
+            Stored::Initialized => self.acceptor.votes_from = Some(0),
             Stored::Recovering => self.acceptor.votes_from = None,
             Stored::VotesFrom(slot) => self.acceptor.votes_from = Some(slot),
             Stored::Vote(vote) => self.acceptor.vote = vote,
--- a/crates/cells/src/swim.rs
+++ b/crates/cells/src/swim.rs
@@ -15,7 +15,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct SwimId {
     /// Place in the cell.
-    pub place: u16,
+    pub index: u16,
     /// Incarnation of the process.
     pub incarnation: u32,
     /// How often it was declared dead while it was alive.
@@ -30,7 +30,7 @@
     }
 
     fn addr(&self) -> u16 {
-        self.place
+        self.index
     }
 
     fn win_addr_conflict(&self, other: &Self) -> bool {
@@ -106,7 +106,7 @@
 /// A datagram to a member of the cell.
 pub struct SwimDatagram {
     /// Place of the member.
-    pub place: u16,
+    pub index: u16,
     /// The message.
     pub bytes: Vec<u8>,
 }
@@ -135,8 +135,8 @@
     }
 
     /// Announces this process to a member of which only the place is known.
-    pub fn announce(&mut self, place: u16, now: Timestamp, sends: &mut Vec<SwimDatagram>) {
-        let _ = self.foca.announce(SwimId { place, incarnation: 0, refutations: 0 }, &mut self.runtime);
+    pub fn announce(&mut self, index: u16, now: Timestamp, sends: &mut Vec<SwimDatagram>) {
+        let _ = self.foca.announce(SwimId { index, incarnation: 0, refutations: 0 }, &mut self.runtime);
         self.drain_runtime(now, sends);
     }
 
@@ -175,7 +175,7 @@
             self.timers.insert((at, self.last_timer), timer);
         }
         while let Some((to, bytes)) = self.runtime.to_send() {
-            sends.push(SwimDatagram { place: to.place, bytes: bytes.to_vec() });
+            sends.push(SwimDatagram { index: to.index, bytes: bytes.to_vec() });
         }
         while self.runtime.to_notify().is_some() {
             self.has_changed = true;
--- a/crates/cells/tests/agreement.rs
+++ b/crates/cells/tests/agreement.rs
@@ -17,7 +17,7 @@
 }
 
 fn put(id: u64, key: &str, value: u8) -> Change {
-    Change { id, action: Action::Put { key: key.to_owned(), value: vec![value] } }
+    Change { id, action: Action::PutEntry { key: key.to_owned(), value: vec![value] } }
 }
 
 /// Whether all replicas that run and may vote hold the same records.
@@ -42,7 +42,8 @@
 
 /// Five replicas that are killed, lose their disks one at a time, and are partitioned at random.
 fn never_two_values(steps: &[(u8, usize, u64)], seed: u64, forgets: bool) -> CellsSimulation {
-    let mut simulation = CellsSimulation::founded(&[0, 0, 1, 1, 2], POOR_NETWORK, seed).with_horizon(16);
+    let mut simulation =
+        CellsSimulation::start_replicas(&[0, 0, 1, 1, 2], POOR_NETWORK, seed).with_horizon(16);
     let mut id = 0;
     for (what, node, ms) in steps {
         let node = node % 5;
@@ -54,7 +55,7 @@
             4 if forgets => {
                 // A deliberate breach: a disk is lost, and the replica starts as if it were not.
                 simulation.kill(node);
-                simulation.nodes[node].stored = vec![Stored::Founded];
+                simulation.nodes[node].stored = vec![Stored::Initialized];
                 simulation.start(node);
             }
             4 => {
--- a/crates/cells/tests/dissemination.rs
+++ b/crates/cells/tests/dissemination.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 fn delete(id: u64, key: &str) -> Change {
-    Change { id, action: Action::Delete { key: key.to_owned() } }
+    Change { id, action: Action::DeleteEntry { key: key.to_owned() } }
 }
 
 /// A fleet whose processes, in four cells, have all found each other.
@@ -190,7 +190,7 @@
         "{} see it",
         observers(&simulation)
     );
-    let remove = Action::Remove { cell: CellId(1), name: "late".to_owned() };
+    let remove = Action::RemoveMember { cell: CellId(1), name: "late".to_owned() };
     simulation.submit(0, Change { id: 8, action: remove });
     assert!(
         simulation.run_until(20_000, 50, |simulation| observers(simulation) == 0),
--- a/crates/cells/tests/log.rs
+++ b/crates/cells/tests/log.rs
@@ -8,16 +8,16 @@
 use shelfgrade_testkit::cells::{address, CellsSimulation, FLEET, GOOD_NETWORK};
 
 fn put(id: u64, key: &str, value: u8) -> Change {
-    Change { id, action: Action::Put { key: key.to_owned(), value: vec![value] } }
+    Change { id, action: Action::PutEntry { key: key.to_owned(), value: vec![value] } }
 }
 
 fn add(id: u64, cell: u16, name: &str) -> Change {
     let (cell, name, address) = (CellId(cell), name.to_owned(), address(id as usize));
-    Change { id, action: Action::Add { cell, name, address, incarnation: 1 } }
+    Change { id, action: Action::AddMember { cell, name, address, incarnation: 1 } }
 }
 
-fn cell(id: u64, cell: u16, places: u16, quota: u32) -> Change {
-    Change { id, action: Action::AddCell { cell: CellId(cell), region: 0, places, quota } }
+fn cell(id: u64, cell: u16, capacity: u16, quota: u32) -> Change {
+    Change { id, action: Action::AddCell { cell: CellId(cell), region: 0, capacity, quota } }
 }
 
 /// Whether all replicas that run and may vote hold the same records.
@@ -32,7 +32,7 @@
 
 #[test]
 fn a_change_submitted_to_one_replica_reaches_all() {
-    let mut simulation = CellsSimulation::founded(&[0, 1, 2], GOOD_NETWORK, 1);
+    let mut simulation = CellsSimulation::start_replicas(&[0, 1, 2], GOOD_NETWORK, 1);
     for id in 1..=40 {
         simulation.submit(id as usize % 3, put(id, &format!("k{id}"), 1));
     }
@@ -46,7 +46,7 @@
 
 #[test]
 fn replicas_that_all_propose_make_progress() {
-    let mut simulation = CellsSimulation::founded(&TEN_REPLICA_REGIONS, GOOD_NETWORK, 11);
+    let mut simulation = CellsSimulation::start_replicas(&TEN_REPLICA_REGIONS, GOOD_NETWORK, 11);
     let mut took = Vec::new();
     let mut waits: Vec<(u64, u64)> = Vec::new();
     for step in 0..1000u64 {
@@ -70,7 +70,7 @@
 
 #[test]
 fn a_change_that_is_submitted_again_is_applied_once() {
-    let mut simulation = CellsSimulation::founded(&[0, 0, 0], GOOD_NETWORK, 2);
+    let mut simulation = CellsSimulation::start_replicas(&[0, 0, 0], GOOD_NETWORK, 2);
     simulation.submit(0, put(1, "k", 1));
     simulation.run_for_ms(2000);
     simulation.submit(1, put(2, "k", 2));
@@ -87,7 +87,7 @@
 
 #[test]
 fn a_majority_is_necessary_and_sufficient() {
-    let mut simulation = CellsSimulation::founded(&[0, 0, 1, 1, 2], GOOD_NETWORK, 3);
+    let mut simulation = CellsSimulation::start_replicas(&[0, 0, 1, 1, 2], GOOD_NETWORK, 3);
     simulation.kill(3);
     simulation.kill(4);
     simulation.submit(0, put(1, "k", 1));
@@ -127,22 +127,24 @@
     let own = CellId(1);
     let of = |name: &str| (own, name.to_owned());
     let (cell, name) = of("a");
-    assert_eq!(outcome(Change { id: 11, action: Action::Remove { cell, name } }), Ok(()));
+    assert_eq!(outcome(Change { id: 11, action: Action::RemoveMember { cell, name } }), Ok(()));
     assert_eq!(outcome(add(12, 1, "c")), Err(ChangeError::CellFull), "nobody said that it ended");
     let (cell, name) = of("a");
-    let ended =
-        |id, incarnation| Change { id, action: Action::Ended { cell, name: name.clone(), incarnation } };
+    let ended = |id, incarnation| Change {
+        id,
+        action: Action::RecordMemberEnd { cell, name: name.clone(), incarnation },
+    };
     assert_eq!(outcome(ended(13, 2)), Err(ChangeError::UnknownMember), "another incarnation");
     assert_eq!(outcome(ended(14, 1)), Ok(()));
     assert_eq!(outcome(add(15, 1, "c")), Ok(()));
-    let grow = |id, by| Change { id, action: Action::Grow { cell: own, by } };
-    let shrink = |id, by| Change { id, action: Action::Shrink { cell: own, by } };
+    let grow = |id, by| Change { id, action: Action::GrowQuota { cell: own, by } };
+    let shrink = |id, by| Change { id, action: Action::ShrinkQuota { cell: own, by } };
     assert_eq!(outcome(grow(16, 1)), Err(ChangeError::QuotaNotFree));
     assert_eq!(outcome(shrink(17, 100)), Ok(()));
     assert_eq!(outcome(grow(18, 1)), Err(ChangeError::QuotaNotFree), "it may be in use still");
     assert_eq!(outcome(shrink(19, 100)), Err(ChangeError::ShrinkPending));
     let at = Version::at(17, 0);
-    let release = |id, at| Change { id, action: Action::Release { cell: own, at } };
+    let release = |id, at| Change { id, action: Action::ReleaseEscrow { cell: own, at } };
     assert_eq!(outcome(release(20, Version::at(16, 0))), Err(ChangeError::NothingToRelease));
     // Each slot has one change here, of the same number.
     assert_eq!(outcome(release(21, at)), Ok(()));
@@ -161,7 +163,7 @@
 
 #[test]
 fn a_replica_that_lost_its_storage_does_not_vote_until_it_has_caught_up() {
-    let mut simulation = CellsSimulation::founded(&[0, 0, 0], GOOD_NETWORK, 4);
+    let mut simulation = CellsSimulation::start_replicas(&[0, 0, 0], GOOD_NETWORK, 4);
     for id in 1..=5 {
         simulation.submit(0, put(id, "k", id as u8));
         simulation.run_for_ms(500);
@@ -195,7 +197,7 @@
 
 #[test]
 fn a_change_submitted_to_a_replica_that_lost_its_storage_is_chosen_by_the_others() {
-    let mut simulation = CellsSimulation::founded(&[0, 0, 0], GOOD_NETWORK, 10);
+    let mut simulation = CellsSimulation::start_replicas(&[0, 0, 0], GOOD_NETWORK, 10);
     simulation.submit(0, put(1, "k", 1));
     simulation.run_for_ms(1000);
     simulation.kill(2);
@@ -210,7 +212,7 @@
 
 #[test]
 fn a_replica_that_restarts_during_recovery_continues_it() {
-    let mut simulation = CellsSimulation::founded(&[0, 0, 0], GOOD_NETWORK, 5);
+    let mut simulation = CellsSimulation::start_replicas(&[0, 0, 0], GOOD_NETWORK, 5);
     simulation.submit(0, put(1, "k", 1));
     simulation.run_for_ms(1000);
     simulation.kill(2);
@@ -226,7 +228,7 @@
 
 #[test]
 fn storage_with_a_gap_counts_as_lost() {
-    let mut simulation = CellsSimulation::founded(&[0, 0, 0], GOOD_NETWORK, 6);
+    let mut simulation = CellsSimulation::start_replicas(&[0, 0, 0], GOOD_NETWORK, 6);
     for id in 1..=4 {
         simulation.submit(0, put(id, "k", id as u8));
         simulation.run_for_ms(500);
@@ -243,7 +245,7 @@
 
 #[test]
 fn a_vote_survives_a_restart() {
-    let mut simulation = CellsSimulation::founded(&[0, 0, 0], GOOD_NETWORK, 7);
+    let mut simulation = CellsSimulation::start_replicas(&[0, 0, 0], GOOD_NETWORK, 7);
     let send = |simulation: &mut CellsSimulation, from: usize, to: usize, message: Paxos| {
         let bytes = encode(shelfgrade_cells::fleet_id(FLEET), &Message::Paxos(message));
         simulation.inject(address(from), to, &bytes);
@@ -269,7 +271,7 @@
 
 #[test]
 fn forks_gaps_and_votes_from_no_replica_change_nothing_and_are_counted() {
-    let mut simulation = CellsSimulation::founded(&[0, 0, 0], GOOD_NETWORK, 8);
+    let mut simulation = CellsSimulation::start_replicas(&[0, 0, 0], GOOD_NETWORK, 8);
     simulation.submit(0, put(1, "k", 1));
     simulation.run_for_ms(1000);
     let fleet = shelfgrade_cells::fleet_id(FLEET);
@@ -308,12 +310,12 @@
 
 #[test]
 fn a_replica_that_restarts_after_days_gets_a_snapshot_and_drops_what_is_not_in_it() {
-    let mut simulation = CellsSimulation::founded(&[0, 0, 0], GOOD_NETWORK, 9).with_horizon(16);
+    let mut simulation = CellsSimulation::start_replicas(&[0, 0, 0], GOOD_NETWORK, 9).with_horizon(16);
     simulation.submit(0, put(1, "gone", 1));
     simulation.submit(0, put(2, "stays", 1));
     simulation.run_for_ms(1000);
     simulation.kill(2);
-    simulation.submit(0, Change { id: 3, action: Action::Delete { key: "gone".into() } });
+    simulation.submit(0, Change { id: 3, action: Action::DeleteEntry { key: "gone".into() } });
     for id in 10..60 {
         simulation.submit(0, put(id, &format!("k{}", id % 5), id as u8));
         simulation.run_for_ms(200);
--- a/crates/cells/tests/quota.rs
+++ b/crates/cells/tests/quota.rs
@@ -23,7 +23,7 @@
 
 /// Two cells that have all quota between them, and as many places as members.
 fn fully_granted(seed: u64) -> CellsSimulation {
-    let mut simulation = CellsSimulation::founded(&[0, 0, 1], GOOD_NETWORK, seed);
+    let mut simulation = CellsSimulation::start_replicas(&[0, 0, 1], GOOD_NETWORK, seed);
     let mut id = 1_000_000;
     let mut submit = |simulation: &mut CellsSimulation, action: Action| {
         id += 1;
@@ -31,7 +31,10 @@
     };
     for cell in 0..2 {
         let quota = TOTAL_QUOTA / 2;
-        submit(&mut simulation, Action::AddCell { cell: CellId(cell), region: cell as u8, places: 5, quota });
+        submit(
+            &mut simulation,
+            Action::AddCell { cell: CellId(cell), region: cell as u8, capacity: 5, quota },
+        );
     }
     for process in 0..PROCESSES {
         let cell = CellId(process as u16 % 2);
@@ -62,13 +65,13 @@
     let mut simulation = fully_granted(1);
     let total = u64::from(TOTAL_QUOTA);
     assert_eq!(simulation.quota_in_use(), total, "all places are taken");
-    submit(&mut simulation, 1, Action::Shrink { cell: CellId(0), by: TOTAL_QUOTA / 4 });
+    submit(&mut simulation, 1, Action::ShrinkQuota { cell: CellId(0), by: TOTAL_QUOTA / 4 });
     let released = |simulation: &CellsSimulation| {
         let (quota, escrow, _) = cell(simulation, 0);
         (quota, escrow) == (TOTAL_QUOTA / 4, 0)
     };
     assert!(simulation.run_until(20_000, 50, released), "{:?}", cell(&simulation, 0));
-    submit(&mut simulation, 2, Action::Grow { cell: CellId(1), by: TOTAL_QUOTA / 4 });
+    submit(&mut simulation, 2, Action::GrowQuota { cell: CellId(1), by: TOTAL_QUOTA / 4 });
     simulation.run_for_ms(5000);
     assert_eq!(cell(&simulation, 1).0, TOTAL_QUOTA / 4 * 3);
     assert_eq!(simulation.quota_in_use(), total);
@@ -81,10 +84,10 @@
     assert_eq!(simulation.nodes[apart].location.cell, Some(CellId(0)));
     simulation.nodes[apart].partition = 1;
     let quota = simulation.process(apart).map(|process| process.quota());
-    submit(&mut simulation, 1, Action::Shrink { cell: CellId(0), by: TOTAL_QUOTA / 2 });
+    submit(&mut simulation, 1, Action::ShrinkQuota { cell: CellId(0), by: TOTAL_QUOTA / 2 });
     simulation.run_for_ms(300_000);
     assert_eq!(cell(&simulation, 0).1, TOTAL_QUOTA / 2, "it may still use its part");
-    submit(&mut simulation, 2, Action::Grow { cell: CellId(1), by: 1 });
+    submit(&mut simulation, 2, Action::GrowQuota { cell: CellId(1), by: 1 });
     simulation.run_for_ms(5000);
     assert!(simulation.outcomes[&2].is_err(), "no quota is free");
     assert_eq!(simulation.process(apart).map(|process| process.quota()), quota, "it keeps its quota");
@@ -92,7 +95,7 @@
     // Its end is recorded: the release waits for nobody.
     simulation.kill(apart);
     let name = simulation.nodes[apart].name.clone();
-    submit(&mut simulation, 3, Action::Ended { cell: CellId(0), name, incarnation: 1 });
+    submit(&mut simulation, 3, Action::RecordMemberEnd { cell: CellId(0), name, incarnation: 1 });
     assert!(simulation.run_until(20_000, 50, |simulation| cell(simulation, 0).1 == 0));
 }
 
@@ -102,7 +105,7 @@
     let (gone, other) = (simulation.nodes.len() - 2, CellId(0));
     let name = simulation.nodes[gone].name.clone();
     simulation.nodes[gone].partition = 1;
-    submit(&mut simulation, 1, Action::Remove { cell: other, name: name.clone() });
+    submit(&mut simulation, 1, Action::RemoveMember { cell: other, name: name.clone() });
     let node = simulation.add_machine("new".into(), other, 0);
     let addition = simulation.add_member_change(2, node);
     simulation.submit(0, addition);
@@ -110,7 +113,7 @@
     assert!(simulation.outcomes[&2].is_err(), "it runs on, cut off, with its quota");
     assert!(simulation.process(gone).is_some_and(|process| process.quota() > 0));
     simulation.kill(gone);
-    submit(&mut simulation, 3, Action::Ended { cell: other, name, incarnation: 1 });
+    submit(&mut simulation, 3, Action::RecordMemberEnd { cell: other, name, incarnation: 1 });
     simulation.run_for_ms(2000);
     let addition = simulation.add_member_change(4, node);
     simulation.submit(0, addition);
@@ -180,7 +183,7 @@
     let alive = simulation.nodes.len() - 2;
     let name = simulation.nodes[alive].name.clone();
     simulation.nodes[alive].partition = 1;
-    submit(&mut simulation, 1, Action::Ended { cell: CellId(0), name, incarnation: 1 });
+    submit(&mut simulation, 1, Action::RecordMemberEnd { cell: CellId(0), name, incarnation: 1 });
     let node = simulation.add_machine("new".into(), CellId(0), 0);
     let addition = simulation.add_member_change(2, node);
     simulation.submit(0, addition);
@@ -195,11 +198,11 @@
     let mut simulation = fully_granted(6);
     let apart = simulation.nodes.len() - 2;
     simulation.nodes[apart].partition = 1;
-    submit(&mut simulation, 1, Action::Shrink { cell: CellId(0), by: TOTAL_QUOTA / 2 });
+    submit(&mut simulation, 1, Action::ShrinkQuota { cell: CellId(0), by: TOTAL_QUOTA / 2 });
     simulation.run_for_ms(3000);
     let (_, _, at) = cell(&simulation, 0);
-    submit(&mut simulation, 2, Action::Release { cell: CellId(0), at });
-    submit(&mut simulation, 3, Action::Grow { cell: CellId(1), by: TOTAL_QUOTA / 2 });
+    submit(&mut simulation, 2, Action::ReleaseEscrow { cell: CellId(0), at });
+    submit(&mut simulation, 3, Action::GrowQuota { cell: CellId(1), by: TOTAL_QUOTA / 2 });
     let over = |simulation: &CellsSimulation| simulation.quota_in_use() > u64::from(TOTAL_QUOTA);
     assert!(simulation.run_until(20_000, 50, over), "the check finds nothing: {}", simulation.quota_in_use());
 }
@@ -232,13 +235,13 @@
                     simulation.kill(process);
                     let (name, incarnation) = (simulation.nodes[process].name.clone(), simulation.nodes[process].incarnation);
                     let cell = simulation.nodes[process].location.cell.unwrap_or_default();
-                    simulation.submit(node % 3, Change { id, action: Action::Ended { cell, name, incarnation } });
+                    simulation.submit(node % 3, Change { id, action: Action::RecordMemberEnd { cell, name, incarnation } });
                     let addition = simulation.add_member_change(7000 + id, process);
                     simulation.submit(node % 3, addition);
                     simulation.start(process);
                 }
-                6 | 7 => simulation.submit(node % 3, Change { id, action: Action::Shrink { cell: of, by: 100_000 } }),
-                8 | 9 => simulation.submit(node % 3, Change { id, action: Action::Grow { cell: of, by: 100_000 } }),
+                6 | 7 => simulation.submit(node % 3, Change { id, action: Action::ShrinkQuota { cell: of, by: 100_000 } }),
+                8 | 9 => simulation.submit(node % 3, Change { id, action: Action::GrowQuota { cell: of, by: 100_000 } }),
                 10 => simulation.replace_process(5000 + id, process, 1),
                 _ => simulation.submit(node % 3, put(id, &format!("k{}", id % 4), "v")),
             }
@@ -281,10 +284,10 @@
         let (cell, by) = (CellId(rng.generate_range(0..4u16)), rng.generate_range(0..400_000u32));
         let at = state.cell(cell).map_or(Version(0), |cell| cell.shrunk_at);
         let action = match rng.generate_range(0..4u32) {
-            0 => Action::AddCell { cell, region: 0, places: 3, quota: by },
-            1 => Action::Grow { cell, by },
-            2 => Action::Shrink { cell, by },
-            _ => Action::Release { cell, at },
+            0 => Action::AddCell { cell, region: 0, capacity: 3, quota: by },
+            1 => Action::GrowQuota { cell, by },
+            2 => Action::ShrinkQuota { cell, by },
+            _ => Action::ReleaseEscrow { cell, at },
         };
         state.apply(slot, &vec![Change { id: slot, action }], 64);
         let given: u64 = state.cells().map(|(_, cell)| u64::from(cell.quota) + u64::from(cell.escrow)).sum();
--- a/crates/cells/tests/stored_bytes.rs
+++ b/crates/cells/tests/stored_bytes.rs
@@ -19,16 +19,16 @@
 fn batch() -> Vec<Change> {
     let (cell, name, address) = (CellId(300), || "n1".to_owned(), "127.0.0.1:7400".parse().unwrap());
     let actions = [
-        Action::AddCell { cell, region: 2, places: 40, quota: 100_000 },
-        Action::Add { cell, name: name(), address, incarnation: 70_000 },
-        Action::Replace { cell, name: name(), address, incarnation: 70_001 },
-        Action::Remove { cell, name: name() },
-        Action::Ended { cell, name: name(), incarnation: 70_001 },
-        Action::Put { key: "k".into(), value: vec![1, 255] },
-        Action::Delete { key: "k".into() },
-        Action::Grow { cell, by: 5 },
-        Action::Shrink { cell, by: 6 },
-        Action::Release { cell, at: Version::at(9, 2) },
+        Action::AddCell { cell, region: 2, capacity: 40, quota: 100_000 },
+        Action::AddMember { cell, name: name(), address, incarnation: 70_000 },
+        Action::ReplaceMember { cell, name: name(), address, incarnation: 70_001 },
+        Action::RemoveMember { cell, name: name() },
+        Action::RecordMemberEnd { cell, name: name(), incarnation: 70_001 },
+        Action::PutEntry { key: "k".into(), value: vec![1, 255] },
+        Action::DeleteEntry { key: "k".into() },
+        Action::GrowQuota { cell, by: 5 },
+        Action::ShrinkQuota { cell, by: 6 },
+        Action::ReleaseEscrow { cell, at: Version::at(9, 2) },
     ];
     actions.into_iter().zip(1 << 40..).map(|(action, id)| Change { id, action }).collect()
 }
@@ -41,11 +41,11 @@
         quota: 100_000,
         escrow: 6,
         shrunk_at: Version::at(9, 2),
-        places: 40,
+        capacity: 40,
         members: 1,
         contacts: vec![address],
     };
-    let member = Member { address, incarnation: 70_000, place: 3, removed: true };
+    let member = Member { address, incarnation: 70_000, index: 3, removed: true };
     let values = [
         (Key::Cell(CellId(300)), Some(Value::Cell(cell))),
         (Key::Applied(1 << 40), Some(Value::Applied)),
@@ -56,7 +56,7 @@
     values
         .into_iter()
         .zip(1..)
-        .map(|((key, value), place)| Record { key, version: Version::at(9, place), value })
+        .map(|((key, value), index)| Record { key, version: Version::at(9, index), value })
         .collect()
 }
 
@@ -124,7 +124,7 @@
 fn what_is_stored_is_written_and_read_as_an_earlier_release_wrote_it() {
     let vote = || Vote { slot: 70_000, promised: BALLOT, accepted: Some((BALLOT, batch())) };
     let (to, horizon) = (Version::end_of(9), Version::at(3, 0));
-    assert_bytes_kept("stored founded", &Stored::Founded);
+    assert_bytes_kept("stored founded", &Stored::Initialized);
     assert_bytes_kept("stored recovering", &Stored::Recovering);
     assert_bytes_kept("stored votes from", &Stored::VotesFrom(70_000));
     assert_bytes_kept("stored vote", &Stored::Vote(vote()));
--- a/crates/testkit/src/cells.rs
+++ b/crates/testkit/src/cells.rs
@@ -44,7 +44,7 @@
 
 impl CellsSimulation {
     /// A newly founded fleet, with one replica in each of these regions (a region may be listed more than once).
-    pub fn founded(replicas: &[u8], network: NetworkConditions, seed: u64) -> Self {
+    pub fn start_replicas(replicas: &[u8], network: NetworkConditions, seed: u64) -> Self {
         let peers = replicas.iter().enumerate();
         let peers =
             peers.map(|(id, region)| ReplicaAddress { address: address(id), region: *region }).collect();
@@ -69,7 +69,7 @@
             simulation.add_node(format!("replica-{id}"), Location { region: *region, cell: None });
             let (peers, seed) = (simulation.peers.clone(), simulation.next_seed());
             let mut calls = RecordedCalls::default();
-            let core = Replica::found(FLEET, peers, id as u8, seed, simulation.now, &mut calls);
+            let core = Replica::initialize(FLEET, peers, id as u8, seed, simulation.now, &mut calls);
             simulation.nodes[id].core = Some(Core::Replica(Box::new(core)));
             simulation.apply_calls(id, calls);
         }
--- a/crates/testkit/src/cells/fleet.rs
+++ b/crates/testkit/src/cells/fleet.rs
@@ -10,13 +10,13 @@
 pub const REGIONS: u16 = 6;
 
 /// The places of a cell: one for each member, and spare ones for members that have ended without a record of it.
-fn places_per_cell(processes: usize, cells: u16) -> u16 {
+fn cell_capacity(processes: usize, cells: u16) -> u16 {
     let members = processes.div_ceil(usize::from(cells));
     (members + members / 8 + 8) as u16
 }
 
 pub fn put(id: u64, key: &str, value: &str) -> Change {
-    Change { id, action: Action::Put { key: key.to_owned(), value: value.as_bytes().to_vec() } }
+    Change { id, action: Action::PutEntry { key: key.to_owned(), value: value.as_bytes().to_vec() } }
 }
 
 impl CellsSimulation {
@@ -28,7 +28,7 @@
         network: NetworkConditions,
         seed: u64,
     ) -> Self {
-        let mut simulation = CellsSimulation::founded(&TEN_REPLICA_REGIONS, network, seed);
+        let mut simulation = CellsSimulation::start_replicas(&TEN_REPLICA_REGIONS, network, seed);
         let mut id = 1_000_000;
         let mut next_id = || {
             id += 1;
@@ -36,9 +36,9 @@
         };
         for cell in 0..cells {
             let region = (cell % REGIONS) as u8;
-            let places = places_per_cell(processes, cells);
+            let capacity = cell_capacity(processes, cells);
             let quota = TOTAL_QUOTA / u32::from(cells);
-            let action = Action::AddCell { cell: CellId(cell), region, places, quota };
+            let action = Action::AddCell { cell: CellId(cell), region, capacity, quota };
             simulation.submit(0, Change { id: next_id(), action });
         }
         for entry in 0..entries {
@@ -69,7 +69,7 @@
     pub fn add_member_change(&self, id: u64, node: usize) -> Change {
         let machine = &self.nodes[node];
         let (cell, name, incarnation) = (self.cell_of(node), machine.name.clone(), machine.incarnation + 1);
-        Change { id, action: Action::Add { cell, name, address: address(node), incarnation } }
+        Change { id, action: Action::AddMember { cell, name, address: address(node), incarnation } }
     }
 
     /// Kills a process, starts it again after `after_ms`, and submits the replacement to the log.
@@ -79,7 +79,7 @@
         self.start(node);
         let machine = &self.nodes[node];
         let (cell, name, incarnation) = (self.cell_of(node), machine.name.clone(), machine.incarnation);
-        let action = Action::Replace { cell, name, address: address(node), incarnation };
+        let action = Action::ReplaceMember { cell, name, address: address(node), incarnation };
         self.submit(node, Change { id, action });
     }
 
