--- a/crates/cells/src/acceptor.rs
+++ b/crates/cells/src/acceptor.rs
@@ -1,5 +1,5 @@
-//! The acceptor's part of Paxos: promises and votes, which are stored before they are sent. An acceptor that has lost
-//! its storage votes only in slots that it cannot have taken part in (`docs/cells.md`, "Lost disk").
+//! Paxos acceptor: promises and votes, which are stored before they are sent. An acceptor that has lost its storage
+//! votes only in slots in which it cannot have voted before (`docs/cells.md`, "Lost disk").
 
 use crate::change::Batch;
 use crate::packet::{Ballot, Paxos};
@@ -9,40 +9,40 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// The promise and the vote in the one slot that is open.
+/// The promise and the vote of an acceptor in the open slot.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Vote {
     /// The slot.
     pub slot: u64,
-    /// The highest ballot that was promised.
+    /// The highest promised ballot.
     pub promised: Ballot,
-    /// The last batch that was voted for.
+    /// The last accepted batch, with its ballot.
     pub accepted: Option<AcceptedBatch>,
 }
 
 /// The acceptor of one replica.
 pub(crate) struct Acceptor {
     pub vote: Vote,
-    /// First slot that it may vote in; none while a recovery has not found it.
-    pub votes_from: Option<u64>,
-    /// Tells answers to this recovery from those to earlier ones.
+    /// First slot in which the acceptor may vote; `None` while the recovery has not determined it.
+    pub first_voting_slot: Option<u64>,
+    /// ID of the current recovery; distinguishes its responses from those to earlier recoveries.
     recovery: u64,
-    /// Highest slot that each other replica took part in.
+    /// Highest slot in which each other replica has voted or learned, as reported for this recovery.
     highest_slots: BTreeMap<u8, u64>,
 }
 
 impl Acceptor {
-    /// An acceptor that does not know from which slot on it may vote.
+    /// An acceptor whose first voting slot is not known yet.
     pub fn new(recovery: u64) -> Self {
-        Acceptor { vote: Vote::default(), votes_from: None, recovery, highest_slots: BTreeMap::new() }
+        Acceptor { vote: Vote::default(), first_voting_slot: None, recovery, highest_slots: BTreeMap::new() }
     }
 
-    /// Whether it may vote in the slot after this one.
+    /// Whether the acceptor may vote in the slot after `last_slot`.
     pub fn can_vote_after(&self, last_slot: u64) -> bool {
-        self.votes_from.is_some_and(|from| last_slot + 1 >= from)
+        self.first_voting_slot.is_some_and(|from| last_slot + 1 >= from)
     }
 
-    /// The vote in a slot; an empty one where it is of another slot.
+    /// The vote in a slot; empty if the stored vote is for another slot.
     pub fn vote_in(&self, slot: u64) -> Vote {
         if self.vote.slot == slot {
             self.vote.clone()
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Answers `Prepare`.
+    /// Handles `Prepare` and returns the response.
     pub fn prepare(&mut self, slot: u64, ballot: Ballot, environment: &mut dyn Environment) -> Paxos {
         let vote = self.vote_in(slot);
         if ballot < vote.promised {
@@ -64,7 +64,7 @@
         Paxos::Promise { slot, ballot, accepted: self.vote.accepted.clone() }
     }
 
-    /// Answers `Accept`; none where a proposer has sent two batches under one ballot.
+    /// Handles `Accept` and returns the response; `None` if the proposer has sent two batches under one ballot.
     pub fn accept(
         &mut self,
         slot: u64,
@@ -76,7 +76,7 @@
         if ballot < vote.promised {
             return Some(Paxos::Conflict { slot, promised: vote.promised });
         }
-        if vote.accepted.as_ref().is_some_and(|(held, value)| *held == ballot && *value != batch) {
+        if vote.accepted.as_ref().is_some_and(|(accepted, value)| *accepted == ballot && *value != batch) {
             environment.datagram_rejected("cells ballots with two values");
             return None;
         }
@@ -85,12 +85,13 @@
         Some(Paxos::Accepted { slot, ballot })
     }
 
-    /// The question of a recovery, while it is under way.
+    /// The query to send to the other replicas while a recovery is in progress.
     pub fn recovery_query(&self) -> Option<Paxos> {
-        self.votes_from.is_none().then_some(Paxos::AskHighestSlot { recovery: self.recovery })
+        self.first_voting_slot.is_none().then_some(Paxos::QueryHighestSlot { recovery: self.recovery })
     }
 
-    /// An answer to the recovery. Once a majority has answered, it is known from which slot on this acceptor may vote.
+    /// Handles a response to the recovery query. A majority of responses determines the first slot in which this
+    /// acceptor may vote.
     pub fn on_highest_slot(
         &mut self,
         from: u8,
@@ -99,7 +100,7 @@
         majority: usize,
         environment: &mut dyn Environment,
     ) {
-        if recovery != self.recovery || self.votes_from.is_some() {
+        if recovery != self.recovery || self.first_voting_slot.is_some() {
             return;
         }
         self.highest_slots.insert(from, slot);
@@ -107,8 +108,8 @@
             return;
         }
         let highest = self.highest_slots.values().copied().max().unwrap_or_default();
-        let votes_from = highest + 2;
-        self.votes_from = Some(votes_from);
-        environment.store(Stored::VotesFrom(votes_from));
+        let first_voting_slot = highest + 2;
+        self.first_voting_slot = Some(first_voting_slot);
+        environment.store(Stored::FirstVotingSlot(first_voting_slot));
     }
 }
--- a/crates/cells/src/apply.rs
+++ b/crates/cells/src/apply.rs
@@ -1,25 +1,26 @@
-//! Applies the changes of the log to a state, in the same way at each replica.
+//! Applies log batches to a state, deterministically at each replica.
 
 use crate::change::{Action, Batch, Change, ChangeError, MAX_BATCH_CHANGES, MAX_ENTRIES};
 use crate::rank;
 use crate::record::{Cell, CellId, Key, Member, Record, Value, Version};
 use crate::state::State;
 
-/// For how many slots deleted records and ids of changes are kept: about a day of the planned changes, one in a slot.
+/// Number of slots for which deleted records and change IDs are kept: about a day at the expected rate of changes, with
+/// one change per slot.
 pub const DEFAULT_HORIZON_SLOTS: u64 = 4096;
-/// Addresses of a cell's members in its record.
+/// Number of member addresses in a cell's record.
 const CONTACTS: usize = 2;
-/// A change leaves three records at most; the last version is that of its id.
+/// Versions reserved for each change: up to three records, then the record of the change ID.
 const VERSIONS_PER_CHANGE: u64 = 4;
 const ID_VERSION: u64 = VERSIONS_PER_CHANGE - 1;
 
-/// Slots between two compactions, the same at each replica.
+/// Number of slots between two compactions; must be the same at each replica.
 pub(crate) fn compaction_interval(horizon_slots: u64) -> u64 {
     (horizon_slots / 4).max(1)
 }
 
 impl State {
-    /// Applies the batch that was chosen for the next slot. Returns the outcome of each change.
+    /// Applies the batch that was chosen for the next slot. Returns the ID and outcome of each change.
     pub fn apply(
         &mut self,
         slot: u64,
@@ -64,7 +65,7 @@
                     region: *region,
                     quota: *quota,
                     escrow: 0,
-                    shrunk_at: Version(0),
+                    shrink_version: Version(0),
                     capacity: *capacity,
                     members: 0,
                     contacts: Vec::new(),
@@ -85,9 +86,9 @@
             }
             Action::PutEntry { key, value } => self.put_entry(key, value, version),
             Action::DeleteEntry { key } => self.delete_entry(key, version),
-            Action::GrowQuota { cell, by } => self.grow(*cell, *by, version),
-            Action::ShrinkQuota { cell, by } => self.shrink(*cell, *by, version),
-            Action::ReleaseEscrow { cell, at } => self.release(*cell, *at, version),
+            Action::GrowQuota { cell, units } => self.grow(*cell, *units, version),
+            Action::ShrinkQuota { cell, units } => self.shrink(*cell, *units, version),
+            Action::ReleaseEscrow { cell, shrink_version } => self.release(*cell, *shrink_version, version),
         }
     }
 
@@ -102,7 +103,7 @@
         Ok(())
     }
 
-    /// Gives the new member the first place that is free.
+    /// Adds a member with the lowest free index.
     fn add_member(
         &mut self,
         cell: CellId,
@@ -115,7 +116,7 @@
             return Err(ChangeError::MemberExists);
         }
         let mut is_taken = vec![false; usize::from(capacity)];
-        for (_, holder) in self.place_holders(cell) {
+        for (_, holder) in self.index_holders(cell) {
             if let Some(is_taken) = is_taken.get_mut(usize::from(holder.index)) {
                 *is_taken = true;
             }
@@ -132,15 +133,15 @@
         new: Member,
         version: Version,
     ) -> Result<(), ChangeError> {
-        let held = self.member(cell, name).filter(|held| held.incarnation < new.incarnation);
-        let index = held.ok_or(ChangeError::UnknownMember)?.index;
+        let previous = self.member(cell, name).filter(|previous| previous.incarnation < new.incarnation);
+        let index = previous.ok_or(ChangeError::UnknownMember)?.index;
         self.write_member(cell, name, Some(Member { index, ..new }), version);
         Ok(())
     }
 
     fn remove_member(&mut self, cell: CellId, name: &str, version: Version) -> Result<(), ChangeError> {
-        let held = self.member(cell, name).filter(|held| !held.removed);
-        let member = Member { removed: true, ..held.ok_or(ChangeError::UnknownMember)?.clone() };
+        let current = self.member(cell, name).filter(|current| !current.removed);
+        let member = Member { removed: true, ..current.ok_or(ChangeError::UnknownMember)?.clone() };
         self.write_member(cell, name, Some(member), version);
         Ok(())
     }
@@ -152,15 +153,15 @@
         incarnation: u32,
         version: Version,
     ) -> Result<(), ChangeError> {
-        let held = self.member(cell, name).filter(|held| held.incarnation == incarnation);
-        held.ok_or(ChangeError::UnknownMember)?;
+        let current = self.member(cell, name).filter(|current| current.incarnation == incarnation);
+        current.ok_or(ChangeError::UnknownMember)?;
         self.write_member(cell, name, None, version);
         Ok(())
     }
 
     fn put_entry(&mut self, key: &str, value: &[u8], version: Version) -> Result<(), ChangeError> {
         let is_new = self.entry(key).is_none();
-        if is_new && self.entries() >= MAX_ENTRIES {
+        if is_new && self.entry_count() >= MAX_ENTRIES {
             return Err(ChangeError::OutOfBounds);
         }
         let value = Some(Value::Entry(value.to_vec()));
@@ -175,32 +176,37 @@
         Ok(())
     }
 
-    fn grow(&mut self, cell: CellId, by: u32, version: Version) -> Result<(), ChangeError> {
-        if by > self.free_quota() {
+    fn grow(&mut self, cell: CellId, units: u32, version: Version) -> Result<(), ChangeError> {
+        if units > self.free_quota() {
             return Err(ChangeError::QuotaNotFree);
         }
         self.update_cell(cell, version, |cell| {
-            cell.quota += by;
+            cell.quota += units;
             Ok(())
         })
     }
 
-    fn shrink(&mut self, cell: CellId, by: u32, version: Version) -> Result<(), ChangeError> {
+    fn shrink(&mut self, cell: CellId, units: u32, version: Version) -> Result<(), ChangeError> {
         self.update_cell(cell, version, |cell| {
             if cell.escrow > 0 {
                 return Err(ChangeError::ShrinkPending);
             }
-            let by = by.min(cell.quota);
-            cell.quota -= by;
-            cell.escrow = by;
-            cell.shrunk_at = version;
+            let units = units.min(cell.quota);
+            cell.quota -= units;
+            cell.escrow = units;
+            cell.shrink_version = version;
             Ok(())
         })
     }
 
-    fn release(&mut self, cell: CellId, shrunk_at: Version, version: Version) -> Result<(), ChangeError> {
+    fn release(
+        &mut self,
+        cell: CellId,
+        shrink_version: Version,
+        version: Version,
+    ) -> Result<(), ChangeError> {
         self.update_cell(cell, version, |cell| {
-            if cell.escrow == 0 || cell.shrunk_at != shrunk_at {
+            if cell.escrow == 0 || cell.shrink_version != shrink_version {
                 return Err(ChangeError::NothingToRelease);
             }
             cell.escrow = 0;
@@ -208,7 +214,7 @@
         })
     }
 
-    /// Writes a member's record and, where it changes what the cell's record says of its members, that record too.
+    /// Writes a member's record, and also the cell's record if its member count or contacts change.
     fn write_member(&mut self, cell: CellId, name: &str, member: Option<Member>, version: Version) {
         let key = Key::Member(cell, name.to_owned());
         self.insert(Record { key, version, value: member.map(Value::Member) });
@@ -218,11 +224,11 @@
         let contacts: Vec<_> = ranked.iter().rev().take(CONTACTS).map(|(_, address)| *address).collect();
         let members = ranked.len() as u16;
         let is_unchanged =
-            self.cell(cell).is_some_and(|held| held.members == members && held.contacts == contacts);
+            self.cell(cell).is_some_and(|cell| cell.members == members && cell.contacts == contacts);
         if is_unchanged {
             return;
         }
-        // A member of a cell that was never added has no cell record to follow it.
+        // Fails only if the cell was never added; there is no cell record to update then.
         let _ = self.update_cell(cell, version.next(), |cell| {
             cell.members = members;
             cell.contacts = contacts;
--- a/crates/cells/src/cell_members.rs
+++ b/crates/cells/src/cell_members.rs
@@ -1,5 +1,5 @@
-//! The other members of a process's cell: who they are by the log, which of them are alive by SWIM, and which of them
-//! are the cell's delegates.
+//! The other members of a process's cell: their records from the log, their liveness from SWIM, and which of them are
+//! the cell's delegates.
 
 use crate::rank;
 use crate::record::CellId;
@@ -11,9 +11,9 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Members that pull from the replicas for their cell.
+/// Number of delegates: members that pull from the replicas on behalf of their cell.
 const DELEGATES: usize = 3;
-/// For how long after its activation a process announces itself often.
+/// Period after its activation in which a process announces itself frequently.
 const JOINING_PERIOD: Duration = Duration::from_millis(3000);
 const JOINING_ANNOUNCE_PERIOD: Duration = Duration::from_millis(500);
 
@@ -28,15 +28,15 @@
     is_alive: bool,
 }
 
-/// A message of the failure detector, addressed.
+/// A failure detector message and its destination.
 pub struct MembershipDatagram {
-    /// Address of the member.
+    /// Address of the receiving member.
     pub to: SocketAddr,
-    /// The message.
+    /// The encoded message.
     pub bytes: Vec<u8>,
 }
 
-/// The failure detector, from the activation of the process on.
+/// The failure detector, which runs from the activation of the process.
 struct Detector {
     swim: Swim,
     activated_at: Timestamp,
@@ -55,7 +55,7 @@
 }
 
 impl CellMembers {
-    /// No members, for a process of this cell and name.
+    /// An empty set of members, for the process with this cell and name.
     pub fn new(cell: CellId, name: String) -> Self {
         CellMembers {
             cell,
@@ -67,7 +67,7 @@
         }
     }
 
-    /// Reads the members anew from the log's records.
+    /// Reloads the members from the records of the state.
     pub fn refresh(&mut self, state: &State) {
         let cell = self.cell;
         let others = state.members(cell).filter(|(name, _)| *name != self.name);
@@ -84,7 +84,7 @@
         self.refresh_liveness();
     }
 
-    /// Starts the failure detector, as the process takes part in the cell from now on.
+    /// Starts the failure detector when the process becomes active in the cell.
     pub fn activate(&mut self, me: SwimId, seed: u64, now: Timestamp) {
         let swim = Swim::new(me, self.members.len(), seed);
         self.detector = Some(Detector { swim, activated_at: now, next_announce_at: now });
@@ -102,8 +102,8 @@
         let mut ranked: Vec<_> = self.members.iter().filter(|member| member.is_alive).collect();
         ranked.sort_unstable_by_key(|member| std::cmp::Reverse(member.rank));
         let own_rank = rank(self.cell, &self.name);
-        let above = ranked.iter().filter(|member| member.rank > own_rank).count();
-        self.is_delegate = self.detector.is_some() && above < DELEGATES;
+        let higher_ranked = ranked.iter().filter(|member| member.rank > own_rank).count();
+        self.is_delegate = self.detector.is_some() && higher_ranked < DELEGATES;
         let other_delegates = if self.is_delegate { DELEGATES - 1 } else { DELEGATES };
         self.delegates = ranked.iter().take(other_delegates).map(|member| member.address).collect();
     }
@@ -123,12 +123,12 @@
         self.members.is_empty()
     }
 
-    /// Whether an address is that of a member.
+    /// Whether this is the address of a member.
     pub fn contains(&self, address: SocketAddr) -> bool {
         self.members.iter().any(|member| member.address == address)
     }
 
-    /// Names of the members that are alive.
+    /// Names of the alive members.
     pub fn alive(&self) -> impl Iterator<Item = &str> {
         self.members.iter().filter(|member| member.is_alive).map(|member| member.name.as_str())
     }
@@ -138,7 +138,7 @@
         self.members.iter().filter(|member| !member.is_alive).count()
     }
 
-    /// Addresses of random members, of those that are alive where there are any.
+    /// Addresses of `count` random members, chosen among the alive ones if there are any.
     pub fn sample(&self, count: usize, rng: &mut WyRand) -> Vec<SocketAddr> {
         let alive = self.members.iter().filter(|member| member.is_alive);
         let mut candidates: Vec<_> = alive.map(|member| member.address).collect();
@@ -152,32 +152,32 @@
         sample
     }
 
-    /// Handles a message of the failure detector. Returns whether it could be read; the answers go to `sends`.
+    /// Handles a failure detector message. Returns whether it could be decoded; responses are added to `sends`.
     pub fn on_datagram(&mut self, bytes: &[u8], now: Timestamp, sends: &mut Vec<MembershipDatagram>) -> bool {
         let Some(detector) = &mut self.detector else { return true };
         let mut swim_sends = Vec::new();
-        let is_readable = detector.swim.on_datagram(bytes, now, &mut swim_sends);
-        self.address(swim_sends, sends);
-        is_readable
+        let is_valid = detector.swim.on_datagram(bytes, now, &mut swim_sends);
+        self.resolve_addresses(swim_sends, sends);
+        is_valid
     }
 
-    /// Handles the timers of the failure detector that are due.
+    /// Handles due timers of the failure detector.
     pub fn on_timer(&mut self, now: Timestamp, sends: &mut Vec<MembershipDatagram>) {
         let Some(detector) = &mut self.detector else { return };
         let mut swim_sends = Vec::new();
         detector.swim.on_timer(now, &mut swim_sends);
-        self.address(swim_sends, sends);
+        self.resolve_addresses(swim_sends, sends);
     }
 
-    /// Announces this process to a random member that is not alive, where that is due: often in the first seconds, so
-    /// that the members of a new cell find each other.
+    /// Announces this process to a random member that is not alive, if an announcement is due. Announcements are
+    /// frequent in the first seconds, so that the members of a new cell find each other.
     pub fn announce(&mut self, rng: &mut WyRand, now: Timestamp, sends: &mut Vec<MembershipDatagram>) {
         let Some(detector) = &mut self.detector else { return };
         if now < detector.next_announce_at {
             return;
         }
         let period = Duration::from_millis(announce_period_ms(self.members.len()));
-        // Jitter, as the processes of a cell may start together.
+        // Jitter, because the processes of a cell may start at the same time.
         let jitter = 0.5 + f64::from(rng.generate_range(0..1000u32)) / 1000.0;
         let is_joining = now.since(detector.activated_at) < JOINING_PERIOD;
         detector.next_announce_at =
@@ -190,26 +190,26 @@
         let index = unreachable[rng.generate_range(0..unreachable.len())];
         let mut swim_sends = Vec::new();
         detector.swim.announce(index, now, &mut swim_sends);
-        self.address(swim_sends, sends);
+        self.resolve_addresses(swim_sends, sends);
     }
 
-    /// Announces that this process leaves.
+    /// Announces to the cell that this process leaves.
     pub fn leave(&mut self, now: Timestamp, sends: &mut Vec<MembershipDatagram>) {
         let Some(detector) = &mut self.detector else { return };
         let mut swim_sends = Vec::new();
         detector.swim.leave(now, &mut swim_sends);
-        self.address(swim_sends, sends);
+        self.resolve_addresses(swim_sends, sends);
     }
 
-    /// When a timer of the failure detector or an announcement is due.
+    /// When the next failure detector timer or announcement is due.
     pub fn next_wakeup(&self) -> Timestamp {
         self.detector
             .as_ref()
             .map_or(Timestamp::NEVER, |detector| detector.swim.next_wakeup().min(detector.next_announce_at))
     }
 
-    /// Finds the addresses of places, and takes over what the failure detector has found.
-    fn address(&mut self, swim_sends: Vec<SwimDatagram>, sends: &mut Vec<MembershipDatagram>) {
+    /// Resolves member indices to addresses, and refreshes the liveness if the failure detector reports changes.
+    fn resolve_addresses(&mut self, swim_sends: Vec<SwimDatagram>, sends: &mut Vec<MembershipDatagram>) {
         for SwimDatagram { index, bytes } in swim_sends {
             if let Some(member) = self.members.iter().find(|member| member.index == index) {
                 sends.push(MembershipDatagram { to: member.address, bytes });
--- a/crates/cells/src/change.rs
+++ b/crates/cells/src/change.rs
@@ -1,34 +1,34 @@
-//! The changes that the log consists of.
+//! Changes to the replicated state; the log is a sequence of batches of them.
 
 use crate::record::{CellId, Version, TOTAL_QUOTA};
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Changes in one batch at most, so that a version has an index for each of their records.
+/// Maximum number of changes in a batch. Bounded so that [`Version`] has an index for each record they write.
 pub(crate) const MAX_BATCH_CHANGES: usize = 255;
-/// Longest name of a member.
+/// Maximum length of a member name.
 pub const MAX_NAME_BYTES: usize = 64;
-/// Longest key of an entry.
+/// Maximum length of an entry's key.
 pub const MAX_KEY_BYTES: usize = 96;
-/// Longest value of an entry.
+/// Maximum length of an entry's value.
 pub const MAX_VALUE_BYTES: usize = 900;
-/// Places of a cell at most.
+/// Maximum capacity of a cell.
 pub const MAX_CELL_CAPACITY: u16 = 1024;
-/// Entries with a value at most: some thousands of servers, and what customers and sites need.
+/// Maximum number of entries: enough for several thousand servers plus the settings of customers and sites.
 pub const MAX_ENTRIES: usize = 16_384;
 
-/// What a change does.
+/// The operation of a change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Action {
-    /// Adds a cell, with quota that no cell has.
+    /// Adds a cell and assigns it free quota.
     AddCell {
-        /// Number of the new cell.
+        /// ID of the new cell.
         cell: CellId,
-        /// Its region.
+        /// Region of the cell.
         region: u8,
-        /// Equal parts that its quota is divided into.
+        /// Maximum number of members; the quota is divided into this many equal shares.
         capacity: u16,
-        /// Its quota, in units.
+        /// Quota of the cell, in units.
         quota: u32,
     },
     /// Adds a member to a cell.
@@ -37,43 +37,43 @@
         cell: CellId,
         /// Name of the member, unique in the fleet.
         name: String,
-        /// Its address.
+        /// Address of the member.
         address: SocketAddr,
-        /// Its incarnation.
+        /// Incarnation of the member.
         incarnation: u32,
     },
-    /// A member was restarted: its process before has ended.
+    /// Replaces a member that has restarted. Its previous process must have ended.
     ReplaceMember {
         /// The cell.
         cell: CellId,
         /// Name of the member.
         name: String,
-        /// Its new address.
+        /// New address of the member.
         address: SocketAddr,
-        /// Its new incarnation, greater than the one before.
+        /// New incarnation, greater than the previous one.
         incarnation: u32,
     },
-    /// Removes a member. It keeps its place until it is known to have ended.
+    /// Removes a member. It keeps its index and quota share until its process is recorded as ended.
     RemoveMember {
         /// The cell.
         cell: CellId,
         /// Name of the member.
         name: String,
     },
-    /// The process of a member has ended and no other replaces it: its place is free.
+    /// Records that a member's process has ended without a replacement, which frees the member's index.
     RecordMemberEnd {
         /// The cell.
         cell: CellId,
         /// Name of the member.
         name: String,
-        /// Incarnation that ended.
+        /// Incarnation of the ended process.
         incarnation: u32,
     },
     /// Sets an entry.
     PutEntry {
         /// Key of the entry.
         key: String,
-        /// Its value.
+        /// Value of the entry.
         value: Vec<u8>,
     },
     /// Deletes an entry.
@@ -81,78 +81,78 @@
         /// Key of the entry.
         key: String,
     },
-    /// Gives a cell quota that no cell has.
+    /// Assigns free quota to a cell.
     GrowQuota {
         /// The cell.
         cell: CellId,
         /// Units of quota.
-        by: u32,
+        units: u32,
     },
-    /// Takes quota from a cell into escrow.
+    /// Moves quota of a cell into escrow.
     ShrinkQuota {
         /// The cell.
         cell: CellId,
         /// Units of quota.
-        by: u32,
+        units: u32,
     },
-    /// No member uses the escrow of a cell any more: it is free.
+    /// Frees the quota in escrow of a cell, once no member of the cell uses it any more.
     ReleaseEscrow {
         /// The cell.
         cell: CellId,
-        /// [`crate::Cell::shrunk_at`] of the shrink.
-        at: Version,
+        /// [`crate::Cell::shrink_version`] of the shrink.
+        shrink_version: Version,
     },
 }
 
-/// A change of the log.
+/// A change in the log.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Change {
-    /// Idempotency key: a change that is submitted again is applied once.
+    /// Idempotency key: a change that is submitted more than once is applied once.
     pub id: u64,
-    /// What it does.
+    /// The operation.
     pub action: Action,
 }
 
 /// The value of one slot of the log.
 pub type Batch = Vec<Change>;
 
-/// Why a change has no effect.
+/// Reason why a change has no effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error, Serialize, Deserialize)]
 pub enum ChangeError {
-    /// Its id was applied before.
-    #[error("counted already: nothing to do")]
+    /// A change with this ID was applied before.
+    #[error("change was already applied; no action needed")]
     AlreadyApplied,
-    /// A member has this name.
-    #[error("a member of this name is there already: give each process a name of its own, or replace it")]
+    /// A member with this name exists.
+    #[error("a member with this name already exists: use unique process names, or replace the member")]
     MemberExists,
-    /// A cell has this number.
-    #[error("a cell of this number is there already: shrink or grow it instead")]
+    /// A cell with this ID exists.
+    #[error("a cell with this ID already exists: grow or shrink it instead")]
     CellExists,
-    /// No cell has this number.
-    #[error("no such cell: add the cell first")]
+    /// No cell has this ID.
+    #[error("unknown cell: add the cell first")]
     UnknownCell,
     /// No member has this name and incarnation.
-    #[error("no such member, or another incarnation of it: read who is there, then write the change anew")]
+    #[error("unknown member or different incarnation: read the current members, then submit a new change")]
     UnknownMember,
-    /// Every place of the cell has a member.
-    #[error("all places of the cell are taken: say which processes ended, or add a second cell in the zone")]
+    /// The cell is at its capacity.
+    #[error("cell is at its capacity: record which processes have ended, or add another cell in the zone")]
     CellFull,
-    /// Less quota is free.
-    #[error("more quota than is free: shrink another cell, and wait until it has released")]
+    /// Not enough quota is free.
+    #[error("not enough free quota: shrink another cell and wait until its escrow is released")]
     QuotaNotFree,
     /// The cell has quota in escrow.
-    #[error("a shrink of this cell is not released yet: wait for it, or say which of its processes ended")]
+    #[error("escrow of an earlier shrink is not released yet: wait, or record which processes have ended")]
     ShrinkPending,
-    /// The cell has no quota of this version in escrow.
-    #[error("nothing that was given up at this version: see which version the cell's record has")]
+    /// The cell has no quota in escrow from a shrink of this version.
+    #[error("no escrow from a shrink of this version: read the shrink version in the cell's record")]
     NothingToRelease,
-    /// A value is out of its bounds.
-    #[error("longer or more than the bounds: shorten it, or delete what is no longer used")]
+    /// A value or the number of entries exceeds its limit.
+    #[error("length or count limit exceeded: shorten the value, or delete unused entries")]
     OutOfBounds,
 }
 
 impl Change {
-    /// Whether its values are within their bounds, whatever the state is.
+    /// Whether all values are within their static limits; does not depend on the state.
     pub fn is_within_bounds(&self) -> bool {
         match &self.action {
             Action::AddMember { name, .. }
@@ -164,12 +164,12 @@
             Action::AddCell { capacity, quota, .. } => {
                 (1..=MAX_CELL_CAPACITY).contains(capacity) && *quota <= TOTAL_QUOTA
             }
-            Action::GrowQuota { by, .. } | Action::ShrinkQuota { by, .. } => *by <= TOTAL_QUOTA,
+            Action::GrowQuota { units, .. } | Action::ShrinkQuota { units, .. } => *units <= TOTAL_QUOTA,
             Action::ReleaseEscrow { .. } => true,
         }
     }
 
-    /// Estimated bytes in a datagram.
+    /// Estimated encoded size in a datagram.
     pub fn estimated_bytes(&self) -> usize {
         const OVERHEAD_BYTES: usize = 16;
         let action = match &self.action {
--- a/crates/cells/src/delta.rs
+++ b/crates/cells/src/delta.rs
@@ -1,47 +1,47 @@
-//! Differences between the states of two holders.
+//! Deltas, by which one node brings the state of another up to date.
 
 use crate::record::{Record, Version};
 use serde::{Deserialize, Serialize};
 
-/// All records of a scope with versions after one and up to another, in their order.
+/// The records of a scope with versions in a range, in order of version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Delta {
-    /// The records have later versions.
+    /// Exclusive lower bound of the versions.
     pub after: Version,
-    /// No record up to this version is left out.
+    /// Inclusive upper bound of the versions.
     pub to: Version,
-    /// The latest version that the sender knows to exist. Up to there a record may be left out that the sender holds
-    /// in a later version.
+    /// The latest version that the sender knows to exist. A record in the range is omitted if the sender
+    /// holds a later version of it, which is at most `head`.
     pub head: Version,
-    /// Records deleted up to this version are left out.
+    /// The sender's compaction horizon: records deleted up to this version are not in the delta.
     pub horizon: Version,
-    /// Hash of all records of the sender, or 0 where it is not complete or has another scope.
+    /// Digest of the sender's state, or 0 if the state is incomplete or has a different scope.
     pub digest: u64,
     /// The records.
     pub records: Vec<Record>,
 }
 
-/// Why a delta is not applied.
+/// Reason why a delta is not applied.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DeltaError {
-    /// It starts after the last version that is complete here.
-    #[error("a gap before it: what lies between is asked for")]
+    /// The delta starts after the version up to which the local state is complete.
+    #[error("gap before the delta; the missing records are pulled")]
     Gap,
-    /// Its records are not sorted, or not of its versions and scope.
-    #[error("a record that is not in its span or out of order: see that all processes run one version")]
+    /// The records are not sorted, or not within the version range and scope.
+    #[error("records out of order or out of range: check that all processes run the same release")]
     OutOfOrder,
-    /// It is of another log.
+    /// The delta belongs to a different log.
     #[error(
-        "two values for one version: a process or acceptor holds another log; start it with an empty state"
+        "two values for one version: a process or acceptor has a different log; restart it with an empty state"
     )]
     Fork,
 }
 
-/// What a delta has changed.
+/// Result of merging a delta into a state.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Merged {
-    /// Records that are new here.
+    /// Records that were added or replaced.
     pub new_records: Vec<Record>,
-    /// The state is complete up to a later version than before.
+    /// Whether the version up to which the state is complete has increased.
     pub is_advanced: bool,
 }
--- a/crates/cells/src/lib.rs
+++ b/crates/cells/src/lib.rs
@@ -1,12 +1,12 @@
-//! A fleet that changes while it runs, divided into cells: a replicated log that a majority of some replicas agrees on,
-//! its dissemination to every process, and quotas that add up to the total in any partition.
+//! Membership, configuration and quotas of a fleet that is divided into cells: a log replicated by Paxos, its
+//! dissemination to every process, and quotas whose sum never exceeds the total, even in network partitions.
 //!
-//! - [`Replica`]: proposer, acceptor and learner of the log, on a machine set aside for it;
-//! - [`Process`]: a member of a cell, which follows the log and uses a part of its cell's quota;
-//! - [`State`]: the records that the log has left, and [`LogFollower`], which keeps them up to date.
+//! - [`Replica`]: proposer, acceptor and learner of the log, on a dedicated machine;
+//! - [`Process`]: a member of a cell, which follows the log and uses one share of its cell's quota;
+//! - [`State`]: the records that result from applying the log, and [`LogFollower`], which keeps them up to date.
 //!
-//! The crate does no I/O: time comes as an argument, datagrams and what is to be stored go out through [`Environment`],
-//! and random numbers come from the given seed. `docs/cells.md` describes the protocols and why they are safe.
+//! The crate does no I/O: time is passed as an argument, datagrams and data to be stored are handed to [`Environment`],
+//! and random numbers are derived from a given seed. `docs/cells.md` describes the protocols and why they are safe.
 
 #![warn(missing_docs)]
 #![deny(unsafe_code)]
@@ -51,22 +51,22 @@
 use std::net::SocketAddr;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// What a [`Process`] or a [`Replica`] asks of the program that embeds it, and reports to it.
+/// Interface of a [`Process`] or [`Replica`] to the embedding program: I/O and notifications.
 pub trait Environment {
     /// Sends a datagram.
     fn send(&mut self, to: SocketAddr, datagram: Vec<u8>);
-    /// Stores on disk before anything that is sent after this call. All stored before a [`Stored::Checkpoint`] may be
-    /// deleted.
+    /// Stores data on disk. It must be durable before any datagram that is sent after this call. All data stored before
+    /// a [`Stored::Checkpoint`] may be deleted.
     fn store(&mut self, stored: Stored);
-    /// A record is new, has changed or has lost its value.
+    /// Reports a record that was added, changed or deleted.
     fn record_changed(&mut self, record: &Record);
-    /// The outcome of a change that was submitted here.
+    /// Reports the outcome of a change that was submitted to this node.
     fn change_decided(&mut self, id: u64, outcome: Result<(), ChangeError>);
-    /// A datagram, a part of one, or something stored was refused. `counter` is the name of the counter to increase.
+    /// Reports that a datagram, a part of one, or stored data was rejected. `counter` names the counter to increment.
     fn datagram_rejected(&mut self, counter: &'static str);
 }
 
-/// Rank of a member in its cell, by rendezvous hash: the highest ranks of those alive are the cell's delegates.
+/// Rank of a member in its cell, a rendezvous hash: the alive members with the highest ranks are the delegates.
 pub fn rank(cell: CellId, name: &str) -> u64 {
     xxh3_64_with_seed(name.as_bytes(), u64::from(cell.0) + 1)
 }
--- a/crates/cells/src/log_follower.rs
+++ b/crates/cells/src/log_follower.rs
@@ -1,39 +1,39 @@
-//! Follows the log by deltas, and by a snapshot where the log's compaction has gone past this state.
+//! Follows the log by deltas, or by a snapshot if the log was compacted beyond the version of the local state.
 
 use crate::delta::{Delta, DeltaError, Merged};
 use crate::packet::{Message, MAX_PAYLOAD_BYTES};
 use crate::record::{Record, Scope, Version};
 use crate::state::State;
 
-/// A state, and the snapshot that replaces it once it is complete.
+/// A state, and the snapshot in transfer that replaces it when complete.
 pub struct LogFollower {
     state: State,
     transfer: Option<SnapshotTransfer>,
 }
 
-/// A snapshot that arrives in parts.
+/// A snapshot that is received in several deltas.
 struct SnapshotTransfer {
     state: State,
-    /// Records deleted up to here are left out; those deleted later have to be among the deltas.
+    /// Records deleted up to this version are not in the snapshot; later deletions must be in the deltas.
     horizon: Version,
 }
 
 impl SnapshotTransfer {
     fn new(scope: Scope, head: Version, horizon: Version) -> Self {
         let mut state = State::new(scope);
-        // Records of later versions may have been passed on to others, so the snapshot has to reach them.
+        // Records up to `head` may have been acknowledged or passed on to others, so the snapshot must include them.
         state.observe_head(head);
         SnapshotTransfer { state, horizon }
     }
 }
 
 impl LogFollower {
-    /// Follows the log from this state on.
+    /// Follows the log, starting from this state.
     pub fn new(state: State) -> Self {
         LogFollower { state, transfer: None }
     }
 
-    /// The state, without a snapshot that is not complete.
+    /// The state, without any snapshot still in transfer.
     pub fn state(&self) -> &State {
         &self.state
     }
@@ -42,7 +42,7 @@
         &mut self.state
     }
 
-    /// The pull for what comes next.
+    /// The message that pulls the next records.
     pub fn next_pull(&self) -> Message {
         let (after, snapshot) = match &self.transfer {
             Some(transfer) => (transfer.state.complete_to(), true),
@@ -51,12 +51,12 @@
         Message::Pull { scope: self.state.scope(), after, snapshot }
     }
 
-    /// Whether a snapshot is arriving.
+    /// Whether a snapshot transfer is in progress.
     pub fn is_transferring_snapshot(&self) -> bool {
         self.transfer.is_some()
     }
 
-    /// Applies an answer to a pull. All records of a snapshot count as new when it is complete.
+    /// Applies the response to a pull. All records of a snapshot are reported as new when it is complete.
     ///
     /// # Errors
     ///
@@ -69,7 +69,7 @@
         let start = || SnapshotTransfer::new(scope, head, delta.horizon);
         let transfer = self.transfer.get_or_insert_with(start);
         if delta.horizon > transfer.horizon.max(transfer.state.complete_to()) {
-            // Records may have been deleted and dropped between two parts.
+            // Records may have been deleted and compacted between two deltas of the transfer; restart it.
             *transfer = start();
         }
         let merged = transfer.state.merge(delta)?;
@@ -85,15 +85,15 @@
 }
 
 impl State {
-    /// Whether a delta is the first part of a snapshot that this state needs: the state is empty, or the sender has
-    /// dropped records that were deleted since.
+    /// Whether a delta is the first of a snapshot that this state needs, because the state is empty or the sender has
+    /// dropped deleted records that this state may still contain.
     fn starts_snapshot(&self, delta: &Delta) -> bool {
         let needs_snapshot = self.complete_to() == Version(0) || delta.horizon > self.complete_to();
         needs_snapshot && delta.after == Version(0) && delta.to > Version(0)
     }
 
-    /// The answer to a pull, in one datagram.
-    pub fn answer(&self, scope: Scope, after: Version, snapshot: bool) -> Delta {
+    /// The response to a pull; fits in one datagram.
+    pub fn pull_response(&self, scope: Scope, after: Version, snapshot: bool) -> Delta {
         let after = if !snapshot && self.needs_snapshot(after) { Version(0) } else { after };
         self.delta_after(scope, after, MAX_PAYLOAD_BYTES)
     }
--- a/crates/cells/src/lookups.rs
+++ b/crates/cells/src/lookups.rs
@@ -4,7 +4,7 @@
 use crate::state::State;
 
 impl State {
-    /// A cell.
+    /// The cell with this ID.
     pub fn cell(&self, cell: CellId) -> Option<&Cell> {
         match self.get(&Key::Cell(cell))?.value.as_ref()? {
             Value::Cell(cell) => Some(cell),
@@ -12,7 +12,7 @@
         }
     }
 
-    /// All cells, in the order of their numbers.
+    /// All cells, ordered by ID.
     pub fn cells(&self) -> impl Iterator<Item = (CellId, &Cell)> {
         self.records().map_while(|record| match (&record.key, &record.value) {
             (Key::Cell(id), Some(Value::Cell(cell))) => Some((*id, cell)),
@@ -20,7 +20,7 @@
         })
     }
 
-    /// A member of a cell, removed or not.
+    /// A member of a cell, including removed ones.
     pub fn member(&self, cell: CellId, name: &str) -> Option<&Member> {
         match self.get(&Key::Member(cell, name.to_owned()))?.value.as_ref()? {
             Value::Member(member) => Some(member),
@@ -28,8 +28,8 @@
         }
     }
 
-    /// The members of a cell that have a place, removed ones included, in the order of their names.
-    pub fn place_holders(&self, cell: CellId) -> impl Iterator<Item = (&str, &Member)> {
+    /// The members of a cell that hold an index, including removed ones, ordered by name.
+    pub fn index_holders(&self, cell: CellId) -> impl Iterator<Item = (&str, &Member)> {
         let records = self.records_from(&Key::Member(cell, String::new()));
         let of_cell = records.map_while(move |record| match &record.key {
             Key::Member(member_cell, name) if *member_cell == cell => {
@@ -43,12 +43,12 @@
         })
     }
 
-    /// The members of a cell that are not removed, in the order of their names.
+    /// The members of a cell, without removed ones, ordered by name.
     pub fn members(&self, cell: CellId) -> impl Iterator<Item = (&str, &Member)> {
-        self.place_holders(cell).filter(|(_, member)| !member.removed)
+        self.index_holders(cell).filter(|(_, member)| !member.removed)
     }
 
-    /// The value of an entry.
+    /// The value of the entry with this key.
     pub fn entry(&self, key: &str) -> Option<&[u8]> {
         match self.get(&Key::Entry(key.to_owned()))?.value.as_ref()? {
             Value::Entry(value) => Some(value),
@@ -56,9 +56,10 @@
         }
     }
 
-    /// Units of quota that no cell has.
+    /// Units of quota that are neither assigned to a cell nor in escrow.
     pub fn free_quota(&self) -> u32 {
-        let granted: u64 = self.cells().map(|(_, cell)| u64::from(cell.quota) + u64::from(cell.escrow)).sum();
-        u64::from(TOTAL_QUOTA).saturating_sub(granted) as u32
+        let assigned: u64 =
+            self.cells().map(|(_, cell)| u64::from(cell.quota) + u64::from(cell.escrow)).sum();
+        u64::from(TOTAL_QUOTA).saturating_sub(assigned) as u32
     }
 }
--- a/crates/cells/src/packet.rs
+++ b/crates/cells/src/packet.rs
@@ -1,4 +1,4 @@
-//! Datagrams between processes and replicas: their encoding, and why one is refused.
+//! Datagrams between processes and replicas: messages, their encoding and decoding errors.
 
 use crate::change::{Batch, Change, ChangeError};
 use crate::delta::Delta;
@@ -7,79 +7,80 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// Longest datagram, so that no network fragments it.
+/// Maximum length of a datagram; below the usual MTU to avoid fragmentation.
 pub const MAX_DATAGRAM_BYTES: usize = 1400;
-/// Records or changes in one datagram, without what surrounds them.
+/// Maximum size of the records or changes in a datagram, without the rest of the message and the header.
 pub const MAX_PAYLOAD_BYTES: usize = 1150;
 /// Version of the encoding.
 const FORMAT: u8 = 1;
-/// The format, the fleet's id and the checksum.
+/// Length of the format version, the fleet ID and the checksum.
 const HEADER_BYTES: usize = 13;
 
-/// Number of a proposal, unique and ordered among all proposals of a slot.
+/// Number of a proposal; ballots of a slot are unique and totally ordered.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct Ballot {
-    /// Higher than all that the proposer has heard of.
+    /// Higher than any round known to the proposer.
     pub round: u32,
-    /// Id of the proposer.
+    /// Replica ID of the proposer.
     pub proposer: u8,
 }
 
-/// A message between replicas, by which they choose the batch of one slot.
+/// A message between replicas, which choose the batch of a slot by single-decree Paxos.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Paxos {
-    /// Asks for a promise to vote for no lower ballot.
+    /// Requests a promise not to vote for any lower ballot.
     Prepare {
         /// The slot.
         slot: u64,
         /// The proposer's ballot.
         ballot: Ballot,
     },
-    /// Answers `Prepare`.
+    /// Response to `Prepare`.
     Promise {
         /// The slot.
         slot: u64,
-        /// The ballot that is promised.
+        /// The promised ballot.
         ballot: Ballot,
-        /// The last vote in this slot.
+        /// The last vote of the acceptor in this slot.
         accepted: Option<AcceptedBatch>,
     },
-    /// Asks for a vote.
+    /// Requests a vote for a batch.
     Accept {
         /// The slot.
         slot: u64,
         /// The proposer's ballot.
         ballot: Ballot,
-        /// The batch that is voted on.
+        /// The proposed batch.
         batch: Batch,
     },
-    /// Answers `Accept`: a vote.
+    /// Response to `Accept`: the acceptor has voted for the batch.
     Accepted {
         /// The slot.
         slot: u64,
-        /// The ballot that is voted for.
+        /// The accepted ballot.
         ballot: Ballot,
     },
-    /// Refuses `Prepare` or `Accept`, as a higher ballot was promised.
+    /// Rejects `Prepare` or `Accept` because a higher ballot was promised.
     Conflict {
         /// The slot.
         slot: u64,
-        /// The ballot that was promised.
+        /// The ballot promised before.
         promised: Ballot,
     },
-    /// Announces the value of a slot.
+    /// Announces the chosen batch of a slot.
     Chosen {
         /// The slot.
         slot: u64,
-        /// Its value.
+        /// The chosen batch.
         batch: Batch,
     },
-    /// Sent by a replica that lost its storage: asks for the highest slot that the receiver took part in.
-    AskHighestSlot {
+    /// Sent by a replica that has lost its storage; requests the highest slot that the receiver has learned or voted
+    /// in.
+    QueryHighestSlot {
         /// Number of the recovery.
         recovery: u64,
     },
-    /// Answers `AskHighestSlot`.
+    /// Response to `QueryHighestSlot`.
     HighestSlot {
         /// Number of the recovery.
         recovery: u64,
@@ -88,25 +89,25 @@
     },
 }
 
-/// Any datagram.
+/// The content of a datagram.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// A message of the membership protocol.
+    /// A message of the SWIM failure detector, encoded.
     Swim(Vec<u8>),
-    /// Asks for the records after a version.
+    /// Requests the records after a version.
     Pull {
-        /// Records that the sender holds.
+        /// Scope of the sender's state.
         scope: Scope,
-        /// It holds all records of the scope up to this version.
+        /// The sender holds all records of the scope up to this version.
         after: Version,
-        /// It takes a snapshot into an empty state.
+        /// Whether the sender is receiving a snapshot into an empty state.
         snapshot: bool,
     },
-    /// Answers `Pull`.
+    /// Response to `Pull`.
     Delta(Delta),
-    /// A delta that was not asked for.
+    /// A delta that is sent without a request.
     Push(Delta),
-    /// Sent to a delegate: the sender uses its cell's record of this version, and none before it any more.
+    /// Sent to a delegate: the sender uses this version of its cell's record, and no earlier one.
     Ack {
         /// The sender's cell.
         cell: CellId,
@@ -119,39 +120,39 @@
     },
     /// Submits a change to a replica.
     Submit(Change),
-    /// Answers `Submit` once the change is decided.
+    /// Response to `Submit`, sent when the change is decided.
     Outcome {
-        /// Id of the change.
+        /// ID of the change.
         id: u64,
-        /// What came of it.
+        /// Outcome of the change.
         outcome: Result<(), ChangeError>,
     },
     /// A message between replicas.
     Paxos(Paxos),
 }
 
-/// Why a datagram is refused. Nothing of it is used.
+/// Reason why a datagram is rejected as a whole.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum PacketError {
-    /// It was sent in another fleet.
-    #[error("of another fleet: see who sends to this address")]
-    Foreign,
-    /// It has another format.
-    #[error("of another format: see that all processes run one version")]
+    /// The datagram belongs to a different fleet.
+    #[error("datagram of a different fleet: check which process sends to this address")]
+    OtherFleet,
+    /// The datagram has a different format version.
+    #[error("datagram format not supported: check that all processes run the same release")]
     OtherFormat,
-    /// Its checksum is wrong.
-    #[error("damaged on its way: see the network between the processes")]
+    /// The checksum does not match.
+    #[error("datagram checksum mismatch: check the network between the processes")]
     Damaged,
-    /// It holds no message, or is too long.
-    #[error("not to be read: see that all processes run one version")]
+    /// The content cannot be decoded, or is too short or too long.
+    #[error("datagram cannot be decoded: check that all processes run the same release")]
     Unreadable,
 }
 
 impl PacketError {
-    /// Name of the counter.
+    /// Name of the counter to increment for this error.
     pub fn counter(self) -> &'static str {
         match self {
-            PacketError::Foreign => "cells datagrams of others",
+            PacketError::OtherFleet => "cells datagrams of others",
             PacketError::OtherFormat => "cells datagrams of another format",
             PacketError::Damaged => "cells datagrams damaged",
             PacketError::Unreadable => "cells datagrams not to be read",
@@ -159,14 +160,14 @@
     }
 }
 
-/// Id of the fleet of a name, which every datagram carries.
+/// ID of the fleet with this name; part of every datagram.
 pub fn fleet_id(name: &str) -> u64 {
     xxh3_64(name.as_bytes())
 }
 
 /// Encodes a datagram of a fleet.
 pub fn encode(fleet: u64, message: &Message) -> Vec<u8> {
-    // Messages are made of numbers, strings and lists, whose encoding cannot fail.
+    // Messages contain only numbers, strings and lists; encoding them cannot fail.
     let body = postcard::to_stdvec(message).unwrap_or_default();
     let checksum = xxh3_64_with_seed(&body, fleet) as u32;
     let mut bytes = Vec::with_capacity(HEADER_BYTES + body.len());
@@ -181,7 +182,7 @@
 ///
 /// # Errors
 ///
-/// [`PacketError`] where it is not one of this fleet and format.
+/// [`PacketError`] if the datagram is not a valid one of this fleet and format.
 pub fn decode(fleet: u64, bytes: &[u8]) -> Result<Message, PacketError> {
     let (Some(format), Some(id), Some(checksum)) =
         (bytes.first(), bytes.get(1..9), bytes.get(9..HEADER_BYTES))
@@ -192,7 +193,7 @@
         return Err(PacketError::Unreadable);
     }
     if id != fleet.to_le_bytes() {
-        return Err(PacketError::Foreign);
+        return Err(PacketError::OtherFleet);
     }
     if *format != FORMAT {
         return Err(PacketError::OtherFormat);
--- a/crates/cells/src/pending_changes.rs
+++ b/crates/cells/src/pending_changes.rs
@@ -1,11 +1,11 @@
-//! Changes that a process has submitted and that are not decided.
+//! Changes that a process has submitted and whose outcome is not known yet.
 
 use crate::change::Change;
 use shelfgrade::time::Timestamp;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A change without an answer goes to the next replica after this.
+/// Time without a response after which a change is sent to the next replica.
 const SUBMIT_TIMEOUT: Duration = Duration::from_millis(500);
 
 struct PendingChange {
@@ -14,15 +14,15 @@
     replica_cursor: usize,
 }
 
-/// A change that is to be sent again.
+/// A change that is due to be sent again.
 pub struct Retry {
     /// The change.
     pub change: Change,
-    /// Index of the replica, not reduced by their number.
+    /// Index of the replica, to be taken modulo the number of replicas.
     pub replica: usize,
 }
 
-/// Pending changes by their ids.
+/// Pending changes by ID.
 #[derive(Default)]
 pub struct PendingChanges(BTreeMap<u64, PendingChange>);
 
@@ -32,18 +32,18 @@
         self.0.contains_key(&id)
     }
 
-    /// Adds a change that was sent to a replica.
+    /// Adds a change that was sent to the replica with this index.
     pub fn insert(&mut self, change: Change, replica: usize, now: Timestamp) {
         let pending = PendingChange { retry_at: now + SUBMIT_TIMEOUT, replica_cursor: replica + 1, change };
         self.0.insert(pending.change.id, pending);
     }
 
-    /// Removes a change that is decided. Returns whether it was pending.
+    /// Removes a decided change. Returns whether it was pending.
     pub fn remove(&mut self, id: u64) -> bool {
         self.0.remove(&id).is_some()
     }
 
-    /// The changes that are due to be sent again, each to its next replica.
+    /// Returns the changes that are due to be sent again, each to its next replica, and restarts their timeouts.
     pub fn take_due(&mut self, now: Timestamp) -> Vec<Retry> {
         let due = self.0.values_mut().filter(|pending| now >= pending.retry_at);
         let retries = due.map(|pending| {
@@ -54,7 +54,7 @@
         retries.collect()
     }
 
-    /// When the next change is due.
+    /// When the next retry is due.
     pub fn next_retry_at(&self) -> Timestamp {
         self.0.values().map(|pending| pending.retry_at).min().unwrap_or(Timestamp::NEVER)
     }
--- a/crates/cells/src/process/log_sync.rs
+++ b/crates/cells/src/process/log_sync.rs
@@ -1,4 +1,4 @@
-//! How a process keeps up with the log: it pulls from replicas and from its cell, and pushes new records on.
+//! Log synchronization of a process: it pulls from replicas and members of its cell, and pushes new records to members.
 
 use super::{OutstandingPull, Process};
 use crate::delta::{Delta, DeltaError, Merged};
@@ -11,9 +11,9 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// A delta is pushed only while more than this fraction of the send budget is available.
+/// Deltas are pushed only while more than this fraction of the send budget is available.
 const MIN_PUSH_BUDGET: f64 = 0.5;
-/// Members of the cell that a new delta is pushed to.
+/// Number of members to which a new delta is pushed.
 const PUSH_FANOUT: usize = 2;
 
 const BOOTSTRAP_PULL_PERIOD: Duration = Duration::from_millis(150);
@@ -22,15 +22,16 @@
 const COMPLETE_PULL_PERIOD: Duration = Duration::from_millis(1000);
 
 const REPLICA_PULL_TIMEOUT: Duration = Duration::from_millis(400);
-/// Shorter, as a member of the cell answers at once or has no budget left to answer.
+/// Shorter than for replicas: a member responds immediately, or does not respond because its send budget is used up.
 const MEMBER_PULL_TIMEOUT: Duration = Duration::from_millis(100);
-/// Pulls without an answer until another replica is asked: a single lost datagram is no reason to leave the region.
-const MAX_UNANSWERED_PULLS: u32 = 2;
-/// After which the nearest replica is asked again.
+/// Number of pulls that may time out before another replica is used. More than one, as a single lost datagram should
+/// not make a process switch to a replica in another region.
+const MAX_TIMED_OUT_PULLS: u32 = 2;
+/// Time after switching to another replica until the nearest one is tried again.
 const NEAREST_RETRY_INTERVAL: Duration = Duration::from_millis(10_000);
-/// Of a member whose records are incomplete, one in so many pulls goes to a replica, which has all of them.
+/// A member with an incomplete state sends, on average, one in this many pulls to a replica, which has all records.
 const PULLS_PER_REPLICA_PULL: u32 = 24;
-/// And one in so many of the others to a delegate.
+/// Of its other pulls, on average one in this many goes to a delegate.
 const PULLS_PER_DELEGATE_PULL: u32 = 4;
 
 impl Process {
@@ -46,17 +47,17 @@
         if !self.state().scope().covers(scope) {
             return environment.datagram_rejected("cells pulls of another cell");
         }
-        if after > self.state().complete_to() && self.is_known(from) {
+        if after > self.state().complete_to() && self.is_known_sender(from) {
             self.follower.state_mut().observe_head(after);
             if self.outstanding_pull.is_none() {
                 self.pull_from(from, now, environment);
             }
         }
-        let delta = self.state().answer(scope, after, snapshot);
+        let delta = self.state().pull_response(scope, after, snapshot);
         self.send_within_budget(from, &Message::Delta(delta), now, environment);
     }
 
-    pub(super) fn on_answer(
+    pub(super) fn on_delta(
         &mut self,
         from: SocketAddr,
         delta: &Delta,
@@ -66,7 +67,7 @@
         let is_expected = self.outstanding_pull.as_ref().is_some_and(|pull| pull.from == from);
         if is_expected {
             self.outstanding_pull = None;
-            self.unanswered_pulls = 0;
+            self.timed_out_pulls = 0;
         }
         let Some(merged) = self.merge(delta, now, environment) else { return };
         if merged.is_advanced && is_expected && delta.to < delta.head {
@@ -82,7 +83,7 @@
         now: Timestamp,
         environment: &mut dyn Environment,
     ) {
-        // A delta from the beginning starts a snapshot, which has to be pulled.
+        // A delta that starts at version 0 belongs to a snapshot; snapshots are only accepted as responses to pulls.
         if delta.after > Version(0) {
             if let Some(merged) = self.merge(delta, now, environment) {
                 self.after_merge(&merged, delta, now, environment);
@@ -93,7 +94,7 @@
         }
     }
 
-    /// Applies a delta; none where it is refused.
+    /// Applies a delta; returns `None` if it is rejected.
     fn merge(&mut self, delta: &Delta, now: Timestamp, environment: &mut dyn Environment) -> Option<Merged> {
         let merged = match self.follower.on_delta(delta) {
             Ok(merged) => merged,
@@ -119,11 +120,12 @@
         Some(merged)
     }
 
-    /// Takes part in the cell from now on, if the complete log has the record of this incarnation.
+    /// Makes the process active in its cell if the state has a member record with its incarnation. Requires a complete
+    /// state.
     fn activate(&mut self, now: Timestamp) {
-        let own = self.state().member(self.cell, &self.name);
-        let Some(own) = own.filter(|own| own.incarnation == self.incarnation) else { return };
-        let me = SwimId { index: own.index, incarnation: self.incarnation, refutations: 0 };
+        let member = self.state().member(self.cell, &self.name);
+        let Some(member) = member.filter(|member| member.incarnation == self.incarnation) else { return };
+        let me = SwimId { index: member.index, incarnation: self.incarnation, refutations: 0 };
         self.is_active = true;
         self.members.activate(me, self.seed, now);
     }
@@ -141,12 +143,12 @@
         }
     }
 
-    /// Passes a delta on to the cell, once, and only if it completes the log here: members that need more find that by
-    /// their pulls.
+    /// Pushes a delta to random members, once, and only if it makes the local state complete. Members that miss further
+    /// records notice that by their pulls.
     fn push(&mut self, merged: &Merged, delta: &Delta, now: Timestamp, environment: &mut dyn Environment) {
-        let completes_log =
+        let completes_state =
             !merged.new_records.is_empty() && delta.after > Version(0) && self.state().is_complete();
-        if !completes_log || !self.is_active {
+        if !completes_state || !self.is_active {
             return;
         }
         if self.send_budget.available_fraction(now) <= MIN_PUSH_BUDGET {
@@ -164,16 +166,16 @@
         self.send(from, &pull, now, environment);
     }
 
-    /// Pulls where that is due, and acknowledges the cell's record as often.
+    /// Sends a pull if one is due, and acknowledges the cell's record at the same interval.
     pub(super) fn pull_if_due(&mut self, now: Timestamp, environment: &mut dyn Environment) {
         self.expire_pull(now);
-        if self.current_replica != 0 && now >= self.retry_nearest_at {
-            self.current_replica = 0;
+        if self.replica_cursor != 0 && now >= self.retry_nearest_at {
+            self.replica_cursor = 0;
         }
         if now < self.next_pull_at {
             return;
         }
-        // Jitter, as processes may start together.
+        // Jitter, because processes may start at the same time.
         let jitter = 0.9 + 0.2 * f64::from(self.rng.generate_range(0..1000u32)) / 1000.0;
         self.next_pull_at = now + self.pull_period().scaled(jitter);
         if self.outstanding_pull.is_none() {
@@ -186,11 +188,11 @@
 
     fn expire_pull(&mut self, now: Timestamp) {
         let Some(pull) = self.outstanding_pull.take_if(|pull| now >= pull.deadline) else { return };
-        self.unanswered_pulls += 1;
+        self.timed_out_pulls += 1;
         let is_replica_needed = self.replicas.contains(&pull.from) || self.is_bootstrapping();
-        if self.unanswered_pulls >= MAX_UNANSWERED_PULLS && is_replica_needed {
-            self.current_replica += 1;
-            self.unanswered_pulls = 0;
+        if self.timed_out_pulls >= MAX_TIMED_OUT_PULLS && is_replica_needed {
+            self.replica_cursor += 1;
+            self.timed_out_pulls = 0;
             self.retry_nearest_at = now + NEAREST_RETRY_INTERVAL;
         }
         self.next_pull_at = now;
@@ -212,12 +214,14 @@
         !self.is_active || self.follower.is_transferring_snapshot()
     }
 
-    /// Whom to pull from next: a replica while it bootstraps or is a delegate, else mostly a member of the cell.
+    /// The node to pull from next: usually a replica while the process bootstraps or is a delegate, otherwise usually a
+    /// member of the cell.
     fn next_source(&mut self) -> Option<SocketAddr> {
-        let replica = self.replica(self.current_replica);
+        let replica = self.replica(self.replica_cursor);
         let is_bootstrapping = self.is_bootstrapping();
-        let may_ask_member = is_bootstrapping && self.current_replica % 2 == 1 && !self.members.is_empty();
-        if (self.members.is_delegate() || is_bootstrapping) && !may_ask_member {
+        let may_pull_from_member =
+            is_bootstrapping && self.replica_cursor % 2 == 1 && !self.members.is_empty();
+        if (self.members.is_delegate() || is_bootstrapping) && !may_pull_from_member {
             return replica;
         }
         if !self.state().is_complete() {
--- a/crates/cells/src/process/mod.rs
+++ b/crates/cells/src/process/mod.rs
@@ -1,4 +1,4 @@
-//! A process of the fleet, which is a member of a cell: it holds the records of its own cell, all entries and all cells.
+//! A process of the fleet, which is a member of a cell. It stores the members of its cell, all entries and all cells.
 
 mod log_sync;
 mod quota_release;
@@ -18,43 +18,44 @@
 use shelfgrade::time::Timestamp;
 use std::net::SocketAddr;
 
-/// Keeps what a process sends in any second below 4 KB.
+/// With the burst below, limits the bytes that a process sends in any second to less than 4 KB.
 const SEND_RATE_BYTES_PER_S: f64 = 2450.0;
 const SEND_BURST_BYTES: f64 = 1600.0;
-/// Left to the membership protocol by answers and pushes.
+/// Part of the send budget that pull responses and pushes leave to the failure detector.
 const MEMBERSHIP_RESERVE_BYTES: usize = 300;
-/// What a process starts with.
+
+/// Configuration with which a process starts.
 pub struct ProcessConfig {
     /// Name of the fleet.
     pub fleet: String,
-    /// Its cell.
+    /// Cell of the process.
     pub cell: CellId,
-    /// Its region.
+    /// Region of the process.
     pub region: u8,
-    /// Its name, unique in the fleet.
+    /// Name of the process, unique in the fleet.
     pub name: String,
-    /// Greater at each start, such as Unix time in seconds.
+    /// Must increase with each start, such as Unix time in seconds.
     pub incarnation: u32,
     /// The replicas of the log.
     pub replicas: ReplicaSet,
-    /// Snapshot of an earlier incarnation, which gives no quota.
+    /// Snapshot of an earlier incarnation. It does not entitle the process to quota.
     pub snapshot: Option<ProcessSnapshot>,
-    /// Seed of its random numbers.
+    /// Seed of the random numbers.
     pub seed: u64,
 }
 
-/// What a process may store for its next start.
+/// State that a process may store for its next start.
 #[derive(Clone, Debug, serde::Serialize, serde::Deserialize)]
 pub struct ProcessSnapshot {
-    /// The records.
+    /// The records; those with versions after `to` are ignored when the snapshot is restored.
     pub records: Vec<Record>,
-    /// No record up to this version is missing.
+    /// Version up to which no record is missing.
     pub to: Version,
-    /// Records deleted up to this version were dropped.
+    /// Version up to which deleted records have been dropped.
     pub horizon: Version,
 }
 
-/// A pull without an answer yet.
+/// A pull whose response has not arrived yet.
 struct OutstandingPull {
     from: SocketAddr,
     deadline: Timestamp,
@@ -66,17 +67,17 @@
     cell: CellId,
     name: String,
     incarnation: u32,
-    /// In the order in which they are asked, those of the own region first.
+    /// Addresses of the replicas in order of preference; those in the local region come first.
     replicas: Vec<SocketAddr>,
     follower: LogFollower,
-    /// Since its start it has held the complete log with its own record in it.
+    /// Whether, since its start, the process has had a complete state with its own member record.
     is_active: bool,
     members: CellMembers,
     next_pull_at: Timestamp,
     outstanding_pull: Option<OutstandingPull>,
-    unanswered_pulls: u32,
-    /// Index of the replica that is asked, not reduced by their number.
-    current_replica: usize,
+    timed_out_pulls: u32,
+    /// Index of the replica in use, to be taken modulo the number of replicas.
+    replica_cursor: usize,
     retry_nearest_at: Timestamp,
     send_budget: TokenBucket,
     pending_changes: PendingChanges,
@@ -86,12 +87,12 @@
 }
 
 impl Process {
-    /// A process that starts now.
+    /// Creates a process that starts now.
     pub fn new(config: ProcessConfig, now: Timestamp) -> Self {
         let mut process = Process {
             fleet: packet::fleet_id(&config.fleet),
             cell: config.cell,
-            replicas: by_distance(&config),
+            replicas: replicas_by_preference(&config),
             follower: LogFollower::new(restored_state(config.cell, config.snapshot)),
             members: CellMembers::new(config.cell, config.name.clone()),
             name: config.name,
@@ -99,8 +100,8 @@
             is_active: false,
             next_pull_at: now,
             outstanding_pull: None,
-            unanswered_pulls: 0,
-            current_replica: 0,
+            timed_out_pulls: 0,
+            replica_cursor: 0,
             retry_nearest_at: now,
             send_budget: TokenBucket::new(SEND_RATE_BYTES_PER_S, SEND_BURST_BYTES, now),
             pending_changes: PendingChanges::default(),
@@ -112,42 +113,43 @@
         process
     }
 
-    /// The records that it holds.
+    /// The stored records.
     pub fn state(&self) -> &State {
         self.follower.state()
     }
 
-    /// What to store for the next start.
+    /// The snapshot to store for the next start.
     pub fn snapshot(&self) -> ProcessSnapshot {
         let state = self.state();
         let complete_to = state.complete_to();
         let records = state.records().filter(|record| record.version <= complete_to).cloned().collect();
-        // Later records are left out. They may have replaced records that then have to be pulled again.
+        // Records with later versions are left out. They may have replaced records up to `complete_to`, so that the
+        // snapshot of an incomplete state is not complete up to any version.
         let to = if state.is_complete() { complete_to } else { Version(0) };
         ProcessSnapshot { records, to, horizon: state.horizon().min(to) }
     }
 
-    /// Whether since its start it has held the complete log with its own record in it.
+    /// Whether, since its start, the process has had a complete state with its own member record.
     pub fn is_active(&self) -> bool {
         self.is_active
     }
 
-    /// Names of the other members of its cell that are alive.
+    /// Names of the alive members of the cell, without this process.
     pub fn alive_members(&self) -> impl Iterator<Item = &str> {
         self.members.alive()
     }
 
-    /// Number of the other members of its cell that it does not reach.
+    /// Number of other members of the cell that the failure detector does not consider alive.
     pub fn unreachable_members(&self) -> usize {
         self.members.unreachable()
     }
 
-    /// Whether it is a delegate of its cell.
+    /// Whether this process is a delegate of its cell.
     pub fn is_delegate(&self) -> bool {
         self.members.is_delegate()
     }
 
-    /// Units of quota that it may use, of [`crate::TOTAL_QUOTA`].
+    /// Units of quota that this process may use, out of [`crate::TOTAL_QUOTA`].
     pub fn quota(&self) -> u32 {
         if self.is_active {
             member_quota(self.state(), self.cell, &self.name, self.incarnation)
@@ -156,15 +158,15 @@
         }
     }
 
-    /// Submits a change to the log. The outcome goes to [`Environment::change_decided`].
+    /// Submits a change to the log. The outcome is reported to [`Environment::change_decided`].
     pub fn submit(&mut self, change: Change, now: Timestamp, environment: &mut dyn Environment) {
         if self.pending_changes.contains(change.id) {
             return;
         }
-        if let Some(replica) = self.replica(self.current_replica) {
+        if let Some(replica) = self.replica(self.replica_cursor) {
             self.send(replica, &Message::Submit(change.clone()), now, environment);
         }
-        self.pending_changes.insert(change, self.current_replica, now);
+        self.pending_changes.insert(change, self.replica_cursor, now);
     }
 
     fn retry_changes(&mut self, now: Timestamp, environment: &mut dyn Environment) {
@@ -185,7 +187,7 @@
         environment.send(to, datagram);
     }
 
-    /// Sends where the budget allows it.
+    /// Sends a message if the send budget allows it; drops it otherwise.
     fn send_within_budget(
         &mut self,
         to: SocketAddr,
@@ -199,7 +201,8 @@
         }
     }
 
-    /// Sends where the budget allows it, down to the last byte: the protocol tolerates losses.
+    /// Sends failure detector messages as far as the send budget, without any reserve, allows it. The others are
+    /// dropped; the protocol tolerates losses.
     fn send_membership(
         &mut self,
         sends: Vec<MembershipDatagram>,
@@ -214,8 +217,8 @@
         }
     }
 
-    /// Whether an address is that of a replica or of a member of the cell; nobody else may change anything here.
-    fn is_known(&self, address: SocketAddr) -> bool {
+    /// Whether this is the address of a replica or of a member of the cell; no other sender may change the state.
+    fn is_known_sender(&self, address: SocketAddr) -> bool {
         self.replicas.contains(&address) || self.members.contains(address)
     }
 
@@ -236,10 +239,10 @@
             Message::Pull { scope, after, snapshot } => {
                 self.on_pull(from, scope, after, snapshot, now, environment);
             }
-            Message::Delta(_) | Message::Push(_) | Message::Ack { .. } if !self.is_known(from) => {
+            Message::Delta(_) | Message::Push(_) | Message::Ack { .. } if !self.is_known_sender(from) => {
                 environment.datagram_rejected("cells datagrams from strangers");
             }
-            Message::Delta(delta) => self.on_answer(from, &delta, now, environment),
+            Message::Delta(delta) => self.on_delta(from, &delta, now, environment),
             Message::Push(delta) => self.on_push(from, &delta, now, environment),
             Message::Ack { cell, name, incarnation, version } => {
                 if cell != self.cell {
@@ -273,7 +276,7 @@
         self.send_membership(sends, now, environment);
     }
 
-    /// Handles what is due. To be called at [`Process::next_wakeup`]; further calls do no harm.
+    /// Performs due actions. Must be called at [`Process::next_wakeup`]; additional calls are harmless.
     pub fn on_timer(&mut self, now: Timestamp, environment: &mut dyn Environment) {
         let mut sends = Vec::new();
         self.members.on_timer(now, &mut sends);
@@ -285,14 +288,14 @@
         self.retry_changes(now, environment);
     }
 
-    /// When [`Process::on_timer`] is to be called next.
+    /// When [`Process::on_timer`] must be called next.
     pub fn next_wakeup(&self) -> Timestamp {
         let pull_deadline = self.outstanding_pull.as_ref().map_or(Timestamp::NEVER, |pull| pull.deadline);
         let pull = pull_deadline.min(self.next_pull_at);
         pull.min(self.members.next_wakeup()).min(self.pending_changes.next_retry_at())
     }
 
-    /// Announces to the cell that this process stops.
+    /// Announces to the cell that this process leaves.
     pub fn leave(&mut self, now: Timestamp, environment: &mut dyn Environment) {
         let mut sends = Vec::new();
         self.members.leave(now, &mut sends);
@@ -300,7 +303,9 @@
     }
 }
 
-fn by_distance(config: &ProcessConfig) -> Vec<SocketAddr> {
+/// Addresses of the replicas: those in the region of the process first; within each group ordered by a hash of cell and
+/// address, which spreads the cells over the replicas.
+fn replicas_by_preference(config: &ProcessConfig) -> Vec<SocketAddr> {
     let mut replicas: Vec<_> = config.replicas.iter().map(|(_, replica)| *replica).collect();
     replicas.sort_by_key(|replica| {
         (replica.region != config.region, rank(config.cell, &replica.address.to_string()))
--- a/crates/cells/src/process/quota_release.rs
+++ b/crates/cells/src/process/quota_release.rs
@@ -1,4 +1,4 @@
-//! How a process takes part in the release of quota that its cell has given up.
+//! Release of quota in escrow: acknowledgements of members, and submission of the release by delegates.
 
 use super::Process;
 use crate::packet::Message;
@@ -7,7 +7,8 @@
 use shelfgrade::time::Timestamp;
 
 impl Process {
-    /// Tells the delegates which version of the cell's record this process uses, while a release waits for it.
+    /// While a release is pending, acknowledges to the delegates the version of the cell's record that this process
+    /// uses.
     pub(super) fn acknowledge(&mut self, now: Timestamp, environment: &mut dyn Environment) {
         let pending = pending_release(self.state(), self.cell).filter(|_| self.is_active);
         let Some(version) = pending.map(|pending| pending.cell_version) else { return };
@@ -19,13 +20,13 @@
         }
     }
 
-    /// Submits the release, as a delegate, once the holder of every place uses the record by which quota was given up.
+    /// As a delegate, submits the release once every member that holds an index has acknowledged the shrink.
     pub(super) fn submit_release(&mut self, now: Timestamp, environment: &mut dyn Environment) {
         let state = self.state();
         let may_release = self.is_active && state.is_complete() && self.members.is_delegate();
         let Some(pending) = pending_release(state, self.cell).filter(|_| may_release) else { return };
-        if self.acknowledged.cover_all(state, self.cell, pending.shrunk_at) {
-            self.submit(release_change(self.cell, pending.shrunk_at), now, environment);
+        if self.acknowledged.acknowledged_by_all(state, self.cell, pending.shrink_version) {
+            self.submit(release_change(self.cell, pending.shrink_version), now, environment);
         }
     }
 }
--- a/crates/cells/src/quota.rs
+++ b/crates/cells/src/quota.rs
@@ -1,5 +1,5 @@
-//! A member's part of its cell's quota, and the release of quota that a cell has given up. `docs/cells.md` shows why the
-//! quotas in use never exceed the total.
+//! A member's share of its cell's quota, and the release of quota in escrow. `docs/cells.md` explains why the quotas in
+//! use never exceed the total.
 
 use crate::change::{Action, Change};
 use crate::record::{CellId, Key, Version};
@@ -13,53 +13,53 @@
     version: Version,
 }
 
-/// The version of the cell's record that each member has said it uses.
+/// The version of the cell's record that each member has acknowledged.
 #[derive(Default)]
 pub struct AcknowledgedVersions(BTreeMap<String, Acknowledgement>);
 
 impl AcknowledgedVersions {
-    /// A member uses the record of this version, and none before it any more.
+    /// Records that a member uses this version of the cell's record, and no earlier one.
     pub fn observe(&mut self, name: String, incarnation: u32, version: Version) {
         let acknowledged = Acknowledgement { incarnation, version };
-        let held = self.0.entry(name).or_insert(acknowledged);
-        if incarnation > held.incarnation {
-            *held = acknowledged;
-        } else if incarnation == held.incarnation {
-            held.version = held.version.max(version);
+        let latest = self.0.entry(name).or_insert(acknowledged);
+        if incarnation > latest.incarnation {
+            *latest = acknowledged;
+        } else if incarnation == latest.incarnation {
+            latest.version = latest.version.max(version);
         }
     }
 
-    /// Whether the holder of every place of the cell uses the record of this version or a later one.
-    pub fn cover_all(&self, state: &State, cell: CellId, version: Version) -> bool {
-        state.place_holders(cell).all(|(name, member)| {
-            let held = self.0.get(name);
-            held.is_some_and(|held| held.incarnation == member.incarnation && held.version >= version)
+    /// Whether every member that holds an index in the cell has acknowledged this version or a later one.
+    pub fn acknowledged_by_all(&self, state: &State, cell: CellId, version: Version) -> bool {
+        state.index_holders(cell).all(|(name, member)| {
+            let latest = self.0.get(name);
+            latest.is_some_and(|latest| latest.incarnation == member.incarnation && latest.version >= version)
         })
     }
 }
 
-/// Quota that a cell has given up and that is not released.
+/// Quota in escrow that is not released yet.
 pub struct PendingRelease {
-    /// Version of the cell's record.
+    /// Version of the cell's current record.
     pub cell_version: Version,
-    /// Version by which the quota was given up.
-    pub shrunk_at: Version,
+    /// Version of the shrink that moved the quota into escrow.
+    pub shrink_version: Version,
 }
 
-/// The quota in escrow of a cell.
+/// The release that is pending for a cell, if it has quota in escrow.
 pub fn pending_release(state: &State, cell: CellId) -> Option<PendingRelease> {
     let cell_version = state.get(&Key::Cell(cell))?.version;
     let cell = state.cell(cell)?;
-    (cell.escrow > 0).then_some(PendingRelease { cell_version, shrunk_at: cell.shrunk_at })
+    (cell.escrow > 0).then_some(PendingRelease { cell_version, shrink_version: cell.shrink_version })
 }
 
-/// The change that releases the quota in escrow. Its id is the same whichever delegate submits it.
-pub fn release_change(cell: CellId, shrunk_at: Version) -> Change {
-    let id = xxh3_64(&postcard::to_stdvec(&("release", cell, shrunk_at)).unwrap_or_default());
-    Change { id, action: Action::ReleaseEscrow { cell, at: shrunk_at } }
+/// The change that releases the quota in escrow. Its ID does not depend on the delegate that submits it.
+pub fn release_change(cell: CellId, shrink_version: Version) -> Change {
+    let id = xxh3_64(&postcard::to_stdvec(&("release", cell, shrink_version)).unwrap_or_default());
+    Change { id, action: Action::ReleaseEscrow { cell, shrink_version } }
 }
 
-/// Units of quota that a member may use by the records of this state; 0 where they do not have this incarnation.
+/// Units of quota that a member may use according to this state; 0 if its record has a different incarnation.
 pub fn member_quota(state: &State, cell: CellId, name: &str, incarnation: u32) -> u32 {
     let is_member = state.member(cell, name).is_some_and(|member| member.incarnation == incarnation);
     let cell = state.cell(cell).filter(|_| is_member);
--- a/crates/cells/src/record.rs
+++ b/crates/cells/src/record.rs
@@ -1,25 +1,25 @@
-//! The records that the log leaves: the latest value under each key.
+//! Records of the replicated state: the latest value of each key.
 
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// All quota, in units.
+/// Total quota of the fleet, in units.
 pub const TOTAL_QUOTA: u32 = 1_000_000;
 
-/// Number of a cell, which is a zone.
+/// ID of a cell. A cell contains the processes of one zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CellId(pub u16);
 
-/// A position in the log: the slot, and the index of a record that the slot has left.
+/// Version of a record: a log slot and the index of the record among those written in this slot.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Version(pub u64);
 
 impl Version {
-    /// Records that one slot can leave: four for each change of a batch.
+    /// Version indices reserved for each slot: four per change, for at most 255 changes in a batch.
     const RECORDS_PER_SLOT: u64 = 1024;
 
-    /// The version of a record of a slot.
+    /// The version with this index in a slot.
     pub fn at(slot: u64, index: u64) -> Self {
         Version(slot * Self::RECORDS_PER_SLOT + index.min(Self::RECORDS_PER_SLOT - 1))
     }
@@ -34,83 +34,83 @@
         self.0 / Self::RECORDS_PER_SLOT
     }
 
-    /// The version after this one.
+    /// The next version.
     pub fn next(self) -> Self {
         Version(self.0 + 1)
     }
 }
 
-/// What a record is about.
+/// Key of a record.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Key {
     /// A cell.
     Cell(CellId),
-    /// The id of a change that was applied.
+    /// A change that was applied, by its ID.
     Applied(u64),
-    /// An entry of the configuration.
+    /// A configuration entry.
     Entry(String),
-    /// A member of a cell, by its name.
+    /// A member of a cell, by name.
     Member(CellId, String),
 }
 
-/// A cell, as all processes know it.
+/// A cell. Its record is replicated to all processes of the fleet.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Cell {
     /// Region of the cell.
     pub region: u8,
     /// Units of quota that its members may use.
     pub quota: u32,
-    /// Units that it has given up, but that members without this record may still use.
+    /// Units removed from the quota that members may still use until they have received this record.
     pub escrow: u32,
-    /// Version of the record by which it last gave up quota.
-    pub shrunk_at: Version,
-    /// Equal parts that the quota is divided into, fixed when the cell is added.
+    /// Version of the record written by the last shrink.
+    pub shrink_version: Version,
+    /// Maximum number of members, fixed when the cell is added. The quota is divided into this many equal shares.
     pub capacity: u16,
-    /// Members that are not removed.
+    /// Number of members, without removed ones.
     pub members: u16,
-    /// Addresses of its highest ranked members, for processes of other cells.
+    /// Addresses of the highest-ranked members, for processes of other cells.
     pub contacts: Vec<SocketAddr>,
 }
 
 /// A member of a cell.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Address that it receives datagrams at.
+    /// Address at which the member receives datagrams.
     pub address: SocketAddr,
-    /// Greater at each of its starts.
+    /// Increases with each start of the process.
     pub incarnation: u32,
-    /// Index of its part of the cell's quota.
+    /// Index of the member in its cell, below the capacity; it entitles the member to one quota share.
     pub index: u16,
-    /// Removed, but not known to have ended, so that it keeps its place.
+    /// Whether the member is removed. It keeps its index, as its process may still be running.
     pub removed: bool,
 }
 
 /// The value of a record.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Value {
-    /// Under [`Key::Cell`].
+    /// Value of [`Key::Cell`].
     Cell(Cell),
-    /// Under [`Key::Applied`].
+    /// Value of [`Key::Applied`].
     Applied,
-    /// Under [`Key::Entry`].
+    /// Value of [`Key::Entry`].
     Entry(Vec<u8>),
-    /// Under [`Key::Member`].
+    /// Value of [`Key::Member`].
     Member(Member),
 }
 
-/// The latest value under a key.
+/// The latest value of a key.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Record {
-    /// What it is about.
+    /// Key of the record.
     pub key: Key,
-    /// Unique to this record.
+    /// Version of the record, unique in the log.
     pub version: Version,
-    /// None where it was deleted.
+    /// `None` if the record was deleted.
     pub value: Option<Value>,
 }
 
 impl Record {
-    /// Hash for the digest of a state; 0 for records that compaction drops.
+    /// Hash of the record for the digest of a state; 0 for records that compaction drops.
     pub fn digest(&self) -> u64 {
         if self.is_dropped_by_compaction() {
             return 0;
@@ -118,12 +118,12 @@
         xxh3_64(&postcard::to_stdvec(self).unwrap_or_default())
     }
 
-    /// Whether compaction drops the record: it has no value, or remembers the id of a change.
+    /// Whether compaction drops the record: it is deleted, or marks a change as applied.
     pub(crate) fn is_dropped_by_compaction(&self) -> bool {
         matches!(self.value, None | Some(Value::Applied))
     }
 
-    /// Estimated bytes in a datagram.
+    /// Estimated encoded size in a datagram.
     pub fn estimated_bytes(&self) -> usize {
         const VERSION_BYTES: usize = 7;
         let key = match &self.key {
@@ -143,17 +143,17 @@
     }
 }
 
-/// Which records a process or a replica holds.
+/// The subset of records that a node stores.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Scope {
-    /// All: a replica.
+    /// All records; used by replicas.
     All,
-    /// Those of a member: the members of its own cell, all entries, and all cells.
+    /// Records for a member of this cell: the members of the cell, all entries and all cells.
     Cell(CellId),
 }
 
 impl Scope {
-    /// Whether the record of a key is in the scope.
+    /// Whether the scope includes the record of this key.
     pub fn contains(self, key: &Key) -> bool {
         match (self, key) {
             (Scope::All, _) | (_, Key::Cell(_) | Key::Entry(_)) => true,
@@ -162,8 +162,8 @@
         }
     }
 
-    /// Whether a holder of this scope can answer a pull of another one.
-    pub fn covers(self, wanted: Scope) -> bool {
-        self == Scope::All || self == wanted
+    /// Whether a node with this scope can respond to a pull with the `requested` scope.
+    pub fn covers(self, requested: Scope) -> bool {
+        self == Scope::All || self == requested
     }
 }
--- a/crates/cells/src/replica/consensus.rs
+++ b/crates/cells/src/replica/consensus.rs
@@ -1,4 +1,4 @@
-//! How replicas choose the batch of one slot after the other, by single-decree Paxos.
+//! Consensus: replicas choose the batches of consecutive slots, each by single-decree Paxos.
 
 use super::{ActiveProposer, Replica};
 use crate::change::Batch;
@@ -9,12 +9,12 @@
 use shelfgrade::time::Timestamp;
 use std::time::Duration;
 
-/// Twice the longest round trip.
+/// Twice the longest round-trip time between replicas.
 const PROPOSAL_TIMEOUT: Duration = Duration::from_millis(800);
-/// Bounds of the random pause before the next proposal, so that two proposers do not conflict again.
+/// Bounds of the random delay before the next proposal, which keeps two proposers from repeatedly conflicting.
 const MIN_BACKOFF_MS: u64 = 10;
 const MAX_BACKOFF_MS: u64 = 600;
-/// For how long another replica counts as proposing after it was heard: two proposals.
+/// Time for which another replica counts as an active proposer after its last message: two proposal timeouts.
 const ACTIVE_PROPOSER_TIMEOUT: Duration = Duration::from_millis(1600);
 
 impl Replica {
@@ -27,21 +27,21 @@
     ) {
         match message {
             Paxos::Prepare { slot, .. } | Paxos::Accept { slot, .. } if slot == self.slot() + 2 => {
-                // It has overtaken what was chosen for the open slot, and is handled once that is here.
+                // Arrived before the chosen batch of the open slot; handled once that batch is learned.
                 self.yield_to(from, now);
-                self.messages_ahead.insert(from, message);
+                self.next_slot_messages.insert(from, message);
             }
             Paxos::Prepare { slot, ballot } => {
-                if self.may_take_part(from, slot, ballot, environment) {
+                if self.may_vote_in(from, slot, ballot, environment) {
                     self.yield_to(from, now);
-                    let answer = self.acceptor.prepare(slot, ballot, environment);
-                    self.send_paxos(from, answer, environment);
+                    let response = self.acceptor.prepare(slot, ballot, environment);
+                    self.send_paxos(from, response, environment);
                 }
             }
             Paxos::Accept { slot, ballot, batch } => {
-                if self.may_take_part(from, slot, ballot, environment) {
-                    if let Some(answer) = self.acceptor.accept(slot, ballot, batch, environment) {
-                        self.send_paxos(from, answer, environment);
+                if self.may_vote_in(from, slot, ballot, environment) {
+                    if let Some(response) = self.acceptor.accept(slot, ballot, batch, environment) {
+                        self.send_paxos(from, response, environment);
                     }
                 }
             }
@@ -51,7 +51,7 @@
             Paxos::Accepted { slot, ballot } => self.on_vote(from, slot, ballot, now, environment),
             Paxos::Conflict { slot, promised } => self.on_conflict(slot, promised, now),
             Paxos::Chosen { slot, batch } => self.on_chosen(from, slot, batch, now, environment),
-            Paxos::AskHighestSlot { recovery } => {
+            Paxos::QueryHighestSlot { recovery } => {
                 if self.can_vote() {
                     let slot = self.slot().max(self.acceptor.vote.slot);
                     self.send_paxos(from, Paxos::HighestSlot { recovery, slot }, environment);
@@ -64,9 +64,9 @@
         }
     }
 
-    /// Whether this replica may vote in a slot. A proposer that is behind gets what was chosen; where this replica is
-    /// behind, it pulls.
-    fn may_take_part(
+    /// Whether this replica may vote in a slot for the ballot of a proposer. If the proposer is behind, sends it the
+    /// chosen batch; if this replica is behind, pulls from the proposer.
+    fn may_vote_in(
         &mut self,
         from: u8,
         slot: u64,
@@ -88,17 +88,17 @@
             self.pull_from(from, environment);
             return false;
         }
-        // A vote in a later slot was stored: this replica has lost batches since, and must not vote in their slots.
+        // If a vote in a later slot is stored, this replica has lost batches since and must not vote in their slots.
         self.can_vote() && slot >= self.acceptor.vote.slot
     }
 
     fn on_conflict(&mut self, slot: u64, promised: Ballot, now: Timestamp) {
         self.highest_round = self.highest_round.max(promised.round);
-        let is_own = self
+        let is_superseded = self
             .proposal
             .as_ref()
             .is_some_and(|proposal| proposal.slot == slot && promised > proposal.ballot);
-        if is_own {
+        if is_superseded {
             self.abandon_proposal(now);
             self.yield_to(promised.proposer, now);
         }
@@ -112,13 +112,13 @@
         now: Timestamp,
         environment: &mut dyn Environment,
     ) {
-        if let Some(held) = self.chosen_batch(slot) {
-            if *held != batch {
+        if let Some(known) = self.chosen_batch(slot) {
+            if *known != batch {
                 environment.datagram_rejected("cells log with a fork");
             }
         } else if self.is_caught_up() && slot == self.slot() + 1 {
             self.learn(slot, batch, now, environment);
-            for (from, message) in std::mem::take(&mut self.messages_ahead) {
+            for (from, message) in std::mem::take(&mut self.next_slot_messages) {
                 self.on_paxos(from, message, now, environment);
             }
             self.propose(now, environment);
@@ -128,18 +128,19 @@
         }
     }
 
-    /// Proposes the queued changes for the next slot, where this replica may and none of its proposals is open.
+    /// Proposes the queued changes for the next slot, if this replica may propose and has no open proposal. Otherwise
+    /// forwards them if another replica is proposing or this one cannot vote.
     pub(super) fn propose(&mut self, now: Timestamp, environment: &mut dyn Environment) {
         if self.proposal.as_ref().is_some_and(|proposal| now >= proposal.deadline) {
             self.abandon_proposal(now);
         }
-        if self.proposal.is_some() || self.queue.is_empty() || now < self.propose_at {
+        if self.proposal.is_some() || self.queue.is_empty() || now < self.next_proposal_at {
             return;
         }
         let slot = self.slot() + 1;
         let can_vote = self.can_vote();
         if !self.is_caught_up() || !can_vote || self.acceptor.vote.slot > slot {
-            self.propose_at = now + Duration::from_millis(MAX_BACKOFF_MS);
+            self.next_proposal_at = now + Duration::from_millis(MAX_BACKOFF_MS);
             if !can_vote {
                 self.forward_queue(None, environment);
             }
@@ -148,7 +149,7 @@
         let active = self.active_proposer.as_ref();
         if let Some(active) = active.filter(|active| active.id != self.id && now < active.until) {
             let (id, until) = (active.id, active.until);
-            self.propose_at = until + self.backoff();
+            self.next_proposal_at = until + self.backoff();
             return self.forward_queue(Some(id), environment);
         }
         self.start_proposal(slot, now, environment);
@@ -159,20 +160,20 @@
         let ballot = Ballot { round: promised_round.max(self.highest_round) + 1, proposer: self.id };
         let batch = self.queue.batch();
         self.proposal = Some(Proposal::new(slot, ballot, batch, now + PROPOSAL_TIMEOUT));
-        // Stored before it is sent, so that after a restart the next ballot is a higher one.
-        let own_answer = self.acceptor.prepare(slot, ballot, environment);
+        // The promise is stored before the ballot is sent, so that the next ballot is higher also after a restart.
+        let own_response = self.acceptor.prepare(slot, ballot, environment);
         self.broadcast(&Paxos::Prepare { slot, ballot }, environment);
-        if let Paxos::Promise { accepted, .. } = own_answer {
+        if let Paxos::Promise { accepted, .. } = own_response {
             self.on_promise(self.id, slot, ballot, accepted, now, environment);
         }
     }
 
-    /// Leaves proposing to another replica for a while, as proposers with ever higher ballots may never finish.
+    /// Lets another replica propose for some time, because competing proposers with ever higher ballots may livelock.
     fn yield_to(&mut self, id: u8, now: Timestamp) {
         self.active_proposer = Some(ActiveProposer { id, until: now + ACTIVE_PROPOSER_TIMEOUT });
     }
 
-    /// Sends the queued changes to another replica that may get them chosen: this one, or a random one.
+    /// Forwards queued changes to the replica `to`, or to a random one, as this replica cannot get them chosen now.
     fn forward_queue(&mut self, to: Option<u8>, environment: &mut dyn Environment) {
         if self.other_replicas().is_empty() {
             return;
@@ -187,7 +188,7 @@
         if let Some(proposal) = self.proposal.take() {
             self.highest_round = self.highest_round.max(proposal.ballot.round);
         }
-        self.propose_at = now + self.backoff();
+        self.next_proposal_at = now + self.backoff();
     }
 
     fn backoff(&mut self) -> Duration {
@@ -214,11 +215,11 @@
         environment: &mut dyn Environment,
     ) {
         let majority = self.replicas.majority();
-        let Some(proposal) = self.open_proposal(slot, ballot) else { return };
+        let Some(proposal) = self.matching_proposal(slot, ballot) else { return };
         let Some(batch) = proposal.on_promise(from, accepted, majority) else { return };
         self.broadcast(&Paxos::Accept { slot, ballot, batch: batch.clone() }, environment);
-        let own_answer = self.acceptor.accept(slot, ballot, batch, environment);
-        if let Some(Paxos::Accepted { .. }) = own_answer {
+        let own_response = self.acceptor.accept(slot, ballot, batch, environment);
+        if let Some(Paxos::Accepted { .. }) = own_response {
             self.on_vote(self.id, slot, ballot, now, environment);
         }
     }
@@ -232,7 +233,7 @@
         environment: &mut dyn Environment,
     ) {
         let majority = self.replicas.majority();
-        let Some(proposal) = self.open_proposal(slot, ballot) else { return };
+        let Some(proposal) = self.matching_proposal(slot, ballot) else { return };
         let Some(batch) = proposal.on_vote(from, majority) else { return };
         if self.is_caught_up() && slot == self.slot() + 1 {
             self.learn(slot, batch.clone(), now, environment);
@@ -243,7 +244,8 @@
         self.propose(now, environment);
     }
 
-    fn open_proposal(&mut self, slot: u64, ballot: Ballot) -> Option<&mut Proposal> {
+    /// The open proposal, if it has this slot and ballot.
+    fn matching_proposal(&mut self, slot: u64, ballot: Ballot) -> Option<&mut Proposal> {
         self.proposal.as_mut().filter(|proposal| proposal.slot == slot && proposal.ballot == ballot)
     }
 }
--- a/crates/cells/src/replica/mod.rs
+++ b/crates/cells/src/replica/mod.rs
@@ -1,5 +1,5 @@
-//! A replica of the log, on a machine set aside for it: it takes changes, takes part in choosing the batch of each slot,
-//! applies what was chosen, and answers pulls.
+//! A replica of the log, on a dedicated machine. It accepts changes, takes part in choosing the batch of each slot,
+//! applies chosen batches, and responds to pulls.
 
 mod consensus;
 mod storage;
@@ -25,18 +25,19 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Rate of answers, at which all members of a zone that start together have their snapshots in seconds.
-const ANSWER_RATE_BYTES_PER_S: f64 = 1024.0 * 1024.0;
-const ANSWER_BURST_BYTES: f64 = 4.0 * ANSWER_RATE_BYTES_PER_S;
+/// Rate limit of responses; high enough for all members of a zone that start at the same time to get their snapshots
+/// within seconds.
+const RESPONSE_RATE_BYTES_PER_S: f64 = 1024.0 * 1024.0;
+const RESPONSE_BURST_BYTES: f64 = 4.0 * RESPONSE_RATE_BYTES_PER_S;
 const PULL_PERIOD: Duration = Duration::from_millis(200);
-/// Batches that are kept for replicas just behind, and to detect forks.
+/// Number of chosen batches kept for replicas that are slightly behind, and to detect forks.
 const RECENT_SLOTS: u64 = 256;
 const MIN_HORIZON_SLOTS: u64 = 8;
 
-/// Another replica that proposes.
+/// Another replica that is currently proposing.
 struct ActiveProposer {
     id: u8,
-    /// When it no longer counts as active.
+    /// Time from which it no longer counts as active.
     until: Timestamp,
 }
 
@@ -48,25 +49,25 @@
     horizon_slots: u64,
     follower: LogFollower,
     acceptor: Acceptor,
-    /// Set where another replica was heard proposing.
+    /// The replica that was last observed as proposing, if any.
     active_proposer: Option<ActiveProposer>,
-    /// Last message of each other replica about the slot after the open one.
-    messages_ahead: BTreeMap<u8, Paxos>,
+    /// Last message of each other replica for the slot after the open one.
+    next_slot_messages: BTreeMap<u8, Paxos>,
     recent_batches: BTreeMap<u64, Batch>,
     queue: ChangeQueue,
     proposal: Option<Proposal>,
-    /// Highest round of any ballot that this replica knows of.
+    /// Highest known round of any ballot.
     highest_round: u32,
-    /// When it may propose again.
-    propose_at: Timestamp,
+    /// When this replica may start its next proposal.
+    next_proposal_at: Timestamp,
     next_pull_at: Timestamp,
-    answer_budget: TokenBucket,
+    response_budget: TokenBucket,
     rng: WyRand,
 }
 
 impl Replica {
-    /// Founds a fleet: the first start of its replica. To be called only where the operator says so, as an empty disk
-    /// may be a lost one.
+    /// Creates a replica of a new fleet. Must only be called at the operator's request: an empty disk may also be that
+    /// of a replica that has lost its storage.
     pub fn initialize(
         fleet: &str,
         replicas: ReplicaSet,
@@ -77,12 +78,12 @@
     ) -> Self {
         environment.store(Stored::Initialized);
         let mut replica = Self::empty(fleet, replicas, id, seed, now);
-        replica.acceptor.votes_from = Some(0);
+        replica.acceptor.first_voting_slot = Some(0);
         replica
     }
 
-    /// Starts again with what was stored, in the order in which it was stored. If that is empty or has a gap, the
-    /// storage counts as lost, and the replica recovers from the others before it votes.
+    /// Restarts a replica from its stored items, in the order in which they were stored. If there are none or one is
+    /// missing, the storage counts as lost, and the replica recovers from the others before it votes.
     pub fn restore(
         fleet: &str,
         replicas: ReplicaSet,
@@ -94,7 +95,7 @@
     ) -> Self {
         let mut replica = Self::empty(fleet, replicas.clone(), id, seed, now);
         if !stored.is_empty() && stored.into_iter().all(|stored| replica.replay(stored)) {
-            if replica.acceptor.votes_from.is_some() {
+            if replica.acceptor.first_voting_slot.is_some() {
                 return replica;
             }
         } else {
@@ -115,34 +116,34 @@
             follower: LogFollower::new(State::new(Scope::All)),
             acceptor: Acceptor::new(rng.generate()),
             active_proposer: None,
-            messages_ahead: BTreeMap::new(),
+            next_slot_messages: BTreeMap::new(),
             recent_batches: BTreeMap::new(),
             queue: ChangeQueue::default(),
             proposal: None,
             highest_round: 0,
-            propose_at: now,
+            next_proposal_at: now,
             next_pull_at: now,
-            answer_budget: TokenBucket::new(ANSWER_RATE_BYTES_PER_S, ANSWER_BURST_BYTES, now),
+            response_budget: TokenBucket::new(RESPONSE_RATE_BYTES_PER_S, RESPONSE_BURST_BYTES, now),
             rng,
         }
     }
 
-    /// Keeps deleted records for another number of slots, which has to be the same at every replica of the fleet.
+    /// Sets the number of slots for which deleted records are kept; must be the same at every replica of the fleet.
     pub fn with_horizon(self, slots: u64) -> Self {
         Replica { horizon_slots: slots.max(MIN_HORIZON_SLOTS), ..self }
     }
 
-    /// All records.
+    /// The replicated state.
     pub fn state(&self) -> &State {
         self.follower.state()
     }
 
-    /// The last slot up to which no batch is missing.
+    /// The last slot up to which all batches have been applied.
     pub fn slot(&self) -> u64 {
         self.state().complete_to().next().slot().saturating_sub(1)
     }
 
-    /// Whether it holds all records up to the end of a slot, so that it can apply the next batch.
+    /// Whether the state is complete up to the end of a slot, so that the next batch can be applied.
     fn is_caught_up(&self) -> bool {
         let state = self.state();
         let complete_to = state.complete_to();
@@ -150,12 +151,12 @@
         state.is_complete() && is_at_slot_end
     }
 
-    /// The batch that was chosen for a recent slot.
+    /// The chosen batch of a recent slot.
     pub fn chosen_batch(&self, slot: u64) -> Option<&Batch> {
         self.recent_batches.get(&slot)
     }
 
-    /// Whether it may vote, which it may not while it recovers from the loss of its storage.
+    /// Whether this replica may vote; it may not while it recovers from the loss of its storage.
     pub fn can_vote(&self) -> bool {
         self.acceptor.can_vote_after(self.slot())
     }
@@ -175,8 +176,8 @@
         }
     }
 
-    /// Sends an answer where the budget allows it.
-    fn answer(
+    /// Sends a response if the budget allows it; drops it otherwise.
+    fn respond(
         &mut self,
         to: SocketAddr,
         message: &Message,
@@ -184,12 +185,12 @@
         environment: &mut dyn Environment,
     ) {
         let datagram = packet::encode(self.fleet, message);
-        if self.answer_budget.try_take(datagram.len(), 0, now) {
+        if self.response_budget.try_take(datagram.len(), 0, now) {
             environment.send(to, datagram);
         }
     }
 
-    /// Submits a change of this machine. The outcome goes to [`Environment::change_decided`].
+    /// Submits a change locally. The outcome is reported to [`Environment::change_decided`].
     pub fn submit(&mut self, change: Change, now: Timestamp, environment: &mut dyn Environment) {
         self.enqueue(change, None, now, environment);
     }
@@ -197,39 +198,39 @@
     fn enqueue(
         &mut self,
         change: Change,
-        writer: Option<SocketAddr>,
+        submitter: Option<SocketAddr>,
         now: Timestamp,
         environment: &mut dyn Environment,
     ) {
         let id = change.id;
-        let is_forwarded = writer.is_some_and(|writer| self.replicas.id(writer).is_some());
+        let is_forwarded = submitter.is_some_and(|submitter| self.replicas.id(submitter).is_some());
         if self.state().get(&Key::Applied(id)).is_some() {
-            self.notify_writer(id, Err(ChangeError::AlreadyApplied), writer, now, environment);
+            self.notify_submitter(id, Err(ChangeError::AlreadyApplied), submitter, now, environment);
         } else if !change.is_within_bounds() {
             environment.datagram_rejected("cells changes over a bound");
-            self.notify_writer(id, Err(ChangeError::OutOfBounds), writer, now, environment);
-        } else if !self.queue.push(change, writer, is_forwarded) {
+            self.notify_submitter(id, Err(ChangeError::OutOfBounds), submitter, now, environment);
+        } else if !self.queue.push(change, submitter, is_forwarded) {
             environment.datagram_rejected("cells changes over the queue");
         } else {
             self.propose(now, environment);
         }
     }
 
-    fn notify_writer(
+    fn notify_submitter(
         &mut self,
         id: u64,
         outcome: Result<(), ChangeError>,
-        writer: Option<SocketAddr>,
+        submitter: Option<SocketAddr>,
         now: Timestamp,
         environment: &mut dyn Environment,
     ) {
-        match writer {
-            Some(writer) => self.answer(writer, &Message::Outcome { id, outcome }, now, environment),
+        match submitter {
+            Some(submitter) => self.respond(submitter, &Message::Outcome { id, outcome }, now, environment),
             None => environment.change_decided(id, outcome),
         }
     }
 
-    /// Removes a decided change from the queue and notifies its writer.
+    /// Removes a decided change from the queue and notifies its submitter.
     fn finish_change(
         &mut self,
         id: u64,
@@ -237,8 +238,8 @@
         now: Timestamp,
         environment: &mut dyn Environment,
     ) {
-        if let Some(writer) = self.queue.remove(id) {
-            self.notify_writer(id, outcome, writer, now, environment);
+        if let Some(submitter) = self.queue.remove(id) {
+            self.notify_submitter(id, outcome, submitter, now, environment);
         }
     }
 
@@ -259,8 +260,8 @@
             (Message::Paxos(message), Some(replica)) => self.on_paxos(replica, message, now, environment),
             (Message::Paxos(_), None) => environment.datagram_rejected("cells votes from no replica"),
             (Message::Pull { scope, after, snapshot }, _) => {
-                let delta = self.state().answer(scope, after, snapshot);
-                self.answer(from, &Message::Delta(delta), now, environment);
+                let delta = self.state().pull_response(scope, after, snapshot);
+                self.respond(from, &Message::Delta(delta), now, environment);
             }
             (Message::Delta(delta), Some(replica)) => self.on_delta(replica, &delta, now, environment),
             (Message::Delta(_), None) => environment.datagram_rejected("cells answers from no replica"),
@@ -293,7 +294,7 @@
         self.send_to_replica(id, &self.follower.next_pull(), environment);
     }
 
-    /// Stores what was pulled, before this replica votes on top of it.
+    /// Stores the pulled state before this replica votes in later slots.
     fn on_caught_up(&mut self, environment: &mut dyn Environment) {
         self.recent_batches.clear();
         self.store_checkpoint(environment);
@@ -302,12 +303,12 @@
         }
     }
 
-    /// Stores and applies the batch that was chosen for the next slot, and notifies its writers.
+    /// Stores and applies the chosen batch of the next slot, and notifies the submitters of its changes.
     fn learn(&mut self, slot: u64, batch: Batch, now: Timestamp, environment: &mut dyn Environment) {
         environment.store(Stored::Chosen { slot, batch: batch.clone() });
-        let before = self.state().complete_to();
+        let previous = self.state().complete_to();
         let outcomes = self.follower.state_mut().apply(slot, &batch, self.horizon_slots);
-        let changed = self.state().delta_after(Scope::All, before, usize::MAX);
+        let changed = self.state().delta_after(Scope::All, previous, usize::MAX);
         changed.records.iter().for_each(|record| environment.record_changed(record));
         for (id, outcome) in outcomes {
             self.finish_change(id, outcome, now, environment);
@@ -320,7 +321,7 @@
         self.proposal = None;
     }
 
-    /// Handles what is due. To be called at [`Replica::next_wakeup`]; further calls do no harm.
+    /// Performs due actions. Must be called at [`Replica::next_wakeup`]; additional calls are harmless.
     pub fn on_timer(&mut self, now: Timestamp, environment: &mut dyn Environment) {
         if now >= self.next_pull_at {
             self.next_pull_at = now + PULL_PERIOD;
@@ -334,13 +335,13 @@
         self.propose(now, environment);
     }
 
-    /// When [`Replica::on_timer`] is to be called next.
+    /// When [`Replica::on_timer`] must be called next.
     pub fn next_wakeup(&self) -> Timestamp {
-        let propose_at = match &self.proposal {
+        let proposal_due_at = match &self.proposal {
             Some(proposal) => proposal.deadline,
             None if self.queue.is_empty() => Timestamp::NEVER,
-            None => self.propose_at,
+            None => self.next_proposal_at,
         };
-        self.next_pull_at.min(propose_at)
+        self.next_pull_at.min(proposal_due_at)
     }
 }
--- a/crates/cells/src/replica/storage.rs
+++ b/crates/cells/src/replica/storage.rs
@@ -1,4 +1,4 @@
-//! What a replica stores, and how it starts again with it.
+//! Data that a replica stores, and how it is replayed at a restart.
 
 use super::Replica;
 use crate::acceptor::Vote;
@@ -9,46 +9,46 @@
 use crate::Environment;
 use serde::{Deserialize, Serialize};
 
-/// What is to be on disk. All of it is given to [`Replica::restore`] in the order in which it was stored.
+/// An item of a replica's storage. All items are passed to [`Replica::restore`] in the order in which they were stored.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Stored {
-    /// The operator founded a fleet with this replica.
+    /// The replica was initialized for a new fleet by the operator.
     Initialized,
-    /// The storage was lost: no vote until it is known from which slot on.
+    /// The storage was lost: the replica must not vote until its first voting slot is known.
     Recovering,
     /// The first slot in which a replica that lost its storage may vote.
-    VotesFrom(u64),
-    /// The promise and the vote in the open slot.
+    FirstVotingSlot(u64),
+    /// The promise and the vote of the acceptor in the open slot.
     Vote(Vote),
-    /// The batch that was chosen for a slot.
+    /// The chosen batch of a slot.
     Chosen {
         /// The slot.
         slot: u64,
-        /// The batch.
+        /// The chosen batch.
         batch: Batch,
     },
-    /// All that the replica holds. Whatever was stored before may be deleted.
+    /// The complete state of the replica. All items stored before may be deleted.
     Checkpoint {
         /// All records.
         records: Vec<Record>,
-        /// No record up to this version is missing.
+        /// Version up to which no record is missing.
         to: Version,
-        /// Records deleted up to this version were dropped.
+        /// Version up to which deleted records have been dropped.
         horizon: Version,
-        /// The first slot that it may vote in.
-        votes_from: Option<u64>,
-        /// The promise and the vote in the open slot.
+        /// The first slot in which the replica may vote; `None` while it recovers.
+        first_voting_slot: Option<u64>,
+        /// The promise and the vote of the acceptor in the open slot.
         vote: Vote,
     },
 }
 
 impl Replica {
-    /// Applies one thing that was stored. Returns false where there is a gap before it.
+    /// Replays a stored item. Returns false if there is a gap before it.
     pub(super) fn replay(&mut self, stored: Stored) -> bool {
         match stored {
-            Stored::Initialized => self.acceptor.votes_from = Some(0),
-            Stored::Recovering => self.acceptor.votes_from = None,
-            Stored::VotesFrom(slot) => self.acceptor.votes_from = Some(slot),
+            Stored::Initialized => self.acceptor.first_voting_slot = Some(0),
+            Stored::Recovering => self.acceptor.first_voting_slot = None,
+            Stored::FirstVotingSlot(slot) => self.acceptor.first_voting_slot = Some(slot),
             Stored::Vote(vote) => self.acceptor.vote = vote,
             Stored::Chosen { slot, batch } => {
                 if slot != self.slot() + 1 {
@@ -57,9 +57,9 @@
                 self.follower.state_mut().apply(slot, &batch, self.horizon_slots);
                 self.recent_batches.insert(slot, batch);
             }
-            Stored::Checkpoint { records, to, horizon, votes_from, vote } => {
+            Stored::Checkpoint { records, to, horizon, first_voting_slot, vote } => {
                 self.follower = LogFollower::new(checkpointed_state(records, to, horizon));
-                self.acceptor.votes_from = votes_from;
+                self.acceptor.first_voting_slot = first_voting_slot;
                 self.acceptor.vote = vote;
             }
         }
@@ -72,7 +72,7 @@
             records: state.records().cloned().collect(),
             to: state.complete_to(),
             horizon: state.horizon(),
-            votes_from: self.acceptor.votes_from,
+            first_voting_slot: self.acceptor.first_voting_slot,
             vote: self.acceptor.vote.clone(),
         });
     }
--- a/crates/cells/src/state.rs
+++ b/crates/cells/src/state.rs
@@ -1,14 +1,14 @@
-//! The state that the log has left: the latest record under each key, also in the order of versions.
+//! The replicated state: the latest record of each key, indexed by key and by version.
 
 use crate::delta::{Delta, DeltaError, Merged};
 use crate::record::{Key, Record, Scope, Value, Version};
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// The records of a scope that a process or a replica holds.
+/// The records of a scope, as stored by a process or a replica.
 ///
-/// For every key of the scope the record held is the latest one up to [`State::complete_to`] or a later one, unless a
-/// later one up to [`State::head`] is still missing.
+/// For each key of the scope, all versions up to [`State::complete_to`] have been applied. Records with later versions,
+/// up to [`State::head`], may be present or missing.
 #[derive(Clone, Debug)]
 pub struct State {
     scope: Scope,
@@ -22,7 +22,7 @@
 }
 
 impl State {
-    /// A state without records.
+    /// An empty state.
     pub fn new(scope: Scope) -> Self {
         State {
             scope,
@@ -36,12 +36,12 @@
         }
     }
 
-    /// Which records it holds.
+    /// The scope of the records in this state.
     pub fn scope(&self) -> Scope {
         self.scope
     }
 
-    /// No record up to this version is missing.
+    /// The version up to which no record is missing.
     pub fn complete_to(&self) -> Version {
         self.complete_to
     }
@@ -51,7 +51,7 @@
         self.head
     }
 
-    /// Up to this version, deleted records and ids of changes are dropped.
+    /// The version up to which deleted records and change IDs have been dropped.
     pub fn horizon(&self) -> Version {
         self.horizon
     }
@@ -61,78 +61,79 @@
         self.complete_to >= self.head
     }
 
-    /// Hash of all records: equal in two states that are complete and hold the same records.
+    /// Hash of all records; equal for complete states with the same records.
     pub fn digest(&self) -> u64 {
         self.digest
     }
 
-    /// The record of a key.
+    /// The record with this key.
     pub fn get(&self, key: &Key) -> Option<&Record> {
         self.records.get(key).map(Rc::as_ref)
     }
 
-    /// All records in the order of their keys, those without a value included.
+    /// All records ordered by key, including deleted ones.
     pub fn records(&self) -> impl Iterator<Item = &Record> {
         self.records.values().map(Rc::as_ref)
     }
 
-    /// The records from a key on, in the order of their keys.
+    /// The records starting at this key, ordered by key.
     pub fn records_from(&self, first: &Key) -> impl Iterator<Item = &Record> {
         self.records.range(first.clone()..).map(|(_, record)| record.as_ref())
     }
 
-    /// Number of records, those without a value included.
+    /// Number of records, including deleted ones.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether it holds no record.
+    /// Whether the state contains no records.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// Number of entries with a value.
-    pub fn entries(&self) -> usize {
+    /// Number of entries, without deleted ones.
+    pub fn entry_count(&self) -> usize {
         self.entries
     }
 
-    fn account(&mut self, record: &Record, is_added: bool) {
+    /// Updates the digest and the number of entries for an added or removed record.
+    fn update_aggregates(&mut self, record: &Record, is_added: bool) {
         self.digest ^= record.digest();
         if matches!(record.value, Some(Value::Entry(_))) {
             self.entries = if is_added { self.entries + 1 } else { self.entries.saturating_sub(1) };
         }
     }
 
-    /// Stores a record, unless one of the same or a later version is held under its key. Returns whether it was stored.
+    /// Stores a record, unless the state has the same or a later version for its key. Returns whether it was stored.
     pub(crate) fn insert(&mut self, record: Record) -> bool {
-        if let Some(held) = self.records.get(&record.key).cloned() {
-            if held.version >= record.version {
+        if let Some(previous) = self.records.get(&record.key).cloned() {
+            if previous.version >= record.version {
                 return false;
             }
-            self.by_version.remove(&held.version);
-            self.account(&held, false);
+            self.by_version.remove(&previous.version);
+            self.update_aggregates(&previous, false);
         }
         let record = Rc::new(record);
-        self.account(&record, true);
+        self.update_aggregates(&record, true);
         self.by_version.insert(record.version, record.clone());
         self.head = self.head.max(record.version);
         self.records.insert(record.key.clone(), record);
         true
     }
 
-    /// No record up to this version is missing any more.
+    /// Records that no record up to this version is missing any more.
     pub(crate) fn set_complete_to(&mut self, version: Version) {
         self.complete_to = self.complete_to.max(version);
         self.head = self.head.max(version);
     }
 
-    /// A version up to this one is known to exist.
+    /// Records that a version is known to exist.
     pub fn observe_head(&mut self, head: Version) {
         self.head = self.head.max(head);
     }
 
-    /// Drops deleted records and ids of changes up to the horizon. A state that is complete only up to an earlier version
-    /// then needs a snapshot.
+    /// Drops deleted records and change IDs up to the horizon. A node whose state is only complete up to an earlier
+    /// version then needs a snapshot.
     pub(crate) fn compact(&mut self, horizon: Version) {
         let horizon = horizon.min(self.complete_to);
         if horizon <= self.horizon {
@@ -146,12 +147,13 @@
         self.horizon = horizon;
     }
 
-    /// Whether a state that is complete up to this version needs a snapshot, as records deleted since are dropped here.
+    /// Whether a node whose state is complete up to `after` needs a snapshot, because records deleted since have been
+    /// dropped here.
     pub fn needs_snapshot(&self, after: Version) -> bool {
         after < self.horizon && after > Version(0)
     }
 
-    /// The records of a scope after a version, within so many bytes. A record that is larger goes alone.
+    /// The records of a scope after a version, limited to `max_bytes`. A record that exceeds the limit is sent alone.
     pub fn delta_after(&self, scope: Scope, after: Version, max_bytes: usize) -> Delta {
         let last = self.complete_to;
         let mut delta = Delta {
@@ -165,30 +167,30 @@
         if after >= last {
             return delta;
         }
-        let (mut left, mut before) = (max_bytes, after);
+        let (mut remaining_bytes, mut previous) = (max_bytes, after);
         for (version, record) in self.by_version.range(after.next()..=last) {
             if scope.contains(&record.key) {
                 let size = record.estimated_bytes();
-                if size > left && !delta.records.is_empty() {
-                    delta.to = before;
+                if size > remaining_bytes && !delta.records.is_empty() {
+                    delta.to = previous;
                     return delta;
                 }
-                left = left.saturating_sub(size);
+                remaining_bytes = remaining_bytes.saturating_sub(size);
                 delta.records.push(record.as_ref().clone());
             }
-            before = *version;
+            previous = *version;
         }
         delta
     }
 
-    /// Applies a delta of another holder.
+    /// Applies a delta of another node.
     ///
     /// # Errors
     ///
-    /// [`DeltaError`]; except for a gap, nothing has changed then.
+    /// [`DeltaError`]. The state is unchanged, except that [`State::head`] is updated for [`DeltaError::Gap`].
     pub fn merge(&mut self, delta: &Delta) -> Result<Merged, DeltaError> {
         self.check_order(delta)?;
-        if delta.records.iter().any(|record| self.is_forked_by(record)) || self.differs_from(delta) {
+        if delta.records.iter().any(|record| self.conflicts_with(record)) || self.has_digest_mismatch(delta) {
             return Err(DeltaError::Fork);
         }
         let mut merged = Merged::default();
@@ -216,7 +218,7 @@
             }
             last = record.version;
         }
-        // The delta of a holder that is behind is empty, and its head may be behind too.
+        // A delta from a node that is behind is empty, and its head may be lower than `to`.
         let is_ahead = delta.to > delta.after;
         if (is_ahead && delta.head < delta.to) || delta.horizon > delta.head {
             return Err(DeltaError::OutOfOrder);
@@ -224,13 +226,13 @@
         Ok(())
     }
 
-    /// Whether another record is held under the version, which is unique in one log.
-    fn is_forked_by(&self, record: &Record) -> bool {
-        self.by_version.get(&record.version).is_some_and(|held| held.as_ref() != record)
+    /// Whether the state has a different record with the same version; versions are unique in a log.
+    fn conflicts_with(&self, record: &Record) -> bool {
+        self.by_version.get(&record.version).is_some_and(|existing| existing.as_ref() != record)
     }
 
-    /// Whether both are complete up to the same version, and hold different records.
-    fn differs_from(&self, delta: &Delta) -> bool {
+    /// Whether this state and the sender's are complete up to the same version, but have different records.
+    fn has_digest_mismatch(&self, delta: &Delta) -> bool {
         let is_comparable = self.is_complete()
             && delta.head == self.complete_to
             && delta.to == self.complete_to
--- a/crates/cells/src/swim.rs
+++ b/crates/cells/src/swim.rs
@@ -1,4 +1,4 @@
-//! Failure detection in a cell: SWIM with suspicion, by the library `foca`, which does no I/O.
+//! Failure detection in a cell by SWIM with suspicion, implemented by the `foca` crate, which does no I/O.
 
 use foca::{
     AccumulatingRuntime, Config, Foca, Identity, NoCustomBroadcast, PeriodicParams, PostcardCodec, Timer,
@@ -11,14 +11,14 @@
 use std::num::{NonZeroU8, NonZeroUsize};
 use std::time::Duration;
 
-/// A process, addressed by its place in the cell.
+/// Identity of a process; its address is the member index.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct SwimId {
-    /// Place in the cell.
+    /// Index of the member in its cell.
     pub index: u16,
     /// Incarnation of the process.
     pub incarnation: u32,
-    /// How often it was declared dead while it was alive.
+    /// Number of times the process was declared dead while it was alive.
     pub refutations: u16,
 }
 
@@ -38,7 +38,7 @@
     }
 }
 
-/// Random numbers of the library, from the given seed.
+/// Random number generator for `foca`, initialized from a given seed.
 struct SwimRng(WyRand);
 
 impl rand::TryRng for SwimRng {
@@ -55,28 +55,28 @@
     }
 }
 
-/// Shortest period in which a process announces itself to a member that it takes for dead.
+/// Minimum period between announcements of a process to a member that it considers dead.
 const MIN_ANNOUNCE_PERIOD_MS: u64 = 10_000;
-/// Added for each member, so that all of a cell together announce themselves to one member four times a second.
+/// Period per member of the cell. All members together then announce themselves to a dead one four times a second.
 const ANNOUNCE_PERIOD_PER_MEMBER_MS: u64 = 250;
-/// Datagrams of the library, without the header.
+/// Maximum size of the messages of `foca`, without the datagram header.
 const MAX_SWIM_BYTES: usize = 350;
 
-/// Period in which a process announces itself to a member that it takes for dead, by the size of the cell.
+/// Period between announcements of a process to a member that it considers dead, for this number of members.
 pub fn announce_period_ms(members: usize) -> u64 {
     MIN_ANNOUNCE_PERIOD_MS.max(ANNOUNCE_PERIOD_PER_MEMBER_MS * members as u64)
 }
 
-/// One probe and one gossip a second, whatever the size of the cell. A member that does not answer is suspected within
-/// 1.5 seconds and declared dead 3 seconds later. Dead members get announcements, so that the halves of a partition
-/// find each other again.
+/// One probe and one gossip message per second, independent of the size of the cell. A member that does not respond is
+/// suspected within 1.5 seconds and declared dead 3 seconds later. Announcements are also sent to dead members, so that
+/// the sides of a partition find each other again.
 fn config(size: usize, seed: u64) -> Config {
-    // Jitter, as the processes of a cell may start together.
+    // Jitter, because the processes of a cell may start at the same time.
     let period_ms = announce_period_ms(size);
     let period_ms = period_ms * 3 / 4 + WyRand::new_seed(seed).generate_range(0..period_ms / 2);
     let periodic =
         |ms| Some(PeriodicParams { frequency: Duration::from_millis(ms), num_members: NonZeroUsize::MIN });
-    // After which an update has reached all members, by the library.
+    // Number of transmissions after which `foca` expects an update to have reached all members.
     let transmissions = (4.0 * (size as f64 + 1.0).log10()).ceil() as u8;
     Config {
         probe_period: Duration::from_millis(1000),
@@ -97,61 +97,61 @@
 pub struct Swim {
     foca: Foca<SwimId, PostcardCodec, SwimRng, NoCustomBroadcast>,
     runtime: AccumulatingRuntime<SwimId>,
-    /// By when they are due, and a number that keeps those apart that are due together.
+    /// Timers by due time and sequence number; the latter distinguishes timers that are due at the same time.
     timers: BTreeMap<(Timestamp, u64), Timer<SwimId>>,
-    last_timer: u64,
+    last_sequence: u64,
     has_changed: bool,
 }
 
-/// A datagram to a member of the cell.
+/// A message to a member of the cell.
 pub struct SwimDatagram {
-    /// Place of the member.
+    /// Index of the receiving member.
     pub index: u16,
-    /// The message.
+    /// The encoded message.
     pub bytes: Vec<u8>,
 }
 
 impl Swim {
-    /// A detector that knows no other member yet.
+    /// A failure detector that does not know any other member yet.
     pub fn new(me: SwimId, size: usize, seed: u64) -> Self {
         let rng = SwimRng(WyRand::new_seed(seed));
         Swim {
             foca: Foca::new(me, config(size, seed), rng, PostcardCodec),
             runtime: AccumulatingRuntime::new(),
             timers: BTreeMap::new(),
-            last_timer: 0,
+            last_sequence: 0,
             has_changed: true,
         }
     }
 
-    /// Members that are alive, besides this process.
+    /// The alive members, without this process.
     pub fn alive(&self) -> impl Iterator<Item = SwimId> + '_ {
         self.foca.iter_members().map(|member| *member.id())
     }
 
-    /// Whether the members that are alive have changed since the last call.
+    /// Whether the set of alive members has changed since the last call.
     pub fn take_changed(&mut self) -> bool {
         std::mem::take(&mut self.has_changed)
     }
 
-    /// Announces this process to a member of which only the place is known.
+    /// Announces this process to the member with this index, whose incarnation need not be known.
     pub fn announce(&mut self, index: u16, now: Timestamp, sends: &mut Vec<SwimDatagram>) {
         let _ = self.foca.announce(SwimId { index, incarnation: 0, refutations: 0 }, &mut self.runtime);
         self.drain_runtime(now, sends);
     }
 
-    /// Handles a message. Returns whether it could be read.
+    /// Handles a message. Returns whether it was valid.
     pub fn on_datagram(&mut self, bytes: &[u8], now: Timestamp, sends: &mut Vec<SwimDatagram>) -> bool {
-        let read = self.foca.handle_data(bytes, &mut self.runtime).is_ok();
+        let is_valid = self.foca.handle_data(bytes, &mut self.runtime).is_ok();
         self.drain_runtime(now, sends);
-        read
+        is_valid
     }
 
-    /// Handles the timers that are due.
+    /// Handles due timers.
     pub fn on_timer(&mut self, now: Timestamp, sends: &mut Vec<SwimDatagram>) {
         while let Some(due) = self.timers.first_entry().filter(|due| due.key().0 <= now) {
             let timer = due.remove();
-            // The library refuses timers that it has cancelled.
+            // `foca` returns an error for timers that it has cancelled.
             let _ = self.foca.handle_timer(timer, &mut self.runtime);
             self.drain_runtime(now, sends);
         }
@@ -162,7 +162,7 @@
         self.timers.first_key_value().map_or(Timestamp::NEVER, |first| first.0 .0)
     }
 
-    /// Announces that this process leaves.
+    /// Announces to the members that this process leaves.
     pub fn leave(&mut self, now: Timestamp, sends: &mut Vec<SwimDatagram>) {
         let _ = self.foca.leave_cluster(&mut self.runtime);
         self.drain_runtime(now, sends);
@@ -170,9 +170,9 @@
 
     fn drain_runtime(&mut self, now: Timestamp, sends: &mut Vec<SwimDatagram>) {
         while let Some((after, timer)) = self.runtime.to_schedule() {
-            self.last_timer += 1;
+            self.last_sequence += 1;
             let at = now + Duration::from_ms(after.as_secs_f64() * 1000.0);
-            self.timers.insert((at, self.last_timer), timer);
+            self.timers.insert((at, self.last_sequence), timer);
         }
         while let Some((to, bytes)) = self.runtime.to_send() {
             sends.push(SwimDatagram { index: to.index, bytes: bytes.to_vec() });
--- a/crates/cells/tests/dissemination.rs
+++ b/crates/cells/tests/dissemination.rs
@@ -244,7 +244,7 @@
     let mut sender = follower();
     // The sender has a later record of k1, so that the delta lacks the one before.
     assert!(sender.on_delta(&delta(5, 6, vec![record("k1", 6, "ahead")])).is_ok());
-    let answer = sender.state().answer(Scope::All, Version(0), true);
+    let answer = sender.state().pull_response(Scope::All, Version(0), true);
     assert!(answer.records.iter().all(|record| record.key != Key::Entry("k1".into())));
     let mut receiver = LogFollower::new(State::new(Scope::All));
     receiver.on_delta(&answer).expect("in order");
--- a/crates/cells/tests/log.rs
+++ b/crates/cells/tests/log.rs
@@ -37,7 +37,7 @@
         simulation.submit(id as usize % 3, put(id, &format!("k{id}"), 1));
     }
     let done = |simulation: &CellsSimulation| {
-        agree(simulation) && simulation.replica(0).is_some_and(|r| r.state().entries() == 40)
+        agree(simulation) && simulation.replica(0).is_some_and(|r| r.state().entry_count() == 40)
     };
     assert!(simulation.run_until(20_000, 50, done), "three replicas in three regions, 40 changes");
     assert!((1..=40).all(|id| simulation.outcomes.get(&id) == Some(&Ok(()))), "{:?}", simulation.outcomes);
@@ -137,14 +137,15 @@
     assert_eq!(outcome(ended(13, 2)), Err(ChangeError::UnknownMember), "another incarnation");
     assert_eq!(outcome(ended(14, 1)), Ok(()));
     assert_eq!(outcome(add(15, 1, "c")), Ok(()));
-    let grow = |id, by| Change { id, action: Action::GrowQuota { cell: own, by } };
-    let shrink = |id, by| Change { id, action: Action::ShrinkQuota { cell: own, by } };
+    let grow = |id, units| Change { id, action: Action::GrowQuota { cell: own, units } };
+    let shrink = |id, units| Change { id, action: Action::ShrinkQuota { cell: own, units } };
     assert_eq!(outcome(grow(16, 1)), Err(ChangeError::QuotaNotFree));
     assert_eq!(outcome(shrink(17, 100)), Ok(()));
     assert_eq!(outcome(grow(18, 1)), Err(ChangeError::QuotaNotFree), "it may be in use still");
     assert_eq!(outcome(shrink(19, 100)), Err(ChangeError::ShrinkPending));
     let at = Version::at(17, 0);
-    let release = |id, at| Change { id, action: Action::ReleaseEscrow { cell: own, at } };
+    let release =
+        |id, shrink_version| Change { id, action: Action::ReleaseEscrow { cell: own, shrink_version } };
     assert_eq!(outcome(release(20, Version::at(16, 0))), Err(ChangeError::NothingToRelease));
     // Each slot has one change here, of the same number.
     assert_eq!(outcome(release(21, at)), Ok(()));
--- a/crates/cells/tests/quota.rs
+++ b/crates/cells/tests/quota.rs
@@ -53,7 +53,7 @@
 fn cell(simulation: &CellsSimulation, cell: u16) -> (u32, u32, Version) {
     let state = simulation.replica(0).expect("runs").state();
     let held = state.cell(CellId(cell)).expect("there");
-    (held.quota, held.escrow, held.shrunk_at)
+    (held.quota, held.escrow, held.shrink_version)
 }
 
 fn submit(simulation: &mut CellsSimulation, id: u64, action: Action) {
@@ -65,13 +65,13 @@
     let mut simulation = fully_granted(1);
     let total = u64::from(TOTAL_QUOTA);
     assert_eq!(simulation.quota_in_use(), total, "all places are taken");
-    submit(&mut simulation, 1, Action::ShrinkQuota { cell: CellId(0), by: TOTAL_QUOTA / 4 });
+    submit(&mut simulation, 1, Action::ShrinkQuota { cell: CellId(0), units: TOTAL_QUOTA / 4 });
     let released = |simulation: &CellsSimulation| {
         let (quota, escrow, _) = cell(simulation, 0);
         (quota, escrow) == (TOTAL_QUOTA / 4, 0)
     };
     assert!(simulation.run_until(20_000, 50, released), "{:?}", cell(&simulation, 0));
-    submit(&mut simulation, 2, Action::GrowQuota { cell: CellId(1), by: TOTAL_QUOTA / 4 });
+    submit(&mut simulation, 2, Action::GrowQuota { cell: CellId(1), units: TOTAL_QUOTA / 4 });
     simulation.run_for_ms(5000);
     assert_eq!(cell(&simulation, 1).0, TOTAL_QUOTA / 4 * 3);
     assert_eq!(simulation.quota_in_use(), total);
@@ -84,10 +84,10 @@
     assert_eq!(simulation.nodes[apart].location.cell, Some(CellId(0)));
     simulation.nodes[apart].partition = 1;
     let quota = simulation.process(apart).map(|process| process.quota());
-    submit(&mut simulation, 1, Action::ShrinkQuota { cell: CellId(0), by: TOTAL_QUOTA / 2 });
+    submit(&mut simulation, 1, Action::ShrinkQuota { cell: CellId(0), units: TOTAL_QUOTA / 2 });
     simulation.run_for_ms(300_000);
     assert_eq!(cell(&simulation, 0).1, TOTAL_QUOTA / 2, "it may still use its part");
-    submit(&mut simulation, 2, Action::GrowQuota { cell: CellId(1), by: 1 });
+    submit(&mut simulation, 2, Action::GrowQuota { cell: CellId(1), units: 1 });
     simulation.run_for_ms(5000);
     assert!(simulation.outcomes[&2].is_err(), "no quota is free");
     assert_eq!(simulation.process(apart).map(|process| process.quota()), quota, "it keeps its quota");
@@ -198,11 +198,11 @@
     let mut simulation = fully_granted(6);
     let apart = simulation.nodes.len() - 2;
     simulation.nodes[apart].partition = 1;
-    submit(&mut simulation, 1, Action::ShrinkQuota { cell: CellId(0), by: TOTAL_QUOTA / 2 });
+    submit(&mut simulation, 1, Action::ShrinkQuota { cell: CellId(0), units: TOTAL_QUOTA / 2 });
     simulation.run_for_ms(3000);
-    let (_, _, at) = cell(&simulation, 0);
-    submit(&mut simulation, 2, Action::ReleaseEscrow { cell: CellId(0), at });
-    submit(&mut simulation, 3, Action::GrowQuota { cell: CellId(1), by: TOTAL_QUOTA / 2 });
+    let (_, _, shrink_version) = cell(&simulation, 0);
+    submit(&mut simulation, 2, Action::ReleaseEscrow { cell: CellId(0), shrink_version });
+    submit(&mut simulation, 3, Action::GrowQuota { cell: CellId(1), units: TOTAL_QUOTA / 2 });
     let over = |simulation: &CellsSimulation| simulation.quota_in_use() > u64::from(TOTAL_QUOTA);
     assert!(simulation.run_until(20_000, 50, over), "the check finds nothing: {}", simulation.quota_in_use());
 }
@@ -240,8 +240,8 @@
                     simulation.submit(node % 3, addition);
                     simulation.start(process);
                 }
-                6 | 7 => simulation.submit(node % 3, Change { id, action: Action::ShrinkQuota { cell: of, by: 100_000 } }),
-                8 | 9 => simulation.submit(node % 3, Change { id, action: Action::GrowQuota { cell: of, by: 100_000 } }),
+                6 | 7 => simulation.submit(node % 3, Change { id, action: Action::ShrinkQuota { cell: of, units: 100_000 } }),
+                8 | 9 => simulation.submit(node % 3, Change { id, action: Action::GrowQuota { cell: of, units: 100_000 } }),
                 10 => simulation.replace_process(5000 + id, process, 1),
                 _ => simulation.submit(node % 3, put(id, &format!("k{}", id % 4), "v")),
             }
@@ -281,13 +281,13 @@
     let mut rng = WyRand::new_seed(9);
     let mut state = State::new(Scope::All);
     for slot in 1..=4000u64 {
-        let (cell, by) = (CellId(rng.generate_range(0..4u16)), rng.generate_range(0..400_000u32));
-        let at = state.cell(cell).map_or(Version(0), |cell| cell.shrunk_at);
+        let (cell, units) = (CellId(rng.generate_range(0..4u16)), rng.generate_range(0..400_000u32));
+        let shrink_version = state.cell(cell).map_or(Version(0), |cell| cell.shrink_version);
         let action = match rng.generate_range(0..4u32) {
-            0 => Action::AddCell { cell, region: 0, capacity: 3, quota: by },
-            1 => Action::GrowQuota { cell, by },
-            2 => Action::ShrinkQuota { cell, by },
-            _ => Action::ReleaseEscrow { cell, at },
+            0 => Action::AddCell { cell, region: 0, capacity: 3, quota: units },
+            1 => Action::GrowQuota { cell, units },
+            2 => Action::ShrinkQuota { cell, units },
+            _ => Action::ReleaseEscrow { cell, shrink_version },
         };
         state.apply(slot, &vec![Change { id: slot, action }], 64);
         let given: u64 = state.cells().map(|(_, cell)| u64::from(cell.quota) + u64::from(cell.escrow)).sum();
--- a/crates/cells/tests/stored_bytes.rs
+++ b/crates/cells/tests/stored_bytes.rs
@@ -26,9 +26,9 @@
         Action::RecordMemberEnd { cell, name: name(), incarnation: 70_001 },
         Action::PutEntry { key: "k".into(), value: vec![1, 255] },
         Action::DeleteEntry { key: "k".into() },
-        Action::GrowQuota { cell, by: 5 },
-        Action::ShrinkQuota { cell, by: 6 },
-        Action::ReleaseEscrow { cell, at: Version::at(9, 2) },
+        Action::GrowQuota { cell, units: 5 },
+        Action::ShrinkQuota { cell, units: 6 },
+        Action::ReleaseEscrow { cell, shrink_version: Version::at(9, 2) },
     ];
     actions.into_iter().zip(1 << 40..).map(|(action, id)| Change { id, action }).collect()
 }
@@ -40,7 +40,7 @@
         region: 2,
         quota: 100_000,
         escrow: 6,
-        shrunk_at: Version::at(9, 2),
+        shrink_version: Version::at(9, 2),
         capacity: 40,
         members: 1,
         contacts: vec![address],
@@ -104,7 +104,7 @@
         ("accepted", Message::Paxos(Paxos::Accepted { slot, ballot: BALLOT })),
         ("conflict", Message::Paxos(Paxos::Conflict { slot, promised: BALLOT })),
         ("chosen", Message::Paxos(Paxos::Chosen { slot, batch: batch() })),
-        ("ask part", Message::Paxos(Paxos::AskHighestSlot { recovery: 300 })),
+        ("ask part", Message::Paxos(Paxos::QueryHighestSlot { recovery: 300 })),
         ("took part", Message::Paxos(Paxos::HighestSlot { recovery: 300, slot })),
     ];
     let dar = fleet_id("dar");
@@ -126,12 +126,17 @@
     let (to, horizon) = (Version::end_of(9), Version::at(3, 0));
     assert_bytes_kept("stored founded", &Stored::Initialized);
     assert_bytes_kept("stored recovering", &Stored::Recovering);
-    assert_bytes_kept("stored votes from", &Stored::VotesFrom(70_000));
+    assert_bytes_kept("stored votes from", &Stored::FirstVotingSlot(70_000));
     assert_bytes_kept("stored vote", &Stored::Vote(vote()));
     assert_bytes_kept("stored chosen", &Stored::Chosen { slot: 70_000, batch: batch() });
     let records = records();
-    let checkpoint =
-        Stored::Checkpoint { records: records.clone(), to, horizon, votes_from: Some(7), vote: vote() };
+    let checkpoint = Stored::Checkpoint {
+        records: records.clone(),
+        to,
+        horizon,
+        first_voting_slot: Some(7),
+        vote: vote(),
+    };
     assert_bytes_kept("stored checkpoint", &checkpoint);
     assert_bytes_kept("kept", &ProcessSnapshot { records, to, horizon });
 }
