--- a/crates/testkit/src/cells.rs
+++ b/crates/testkit/src/cells.rs
@@ -43,7 +43,7 @@
 }
 
 impl CellsSimulation {
-    /// A newly founded fleet, with one replica in each of these regions (a region may be listed more than once).
+    /// A newly initialized fleet, with one replica in each of these regions (a region may be listed more than once).
     pub fn start_replicas(replicas: &[u8], network: NetworkConditions, seed: u64) -> Self {
         let peers = replicas.iter().enumerate();
         let peers =
--- a/crates/testkit/src/cells/fleet.rs
+++ b/crates/testkit/src/cells/fleet.rs
@@ -9,7 +9,7 @@
 pub const TEN_REPLICA_REGIONS: [u8; 10] = [0, 1, 2, 3, 4, 5, 0, 1, 2, 3];
 pub const REGIONS: u16 = 6;
 
-/// The places of a cell: one for each member, and spare ones for members that have ended without a record of it.
+/// The capacity of a cell: one index for each member, and spare ones for members that have ended without a record of it.
 fn cell_capacity(processes: usize, cells: u16) -> u16 {
     let members = processes.div_ceil(usize::from(cells));
     (members + members / 8 + 8) as u16
