--- a/crates/cells/src/apply.rs
+++ b/crates/cells/src/apply.rs
@@ -116,8 +116,8 @@
             return Err(ChangeError::MemberExists);
         }
         let mut is_taken = vec![false; usize::from(capacity)];
-        for (_, holder) in self.index_holders(cell) {
-            if let Some(is_taken) = is_taken.get_mut(usize::from(holder.index)) {
+        for (_, member) in self.index_holders(cell) {
+            if let Some(is_taken) = is_taken.get_mut(usize::from(member.index)) {
                 *is_taken = true;
             }
         }
--- a/crates/cells/src/cell_members.rs
+++ b/crates/cells/src/cell_members.rs
@@ -85,8 +85,8 @@
     }
 
     /// Starts the failure detector when the process becomes active in the cell.
-    pub fn activate(&mut self, me: SwimId, seed: u64, now: Timestamp) {
-        let swim = Swim::new(me, self.members.len(), seed);
+    pub fn activate(&mut self, local_id: SwimId, seed: u64, now: Timestamp) {
+        let swim = Swim::new(local_id, self.members.len(), seed);
         self.detector = Some(Detector { swim, activated_at: now, next_announce_at: now });
         self.refresh_liveness();
     }
--- a/crates/cells/src/process/log_sync.rs
+++ b/crates/cells/src/process/log_sync.rs
@@ -125,9 +125,9 @@
     fn activate(&mut self, now: Timestamp) {
         let member = self.state().member(self.cell, &self.name);
         let Some(member) = member.filter(|member| member.incarnation == self.incarnation) else { return };
-        let me = SwimId { index: member.index, incarnation: self.incarnation, refutations: 0 };
+        let local_id = SwimId { index: member.index, incarnation: self.incarnation, refutations: 0 };
         self.is_active = true;
-        self.members.activate(me, self.seed, now);
+        self.members.activate(local_id, self.seed, now);
     }
 
     fn after_merge(
--- a/crates/cells/src/proposal.rs
+++ b/crates/cells/src/proposal.rs
@@ -37,8 +37,8 @@
         }
     }
 
-    /// Records a promise. Returns the batch to vote on if this promise completes a majority: the accepted batch with the
-    /// highest ballot, which may already be chosen, or else the proposal's own batch.
+    /// Records a promise. Returns the batch to vote on if this promise completes a majority: the accepted batch with
+    /// the highest ballot, which may already be chosen, or else the proposal's own batch.
     pub fn on_promise(
         &mut self,
         from: u8,
--- a/crates/cells/src/swim.rs
+++ b/crates/cells/src/swim.rs
@@ -113,10 +113,10 @@
 
 impl Swim {
     /// A failure detector that does not know any other member yet.
-    pub fn new(me: SwimId, size: usize, seed: u64) -> Self {
+    pub fn new(local_id: SwimId, size: usize, seed: u64) -> Self {
         let rng = SwimRng(WyRand::new_seed(seed));
         Swim {
-            foca: Foca::new(me, config(size, seed), rng, PostcardCodec),
+            foca: Foca::new(local_id, config(size, seed), rng, PostcardCodec),
             runtime: AccumulatingRuntime::new(),
             timers: BTreeMap::new(),
             last_sequence: 0,
--- a/crates/cells/tests/dissemination.rs
+++ b/crates/cells/tests/dissemination.rs
@@ -1,4 +1,4 @@
-//! How chosen changes reach every process, and which datagrams are refused.
+//! Dissemination of chosen changes to every process, and rejection of invalid datagrams.
 
 use shelfgrade::time::{DurationExt, Timestamp};
 use shelfgrade_cells::{
@@ -13,10 +13,10 @@
     Change { id, action: Action::DeleteEntry { key: key.to_owned() } }
 }
 
-/// A fleet whose processes, in four cells, have all found each other.
-fn settled(processes: usize, entries: usize, seed: u64) -> CellsSimulation {
+/// A converged fleet of four cells, whose members have discovered each other.
+fn converged_fleet(processes: usize, entries: usize, seed: u64) -> CellsSimulation {
     let mut simulation = CellsSimulation::start_fleet(processes, 4, entries, GOOD_NETWORK, seed);
-    assert!(simulation.run_until(60_000, 50, CellsSimulation::has_converged), "all have all");
+    assert!(simulation.run_until(60_000, 50, CellsSimulation::has_converged), "the fleet did not converge");
     simulation.run_for_ms(10_000);
     simulation.reset_measurements();
     simulation
@@ -24,40 +24,40 @@
 
 #[test]
 fn a_change_is_applied_everywhere_within_six_seconds_and_in_its_region_within_three() {
-    let mut simulation = settled(48, 50, 1);
-    let (mut all, mut own) = (Vec::new(), Vec::new());
+    let mut simulation = converged_fleet(48, 50, 1);
+    let (mut all_ms, mut own_region_ms) = (Vec::new(), Vec::new());
     for id in 1..=20 {
-        let at = (id % 4) as usize;
-        for (region, ms) in simulation.measure_propagation(id, at, 30_000) {
-            all.push(ms);
-            if region == simulation.nodes[at].location.region {
-                own.push(ms);
+        let node = (id % 4) as usize;
+        for (region, ms) in simulation.measure_propagation(id, node, 30_000) {
+            all_ms.push(ms);
+            if region == simulation.nodes[node].location.region {
+                own_region_ms.push(ms);
             }
         }
         simulation.run_for_ms(700);
     }
-    assert!(percentile(&mut all, 99.0) <= 6000.0, "{all:?}");
-    assert!(percentile(&mut own, 99.0) <= 3000.0, "{own:?}");
+    assert!(percentile(&mut all_ms, 99.0) <= 6000.0, "{all_ms:?}");
+    assert!(percentile(&mut own_region_ms, 99.0) <= 3000.0, "{own_region_ms:?}");
 }
 
 #[test]
 fn the_idle_send_rate_of_a_process_does_not_grow_with_its_cell() {
     let small = {
-        let mut simulation = settled(40, 50, 2);
+        let mut simulation = converged_fleet(40, 50, 2);
         simulation.run_for_ms(30_000);
         simulation.send_rates(Duration::from_millis(30_000)).0
     };
     let large = {
-        let mut simulation = settled(160, 50, 2);
+        let mut simulation = converged_fleet(160, 50, 2);
         simulation.run_for_ms(30_000);
         simulation.send_rates(Duration::from_millis(30_000)).0
     };
-    assert!(large < 1.25 * small, "four times the members: {small:.0} and {large:.0} bytes a second");
+    assert!(large < 1.25 * small, "bytes per second: {small:.0}, and {large:.0} with four times the members");
 }
 
 #[test]
 fn no_process_sends_over_four_kilobytes_in_a_second_while_a_thousand_entries_change() {
-    let mut simulation = settled(80, 1000, 3);
+    let mut simulation = converged_fleet(80, 1000, 3);
     for entry in 0..1000 {
         simulation
             .submit(0, put(20_000 + entry, &format!("server/{entry:05}"), "10.0.0.2:8080 cold weight 3"));
@@ -65,57 +65,57 @@
     let done = |simulation: &CellsSimulation| {
         simulation.outcomes.contains_key(&20_999) && simulation.has_converged()
     };
-    assert!(simulation.run_until(120_000, 100, done), "all have them in the end");
-    let (_, _, most) = simulation.send_rates(Duration::from_millis(1000));
-    assert!(most <= 4096, "{most} bytes in one second");
+    assert!(simulation.run_until(120_000, 100, done), "the changes did not reach all processes");
+    let (_, _, max_bytes) = simulation.send_rates(Duration::from_millis(1000));
+    assert!(max_bytes <= 4096, "{max_bytes} bytes in one second");
 }
 
 #[test]
 fn a_process_that_starts_is_up_to_date_within_two_seconds() {
-    let mut simulation = settled(48, 500, 4);
-    let mut took = Vec::new();
+    let mut simulation = converged_fleet(48, 500, 4);
+    let mut times_ms = Vec::new();
     for start in 0..20 {
         let node = simulation.replicas + start * 7 % 48;
         simulation.nodes[node].snapshot = None;
+        // Starts with a snapshot all the same: `replace_process` kills the process first, which stores one.
         simulation.replace_process(500 + start as u64, node, 500);
-        // Also one whose disk is empty.
-        let at = simulation.now;
-        let holds = |simulation: &CellsSimulation| {
+        let started_at = simulation.now;
+        let is_active = |simulation: &CellsSimulation| {
             simulation.process(node).is_some_and(|process| process.is_active())
         };
-        assert!(simulation.run_until(20_000, 10, holds));
-        took.push(simulation.now.since(at).as_ms());
+        assert!(simulation.run_until(20_000, 10, is_active));
+        times_ms.push(simulation.now.since(started_at).as_ms());
     }
-    assert!(percentile(&mut took, 95.0) <= 2000.0, "{took:?}");
+    assert!(percentile(&mut times_ms, 95.0) <= 2000.0, "{times_ms:?}");
 }
 
 #[test]
-fn a_region_that_is_cut_off_keeps_its_quota_and_converges_soon_after() {
-    let mut simulation = settled(48, 50, 5);
-    let cut = |simulation: &mut CellsSimulation, group: u8| {
+fn a_partitioned_region_keeps_its_quota_and_converges_within_ten_seconds_after_the_partition() {
+    let mut simulation = converged_fleet(48, 50, 5);
+    let set_partition = |simulation: &mut CellsSimulation, partition: u8| {
         simulation
             .nodes
             .iter_mut()
             .filter(|node| node.location.region == 2)
-            .for_each(|node| node.partition = group);
+            .for_each(|node| node.partition = partition);
     };
     let before = simulation.quota_in_use();
-    cut(&mut simulation, 1);
+    set_partition(&mut simulation, 1);
     simulation.submit(0, put(1, "far", "1"));
     simulation.run_for_ms(300_000);
-    assert_eq!(simulation.quota_in_use(), before, "processes without contact keep their quotas");
-    let known = |simulation: &CellsSimulation| {
+    assert_eq!(simulation.quota_in_use(), before, "partitioned processes must keep their quotas");
+    let informed = |simulation: &CellsSimulation| {
         simulation.processes().filter(|(_, p)| p.state().entry("far").is_some()).count()
     };
-    assert_eq!(known(&simulation), 36);
-    cut(&mut simulation, 0);
-    assert!(simulation.run_until(10_000, 50, CellsSimulation::has_converged), "{}", known(&simulation));
-    assert_eq!(known(&simulation), 48);
+    assert_eq!(informed(&simulation), 36);
+    set_partition(&mut simulation, 0);
+    assert!(simulation.run_until(10_000, 50, CellsSimulation::has_converged), "{}", informed(&simulation));
+    assert_eq!(informed(&simulation), 48);
 }
 
 #[test]
-fn without_replicas_nothing_changes_and_running_processes_go_on() {
-    let mut simulation = settled(48, 50, 6);
+fn without_replicas_processes_keep_their_quota_state_and_cell_members() {
+    let mut simulation = converged_fleet(48, 50, 6);
     let (quota, digests): (u64, Vec<u64>) = (
         simulation.quota_in_use(),
         simulation.processes().map(|(_, process)| process.state().digest()).collect(),
@@ -123,16 +123,17 @@
     (0..simulation.replicas).for_each(|node| simulation.kill(node));
     simulation.run_for_ms(120_000);
     assert_eq!(simulation.quota_in_use(), quota);
-    let now: Vec<u64> = simulation.processes().map(|(_, process)| process.state().digest()).collect();
-    assert_eq!(now, digests);
+    let digests_after: Vec<u64> =
+        simulation.processes().map(|(_, process)| process.state().digest()).collect();
+    assert_eq!(digests_after, digests);
     assert!(
         simulation.processes().all(|(_, process)| process.unreachable_members() == 0),
-        "the cells see themselves"
+        "a process considers a member of its cell dead"
     );
 }
 
 #[test]
-fn a_process_that_restarts_after_days_drops_deleted_records() {
+fn a_process_that_restarts_after_a_compaction_drops_deleted_records() {
     let mut simulation = CellsSimulation::start_fleet(12, 4, 10, GOOD_NETWORK, 7).with_horizon(16);
     assert!(simulation.run_until(60_000, 50, CellsSimulation::has_converged));
     let node = simulation.replicas + 5;
@@ -142,21 +143,21 @@
         simulation.submit(0, put(id, &format!("server/{:05}", id % 3), "new"));
         simulation.run_for_ms(700);
     }
-    let replica = simulation.replica(0).expect("runs").state();
-    assert!(replica.get(&Key::Entry("server/00003".into())).is_none(), "forgotten");
+    let replica = simulation.replica(0).expect("a running replica").state();
+    assert!(replica.get(&Key::Entry("server/00003".into())).is_none(), "the deletion was not compacted");
     simulation.replace_process(300, node, 10);
     assert!(simulation.run_until(20_000, 50, CellsSimulation::has_converged));
-    let state = simulation.process(node).expect("runs").state();
+    let state = simulation.process(node).expect("a running process").state();
     assert!(state.entry("server/00003").is_none() && state.entry("server/00009").is_some());
 }
 
 #[test]
-fn replacing_all_processes_leaves_no_more_records() {
+fn replacing_all_processes_does_not_increase_the_number_of_records() {
     let mut simulation = CellsSimulation::start_fleet(24, 4, 20, GOOD_NETWORK, 8).with_horizon(16);
     assert!(simulation.run_until(60_000, 50, CellsSimulation::has_converged));
     let records =
         |simulation: &CellsSimulation| simulation.processes().map(|(_, process)| process.state().len()).max();
-    let before = records(&simulation);
+    let count_before = records(&simulation);
     for round in 0..3 {
         for process in 0..24 {
             simulation.replace_process(
@@ -168,33 +169,33 @@
         }
     }
     assert!(simulation.run_until(20_000, 50, CellsSimulation::has_converged));
-    assert_eq!(records(&simulation), before);
+    assert_eq!(records(&simulation), count_before);
 }
 
 #[test]
-fn a_replaced_process_is_a_member_while_the_fleet_runs() {
-    let mut simulation = settled(24, 20, 9);
-    // A new process in a cell, on a new machine.
+fn a_process_is_seen_by_its_cell_after_it_is_added_and_not_after_it_is_removed() {
+    let mut simulation = converged_fleet(24, 20, 9);
     let node = simulation.add_machine("late".to_owned(), CellId(1), 1);
     let change = simulation.add_member_change(7, node);
     simulation.submit(0, change);
     simulation.start(node);
     assert!(simulation.run_until(20_000, 50, CellsSimulation::has_converged));
     let observers = |simulation: &CellsSimulation| {
-        let own =
-            simulation.processes().filter(|(of, _)| simulation.nodes[*of].location.cell == Some(CellId(1)));
-        own.filter(|(_, process)| process.alive_members().any(|name| name == "late")).count()
+        let cell_members = simulation
+            .processes()
+            .filter(|(node, _)| simulation.nodes[*node].location.cell == Some(CellId(1)));
+        cell_members.filter(|(_, process)| process.alive_members().any(|name| name == "late")).count()
     };
     assert!(
         simulation.run_until(20_000, 50, |simulation| observers(simulation) == 6),
-        "{} see it",
+        "{} members see the added process",
         observers(&simulation)
     );
     let remove = Action::RemoveMember { cell: CellId(1), name: "late".to_owned() };
     simulation.submit(0, Change { id: 8, action: remove });
     assert!(
         simulation.run_until(20_000, 50, |simulation| observers(simulation) == 0),
-        "it is no longer a member"
+        "a member still sees the removed process"
     );
 }
 
@@ -218,52 +219,58 @@
 }
 
 #[test]
-fn deltas_that_arrive_ahead_late_twice_or_not_at_all_lead_to_the_same_state() {
-    let mut held = follower();
-    let before = held.state().digest();
+fn deltas_that_arrive_early_late_twice_or_not_at_all_lead_to_the_same_state() {
+    let mut follower = follower();
+    let before = follower.state().digest();
     let late = Record { key: Key::Entry("gone".into()), ..record("k", 2, "old") };
-    assert!(held.on_delta(&delta(1, 2, vec![])).is_ok_and(|merged| !merged.is_advanced));
+    assert!(follower.on_delta(&delta(1, 2, vec![])).is_ok_and(|merged| !merged.is_advanced));
     let old = Record { version: Version::at(2, 1), ..late };
     assert!(
-        held.on_delta(&delta(1, 2, vec![old])).is_ok_and(|merged| merged.new_records.is_empty()),
-        "it is over already"
+        follower.on_delta(&delta(1, 2, vec![old])).is_ok_and(|merged| merged.new_records.is_empty()),
+        "a late delta must not add records"
     );
-    assert_eq!(held.state().digest(), before);
+    assert_eq!(follower.state().digest(), before);
     let ahead = record("k1", 6, "ahead");
-    assert!(held
+    assert!(follower
         .on_delta(&delta(5, 6, vec![ahead.clone()]))
         .is_ok_and(|merged| merged.new_records == [ahead]));
-    assert!(!held.state().is_complete(), "slots 4 and 5 are missing");
-    assert_eq!(held.on_delta(&delta(5, 6, vec![])), Err(DeltaError::Gap));
-    assert!(held.on_delta(&delta(3, 6, vec![record("k2", 4, "x")])).is_ok_and(|merged| merged.is_advanced));
-    assert!(held.state().is_complete());
+    assert!(!follower.state().is_complete(), "slots 4 and 5 are missing");
+    assert_eq!(follower.on_delta(&delta(5, 6, vec![])), Err(DeltaError::Gap));
+    assert!(follower
+        .on_delta(&delta(3, 6, vec![record("k2", 4, "x")]))
+        .is_ok_and(|merged| merged.is_advanced));
+    assert!(follower.state().is_complete());
 }
 
 #[test]
-fn a_follower_knows_that_a_delta_lacks_a_record() {
+fn a_state_is_incomplete_after_a_delta_that_omits_a_superseded_record() {
     let mut sender = follower();
-    // The sender has a later record of k1, so that the delta lacks the one before.
+    // The sender has a later version of k1, so the delta omits the earlier one.
     assert!(sender.on_delta(&delta(5, 6, vec![record("k1", 6, "ahead")])).is_ok());
-    let answer = sender.state().pull_response(Scope::All, Version(0), true);
-    assert!(answer.records.iter().all(|record| record.key != Key::Entry("k1".into())));
+    let response = sender.state().pull_response(Scope::All, Version(0), true);
+    assert!(response.records.iter().all(|record| record.key != Key::Entry("k1".into())));
     let mut receiver = LogFollower::new(State::new(Scope::All));
-    receiver.on_delta(&answer).expect("in order");
-    assert!(!receiver.state().is_complete() || receiver.is_transferring_snapshot(), "k1 is still to come");
+    receiver.on_delta(&response).expect("a valid delta");
+    assert!(!receiver.state().is_complete() || receiver.is_transferring_snapshot(), "k1 is still missing");
 }
 
 #[test]
-fn a_snapshot_never_reverts_records_that_arrived_ahead_of_it() {
-    let mut held = follower();
+fn a_snapshot_does_not_revert_records_that_arrived_before_it() {
+    let mut follower = follower();
     let ahead = record("k1", 9, "ahead");
-    assert!(held.on_delta(&delta(8, 9, vec![ahead.clone()])).is_ok());
-    // The sender has dropped records deleted since slot 3, and is behind the known head.
+    assert!(follower.on_delta(&delta(8, 9, vec![ahead.clone()])).is_ok());
+    // The sender has dropped records deleted after slot 3, and is behind the known head.
     let older = delta(0, 5, vec![record("k1", 5, "older")]);
     let older = Delta { after: Version(0), horizon: Version::end_of(4), ..older };
-    assert!(held.on_delta(&older).is_ok());
-    assert_eq!(held.state().get(&ahead.key), Some(&ahead), "a cell's record that was acknowledged went back");
-    assert!(held.on_delta(&delta(5, 9, vec![ahead.clone()])).is_ok());
-    assert!(!held.is_transferring_snapshot() && held.state().complete_to() == Version::end_of(9));
-    assert_eq!(held.state().get(&ahead.key), Some(&ahead));
+    assert!(follower.on_delta(&older).is_ok());
+    assert_eq!(
+        follower.state().get(&ahead.key),
+        Some(&ahead),
+        "a record that may have been acknowledged was reverted"
+    );
+    assert!(follower.on_delta(&delta(5, 9, vec![ahead.clone()])).is_ok());
+    assert!(!follower.is_transferring_snapshot() && follower.state().complete_to() == Version::end_of(9));
+    assert_eq!(follower.state().get(&ahead.key), Some(&ahead));
 }
 
 #[test]
@@ -274,64 +281,77 @@
         simulation.processes().map(|(_, process)| process.state().len()).max().unwrap_or(0)
     };
     let (small, large, wide) = (records(40, 4), records(160, 16), records(160, 4));
-    assert_eq!(large, small + 12, "four times the fleet: one record more for each cell more");
-    assert_eq!(wide, small + 30, "four times the cell: one more for each member of it");
+    assert_eq!(large, small + 12, "four times the processes and cells: one record per added cell");
+    assert_eq!(
+        wide,
+        small + 30,
+        "four times the processes per cell: one record per added member of the cell"
+    );
 }
 
 #[test]
 fn deltas_out_of_order_or_of_another_log_change_nothing() {
-    let mut held = follower();
-    let before = (held.state().digest(), held.state().complete_to());
-    let twice = vec![record("a", 5, "x"), record("b", 4, "x")];
-    assert_eq!(held.on_delta(&delta(3, 5, twice)), Err(DeltaError::OutOfOrder));
+    let mut follower = follower();
+    let before = (follower.state().digest(), follower.state().complete_to());
+    let unsorted = vec![record("a", 5, "x"), record("b", 4, "x")];
+    assert_eq!(follower.on_delta(&delta(3, 5, unsorted)), Err(DeltaError::OutOfOrder));
     assert_eq!(
-        held.on_delta(&delta(3, 4, vec![record("a", 9, "x")])),
+        follower.on_delta(&delta(3, 4, vec![record("a", 9, "x")])),
         Err(DeltaError::OutOfOrder),
-        "not in its span"
+        "version outside the range of the delta"
     );
     let fork = record("other", 2, "x");
-    assert_eq!(held.on_delta(&delta(1, 2, vec![fork])), Err(DeltaError::Fork), "slot 2 wrote something else");
+    assert_eq!(
+        follower.on_delta(&delta(1, 2, vec![fork])),
+        Err(DeltaError::Fork),
+        "the log has a different record in slot 2"
+    );
     let other = Delta { digest: before.0 ^ 1, ..delta(3, 3, vec![]) };
-    assert_eq!(held.on_delta(&other), Err(DeltaError::Fork), "all up to the same version, and not the same");
-    assert_eq!((held.state().digest(), held.state().complete_to()), before);
+    assert_eq!(
+        follower.on_delta(&other),
+        Err(DeltaError::Fork),
+        "complete up to the same version, but different digests"
+    );
+    assert_eq!((follower.state().digest(), follower.state().complete_to()), before);
 }
 
 #[test]
 fn datagrams_from_unknown_senders_and_other_cells_change_nothing_and_are_counted() {
-    let mut simulation = settled(12, 10, 10);
+    let mut simulation = converged_fleet(12, 10, 10);
     simulation.rejected.clear();
     let node = simulation.replicas + 1;
-    let what = |simulation: &CellsSimulation| {
-        simulation
-            .process(node)
-            .map(|of| (of.state().digest(), of.quota(), of.state().head(), of.state().complete_to()))
+    let process_state = |simulation: &CellsSimulation| {
+        simulation.process(node).map(|process| {
+            (process.state().digest(), process.quota(), process.state().head(), process.state().complete_to())
+        })
     };
-    let before = what(&simulation);
-    let own = fleet_id(FLEET);
+    let before = process_state(&simulation);
+    let fleet = fleet_id(FLEET);
     let pull = Message::Pull { scope: Scope::Cell(CellId(3)), after: Version(0), snapshot: false };
     let ack = Message::Ack { cell: CellId(3), name: "x".into(), incarnation: 1, version: Version(1) };
-    let mut older = encode(own, &pull);
-    older[0] = 0;
-    let far = address(9999);
-    simulation.inject(far, node, &encode(own, &pull));
-    simulation.inject(far, node, &encode(own, &ack));
-    let member = simulation.nodes.iter().position(|of| of.name == "n00005").expect("of the same cell");
-    simulation.inject(address(member), node, &encode(own, &ack));
-    // A pull with a version that nobody wrote, and records that nobody wrote.
+    let mut other_format = encode(fleet, &pull);
+    other_format[0] = 0;
+    let unknown = address(9999);
+    simulation.inject(unknown, node, &encode(fleet, &pull));
+    simulation.inject(unknown, node, &encode(fleet, &ack));
+    let member =
+        simulation.nodes.iter().position(|node| node.name == "n00005").expect("a member of the same cell");
+    simulation.inject(address(member), node, &encode(fleet, &ack));
+    // A pull and deltas with versions that do not exist in the log.
     let after = Version::end_of(900_000);
     let ahead = Message::Pull { scope: Scope::Cell(CellId(1)), after, snapshot: false };
-    simulation.inject(far, node, &encode(own, &ahead));
+    simulation.inject(unknown, node, &encode(fleet, &ahead));
     let push =
         Delta { after: Version(0), to: after, head: after, horizon: Version(0), digest: 0, records: vec![] };
-    simulation.inject(far, node, &encode(own, &Message::Push(push.clone())));
-    simulation.inject(far, node, &encode(own, &Message::Delta(push)));
-    simulation.inject(far, node, &encode(own, &Message::Swim(vec![1, 2, 3])));
-    simulation.inject(far, node, &encode(own, &Message::Submit(put(1, "k", "v"))));
-    simulation.inject(far, node, &encode(own ^ 1, &pull));
-    simulation.inject(far, node, &older);
-    simulation.inject(far, node, &[0; 3]);
-    simulation.inject(far, node, &vec![0; 5000]);
-    let counts: Vec<_> = simulation.rejected.iter().map(|(why, count)| (*why, *count)).collect();
+    simulation.inject(unknown, node, &encode(fleet, &Message::Push(push.clone())));
+    simulation.inject(unknown, node, &encode(fleet, &Message::Delta(push)));
+    simulation.inject(unknown, node, &encode(fleet, &Message::Swim(vec![1, 2, 3])));
+    simulation.inject(unknown, node, &encode(fleet, &Message::Submit(put(1, "k", "v"))));
+    simulation.inject(unknown, node, &encode(fleet ^ 1, &pull));
+    simulation.inject(unknown, node, &other_format);
+    simulation.inject(unknown, node, &[0; 3]);
+    simulation.inject(unknown, node, &vec![0; 5000]);
+    let counts: Vec<_> = simulation.rejected.iter().map(|(counter, count)| (*counter, *count)).collect();
     assert_eq!(
         counts,
         [
@@ -345,16 +365,16 @@
             ("cells pulls of another cell", 1),
         ]
     );
-    assert_eq!(what(&simulation), before);
+    assert_eq!(process_state(&simulation), before);
 }
 
 #[test]
 fn the_same_seed_gives_the_same_run() {
-    let course = || {
-        let mut simulation = settled(24, 20, 11);
+    let run = || {
+        let mut simulation = converged_fleet(24, 20, 11);
         simulation.run_for_ms(5000);
         let bytes: Vec<u64> = simulation.nodes.iter().map(|node| node.bytes).collect();
         (bytes, simulation.now == Timestamp::default())
     };
-    assert_eq!(course(), course());
+    assert_eq!(run(), run());
 }
--- a/crates/cells/tests/stored_bytes.rs
+++ b/crates/cells/tests/stored_bytes.rs
@@ -1,5 +1,4 @@
-//! Datagrams of the cells and what their processes store keep their bytes: they are compared with what an earlier
-//! release wrote.
+//! Compatibility of the encoding: datagrams and stored data are compared with bytes recorded from an earlier release.
 
 use recorded::{hex, Recorded};
 use serde::{de::DeserializeOwned, Serialize};
@@ -15,7 +14,7 @@
 const RECORDED: Recorded = Recorded(include_str!("fixtures/stored.hex"));
 const BALLOT: Ballot = Ballot { round: 300, proposer: 4 };
 
-/// One of each kind of change.
+/// A batch with each kind of change.
 fn batch() -> Vec<Change> {
     let (cell, name, address) = (CellId(300), || "n1".to_owned(), "127.0.0.1:7400".parse().unwrap());
     let actions = [
@@ -33,7 +32,7 @@
     actions.into_iter().zip(1 << 40..).map(|(action, id)| Change { id, action }).collect()
 }
 
-/// One of each kind of record.
+/// A list with each kind of record.
 fn records() -> Vec<Record> {
     let address = "[::1]:7400".parse().unwrap();
     let cell = Cell {
@@ -72,7 +71,7 @@
 }
 
 #[test]
-fn each_kind_of_datagram_is_written_and_read_as_an_earlier_release_wrote_it() {
+fn each_kind_of_datagram_is_encoded_and_decoded_as_by_an_earlier_release() {
     let slot = 70_000;
     let kinds = [
         ("swim", Message::Swim(vec![1, 2, 255])),
@@ -107,28 +106,28 @@
         ("ask part", Message::Paxos(Paxos::QueryHighestSlot { recovery: 300 })),
         ("took part", Message::Paxos(Paxos::HighestSlot { recovery: 300, slot })),
     ];
-    let dar = fleet_id("dar");
+    let fleet = fleet_id("dar");
     for (name, message) in kinds {
-        assert_eq!(hex(&encode(dar, &message)), RECORDED.digits(name), "{name}");
-        assert_eq!(decode(dar, &RECORDED.bytes(name)), Ok(message), "{name}");
+        assert_eq!(hex(&encode(fleet, &message)), RECORDED.digits(name), "{name}");
+        assert_eq!(decode(fleet, &RECORDED.bytes(name)), Ok(message), "{name}");
     }
 }
 
-fn assert_bytes_kept<T: Serialize + DeserializeOwned + Debug>(name: &str, value: &T) {
+fn assert_bytes_unchanged<T: Serialize + DeserializeOwned + Debug>(name: &str, value: &T) {
     assert_eq!(hex(&postcard::to_stdvec(value).unwrap()), RECORDED.digits(name), "{name}");
-    let read = postcard::from_bytes::<T>(&RECORDED.bytes(name)).unwrap();
-    assert_eq!(format!("{read:?}"), format!("{value:?}"), "{name}");
+    let decoded = postcard::from_bytes::<T>(&RECORDED.bytes(name)).unwrap();
+    assert_eq!(format!("{decoded:?}"), format!("{value:?}"), "{name}");
 }
 
 #[test]
-fn what_is_stored_is_written_and_read_as_an_earlier_release_wrote_it() {
+fn stored_data_is_encoded_and_decoded_as_by_an_earlier_release() {
     let vote = || Vote { slot: 70_000, promised: BALLOT, accepted: Some((BALLOT, batch())) };
     let (to, horizon) = (Version::end_of(9), Version::at(3, 0));
-    assert_bytes_kept("stored founded", &Stored::Initialized);
-    assert_bytes_kept("stored recovering", &Stored::Recovering);
-    assert_bytes_kept("stored votes from", &Stored::FirstVotingSlot(70_000));
-    assert_bytes_kept("stored vote", &Stored::Vote(vote()));
-    assert_bytes_kept("stored chosen", &Stored::Chosen { slot: 70_000, batch: batch() });
+    assert_bytes_unchanged("stored founded", &Stored::Initialized);
+    assert_bytes_unchanged("stored recovering", &Stored::Recovering);
+    assert_bytes_unchanged("stored votes from", &Stored::FirstVotingSlot(70_000));
+    assert_bytes_unchanged("stored vote", &Stored::Vote(vote()));
+    assert_bytes_unchanged("stored chosen", &Stored::Chosen { slot: 70_000, batch: batch() });
     let records = records();
     let checkpoint = Stored::Checkpoint {
         records: records.clone(),
@@ -137,6 +136,6 @@
         first_voting_slot: Some(7),
         vote: vote(),
     };
-    assert_bytes_kept("stored checkpoint", &checkpoint);
-    assert_bytes_kept("kept", &ProcessSnapshot { records, to, horizon });
+    assert_bytes_unchanged("stored checkpoint", &checkpoint);
+    assert_bytes_unchanged("kept", &ProcessSnapshot { records, to, horizon });
 }
