--- a/crates/cells/src/apply.rs
+++ b/crates/cells/src/apply.rs
@@ -86,9 +86,11 @@
             }
             Action::PutEntry { key, value } => self.put_entry(key, value, version),
             Action::DeleteEntry { key } => self.delete_entry(key, version),
-            Action::GrowQuota { cell, units } => self.grow(*cell, *units, version),
-            Action::ShrinkQuota { cell, units } => self.shrink(*cell, *units, version),
-            Action::ReleaseEscrow { cell, shrink_version } => self.release(*cell, *shrink_version, version),
+            Action::GrowQuota { cell, units } => self.grow_quota(*cell, *units, version),
+            Action::ShrinkQuota { cell, units } => self.shrink_quota(*cell, *units, version),
+            Action::ReleaseEscrow { cell, shrink_version } => {
+                self.release_escrow(*cell, *shrink_version, version)
+            }
         }
     }
 
@@ -176,7 +178,7 @@
         Ok(())
     }
 
-    fn grow(&mut self, cell: CellId, units: u32, version: Version) -> Result<(), ChangeError> {
+    fn grow_quota(&mut self, cell: CellId, units: u32, version: Version) -> Result<(), ChangeError> {
         if units > self.free_quota() {
             return Err(ChangeError::QuotaNotFree);
         }
@@ -186,7 +188,7 @@
         })
     }
 
-    fn shrink(&mut self, cell: CellId, units: u32, version: Version) -> Result<(), ChangeError> {
+    fn shrink_quota(&mut self, cell: CellId, units: u32, version: Version) -> Result<(), ChangeError> {
         self.update_cell(cell, version, |cell| {
             if cell.escrow > 0 {
                 return Err(ChangeError::ShrinkPending);
@@ -199,7 +201,7 @@
         })
     }
 
-    fn release(
+    fn release_escrow(
         &mut self,
         cell: CellId,
         shrink_version: Version,
--- a/crates/cells/src/cell_members.rs
+++ b/crates/cells/src/cell_members.rs
@@ -152,26 +152,31 @@
         sample
     }
 
-    /// Handles a failure detector message. Returns whether it could be decoded; responses are added to `sends`.
-    pub fn on_datagram(&mut self, bytes: &[u8], now: Timestamp, sends: &mut Vec<MembershipDatagram>) -> bool {
+    /// Handles a failure detector message. Returns whether it could be decoded; responses are added to `outgoing`.
+    pub fn on_datagram(
+        &mut self,
+        bytes: &[u8],
+        now: Timestamp,
+        outgoing: &mut Vec<MembershipDatagram>,
+    ) -> bool {
         let Some(detector) = &mut self.detector else { return true };
-        let mut swim_sends = Vec::new();
-        let is_valid = detector.swim.on_datagram(bytes, now, &mut swim_sends);
-        self.resolve_addresses(swim_sends, sends);
+        let mut swim_datagrams = Vec::new();
+        let is_valid = detector.swim.on_datagram(bytes, now, &mut swim_datagrams);
+        self.resolve_addresses(swim_datagrams, outgoing);
         is_valid
     }
 
     /// Handles due timers of the failure detector.
-    pub fn on_timer(&mut self, now: Timestamp, sends: &mut Vec<MembershipDatagram>) {
+    pub fn on_timer(&mut self, now: Timestamp, outgoing: &mut Vec<MembershipDatagram>) {
         let Some(detector) = &mut self.detector else { return };
-        let mut swim_sends = Vec::new();
-        detector.swim.on_timer(now, &mut swim_sends);
-        self.resolve_addresses(swim_sends, sends);
+        let mut swim_datagrams = Vec::new();
+        detector.swim.on_timer(now, &mut swim_datagrams);
+        self.resolve_addresses(swim_datagrams, outgoing);
     }
 
     /// Announces this process to a random member that is not alive, if an announcement is due. Announcements are
     /// frequent in the first seconds, so that the members of a new cell find each other.
-    pub fn announce(&mut self, rng: &mut WyRand, now: Timestamp, sends: &mut Vec<MembershipDatagram>) {
+    pub fn announce(&mut self, rng: &mut WyRand, now: Timestamp, outgoing: &mut Vec<MembershipDatagram>) {
         let Some(detector) = &mut self.detector else { return };
         if now < detector.next_announce_at {
             return;
@@ -188,17 +193,17 @@
             return;
         }
         let index = unreachable[rng.generate_range(0..unreachable.len())];
-        let mut swim_sends = Vec::new();
-        detector.swim.announce(index, now, &mut swim_sends);
-        self.resolve_addresses(swim_sends, sends);
+        let mut swim_datagrams = Vec::new();
+        detector.swim.announce(index, now, &mut swim_datagrams);
+        self.resolve_addresses(swim_datagrams, outgoing);
     }
 
     /// Announces to the cell that this process leaves.
-    pub fn leave(&mut self, now: Timestamp, sends: &mut Vec<MembershipDatagram>) {
+    pub fn leave(&mut self, now: Timestamp, outgoing: &mut Vec<MembershipDatagram>) {
         let Some(detector) = &mut self.detector else { return };
-        let mut swim_sends = Vec::new();
-        detector.swim.leave(now, &mut swim_sends);
-        self.resolve_addresses(swim_sends, sends);
+        let mut swim_datagrams = Vec::new();
+        detector.swim.leave(now, &mut swim_datagrams);
+        self.resolve_addresses(swim_datagrams, outgoing);
     }
 
     /// When the next failure detector timer or announcement is due.
@@ -209,10 +214,14 @@
     }
 
     /// Resolves member indices to addresses, and refreshes the liveness if the failure detector reports changes.
-    fn resolve_addresses(&mut self, swim_sends: Vec<SwimDatagram>, sends: &mut Vec<MembershipDatagram>) {
-        for SwimDatagram { index, bytes } in swim_sends {
+    fn resolve_addresses(
+        &mut self,
+        swim_datagrams: Vec<SwimDatagram>,
+        outgoing: &mut Vec<MembershipDatagram>,
+    ) {
+        for SwimDatagram { index, bytes } in swim_datagrams {
             if let Some(member) = self.members.iter().find(|member| member.index == index) {
-                sends.push(MembershipDatagram { to: member.address, bytes });
+                outgoing.push(MembershipDatagram { to: member.address, bytes });
             }
         }
         if self.detector.as_mut().is_some_and(|detector| detector.swim.take_changed()) {
--- a/crates/cells/src/process/mod.rs
+++ b/crates/cells/src/process/mod.rs
@@ -205,11 +205,11 @@
     /// dropped; the protocol tolerates losses.
     fn send_membership(
         &mut self,
-        sends: Vec<MembershipDatagram>,
+        outgoing: Vec<MembershipDatagram>,
         now: Timestamp,
         environment: &mut dyn Environment,
     ) {
-        for MembershipDatagram { to, bytes } in sends {
+        for MembershipDatagram { to, bytes } in outgoing {
             let datagram = packet::encode(self.fleet, &Message::Swim(bytes));
             if self.send_budget.try_take(datagram.len(), 0, now) {
                 environment.send(to, datagram);
@@ -269,22 +269,22 @@
         if !self.members.contains(from) {
             return environment.datagram_rejected("cells membership from strangers");
         }
-        let mut sends = Vec::new();
-        if !self.members.on_datagram(bytes, now, &mut sends) {
+        let mut outgoing = Vec::new();
+        if !self.members.on_datagram(bytes, now, &mut outgoing) {
             environment.datagram_rejected("cells membership not to be read");
         }
-        self.send_membership(sends, now, environment);
+        self.send_membership(outgoing, now, environment);
     }
 
     /// Performs due actions. Must be called at [`Process::next_wakeup`]; additional calls are harmless.
     pub fn on_timer(&mut self, now: Timestamp, environment: &mut dyn Environment) {
-        let mut sends = Vec::new();
-        self.members.on_timer(now, &mut sends);
-        self.send_membership(sends, now, environment);
+        let mut outgoing = Vec::new();
+        self.members.on_timer(now, &mut outgoing);
+        self.send_membership(outgoing, now, environment);
         self.pull_if_due(now, environment);
-        let mut sends = Vec::new();
-        self.members.announce(&mut self.rng, now, &mut sends);
-        self.send_membership(sends, now, environment);
+        let mut outgoing = Vec::new();
+        self.members.announce(&mut self.rng, now, &mut outgoing);
+        self.send_membership(outgoing, now, environment);
         self.retry_changes(now, environment);
     }
 
@@ -297,9 +297,9 @@
 
     /// Announces to the cell that this process leaves.
     pub fn leave(&mut self, now: Timestamp, environment: &mut dyn Environment) {
-        let mut sends = Vec::new();
-        self.members.leave(now, &mut sends);
-        self.send_membership(sends, now, environment);
+        let mut outgoing = Vec::new();
+        self.members.leave(now, &mut outgoing);
+        self.send_membership(outgoing, now, environment);
     }
 }
 
--- a/crates/cells/src/swim.rs
+++ b/crates/cells/src/swim.rs
@@ -135,25 +135,25 @@
     }
 
     /// Announces this process to the member with this index, whose incarnation need not be known.
-    pub fn announce(&mut self, index: u16, now: Timestamp, sends: &mut Vec<SwimDatagram>) {
+    pub fn announce(&mut self, index: u16, now: Timestamp, outgoing: &mut Vec<SwimDatagram>) {
         let _ = self.foca.announce(SwimId { index, incarnation: 0, refutations: 0 }, &mut self.runtime);
-        self.drain_runtime(now, sends);
+        self.drain_runtime(now, outgoing);
     }
 
     /// Handles a message. Returns whether it was valid.
-    pub fn on_datagram(&mut self, bytes: &[u8], now: Timestamp, sends: &mut Vec<SwimDatagram>) -> bool {
+    pub fn on_datagram(&mut self, bytes: &[u8], now: Timestamp, outgoing: &mut Vec<SwimDatagram>) -> bool {
         let is_valid = self.foca.handle_data(bytes, &mut self.runtime).is_ok();
-        self.drain_runtime(now, sends);
+        self.drain_runtime(now, outgoing);
         is_valid
     }
 
     /// Handles due timers.
-    pub fn on_timer(&mut self, now: Timestamp, sends: &mut Vec<SwimDatagram>) {
+    pub fn on_timer(&mut self, now: Timestamp, outgoing: &mut Vec<SwimDatagram>) {
         while let Some(due) = self.timers.first_entry().filter(|due| due.key().0 <= now) {
             let timer = due.remove();
             // `foca` returns an error for timers that it has cancelled.
             let _ = self.foca.handle_timer(timer, &mut self.runtime);
-            self.drain_runtime(now, sends);
+            self.drain_runtime(now, outgoing);
         }
     }
 
@@ -163,19 +163,19 @@
     }
 
     /// Announces to the members that this process leaves.
-    pub fn leave(&mut self, now: Timestamp, sends: &mut Vec<SwimDatagram>) {
+    pub fn leave(&mut self, now: Timestamp, outgoing: &mut Vec<SwimDatagram>) {
         let _ = self.foca.leave_cluster(&mut self.runtime);
-        self.drain_runtime(now, sends);
+        self.drain_runtime(now, outgoing);
     }
 
-    fn drain_runtime(&mut self, now: Timestamp, sends: &mut Vec<SwimDatagram>) {
+    fn drain_runtime(&mut self, now: Timestamp, outgoing: &mut Vec<SwimDatagram>) {
         while let Some((after, timer)) = self.runtime.to_schedule() {
             self.last_sequence += 1;
             let at = now + Duration::from_ms(after.as_secs_f64() * 1000.0);
             self.timers.insert((at, self.last_sequence), timer);
         }
         while let Some((to, bytes)) = self.runtime.to_send() {
-            sends.push(SwimDatagram { index: to.index, bytes: bytes.to_vec() });
+            outgoing.push(SwimDatagram { index: to.index, bytes: bytes.to_vec() });
         }
         while self.runtime.to_notify().is_some() {
             self.has_changed = true;
