--- a/crates/testkit/examples/cells.rs
+++ b/crates/testkit/examples/cells.rs
@@ -25,7 +25,7 @@
 
 impl Trial {
     /// Prints what was sent and used in the last `ms` milliseconds, and resets the counters.
-    fn print_point(&mut self, name: &str, ms: u64, more: &str) {
+    fn print_point(&mut self, name: &str, ms: u64, extra_fields: &str) {
         let duration = Duration::from_millis(ms);
         let (mean, busiest, max_in_second) = self.simulation.send_rates(duration);
         let (replica_mean, busiest_replica) = self.simulation.replica_send_rates(duration);
@@ -39,7 +39,7 @@
             "{{\"point\":\"{name}\",\"processes\":{},\"bytes_s\":{mean:.0},\"busiest_bytes_s\":{busiest:.0},\
              \"most_bytes_in_a_second\":{max_in_second},\"replica_bytes_s\":{replica_mean:.0},\
              \"busiest_replica_bytes_s\":{busiest_replica:.0},\"core_percent\":{mean_percent:.4},\"most_core_percent\":{max_percent:.4}\
-             {more},\"real_s\":{:.0}}}",
+             {extra_fields},\"real_s\":{:.0}}}",
             self.size,
             self.began.elapsed().as_secs_f64()
         );
@@ -63,7 +63,7 @@
             self.simulation.run_for_ms(1000 + id * 37 % 500);
         }
         let ms = self.simulation.now.since(before).as_ms() as u64;
-        let more = format!(
+        let extra_fields = format!(
             ",\"changes\":{count},\"p50_ms\":{:.0},\"p99_ms\":{:.0},\"max_ms\":{:.0},\"own_region_p99_ms\":{:.0},\
              \"never\":{never}",
             percentile(&mut all, 50.0),
@@ -71,7 +71,7 @@
             percentile(&mut all, 100.0),
             percentile(&mut same_region, 99.0)
         );
-        self.print_point(name, ms, &more);
+        self.print_point(name, ms, &extra_fields);
     }
 
     /// The numbers of unreachable members and of records, as JSON.
@@ -84,8 +84,8 @@
         format!(",\"most_unmet\":{unreachable},\"records_least\":{least},\"records_most\":{most},\"replica_records\":{replica}")
     }
 
-    /// Replaces `count` processes, one every `interval_ms`, and measures how long each takes until it is up to date, its
-    /// own record included.
+    /// Replaces `count` processes, one every `interval_ms`, and measures how long each takes until it is up to date,
+    /// its own record included.
     fn measure_replacements(&mut self, name: &str, first: u64, count: usize, interval_ms: u64) {
         let nodes = self.simulation.nodes.len() - self.simulation.replicas;
         let (mut took, mut waiting) = (Vec::new(), Vec::new());
@@ -117,10 +117,10 @@
         let (p50, p99) = (percentile(&mut took, 50.0), percentile(&mut took, 99.0));
         let most = percentile(&mut took, 100.0);
         let counts = self.record_counts();
-        let more = format!(
+        let extra_fields = format!(
             ",\"starts\":{count},\"has_all_p50_ms\":{p50:.0},\"has_all_p99_ms\":{p99:.0},\"has_all_max_ms\":{most:.0}{counts}"
         );
-        self.print_point(name, ms, &more);
+        self.print_point(name, ms, &extra_fields);
     }
 }
 
@@ -142,8 +142,8 @@
     trial.simulation.reset_measurements();
     trial.simulation.run_for_ms(30_000);
     let memory = (resident_bytes() - memory_before) / trial.size as f64 / 1024.0;
-    let more = format!(",\"memory_kb_each\":{memory:.0}{}", trial.record_counts());
-    trial.print_point("at rest", 30_000, &more);
+    let extra_fields = format!(",\"memory_kb_each\":{memory:.0}{}", trial.record_counts());
+    trial.print_point("at rest", 30_000, &extra_fields);
     trial.measure_changes("one change at a time", 1, 20);
     trial.measure_replacements("starts", 2000, 100, 1000);
 
@@ -194,12 +194,12 @@
     trial.simulation.reset_measurements();
     trial.simulation.run_for_ms(20_000);
     let grown = (resident_bytes() - before) / 1024.0 / trial.size as f64;
-    let more = format!(
+    let extra_fields = format!(
         ",\"grown_kb_each\":{grown:.1},\"agree\":{}{}",
         trial.simulation.has_converged(),
         trial.record_counts()
     );
-    trial.print_point("after the replacements", 20_000, &more);
+    trial.print_point("after the replacements", 20_000, &extra_fields);
     println!(
         "{{\"point\":\"rejected datagrams\",\"processes\":{size},\"counts\":\"{:?}\"}}",
         trial.simulation.rejected
--- a/crates/testkit/examples/sockets.rs
+++ b/crates/testkit/examples/sockets.rs
@@ -141,7 +141,7 @@
         }
     }
 
-    fn print_point(&self, point: &str, since: &Counters, more: &str) {
+    fn print_point(&self, point: &str, since: &Counters, extra_fields: &str) {
         let (now, real) = (self.counters(), &self.processes);
         let seconds = now.at.duration_since(since.at).as_secs_f64();
         let hollow_seconds = self.fleet.nodes.len() as f64 * seconds;
@@ -155,7 +155,7 @@
             .map(|(after, before)| (after.0.saturating_sub(before.0)).as_secs_f64());
         let memory = now.real.iter().map(|real| real.1).sum::<u64>() / 1024 / real.len().max(1) as u64;
         println!(
-            r#"{{"trial":"sockets","hollow":{},"real":{},"point":"{point}","seconds":{seconds:.1},"bytes_a_second":{:.0},"datagrams_a_second":{:.1},"processor_percent":{:.4},"real_bytes_a_second":{:.0},"real_datagrams_a_second":{:.1},"real_processor_percent":{:.3},"real_memory_kb":{memory},"alive_mean":{:.1},"went":{}{}{more}}}"#,
+            r#"{{"trial":"sockets","hollow":{},"real":{},"point":"{point}","seconds":{seconds:.1},"bytes_a_second":{:.0},"datagrams_a_second":{:.1},"processor_percent":{:.4},"real_bytes_a_second":{:.0},"real_datagrams_a_second":{:.1},"real_processor_percent":{:.3},"real_memory_kb":{memory},"alive_mean":{:.1},"went":{}{}{extra_fields}}}"#,
             self.fleet.nodes.len(),
             real.len(),
             (now.sent.bytes - since.sent.bytes) as f64 / hollow_seconds,
@@ -166,7 +166,7 @@
             cpu_seconds.sum::<f64>() * 100.0 / real_seconds,
             self.fleet.mean_alive_members(),
             self.fleet.nodes.iter().map(|node| node.events.members_left).sum::<u64>(),
-            if more.is_empty() { "" } else { "," },
+            if extra_fields.is_empty() { "" } else { "," },
         );
     }
 }
--- a/crates/testkit/src/cells/fleet.rs
+++ b/crates/testkit/src/cells/fleet.rs
@@ -126,8 +126,8 @@
         self.nodes[a].partition == self.nodes[b].partition
     }
 
-    /// Bytes per second sent by the processes: the mean, the mean of the busiest process, and the maximum of any process
-    /// in one second.
+    /// Bytes per second sent by the processes: the mean, the mean of the busiest process, and the maximum of any
+    /// process in one second.
     pub fn send_rates(&self, duration: Duration) -> (f64, f64, u64) {
         let seconds = duration.as_ms() / 1000.0;
         let rates: Vec<_> =
--- a/crates/testkit/src/fault_proxy.rs
+++ b/crates/testkit/src/fault_proxy.rs
@@ -79,11 +79,11 @@
         FaultProxy { process_addresses, relay_addresses: sockets.iter().map(row_addresses).collect(), state }
     }
 
-    /// The addresses of all processes, as process `of` sees them.
-    pub fn addresses(&self, of: usize) -> Vec<SocketAddr> {
-        let mut all = self.relay_addresses[of].clone();
-        all[of] = self.process_addresses[of];
-        all
+    /// The addresses of all processes, as one of them sees them.
+    pub fn addresses(&self, process: usize) -> Vec<SocketAddr> {
+        let mut addresses = self.relay_addresses[process].clone();
+        addresses[process] = self.process_addresses[process];
+        addresses
     }
 
     fn state(&self) -> std::sync::MutexGuard<'_, State> {
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -1,4 +1,4 @@
-//! The test kit: simulations, stand-ins and measuring programs. Nothing here is part of the program itself.
+//! The testkit: simulations, stand-ins and measuring programs. Nothing here is part of the program itself.
 //!
 //! Simulations in virtual time; the same seed gives the same run:
 //!
--- a/crates/testkit/src/process.rs
+++ b/crates/testkit/src/process.rs
@@ -98,10 +98,10 @@
         self.directory.join("start.json")
     }
 
-    /// `all`: every process of the fleet, with the address at which this one reaches it.
-    pub fn write_files(&self, config: &ProcessConfig, all: &[(String, SocketAddr)]) {
+    /// `members`: every process of the fleet, with the address at which this one reaches it.
+    pub fn write_files(&self, config: &ProcessConfig, members: &[(String, SocketAddr)]) {
         let mut peers = String::new();
-        for (name, address) in all {
+        for (name, address) in members {
             writeln!(peers, "{name} = \"{address}\"").expect("writing to a string succeeds");
         }
         let state_dir = self.state_dir();
@@ -110,7 +110,7 @@
             state_dir.display()
         );
         fs::write(self.fleet_file_path(), fleet_file).expect("fleet file is written");
-        self.write_config(config, all.len());
+        self.write_config(config, members.len());
     }
 
     /// `fleet_size`: the number of processes in the fleet.
--- a/crates/testkit/src/session_load.rs
+++ b/crates/testkit/src/session_load.rs
@@ -61,7 +61,7 @@
 struct ClientStats {
     /// The present number of sessions.
     sessions: AtomicU64,
-    /// Sessions that broke, ended or were told to move.
+    /// Sessions that broke, ended or were migrated.
     lost: AtomicU64,
     /// The number of messages that were due.
     due: AtomicU64,
--- a/crates/testkit/src/sockets.rs
+++ b/crates/testkit/src/sockets.rs
@@ -35,12 +35,12 @@
 }
 
 impl SocketFleet {
-    /// `all`: every process of the fleet with its address. The last ones are the hollow nodes, in the order of
-    /// `sockets`.
-    pub fn new(sockets: Vec<UdpSocket>, all: &[(String, SocketAddr)]) -> Self {
+    /// `fleet_members`: every process of the fleet with its address. The last ones are the hollow nodes, in the order
+    /// of `sockets`.
+    pub fn new(sockets: Vec<UdpSocket>, fleet_members: &[(String, SocketAddr)]) -> Self {
         let by_name: BTreeMap<&str, SocketAddr> =
-            all.iter().map(|(name, address)| (name.as_str(), *address)).collect();
-        let first = all[all.len() - sockets.len()].0.as_str();
+            fleet_members.iter().map(|(name, address)| (name.as_str(), *address)).collect();
+        let first = fleet_members[fleet_members.len() - sockets.len()].0.as_str();
         let roster = Roster::new("trial", by_name.keys().map(|name| (*name).to_owned()), first)
             .expect("roster is valid");
         let started = (unix_ms(), Instant::now());
@@ -51,7 +51,7 @@
             let data = epoll::EventData::new_u64(index as u64);
             epoll::add(&epoll_fd, socket, data, epoll::EventFlags::IN).expect("socket is added to epoll");
         }
-        let names = &all[all.len() - sockets.len()..];
+        let names = &fleet_members[fleet_members.len() - sockets.len()..];
         let nodes: Vec<_> = names.iter().map(|(name, _)| HollowNode::new(&roster, name, 1, now)).collect();
         let addresses: Vec<_> = by_name.values().copied().collect();
         let members = addresses.iter().enumerate().map(|(member, address)| (*address, member)).collect();
