--- a/crates/proxy/tests/sockets/client_abort_races.rs
+++ b/crates/proxy/tests/sockets/client_abort_races.rs
@@ -1,23 +1,26 @@
-//! Clients that leave just as something else happens to their session, and one final answer where several events coincide.
-//! Both events wait while the program is suspended, in either order, and are found together when it resumes.
+//! Clients that disconnect at the moment when something else happens to their session, and other coinciding events after
+//! which the client must get exactly one final response. Both events occur while the proxy is suspended, in either order,
+//! and the proxy finds them together when it resumes.
 
 use crate::harness::{
-    list_response, wait_for, Connection, FakeServer, Program, Settings, DEFAULT, PUSHED, TEST_TIMEOUT,
+    list_response, wait_for, Connection, FakeServer, ProxyProcess, Settings, DEFAULT, PUSHED_LIST,
+    TEST_TIMEOUT,
 };
 use std::time::Duration;
 
-/// Whether the server was dialled; if it was, it must not have received a request.
-pub fn was_dialled_without_request(server: &FakeServer) -> bool {
-    let connected = server.try_accept();
-    connected.map(|mut connection| assert_eq!(connection.read_line(), "", "{}", server.name)).is_some()
+/// Whether the server has received a connection. Fails the test if a request was sent over it.
+pub fn got_connection_without_request(server: &FakeServer) -> bool {
+    let accepted = server.try_accept();
+    accepted.map(|mut connection| assert_eq!(connection.read_line(), "", "{}", server.name)).is_some()
 }
 
-/// Returns once the program has handled all that came before: it answers a new client's health check after that.
-pub fn wait_for_turn(program: &Program) {
-    assert_eq!(program.connect().send("PING\r\n").read_line(), "PONG");
+/// Waits until the proxy has handled all earlier events: it responds to the health check of a new client after them.
+pub fn wait_for_event_loop(proxy: &ProxyProcess) {
+    assert_eq!(proxy.connect().send("PING\r\n").read_line(), "PONG");
 }
 
-/// Accepts a session's attempt at whichever of two servers it came to: its connection, and the other server.
+/// Accepts a session's attempt at whichever of the two servers it was sent to. Returns the connection and the other
+/// server.
 pub fn accept_attempt<'a>(one: &'a FakeServer, two: &'a FakeServer) -> (Connection, &'a FakeServer) {
     let (mut connection, other) = wait_for(TEST_TIMEOUT, || {
         let first = one.try_accept().map(|connection| (connection, two));
@@ -27,162 +30,168 @@
     (connection, other)
 }
 
-fn leave(client: Connection, by_reset: bool) {
+fn disconnect(client: Connection, by_reset: bool) {
     if by_reset {
         client.reset();
     }
 }
 
 #[test]
-fn no_retry_for_a_client_that_leaves_as_its_attempt_ends() {
-    for (i, word) in ["BUSY\r\n", "ERR\r\n", "UP 0123\r\n", "reset", "end"].iter().enumerate() {
+fn no_retry_for_a_client_that_disconnects_as_its_attempt_ends() {
+    for (i, outcome) in ["BUSY\r\n", "ERR\r\n", "UP 0123\r\n", "reset", "end"].iter().enumerate() {
         for (client_first, by_reset) in [(true, false), (false, false), (true, true), (false, true)] {
             let (one, two) = (FakeServer::new("s1"), FakeServer::new("s2"));
-            let program = Program::start(DEFAULT, &[&one, &two]);
-            let client = program.open_session(&format!("lift-{i}"), ",d=3000");
-            let (mut at_server, other) = accept_attempt(&one, &two);
-            program.suspend();
+            let proxy = ProxyProcess::start(DEFAULT, &[&one, &two]);
+            let client = proxy.open_session(&format!("lift-{i}"), ",d=3000");
+            let (mut upstream, other) = accept_attempt(&one, &two);
+            proxy.suspend();
             let mut client = Some(client);
             if client_first {
-                client.take().into_iter().for_each(|client| leave(client, by_reset));
+                client.take().into_iter().for_each(|client| disconnect(client, by_reset));
             }
-            let mut at_server = match *word {
+            let mut upstream = match *outcome {
                 "reset" => {
-                    at_server.reset();
+                    upstream.reset();
                     None
                 }
                 "end" => {
-                    at_server.end_sending();
-                    Some(at_server)
+                    upstream.shut_down_write();
+                    Some(upstream)
                 }
-                word => {
-                    at_server.send(word);
-                    Some(at_server)
+                response => {
+                    upstream.send(response);
+                    Some(upstream)
                 }
             };
-            client.take().into_iter().for_each(|client| leave(client, by_reset));
-            program.resume();
-            if let Some(server) = &mut at_server {
-                assert!(["", "reset"].contains(&&*server.read_line()), "its attempt is closed");
+            client.take().into_iter().for_each(|client| disconnect(client, by_reset));
+            proxy.resume();
+            if let Some(upstream) = &mut upstream {
+                assert!(["", "reset"].contains(&&*upstream.read_line()), "the attempt is closed");
             }
-            wait_for_turn(&program);
+            wait_for_event_loop(&proxy);
             assert!(
-                !was_dialled_without_request(other),
-                "{word:?}, client first: {client_first}, by reset: {by_reset}"
+                !got_connection_without_request(other),
+                "{outcome:?}, client first: {client_first}, by reset: {by_reset}"
             );
-            program.shut_down();
+            proxy.shut_down();
         }
     }
 }
 
 #[test]
-fn no_retry_for_a_client_that_leaves_as_its_attempt_times_out() {
+fn no_retry_for_a_client_that_disconnects_as_its_attempt_times_out() {
     let (one, two) = (FakeServer::new("s1"), FakeServer::new("s2"));
-    let program = Program::start(DEFAULT, &[&one, &two]);
-    let client = program.open_session("lift-1", ",d=900");
-    let (mut silent, other) = accept_attempt(&one, &two);
-    program.suspend();
+    let proxy = ProxyProcess::start(DEFAULT, &[&one, &two]);
+    let client = proxy.open_session("lift-1", ",d=900");
+    let (mut unanswered, other) = accept_attempt(&one, &two);
+    proxy.suspend();
     drop(client);
-    // Past the timeout of the first attempt, and of all of them.
+    // Longer than the timeout of the first attempt, and than the request timeout.
     std::thread::sleep(Duration::from_millis(1000));
-    program.resume();
-    assert_eq!(silent.read_line(), "");
-    wait_for_turn(&program);
-    assert!(!was_dialled_without_request(other));
-    program.shut_down();
+    proxy.resume();
+    assert_eq!(unanswered.read_line(), "");
+    wait_for_event_loop(&proxy);
+    assert!(!got_connection_without_request(other));
+    proxy.shut_down();
 }
 
 #[test]
-fn a_server_answer_received_at_the_deadline_is_the_final_answer() {
-    for (word, heard) in [("UP 0123\r\n", "UP 0123"), ("BUSY\r\n", "BUSY"), ("ERR\r\n", "ERR")] {
+fn a_server_response_received_at_the_deadline_is_the_final_response() {
+    for (sent, expected) in [("UP 0123\r\n", "UP 0123"), ("BUSY\r\n", "BUSY"), ("ERR\r\n", "ERR")] {
         let server = FakeServer::new("s1");
-        let program = Program::start(Settings { effect: "once", ..DEFAULT }, &[&server]);
-        let mut client = program.open_session("lift-1", ",d=600");
-        let mut at_server = server.accept();
-        assert!(at_server.read_line().starts_with("OPEN"));
-        program.suspend();
-        at_server.send(word);
+        let proxy = ProxyProcess::start(Settings { idempotency: "once", ..DEFAULT }, &[&server]);
+        let mut client = proxy.open_session("lift-1", ",d=600");
+        let mut upstream = server.accept();
+        assert!(upstream.read_line().starts_with("OPEN"));
+        proxy.suspend();
+        upstream.send(sent);
         std::thread::sleep(Duration::from_millis(700));
-        program.resume();
-        let answer = client.read_line();
-        assert!(answer.starts_with(heard), "{answer}");
-        if heard != "UP 0123" {
-            assert_eq!(client.read_line(), "", "one final answer");
+        proxy.resume();
+        let response = client.read_line();
+        assert!(response.starts_with(expected), "{response}");
+        if expected != "UP 0123" {
+            assert_eq!(client.read_line(), "", "only one final response");
         }
-        assert!(!was_dialled_without_request(&server));
-        drop((client, at_server));
-        program.shut_down();
+        assert!(!got_connection_without_request(&server));
+        drop((client, upstream));
+        proxy.shut_down();
     }
 }
 
 #[test]
-fn no_request_for_a_client_whose_first_line_and_end_are_read_together() {
+fn no_request_for_a_client_whose_first_line_and_disconnect_are_read_together() {
     let server = FakeServer::new("s1");
-    let program = Program::start(DEFAULT, &[&server]);
-    program.suspend();
+    let proxy = ProxyProcess::start(DEFAULT, &[&server]);
+    proxy.suspend();
     for by_reset in [false, true] {
-        leave(program.open_session("lift-1", ",d=3000"), by_reset);
+        disconnect(proxy.open_session("lift-1", ",d=3000"), by_reset);
     }
-    program.resume();
-    wait_for_turn(&program);
-    assert!(!was_dialled_without_request(&server));
-    program.shut_down();
+    proxy.resume();
+    wait_for_event_loop(&proxy);
+    assert!(!got_connection_without_request(&server));
+    proxy.shut_down();
 }
 
 #[test]
-fn no_request_for_a_client_that_leaves_as_the_first_endpoint_list_arrives() {
+fn no_request_for_a_client_that_disconnects_as_the_first_endpoint_list_arrives() {
     for client_first in [true, false] {
         let server = FakeServer::new("s1");
-        let program = Program::start(PUSHED, &[&server]);
-        let (mut call, _) = program.discovery.next_poll();
-        let mut client = program.open_session("lift-1", ",d=3000");
-        assert!(client.is_silent(), "it waits for the list");
-        program.suspend();
+        let proxy = ProxyProcess::start(PUSHED_LIST, &[&server]);
+        let (mut call, _) = proxy.discovery.next_poll();
+        let mut client = proxy.open_session("lift-1", ",d=3000");
+        assert!(client.is_silent(), "the session waits for the list");
+        proxy.suspend();
         let mut client = Some(client);
         if client_first {
             client.take();
         }
         call.send(&list_response(9, true, &[server.endpoint("in_service")]));
         client.take();
-        program.resume();
-        wait_for_turn(&program);
-        // The list may be received first: then the server is dialled, and sent nothing.
-        was_dialled_without_request(&server);
-        program.shut_down();
+        proxy.resume();
+        wait_for_event_loop(&proxy);
+        // If the proxy reads the list first, it connects to the server, but must not send a request.
+        got_connection_without_request(&server);
+        proxy.shut_down();
     }
 }
 
 #[test]
-fn no_request_for_a_client_that_leaves_as_its_connection_comes_up() {
+fn no_request_for_a_client_that_disconnects_as_its_server_connection_is_established() {
     for client_first in [true, false] {
-        let (full, _first) = FakeServer::with_full_backlog("s1");
-        let program = Program::start(DEFAULT, &[&full]);
-        let mut client = program.open_session("lift-1", ",d=6000");
-        assert!(client.is_silent(), "its attempt is on the way");
-        program.suspend();
+        let (full, _filler_client) = FakeServer::with_full_backlog("s1");
+        let proxy = ProxyProcess::start(DEFAULT, &[&full]);
+        let mut client = proxy.open_session("lift-1", ",d=6000");
+        assert!(client.is_silent(), "the attempt is still connecting");
+        proxy.suspend();
         let mut client = Some(client);
         if client_first {
             client.take();
         }
-        let _held = full.accept();
-        let mut late = full.accept();
+        let _filler = full.accept();
+        let mut upstream = full.accept();
         client.take();
-        program.resume();
-        assert_eq!(late.read_line(), "");
-        program.shut_down();
+        proxy.resume();
+        assert_eq!(upstream.read_line(), "");
+        proxy.shut_down();
     }
 }
 
 #[test]
-fn no_request_for_a_client_that_leaves_as_health_checks_are_answered() {
+fn no_request_for_a_client_that_disconnects_as_health_checks_are_answered() {
     for client_first in [true, false] {
         let servers = ["s1", "s2", "s3"].map(FakeServer::new);
-        let settings = Settings { probes: true, tells_delay: true, aim_ms: 5000, quota: "1", ..DEFAULT };
-        let program = Program::start(settings, &servers.each_ref());
-        let client = program.open_session("lift-1", ",d=20000,g=bank");
+        let settings = Settings {
+            health_checks_allowed: true,
+            servers_report_latency: true,
+            message_latency_objective_ms: 5000,
+            connection_quota: "1",
+            ..DEFAULT
+        };
+        let proxy = ProxyProcess::start(settings, &servers.each_ref());
+        let client = proxy.open_session("lift-1", ",d=20000,g=bank");
         let mut checks = servers.each_ref().map(FakeServer::accept);
         checks.iter_mut().for_each(|check| assert_eq!(check.read_line(), "PING"));
-        program.suspend();
+        proxy.suspend();
         let mut client = Some(client);
         if client_first {
             client.take();
@@ -191,28 +200,34 @@
             check.send("PONG\r\n");
         }
         client.take();
-        program.resume();
+        proxy.resume();
         checks.iter_mut().for_each(|check| assert_eq!(check.read_line(), ""));
-        wait_for_turn(&program);
+        wait_for_event_loop(&proxy);
         for server in &servers {
-            was_dialled_without_request(server);
+            got_connection_without_request(server);
         }
-        program.shut_down();
+        proxy.shut_down();
     }
 }
 
-/// The server has started draining since the health check was sent: its state as of now decides.
+/// The server has started draining since the health check was sent. Its current state decides, not the one at that time.
 #[test]
-fn a_health_check_answer_from_a_draining_server_gets_it_no_session() {
+fn a_health_check_response_from_a_draining_server_gets_it_no_session() {
     for update_first in [true, false] {
         let servers = ["s1", "s2", "s3"].map(FakeServer::new);
-        let settings = Settings { probes: true, tells_delay: true, aim_ms: 5000, quota: "1", ..DEFAULT };
-        let program = Program::start(settings, &servers.each_ref());
-        let (mut watch, _) = program.discovery.next_poll();
-        let mut client = program.open_session("lift-1", ",d=20000,g=bank");
+        let settings = Settings {
+            health_checks_allowed: true,
+            servers_report_latency: true,
+            message_latency_objective_ms: 5000,
+            connection_quota: "1",
+            ..DEFAULT
+        };
+        let proxy = ProxyProcess::start(settings, &servers.each_ref());
+        let (mut watch, _) = proxy.discovery.next_poll();
+        let mut client = proxy.open_session("lift-1", ",d=20000,g=bank");
         let mut checks = servers.each_ref().map(FakeServer::accept);
         checks.iter_mut().for_each(|check| assert_eq!(check.read_line(), "PING"));
-        program.suspend();
+        proxy.suspend();
         let update = list_response(8, false, &[servers[1].endpoint("terminating")]);
         if update_first {
             watch.send(&update);
@@ -221,55 +236,57 @@
         if !update_first {
             watch.send(&update);
         }
-        program.resume();
-        let (mut at_server, _) = accept_attempt(&servers[0], &servers[2]);
-        at_server.send("UP 0123\r\n");
+        proxy.resume();
+        let (mut upstream, _) = accept_attempt(&servers[0], &servers[2]);
+        upstream.send("UP 0123\r\n");
         assert_eq!(client.read_line(), "UP 0123", "update first: {update_first}");
-        was_dialled_without_request(&servers[1]);
+        got_connection_without_request(&servers[1]);
     }
 }
 
-/// A retry goes by the endpoint list as of now, not by the one that the first attempt was balanced by.
+/// A retry is placed by the current endpoint list, not by the one that the first attempt was placed by.
 #[test]
 fn a_retry_uses_the_endpoint_update_received_with_the_rejection() {
     for update_first in [true, false] {
         let (one, two) = (FakeServer::new("s1"), FakeServer::new("s2"));
-        let program = Program::start(DEFAULT, &[&one, &two]);
-        let (mut watch, _) = program.discovery.next_poll();
-        let mut client = program.open_session("lift-1", ",d=3000");
-        let (mut at_server, other) = accept_attempt(&one, &two);
-        program.suspend();
+        let proxy = ProxyProcess::start(DEFAULT, &[&one, &two]);
+        let (mut watch, _) = proxy.discovery.next_poll();
+        let mut client = proxy.open_session("lift-1", ",d=3000");
+        let (mut upstream, other) = accept_attempt(&one, &two);
+        proxy.suspend();
         let update = list_response(8, false, &[other.endpoint("terminating")]);
         if update_first {
             watch.send(&update);
         }
-        at_server.send("BUSY\r\n");
+        upstream.send("BUSY\r\n");
         if !update_first {
             watch.send(&update);
         }
-        program.resume();
-        assert!(client.read_line().starts_with("BUSY"), "there is no other server now");
-        was_dialled_without_request(other);
+        proxy.resume();
+        assert!(client.read_line().starts_with("BUSY"), "no other server is active any more");
+        got_connection_without_request(other);
     }
 }
 
-/// Nothing can have run on a server that closed the connection before a byte was written, so any class may be retried.
+/// A server that closed the connection before any byte was written cannot have run the request, so requests of any class
+/// may be retried.
 #[test]
 fn an_attempt_closed_before_its_first_line_was_written_is_safe_to_retry() {
     for by_reset in [true, false] {
-        let (full, _first) = FakeServer::with_full_backlog("s1");
-        let program = Program::start(Settings { effect: "once", attempts: 1, ..DEFAULT }, &[&full]);
-        let mut client = program.open_session("lift-1", ",d=6000");
-        assert!(client.is_silent(), "its attempt is on the way");
-        program.suspend();
-        let _held = full.accept();
-        let late = full.accept();
+        let (full, _filler_client) = FakeServer::with_full_backlog("s1");
+        let proxy =
+            ProxyProcess::start(Settings { idempotency: "once", max_attempts: 1, ..DEFAULT }, &[&full]);
+        let mut client = proxy.open_session("lift-1", ",d=6000");
+        assert!(client.is_silent(), "the attempt is still connecting");
+        proxy.suspend();
+        let _filler = full.accept();
+        let upstream = full.accept();
         if by_reset {
-            late.reset();
+            upstream.reset();
         } else {
-            drop(late);
+            drop(upstream);
         }
-        program.resume();
+        proxy.resume();
         assert!(client.read_line().starts_with("BUSY"), "by reset: {by_reset}");
     }
 }
--- a/crates/proxy/tests/sockets/descriptor_limits.rs
+++ b/crates/proxy/tests/sockets/descriptor_limits.rs
@@ -2,7 +2,7 @@
 //! the system, leaves them. Whatever has to be dialled even then, is.
 
 use crate::harness::{
-    list_response, read_request, wait_for, Connection, FakeServer, Program, Settings, BINARY, DEFAULT,
+    list_response, read_request, wait_for, Connection, FakeServer, ProxyProcess, Settings, BINARY, DEFAULT,
     TEST_TIMEOUT,
 };
 use crate::readiness::own_address;
@@ -41,7 +41,7 @@
 
 /// Servers that accept and answer everything until the test is over.
 struct Servers {
-    places: Vec<FakeServer>,
+    servers: Vec<FakeServer>,
     opens: AtomicUsize,
     /// Connections that began with a health check.
     probes: AtomicUsize,
@@ -51,7 +51,7 @@
 impl Servers {
     fn start(number: usize) -> Arc<Self> {
         let servers = Arc::new(Servers {
-            places: (0..number).map(|i| FakeServer::new(&format!("s{i}"))).collect(),
+            servers: (0..number).map(|i| FakeServer::new(&format!("s{i}"))).collect(),
             opens: AtomicUsize::new(0),
             probes: AtomicUsize::new(0),
             over: AtomicBool::new(false),
@@ -59,7 +59,7 @@
         let serving = servers.clone();
         thread::spawn(move || {
             while !serving.over.load(SeqCst) {
-                for connection in serving.places.iter().filter_map(FakeServer::try_accept) {
+                for connection in serving.servers.iter().filter_map(FakeServer::try_accept) {
                     let servers = serving.clone();
                     thread::spawn(move || servers.serve(connection));
                 }
@@ -152,18 +152,18 @@
 }
 
 /// Opens sessions until one is established, as clients do that are rejected.
-fn open_until_established(program: &Program) -> Connection {
-    wait_for(TEST_TIMEOUT, || try_open(program).ok())
+fn open_until_established(proxy: &ProxyProcess) -> Connection {
+    wait_for(TEST_TIMEOUT, || try_open(proxy).ok())
 }
 
 /// Opens sessions until one is rejected for lack of descriptors, which is answered without a retry delay.
-fn open_until_full(program: &Program) -> Vec<Connection> {
+fn open_until_full(proxy: &ProxyProcess) -> Vec<Connection> {
     let (mut up, mut last, began) = (Vec::new(), String::new(), Instant::now());
     loop {
-        match try_open(program) {
+        match try_open(proxy) {
             Ok(client) => up.push(client),
-            Err(answer) if answer == "BUSY" => return up,
-            Err(answer) => last = answer,
+            Err(response) if response == "BUSY" => return up,
+            Err(response) => last = response,
         }
         // Some may have been migrated meanwhile.
         up.retain(|client: &Connection| is_open(&client.stream));
@@ -171,25 +171,25 @@
     }
 }
 
-fn try_open(program: &Program) -> Result<Connection, String> {
+fn try_open(proxy: &ProxyProcess) -> Result<Connection, String> {
     static LAST: AtomicUsize = AtomicUsize::new(0);
     let id = LAST.fetch_add(1, SeqCst);
-    let mut client = program.connect();
+    let mut client = proxy.connect();
     // The connection may be closed before this is sent.
     let line = format!("OPEN 7c1f03ab{id:08x} lift-{id} c=alarm,d=3000,g=g{id}\r\n");
     let _ = client.stream.write_all(line.as_bytes());
-    let answer = client.read_line();
-    assert!(["UP 0123", "", "reset"].contains(&&*answer) || answer.starts_with("BUSY"), "{answer}");
-    if answer == "UP 0123" {
+    let response = client.read_line();
+    assert!(["UP 0123", "", "reset"].contains(&&*response) || response.starts_with("BUSY"), "{response}");
+    if response == "UP 0123" {
         Ok(client)
     } else {
-        Err(answer)
+        Err(response)
     }
 }
 
-/// A program whose descriptors are all held, and what holds them.
+/// A proxy whose descriptors are all held, and what holds them.
 struct Full {
-    program: Program,
+    proxy: ProxyProcess,
     servers: Arc<Servers>,
     established: Vec<Connection>,
     idle_clients: Option<IdleClients>,
@@ -198,39 +198,39 @@
 impl Full {
     fn start(limit: Limit, held: Holder, settings: Settings, fleet: Option<&std::path::Path>) -> Self {
         let servers = Servers::start(8);
-        let known: Vec<_> = servers.places.iter().collect();
-        let sockets = if limit == Limit::Settings { ROOM } else { 16 * ROOM };
+        let known: Vec<_> = servers.servers.iter().collect();
+        let max_descriptors = if limit == Limit::Settings { ROOM } else { 16 * ROOM };
         let discovery = Arc::new(FakeServer::new("discovery"));
         let mut command = Command::new(BINARY);
         if limit == Limit::System {
-            // The soft and the hard limit, for the program alone.
+            // The soft and the hard limit, for the proxy alone.
             command = Command::new("sh");
             command.args(["-c", &format!("ulimit -n {ROOM} && exec \"$0\""), BINARY]);
         }
         command.envs(fleet.map(|path| ("SHELFGRADE_FLEET", path)));
-        let program =
-            Program::start_with_command(command, discovery, Settings { sockets, ..settings }, &known);
-        let mut full = Full {
-            established: vec![open_until_established(&program)],
-            program,
-            servers,
-            idle_clients: None,
-        };
+        let proxy = ProxyProcess::start_with_command(
+            command,
+            discovery,
+            Settings { max_descriptors, ..settings },
+            &known,
+        );
+        let mut full =
+            Full { established: vec![open_until_established(&proxy)], proxy, servers, idle_clients: None };
         if held != Holder::PendingConnections {
-            full.established.extend(open_until_full(&full.program));
+            full.established.extend(open_until_full(&full.proxy));
         }
         if held != Holder::Sessions {
-            full.idle_clients = Some(IdleClients::fill(full.program.address));
+            full.idle_clients = Some(IdleClients::fill(full.proxy.address));
         }
         full
     }
 
-    /// Shuts the program down; no system call may have failed for lack of descriptors.
+    /// Shuts the proxy down; no system call may have failed for lack of descriptors.
     fn shut_down(self) {
         self.servers.over.store(true, SeqCst);
         drop(self.idle_clients);
         drop(self.established);
-        let log = self.program.shut_down();
+        let log = self.proxy.shut_down();
         let refused = ["accept paused", "os error 24", "client socket"];
         assert!(!refused.iter().any(|word| log.contains(word)), "{log}");
     }
@@ -258,12 +258,12 @@
     for_all_limits(
         || DEFAULT,
         |full| {
-            let (call, path) = full.program.discovery.next_poll();
+            let (call, path) = full.proxy.discovery.next_poll();
             assert!(path.contains("index=7"), "{path}");
             call.reset();
             let reset = Instant::now();
-            let (mut call, _) = full.program.discovery.next_poll();
-            call.send(&list_response(8, false, &[full.servers.places[1].endpoint("terminating")]));
+            let (mut call, _) = full.proxy.discovery.next_poll();
+            call.send(&list_response(8, false, &[full.servers.servers[1].endpoint("terminating")]));
             assert!(read_request(&mut call).contains("index=8"));
             assert!(reset.elapsed() < STALENESS_LIMIT, "{:?}", reset.elapsed());
         },
@@ -280,7 +280,7 @@
                 full.established.pop();
             }
             let before = full.servers.opens.load(SeqCst);
-            full.established.push(open_until_established(&full.program));
+            full.established.push(open_until_established(&full.proxy));
             assert_eq!(full.servers.opens.load(SeqCst), before + 1);
         },
     );
@@ -290,7 +290,13 @@
 #[test]
 fn health_checks_are_connected_under_descriptor_pressure() {
     for_all_limits(
-        || Settings { probes: true, tells_delay: true, balancers: "300", aim_ms: 5000, ..DEFAULT },
+        || Settings {
+            health_checks_allowed: true,
+            servers_report_latency: true,
+            proxy_count: "300",
+            message_latency_objective_ms: 5000,
+            ..DEFAULT
+        },
         |full| {
             let before = full.servers.probes.load(SeqCst);
             // Not every session starts a health check.
@@ -298,7 +304,7 @@
                 if full.established.len() > 1 {
                     full.established.pop();
                 }
-                full.established.push(open_until_established(&full.program));
+                full.established.push(open_until_established(&full.proxy));
                 (full.servers.probes.load(SeqCst) > before).then_some(())
             });
         },
@@ -332,36 +338,42 @@
 #[test]
 fn health_checks_of_closed_sessions_free_their_descriptors() {
     let servers = Servers::start(60);
-    let known: Vec<_> = servers.places.iter().collect();
-    let settings = Settings { probes: true, balancers: "300", aim_ms: 5000, sockets: ROOM, ..DEFAULT };
-    let program = Program::start(settings, &known);
+    let known: Vec<_> = servers.servers.iter().collect();
+    let settings = Settings {
+        health_checks_allowed: true,
+        proxy_count: "300",
+        message_latency_objective_ms: 5000,
+        max_descriptors: ROOM,
+        ..DEFAULT
+    };
+    let proxy = ProxyProcess::start(settings, &known);
     let probed = || servers.probes.load(SeqCst);
-    let before = program.descriptors();
+    let before = proxy.open_descriptors();
     let mut gone = 0;
     while probed() < 55 && gone < 200 {
-        drop(open_until_established(&program));
+        drop(open_until_established(&proxy));
         gone += 1;
     }
     println!(
         "{gone} sessions, {} servers probed, {} descriptors over",
         probed(),
-        program.descriptors() - before
+        proxy.open_descriptors() - before
     );
-    let idle_clients = IdleClients::fill(program.address);
-    let (call, _) = program.discovery.next_poll();
+    let idle_clients = IdleClients::fill(proxy.address);
+    let (call, _) = proxy.discovery.next_poll();
     call.reset();
-    let (_call, _) = program.discovery.next_poll();
+    let (_call, _) = proxy.discovery.next_poll();
     let mut full = Full {
-        established: vec![open_until_established(&program)],
-        program,
+        established: vec![open_until_established(&proxy)],
+        proxy,
         servers,
         idle_clients: Some(idle_clients),
     };
     drop(full.idle_clients.take());
     for i in 0..12 {
-        match try_open(&full.program) {
+        match try_open(&full.proxy) {
             Ok(client) => full.established.push(client),
-            Err(answer) => assert!(i > 3 || answer != "BUSY", "there is room for a few"),
+            Err(response) => assert!(i > 3 || response != "BUSY", "there is room for a few"),
         }
     }
     full.shut_down();
--- a/crates/proxy/tests/sockets/discovery_polls.rs
+++ b/crates/proxy/tests/sockets/discovery_polls.rs
@@ -1,15 +1,15 @@
 //! Polling discovery: watches, failures, reloads, and pushed lists.
 
-use crate::harness::{list_response, read_request, FakeServer, Program, Settings, DEFAULT, PUSHED};
+use crate::harness::{list_response, read_request, FakeServer, ProxyProcess, Settings, DEFAULT, PUSHED_LIST};
 use std::time::{Duration, Instant};
 
 #[test]
 fn a_proxy_without_an_endpoint_list_is_not_ready() {
     let server = FakeServer::new("s1");
-    let program = Program::start(DEFAULT, &[]);
-    let mut client = program.connect();
+    let proxy = ProxyProcess::start(DEFAULT, &[]);
+    let mut client = proxy.connect();
     assert_eq!(client.send("PING\r\n").read_line(), "ERR");
-    let (mut call, path) = program.discovery.next_poll();
+    let (mut call, path) = proxy.discovery.next_poll();
     assert_eq!(path, "/catalog/members", "the complete list");
     call.send(&list_response(8, true, &[server.endpoint("in_service")]));
     read_request(&mut call);
@@ -19,11 +19,11 @@
 #[test]
 fn the_next_watch_starts_at_once_and_split_responses_are_reassembled() {
     let server = FakeServer::new("s1");
-    let program = Program::start(DEFAULT, &[&server]);
-    let (mut call, path) = program.discovery.next_poll();
+    let proxy = ProxyProcess::start(DEFAULT, &[&server]);
+    let (mut call, path) = proxy.discovery.next_poll();
     assert!(path.starts_with("/catalog/members?index=7&wait="), "{path}");
-    let answer = list_response(8, false, &[server.endpoint("in_service")]);
-    let (head, rest) = answer.split_at(answer.len() / 2);
+    let response = list_response(8, false, &[server.endpoint("in_service")]);
+    let (head, rest) = response.split_at(response.len() / 2);
     call.send(head);
     std::thread::sleep(Duration::from_millis(30));
     let answered = Instant::now();
@@ -38,30 +38,30 @@
 #[test]
 fn failed_polls_are_retried_and_the_previous_list_is_kept() {
     let server = FakeServer::new("s1");
-    let program = Program::start(DEFAULT, &[&server]);
+    let proxy = ProxyProcess::start(DEFAULT, &[&server]);
     let bad = [
         "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n",
         "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nno { json",
         "HTTP/1.1 200 OK\r\nContent-Length: 28\r\n\r\n{\"seq\":8,\"hosts\":[{\"a\":\"b\"}]}",
         "nothing like HTTP\r\n\r\n",
     ];
-    for answer in bad {
-        let (mut call, path) = program.discovery.next_poll();
+    for response in bad {
+        let (mut call, path) = proxy.discovery.next_poll();
         assert!(path.contains("index=7"), "{path}");
-        call.send(answer);
+        call.send(response);
     }
-    let (call, _) = program.discovery.next_poll();
+    let (call, _) = proxy.discovery.next_poll();
     call.reset();
-    program.establish(&server);
-    let _call = program.update_endpoints(&[server.endpoint("in_service")]);
+    proxy.establish(&server);
+    let _call = proxy.update_endpoints(&[server.endpoint("in_service")]);
 }
 
 #[test]
 fn an_unanswered_poll_times_out_and_is_retried() {
-    let program = Program::start(DEFAULT, &[]);
-    let (mut silent, path) = program.discovery.next_poll();
+    let proxy = ProxyProcess::start(DEFAULT, &[]);
+    let (mut silent, path) = proxy.discovery.next_poll();
     assert_eq!(path, "/catalog/members");
-    let (_call, path) = program.discovery.next_poll();
+    let (_call, path) = proxy.discovery.next_poll();
     assert_eq!(path, "/catalog/members");
     assert_eq!(silent.read_line(), "", "given up by closing");
 }
@@ -69,64 +69,64 @@
 #[test]
 fn a_changed_discovery_is_polled_for_all_endpoints_and_sessions_stay() {
     let (one, two) = (FakeServer::new("s1"), FakeServer::new("s2"));
-    let mut program = Program::start(DEFAULT, &[&one]);
-    let (mut client, mut at_server) = program.establish(&one);
-    let (mut old, path) = program.discovery.next_poll();
+    let mut proxy = ProxyProcess::start(DEFAULT, &[&one]);
+    let (mut client, mut upstream) = proxy.establish(&one);
+    let (mut old, path) = proxy.discovery.next_poll();
     assert!(path.contains("index=7"), "{path}");
-    program.reload("{ no file");
-    assert!(program.next_log_line().contains("reload failed, nothing changes"));
-    program.reload(&program.text.clone());
-    assert!(program.next_log_line().contains("as before"));
+    proxy.reload("{ no file");
+    assert!(proxy.next_log_line().contains("reload failed, nothing changes"));
+    proxy.reload(&proxy.startup_file.clone());
+    assert!(proxy.next_log_line().contains("as before"));
     assert!(old.is_silent(), "its watch goes on");
 
     // The new discovery refuses connections at first.
-    let closed = FakeServer::refusing("discovery");
+    let closed = FakeServer::refusing_connections("discovery");
     let began = Instant::now();
-    program.reload(&program.start_file_with(&closed));
+    proxy.reload(&proxy.startup_file_with_discovery(&closed));
     assert_eq!(old.read_line(), "", "its connection is dropped");
-    let new = closed.listen_again();
+    let new = closed.start_listening();
     let (mut call, path) = new.next_poll();
     assert_eq!(path, "/catalog/members", "versions may not match");
     call.send(&list_response(2, true, &[two.endpoint("in_service")]));
     assert!(read_request(&mut call).contains("index=2"));
     assert!(began.elapsed() < Duration::from_secs(4));
     client.send("M 1\r\n");
-    assert_eq!(at_server.read_line(), "M 1");
-    let mut next = program.open_session("lift-1", ",d=3000");
+    assert_eq!(upstream.read_line(), "M 1");
+    let mut next = proxy.open_session("lift-1", ",d=3000");
     two.accept_session();
     assert_eq!(next.read_line(), "UP 0123");
 
     // Another change, to a discovery that accepts and never answers; then a termination signal as well.
     let last = FakeServer::new("discovery");
-    program.reload(&program.start_file_with(&last));
+    proxy.reload(&proxy.startup_file_with_discovery(&last));
     let (mut silent, _) = last.next_poll();
     let (mut call, path) = last.next_poll();
     assert_eq!((silent.read_line(), &*path), (String::new(), "/catalog/members"));
     call.send(&list_response(1, true, &[one.endpoint("in_service")]));
     read_request(&mut call);
-    program.reload(&program.start_file_with(&new));
-    program.terminate();
+    proxy.reload(&proxy.startup_file_with_discovery(&new));
+    proxy.terminate();
     let (mut call, _) = new.next_poll();
     call.send(&list_response(3, true, &[two.endpoint("in_service")]));
-    assert!(program.shut_down().contains("sessions established 2"));
+    assert!(proxy.shut_down().contains("sessions established 2"));
 }
 
 /// A pushed list is polled for completely, as it may differ from the one known at the start.
 #[test]
 fn a_pushed_list_is_watched_from_the_start_and_first_clients_wait_for_it() {
     let (old, new) = (FakeServer::new("s1"), FakeServer::new("s2"));
-    let program = Program::start(PUSHED, &[&old]);
-    let (mut call, path) = program.discovery.next_poll();
-    assert_eq!(path, "/catalog/members", "all of it, so that the answer comes at once");
-    let mut front = program.connect();
-    assert!(front.send("PING\r\n").is_silent(), "nobody is invited yet");
-    let mut client = program.open_session("lift-1", ",d=3000");
+    let proxy = ProxyProcess::start(PUSHED_LIST, &[&old]);
+    let (mut call, path) = proxy.discovery.next_poll();
+    assert_eq!(path, "/catalog/members", "all of it, so that the response comes at once");
+    let mut front_end = proxy.connect();
+    assert!(front_end.send("PING\r\n").is_silent(), "nobody is invited yet");
+    let mut client = proxy.open_session("lift-1", ",d=3000");
     assert!(client.is_silent() && old.try_accept().is_none(), "nor placed");
     // Lists may be indented.
     let entries =
         [old.endpoint("terminating"), new.endpoint("in_service")].map(|e| e.replace(',', ",\n    "));
     call.send(&list_response(9, true, &entries));
-    assert_eq!(front.read_line(), "PONG");
+    assert_eq!(front_end.read_line(), "PONG");
     let _server = new.accept_session();
     assert_eq!(client.read_line(), "UP 0123");
     assert!(old.try_accept().is_none(), "it was draining before the process began");
@@ -136,19 +136,19 @@
 #[test]
 fn clients_wait_for_a_missing_pushed_list_no_longer_than_the_limit() {
     let server = FakeServer::new("s1");
-    let program = Program::start(PUSHED, &[&server]);
-    let _silent = program.discovery.next_poll();
+    let proxy = ProxyProcess::start(PUSHED_LIST, &[&server]);
+    let _silent = proxy.discovery.next_poll();
     let began = Instant::now();
     let (mut hasty, mut patient) =
-        (program.open_session("lift-1", ",d=600"), program.open_session("lift-2", ",d=3000"));
+        (proxy.open_session("lift-1", ",d=600"), proxy.open_session("lift-2", ",d=3000"));
     let _first = server.accept_session();
     assert_eq!(hasty.read_line(), "UP 0123");
     assert!(
         began.elapsed() < Duration::from_millis(550),
         "a session waits for half of its request timeout at most"
     );
-    let mut front = program.connect();
-    assert_eq!(front.send("PING\r\n").read_line(), "PONG");
+    let mut front_end = proxy.connect();
+    assert_eq!(front_end.send("PING\r\n").read_line(), "PONG");
     let _second = server.accept_session();
     assert_eq!(patient.read_line(), "UP 0123");
     assert!(began.elapsed() < Duration::from_millis(2000));
@@ -158,13 +158,13 @@
 #[test]
 fn a_lost_watch_of_a_pushed_list_is_reopened_at_once_and_refusals_back_off() {
     let server = FakeServer::new("s1");
-    let program = Program::start(PUSHED, &[&server]);
-    let (mut call, _) = program.discovery.next_poll();
+    let proxy = ProxyProcess::start(PUSHED_LIST, &[&server]);
+    let (mut call, _) = proxy.discovery.next_poll();
     call.send(&list_response(9, true, &[server.endpoint("in_service")]));
     read_request(&mut call);
     let lost = Instant::now();
     call.reset();
-    let (mut call, path) = program.discovery.next_poll();
+    let (mut call, path) = proxy.discovery.next_poll();
     assert!(
         path.contains("index=9") && lost.elapsed() < Duration::from_millis(150),
         "{path} {:?}",
@@ -173,7 +173,7 @@
     let mut asked = 0;
     while lost.elapsed() < Duration::from_millis(1500) {
         call.send("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n");
-        call = program.discovery.next_poll().0;
+        call = proxy.discovery.next_poll().0;
         asked += 1;
     }
     assert!((2..12).contains(&asked), "{asked}");
@@ -182,22 +182,24 @@
 /// Also in a large fleet, what a silent watch misses is received within six seconds after it fell silent.
 #[test]
 fn a_silent_watch_is_reopened_within_the_staleness_limit() {
-    for settings in [Settings { balancers: "300", ..PUSHED }, Settings { balancers: "300", ..DEFAULT }] {
-        let pushed = settings.discovery == "automatic";
+    for settings in
+        [Settings { proxy_count: "300", ..PUSHED_LIST }, Settings { proxy_count: "300", ..DEFAULT }]
+    {
+        let pushed = settings.list_delivery == "automatic";
         let (old, new) = (FakeServer::new("s1"), FakeServer::new("s2"));
-        let program = Program::start(settings, &[&old]);
-        let (mut call, _) = program.discovery.next_poll();
+        let proxy = ProxyProcess::start(settings, &[&old]);
+        let (mut call, _) = proxy.discovery.next_poll();
         if pushed {
             call.send(&list_response(7, true, &[old.endpoint("in_service")]));
             read_request(&mut call);
         }
         let silent = Instant::now();
-        let (mut call, path) = program.discovery.next_poll();
+        let (mut call, path) = proxy.discovery.next_poll();
         assert!(path.contains("index=7"), "{path}");
         assert!(silent.elapsed() < Duration::from_millis(5500), "{:?}", silent.elapsed());
         call.send(&list_response(8, false, &[old.endpoint("terminating"), new.endpoint("in_service")]));
         read_request(&mut call);
-        let mut client = program.open_session("lift-1", ",d=3000");
+        let mut client = proxy.open_session("lift-1", ",d=3000");
         let _server = new.accept_session();
         assert_eq!(client.read_line(), "UP 0123");
     }
--- a/crates/proxy/tests/sockets/discovery_watches.rs
+++ b/crates/proxy/tests/sockets/discovery_watches.rs
@@ -4,37 +4,37 @@
 //! and none for the agent of a pushed list.
 
 use crate::harness::{
-    list_response, read_request, wait_for, Connection, FakeServer, Program, Settings, DEFAULT, PUSHED,
-    TEST_TIMEOUT,
+    list_response, read_request, wait_for, Connection, FakeServer, ProxyProcess, Settings, DEFAULT,
+    PUSHED_LIST, TEST_TIMEOUT,
 };
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 use std::thread;
 use std::time::{Duration, Instant};
 
-const REFUSAL: &str = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
+const SERVICE_UNAVAILABLE: &str = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
 const STALENESS_LIMIT: Duration = Duration::from_secs(6);
 
 /// Three hundred processes poll the same discovery, and this seed draws a long pause after a refusal.
-const MANY: Settings = Settings { balancers: "300", must_ask_ms: 10_000, seed: "77", ..DEFAULT };
+const MANY: Settings = Settings { proxy_count: "300", max_poll_interval_ms: 10_000, seed: "77", ..DEFAULT };
 
 /// The pauses after refusals fit into what the silent watch has left of the limit.
 #[test]
 fn refusals_after_a_silent_watch_stay_within_the_staleness_limit() {
     let (old, new) = (FakeServer::new("s1"), FakeServer::new("s2"));
-    let program = Program::start(MANY, &[&old]);
-    let (_silent, path) = program.discovery.next_poll();
+    let proxy = ProxyProcess::start(MANY, &[&old]);
+    let (_silent, path) = proxy.discovery.next_poll();
     assert!(path.contains("index=7"), "{path}");
     let fell_silent = Instant::now();
     for _ in 0..2 {
-        let (mut call, _) = program.discovery.next_poll();
-        call.send(REFUSAL);
+        let (mut call, _) = proxy.discovery.next_poll();
+        call.send(SERVICE_UNAVAILABLE);
     }
-    let (mut call, _) = program.discovery.next_poll();
+    let (mut call, _) = proxy.discovery.next_poll();
     call.send(&list_response(8, false, &[old.endpoint("terminating"), new.endpoint("in_service")]));
     read_request(&mut call);
     assert!(fell_silent.elapsed() < STALENESS_LIMIT, "{:?}", fell_silent.elapsed());
-    let mut client = program.open_session("lift-1", ",d=3000");
+    let mut client = proxy.open_session("lift-1", ",d=3000");
     let _server = new.accept_session();
     assert_eq!(client.read_line(), "UP 0123");
 }
@@ -43,15 +43,15 @@
 #[test]
 fn refusals_by_a_changed_discovery_stay_within_the_staleness_limit() {
     let (old, new) = (FakeServer::new("s1"), FakeServer::new("s2"));
-    let program = Program::start(MANY, &[&old]);
-    let _watch = program.discovery.next_poll();
+    let proxy = ProxyProcess::start(MANY, &[&old]);
+    let _watch = proxy.discovery.next_poll();
     let next = FakeServer::new("discovery");
-    program.reload(&program.start_file_with(&next));
+    proxy.reload(&proxy.startup_file_with_discovery(&next));
     let signalled = Instant::now();
     for _ in 0..3 {
         let (mut call, path) = next.next_poll();
         assert_eq!(path, "/catalog/members");
-        call.send(REFUSAL);
+        call.send(SERVICE_UNAVAILABLE);
     }
     let (mut call, _) = next.next_poll();
     call.send(&list_response(2, true, &[new.endpoint("in_service")]));
@@ -62,11 +62,12 @@
 #[test]
 fn a_trickling_or_stalled_response_counts_as_silent() {
     let server = FakeServer::new("s1");
-    let answer = list_response(8, false, &[server.endpoint("terminating")]).replace("Length: ", "Length: 9");
-    let (half, _) = answer.split_at(answer.len() / 2);
+    let response =
+        list_response(8, false, &[server.endpoint("terminating")]).replace("Length: ", "Length: 9");
+    let (half, _) = response.split_at(response.len() / 2);
     for trickles in [false, true] {
-        let program = Program::start(MANY, &[&server]);
-        let (mut call, _) = program.discovery.next_poll();
+        let proxy = ProxyProcess::start(MANY, &[&server]);
+        let (mut call, _) = proxy.discovery.next_poll();
         let began = Instant::now();
         call.send(half);
         let over = Arc::new(AtomicBool::new(false));
@@ -81,7 +82,7 @@
             }
             call
         });
-        let (_next, path) = program.discovery.next_poll();
+        let (_next, path) = proxy.discovery.next_poll();
         assert!(path.contains("index=7"), "{path}");
         assert!(began.elapsed() < Duration::from_millis(3500), "{trickles}: {:?}", began.elapsed());
         over.store(true, Ordering::Relaxed);
@@ -93,8 +94,8 @@
 #[test]
 fn an_unreadable_or_truncated_update_is_polled_again_at_once_with_backoff() {
     let server = FakeServer::new("s1");
-    let program = Program::start(MANY, &[&server]);
-    let (mut call, _) = program.discovery.next_poll();
+    let proxy = ProxyProcess::start(MANY, &[&server]);
+    let (mut call, _) = proxy.discovery.next_poll();
     let update = list_response(8, false, &[server.endpoint("terminating")]);
     let unlisted = list_response(8, false, &[r#"{"host":"s2","health":"in_service"}"#.to_owned()]);
     for (bad, ends) in [(&*unlisted, false), (&update[..update.len() - 9], true)] {
@@ -103,16 +104,16 @@
         call.send(bad);
         let written = Instant::now();
         if ends {
-            call.end_sending();
+            call.shut_down_write();
         }
-        call = program.discovery.next_poll().0;
+        call = proxy.discovery.next_poll().0;
         assert!(written.elapsed() < Duration::from_millis(150), "{:?}", written.elapsed());
     }
     let first = Instant::now();
     let mut asked = 0;
     while first.elapsed() < Duration::from_millis(2000) {
         let _ = std::io::Write::write_all(&mut call.stream, unlisted.as_bytes());
-        call = program.discovery.next_poll().0;
+        call = proxy.discovery.next_poll().0;
         asked += 1;
     }
     assert!((3..12).contains(&asked), "{asked}");
@@ -124,16 +125,16 @@
 #[test]
 fn a_pushed_list_arrives_at_once_after_an_agent_outage_with_hung_calls() {
     let (old, new) = (FakeServer::new("s1"), FakeServer::new("s2"));
-    let program = Program::start(PUSHED, &[&old]);
-    let (mut call, _) = program.discovery.next_poll();
+    let proxy = ProxyProcess::start(PUSHED_LIST, &[&old]);
+    let (mut call, _) = proxy.discovery.next_poll();
     call.send(&list_response(9, true, &[old.endpoint("in_service")]));
     read_request(&mut call);
     // The outage: the watch ends, and what is polled then is never answered.
     call.reset();
-    let hung: Vec<_> = (0..4).map(|_| program.discovery.next_poll()).collect();
+    let hung: Vec<_> = (0..4).map(|_| proxy.discovery.next_poll()).collect();
     assert!(hung.iter().all(|(_, path)| path.contains("index=9")));
     let back = Instant::now();
-    let (mut call, _) = program.discovery.next_poll();
+    let (mut call, _) = proxy.discovery.next_poll();
     call.send(&list_response(10, false, &[old.endpoint("terminating"), new.endpoint("in_service")]));
     read_request(&mut call);
     assert!(back.elapsed() < Duration::from_millis(600), "{:?}", back.elapsed());
@@ -171,14 +172,14 @@
                     me.held.fetch_add(usize::from(first), Ordering::SeqCst);
                     thread::sleep(Duration::from_millis(wait));
                     if me.silent.load(Ordering::SeqCst) && path.contains("index=7") {
-                        return connection.wait_for_end();
+                        return connection.wait_for_close();
                     }
                     let seq = if path.contains("index=8") { 8 } else { 7 };
                     connection.send(&list_response(seq, false, &[]));
                 } else if me.waiting.fetch_add(1, Ordering::SeqCst) >= Self::MOST {
                     me.waiting.fetch_sub(1, Ordering::SeqCst);
                     me.refused.fetch_add(1, Ordering::SeqCst);
-                    connection.send(REFUSAL);
+                    connection.send(SERVICE_UNAVAILABLE);
                     return;
                 } else {
                     let turn = me.turn.lock().unwrap();
@@ -220,9 +221,9 @@
             }
         }
     });
-    let settings = || Settings { balancers: "24", must_ask_ms: 10_000, ..DEFAULT };
-    let programs: Vec<_> = (0..PROXIES)
-        .map(|_| Program::start_with_discovery(discovery.clone(), settings(), &[&server]))
+    let settings = || Settings { proxy_count: "24", max_poll_interval_ms: 10_000, ..DEFAULT };
+    let proxies: Vec<_> = (0..PROXIES)
+        .map(|_| ProxyProcess::start_with_discovery(discovery.clone(), settings(), &[&server]))
         .collect();
     wait_for(TEST_TIMEOUT, || (slow.held.load(Ordering::SeqCst) >= PROXIES).then_some(()));
     slow.silent.store(true, Ordering::SeqCst);
@@ -232,5 +233,5 @@
     assert!(last < STALENESS_LIMIT, "{last:?}, {} refused", slow.refused.load(Ordering::SeqCst));
     over.store(true, Ordering::SeqCst);
     takes.join().unwrap();
-    drop(programs);
+    drop(proxies);
 }
--- a/crates/proxy/tests/sockets/endpoint_staleness.rs
+++ b/crates/proxy/tests/sockets/endpoint_staleness.rs
@@ -2,7 +2,8 @@
 //! random order, and then recover.
 
 use crate::harness::{
-    list_response, read_request, wait_for, Connection, FakeServer, Program, Settings, DEFAULT, TEST_TIMEOUT,
+    list_response, read_request, wait_for, Connection, FakeServer, ProxyProcess, Settings, DEFAULT,
+    TEST_TIMEOUT,
 };
 use nanorand::{Rng, WyRand};
 use std::io::Write;
@@ -11,7 +12,7 @@
 use std::time::{Duration, Instant};
 
 const STALENESS_LIMIT: Duration = Duration::from_secs(6);
-const REFUSAL: &str = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
+const SERVICE_UNAVAILABLE: &str = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
 
 /// A discovery that cannot be reached, or misbehaves.
 struct FaultyDiscovery {
@@ -36,7 +37,7 @@
         let kind = kinds[self.rng.generate_range(0..kinds.len())];
         self.calls.push(kind);
         match kind {
-            "refused" => drop(connection.send(REFUSAL)),
+            "refused" => drop(connection.send(SERVICE_UNAVAILABLE)),
             "reset" => connection.reset(),
             "kept" => {
                 let for_ms = self.rng.generate_range(0..2000);
@@ -58,7 +59,7 @@
             }
             let now = Instant::now();
             for (mut connection, _) in self.kept.extract_if(.., |kept| kept.1 <= now) {
-                let _ = connection.stream.write_all(REFUSAL.as_bytes());
+                let _ = connection.stream.write_all(SERVICE_UNAVAILABLE.as_bytes());
             }
             for (connection, _) in self.held.iter_mut().filter(|held| held.1) {
                 let _ = connection.stream.write_all(b" ");
@@ -85,12 +86,15 @@
     let settings = [("300", 10_000), ("3800", 60_000), ("3", 10_000), ("300", 2_000)];
     let cases: Vec<_> = (0..24u64)
         .map(|case| {
-            let (balancers, must_ask_ms) = settings[case as usize % settings.len()];
+            let (proxy_count, max_poll_interval_ms) = settings[case as usize % settings.len()];
             thread::spawn(move || {
                 let (old, new) = (FakeServer::new("s1"), FakeServer::new("s2"));
                 let seed = &*format!("{case:x}").leak();
-                let program = Program::start(Settings { balancers, must_ask_ms, seed, ..DEFAULT }, &[&old]);
-                let mut discovery = FaultyDiscovery::before(program.discovery.clone(), case);
+                let proxy = ProxyProcess::start(
+                    Settings { proxy_count, max_poll_interval_ms, seed, ..DEFAULT },
+                    &[&old],
+                );
+                let mut discovery = FaultyDiscovery::before(proxy.discovery.clone(), case);
                 let lasts = Duration::from_millis(discovery.rng.generate_range(500..7000));
                 discovery.lasts_until(Instant::now() + lasts);
                 let (took, mut watch) =
@@ -102,7 +106,7 @@
                     discovery.calls
                 );
                 // The process applies it.
-                let mut client = program.open_session("lift-1", ",d=3000");
+                let mut client = proxy.open_session("lift-1", ",d=3000");
                 let _server = new.accept_session();
                 assert_eq!(client.read_line(), "UP 0123");
             })
@@ -117,16 +121,18 @@
 #[test]
 fn a_late_poller_of_many_is_ready_once_it_has_the_list() {
     let (old, new) = (FakeServer::new("s1"), FakeServer::new("s2"));
-    let program =
-        Program::start(Settings { balancers: "300", must_ask_ms: 10_000, seed: "7", ..DEFAULT }, &[&old]);
-    let mut front = program.connect();
-    front.send("PING\r\n");
-    let mut client = program.open_session("lift-1", ",d=9000");
-    let mut call = wait_for(TEST_TIMEOUT, || program.discovery.try_accept());
-    assert!(front.is_silent() && old.try_accept().is_none(), "nobody is served by a list from before");
+    let proxy = ProxyProcess::start(
+        Settings { proxy_count: "300", max_poll_interval_ms: 10_000, seed: "7", ..DEFAULT },
+        &[&old],
+    );
+    let mut front_end = proxy.connect();
+    front_end.send("PING\r\n");
+    let mut client = proxy.open_session("lift-1", ",d=9000");
+    let mut call = wait_for(TEST_TIMEOUT, || proxy.discovery.try_accept());
+    assert!(front_end.is_silent() && old.try_accept().is_none(), "nobody is served by a list from before");
     read_request(&mut call);
     call.send(&list_response(9, true, &[new.endpoint("in_service")]));
-    assert_eq!(front.read_line(), "PONG");
+    assert_eq!(front_end.read_line(), "PONG");
     let _server = new.accept_session();
     assert_eq!(client.read_line(), "UP 0123");
     assert!(old.try_accept().is_none());
@@ -136,11 +142,13 @@
 #[test]
 fn a_poller_without_an_answer_in_its_turn_becomes_ready() {
     let old = FakeServer::new("s1");
-    let program =
-        Program::start(Settings { balancers: "300", must_ask_ms: 10_000, seed: "7", ..DEFAULT }, &[&old]);
-    let mut front = program.connect();
-    front.send("PING\r\n");
-    let _hangs = wait_for(TEST_TIMEOUT, || program.discovery.try_accept());
-    assert_eq!(front.read_line(), "PONG");
-    let (_client, _server) = program.establish(&old);
+    let proxy = ProxyProcess::start(
+        Settings { proxy_count: "300", max_poll_interval_ms: 10_000, seed: "7", ..DEFAULT },
+        &[&old],
+    );
+    let mut front_end = proxy.connect();
+    front_end.send("PING\r\n");
+    let _hangs = wait_for(TEST_TIMEOUT, || proxy.discovery.try_accept());
+    assert_eq!(front_end.read_line(), "PONG");
+    let (_client, _server) = proxy.establish(&old);
 }
--- a/crates/proxy/tests/sockets/error_messages.rs
+++ b/crates/proxy/tests/sockets/error_messages.rs
@@ -1,6 +1,6 @@
 //! Error messages: each names its place, its cause and the remedy.
 
-use crate::harness::{list_response, FakeServer, Program, DEFAULT};
+use crate::harness::{list_response, FakeServer, ProxyProcess, DEFAULT};
 use std::process::{Command, Stdio};
 
 /// The words that name the place, the cause and the remedy.
@@ -11,7 +11,7 @@
     assert!(words.iter().all(|word| line.contains(word)), "{words:?} in {line}");
 }
 
-/// What a program that cannot start logs, in one line.
+/// What a proxy that cannot start logs, in one line.
 fn refusal(config: Option<&std::path::Path>) -> String {
     let mut command = Command::new(env!("CARGO_BIN_EXE_shelfgrade"));
     command.env_remove("RELAY_CONFIG").envs(config.map(|path| ("RELAY_CONFIG", path))).stderr(Stdio::piped());
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn start_file_errors_name_their_place_cause_and_remedy() {
+fn startup_file_errors_name_their_location_cause_and_remedy() {
     let folder = tempfile::tempdir().unwrap();
     let path = folder.path().join("start.json");
     names(&refusal(None), ["RELAY_CONFIG", "not set", "set it to the path of the start-up file"]);
@@ -70,10 +70,10 @@
 }
 
 #[test]
-fn discovery_errors_name_their_place_cause_and_remedy() {
+fn discovery_errors_name_their_location_cause_and_remedy() {
     let server = FakeServer::new("s1");
-    let mut program = Program::start(DEFAULT, &[&server]);
-    let place = format!("discovery at {}", program.discovery.address);
+    let mut proxy = ProxyProcess::start(DEFAULT, &[&server]);
+    let place = format!("discovery at {}", proxy.discovery.address);
     let endless = format!("HTTP/1.1 200 OK\r\nContent-Length: 9000000\r\n\r\n{}", " ".repeat(5 << 20));
     let unlisted = list_response(8, true, &[r#"{"host":"s2","health":"in_service"}"#.to_owned()]);
     let errors: [(&str, bool, [&str; 2]); 6] = [
@@ -100,18 +100,18 @@
             ["closed in the middle of a response", "the poll is retried"],
         ),
     ];
-    for (answer, ends, [cause, remedy]) in errors {
-        let (mut call, _) = program.discovery.next_poll();
-        // The program may close the connection before all is sent.
-        let _ = std::io::Write::write_all(&mut call.stream, answer.as_bytes());
+    for (response, ends, [cause, remedy]) in errors {
+        let (mut call, _) = proxy.discovery.next_poll();
+        // The proxy may close the connection before all is sent.
+        let _ = std::io::Write::write_all(&mut call.stream, response.as_bytes());
         if ends {
-            call.end_sending();
+            call.shut_down_write();
         }
-        let line = program.next_log_line();
+        let line = proxy.next_log_line();
         assert!([&*place, cause, remedy].iter().all(|word| line.contains(word)), "{line}");
     }
-    let _silent = program.discovery.next_poll();
-    let line = program.next_log_line();
+    let _silent = proxy.discovery.next_poll();
+    let line = proxy.next_log_line();
     assert!(
         [&*place, "response timed out", "check discovery and the network path"]
             .iter()
@@ -119,10 +119,10 @@
         "{line}"
     );
     // Connections to the first address are not accepted, then those to the second are refused.
-    let closed = FakeServer::refusing("discovery");
-    program.reload(&program.start_file_with(&closed));
-    assert!(program.next_log_line().contains("reloaded: discovery"));
-    let line = program.next_log_line();
+    let closed = FakeServer::refusing_connections("discovery");
+    proxy.reload(&proxy.startup_file_with_discovery(&closed));
+    assert!(proxy.next_log_line().contains("reloaded: discovery"));
+    let line = proxy.next_log_line();
     let place = format!("discovery at {}", closed.address);
     assert!(
         [&*place, "cannot connect", "or correct its address"].iter().all(|word| line.contains(word)),
--- a/crates/proxy/tests/sockets/failure_injection.rs
+++ b/crates/proxy/tests/sockets/failure_injection.rs
@@ -1,9 +1,9 @@
-//! A program whose system calls fail by a plan: the test's side of the library `failing_calls`.
+//! A proxy whose system calls fail by a plan: the test's side of the library `failing_calls`.
 
 #[path = "../../examples/failing_calls/plan.rs"]
 mod layout;
 
-use crate::harness::{FakeServer, Program, Settings, BINARY};
+use crate::harness::{FakeServer, ProxyProcess, Settings, BINARY};
 pub use layout::Call;
 use layout::{NAMED_BY, SIZE};
 use std::fs::{File, OpenOptions};
@@ -68,7 +68,7 @@
         u64::from_ne_bytes(count)
     }
 
-    /// The command that runs the program under this plan.
+    /// The command that runs the proxy under this plan.
     pub fn command(&self) -> Command {
         let library = Path::new(BINARY).with_file_name("examples").join("libfailing_calls.so");
         assert!(
@@ -81,8 +81,13 @@
         command
     }
 
-    /// Starts the program under this plan, with a discovery of its own.
-    pub fn start(&self, settings: Settings, known: &[&FakeServer]) -> Program {
-        Program::start_with_command(self.command(), Arc::new(FakeServer::new("discovery")), settings, known)
+    /// Starts the proxy under this plan, with a discovery of its own.
+    pub fn start(&self, settings: Settings, known: &[&FakeServer]) -> ProxyProcess {
+        ProxyProcess::start_with_command(
+            self.command(),
+            Arc::new(FakeServer::new("discovery")),
+            settings,
+            known,
+        )
     }
 }
--- a/crates/proxy/tests/sockets/file_errors.rs
+++ b/crates/proxy/tests/sockets/file_errors.rs
@@ -1,7 +1,7 @@
 //! Files and directories that cannot be read or written for some time.
 
 use crate::failure_injection::{Call, Failure, Plan};
-use crate::harness::{wait_for, FakeServer, Program, DEFAULT, TEST_TIMEOUT};
+use crate::harness::{wait_for, FakeServer, ProxyProcess, DEFAULT, TEST_TIMEOUT};
 use crate::readiness::own_address;
 use std::fs;
 use std::path::Path;
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 /// A process with a fleet file, whose state directory is this one.
-fn start_with_state_dir(plan: &Plan, folder: &Path, known: &[&FakeServer]) -> Program {
+fn start_with_state_dir(plan: &Plan, folder: &Path, known: &[&FakeServer]) -> ProxyProcess {
     let file = folder.join("fleet.toml");
     let (own, other) = (own_address(), own_address());
     let text = format!(
@@ -19,7 +19,12 @@
     fs::write(&file, text).unwrap();
     let mut command = plan.command();
     command.env("SHELFGRADE_FLEET", file);
-    Program::start_with_command(command, Arc::new(FakeServer::refusing("discovery")), DEFAULT, known)
+    ProxyProcess::start_with_command(
+        command,
+        Arc::new(FakeServer::refusing_connections("discovery")),
+        DEFAULT,
+        known,
+    )
 }
 
 /// Whether a snapshot in the directory contains this name.
@@ -41,7 +46,7 @@
     for (call, failure) in failing {
         let (plan, folder) = (Plan::new(), tempfile::tempdir().unwrap());
         let server = FakeServer::new("server-to-be-saved");
-        let program = start_with_state_dir(&plan, folder.path(), &[&server]);
+        let proxy = start_with_state_dir(&plan, folder.path(), &[&server]);
         plan.fail(call, 1000, failure);
         (0..2).for_each(|i| _ = fs::remove_file(folder.path().join(format!("shelfgrade.{i}"))));
         wait_for(TEST_TIMEOUT, || (plan.failed(call) > 3).then_some(()));
@@ -49,7 +54,7 @@
         plan.restore(call);
         wait_for(Duration::from_secs(2), || is_saved(folder.path(), "n0").then_some(()));
         // It is killed, as a snapshot written at an orderly shutdown would not count.
-        drop(program);
+        drop(proxy);
     }
 }
 
@@ -64,10 +69,10 @@
     drop(first);
     for _ in 0..4 {
         plan.fail(Call::Open, 600, Failure::Error(libc::EIO));
-        let program = start_with_state_dir(&plan, folder.path(), &[&server]);
+        let proxy = start_with_state_dir(&plan, folder.path(), &[&server]);
         plan.restore(Call::Open);
-        // What was logged until the program listened includes the reading of snapshots.
-        assert!(!program.startup_log.contains("started without it"), "{}", program.startup_log);
+        // What was logged until the proxy listened includes the reading of snapshots.
+        assert!(!proxy.startup_log.contains("started without it"), "{}", proxy.startup_log);
     }
 }
 
@@ -76,11 +81,11 @@
 fn a_reload_is_retried_after_transient_read_errors() {
     let plan = Plan::new();
     let server = FakeServer::new("s1");
-    let program = plan.start(DEFAULT, &[&server]);
-    let _old = program.discovery.next_poll();
+    let proxy = plan.start(DEFAULT, &[&server]);
+    let _old = proxy.discovery.next_poll();
     let new = FakeServer::new("discovery");
     plan.fail(Call::Open, 1000, Failure::Error(libc::EIO));
-    program.reload(&program.start_file_with(&new));
+    proxy.reload(&proxy.startup_file_with_discovery(&new));
     wait_for(TEST_TIMEOUT, || (plan.failed(Call::Open) > 0).then_some(()));
     std::thread::sleep(Duration::from_millis(300));
     plan.restore(Call::Open);
--- a/crates/proxy/tests/sockets/idle_sessions.rs
+++ b/crates/proxy/tests/sockets/idle_sessions.rs
@@ -1,6 +1,6 @@
 //! Idle sessions cost nothing with each tick; sessions that wait for something are visited.
 
-use crate::harness::{wait_for, FakeServer, Program, DEFAULT, TEST_TIMEOUT};
+use crate::harness::{wait_for, FakeServer, ProxyProcess, DEFAULT, TEST_TIMEOUT};
 
 /// The value of a counter in the log; a counter that is left out is zero.
 fn counted(log: &str, what: &str) -> usize {
@@ -13,15 +13,15 @@
 fn ticks_do_not_visit_idle_sessions() {
     const SESSIONS: usize = 40;
     let server = FakeServer::new("s1");
-    let program = Program::start(DEFAULT, &[&server]);
-    let established: Vec<_> = (0..SESSIONS).map(|_| program.establish(&server)).collect();
+    let proxy = ProxyProcess::start(DEFAULT, &[&server]);
+    let established: Vec<_> = (0..SESSIONS).map(|_| proxy.establish(&server)).collect();
     // This connection times out by a tick two seconds later: some twenty ticks have passed by then.
-    assert_eq!(program.connect().read_line(), "ERR");
-    for (client, mut at_server) in established {
+    assert_eq!(proxy.connect().read_line(), "ERR");
+    for (client, mut upstream) in established {
         drop(client);
-        assert_eq!(at_server.read_line(), "");
+        assert_eq!(upstream.read_line(), "");
     }
-    let log = program.shut_down();
+    let log = proxy.shut_down();
     let visited = counted(&log, "session checks");
     assert!(counted(&log, "sessions established") == SESSIONS && visited < SESSIONS, "{log}");
 }
@@ -30,16 +30,16 @@
 #[test]
 fn a_migrating_session_is_visited_among_many_idle_ones() {
     let server = FakeServer::new("s1");
-    let program = Program::start(DEFAULT, &[&server]);
-    let resting: Vec<_> = (0..8).map(|_| program.establish(&server)).collect();
-    let (mut client, mut at_server) = program.establish(&server);
-    at_server.send("NEWS t");
+    let proxy = ProxyProcess::start(DEFAULT, &[&server]);
+    let idle_sessions: Vec<_> = (0..8).map(|_| proxy.establish(&server)).collect();
+    let (mut client, mut upstream) = proxy.establish(&server);
+    upstream.send("NEWS t");
     client.send("M 1\r\n");
-    assert_eq!(at_server.read_line(), "M 1");
+    assert_eq!(upstream.read_line(), "M 1");
     // Nothing comes back within three seconds: the session is to migrate, and 0.8 s later the line is given up.
     assert_eq!(client.read_line(), "", "the piece of a line, and the end");
-    drop((resting, client, at_server));
-    let log = program.shut_down();
+    drop((idle_sessions, client, upstream));
+    let log = proxy.shut_down();
     assert_eq!(counted(&log, "migrated inside a line"), 1, "{log}");
 }
 
@@ -47,16 +47,16 @@
 #[test]
 fn a_closing_session_is_visited_until_its_descriptors_are_free() {
     let server = FakeServer::new("s1");
-    let program = Program::start(DEFAULT, &[&server]);
-    let _resting = program.establish(&server);
-    let before = program.descriptors();
-    let (mut client, at_server) = program.establish(&server);
-    at_server.end_sending();
+    let proxy = ProxyProcess::start(DEFAULT, &[&server]);
+    let _resting = proxy.establish(&server);
+    let before = proxy.open_descriptors();
+    let (mut client, upstream) = proxy.establish(&server);
+    upstream.shut_down_write();
     assert_eq!(client.read_line(), "");
     // One descriptor for discovery may have been opened meanwhile.
-    wait_for(TEST_TIMEOUT, || (program.descriptors() <= before + 1).then_some(()));
-    drop((client, at_server));
-    program.shut_down();
+    wait_for(TEST_TIMEOUT, || (proxy.open_descriptors() <= before + 1).then_some(()));
+    drop((client, upstream));
+    proxy.shut_down();
 }
 
 /// The set of recent request ids is bounded, but an open one is refused as long as its session lasts: servers answer a
@@ -65,21 +65,21 @@
 fn an_open_request_id_is_refused_however_many_came_since() {
     const SINCE: usize = 4200;
     let server = FakeServer::new("s1");
-    let program = Program::start(DEFAULT, &[&server]);
+    let proxy = ProxyProcess::start(DEFAULT, &[&server]);
     let opens = || {
-        let mut client = program.connect();
+        let mut client = proxy.connect();
         client.send("OPEN 9b1f03ab00000001 lift-1 c=alarm,d=3000\r\n");
         client
     };
-    let mut resting = opens();
-    let (_its_server, _) = server.accept_session();
-    assert_eq!(resting.read_line(), "UP 0123");
+    let mut idle_sessions = opens();
+    let (_its_upstream, _) = server.accept_session();
+    assert_eq!(idle_sessions.read_line(), "UP 0123");
     // The server accepts no more, so that every client is answered at once.
     drop(server);
     for _ in 0..SINCE {
-        program.open_session("lift-2", ",d=3000").read_line();
+        proxy.open_session("lift-2", ",d=3000").read_line();
     }
     assert_eq!(opens().read_line(), "ERR");
-    let log = program.shut_down();
+    let log = proxy.shut_down();
     assert_eq!(counted(&log, "duplicate request ids"), 1, "{log}");
 }
--- a/crates/proxy/tests/sockets/main.rs
+++ b/crates/proxy/tests/sockets/main.rs
@@ -1,4 +1,4 @@
-//! Tests of the program over sockets, one file for each kind of condition.
+//! Tests of the proxy process on real sockets, with one file per area.
 
 mod client_abort_races;
 mod client_aborts;
@@ -20,6 +20,6 @@
 mod session_migration;
 mod shutdown_edge_cases;
 mod soak;
-mod start_file;
+mod startup_file;
 mod transient_syscall_errors;
 mod wall_clock;
--- a/crates/proxy/tests/sockets/mixed_deployment.rs
+++ b/crates/proxy/tests/sockets/mixed_deployment.rs
@@ -1,14 +1,16 @@
 //! Proxies with the settings of two deployments before the same servers, as during a rolling change.
 
-use crate::harness::{wait_for, Connection, FakeServer, Program, Settings, DEFAULT, TEST_TIMEOUT};
+use crate::harness::{wait_for, Connection, FakeServer, ProxyProcess, Settings, DEFAULT, TEST_TIMEOUT};
 use std::collections::BTreeMap;
 use std::sync::{Arc, Mutex};
 use std::thread;
 
 /// Few proxies, customers with quotas, and servers that may be health-checked.
-const OLD: Settings = Settings { probes: true, balancers: "3", quota: "90", ..DEFAULT };
+const OLD: Settings =
+    Settings { health_checks_allowed: true, proxy_count: "3", connection_quota: "90", ..DEFAULT };
 /// More proxies than servers, no quotas, no health checks, and servers that report message latencies.
-const NEW: Settings = Settings { tells_delay: true, balancers: "60", quota: "null", ..DEFAULT };
+const NEW: Settings =
+    Settings { servers_report_latency: true, proxy_count: "60", connection_quota: "null", ..DEFAULT };
 
 /// A request that a server was sent.
 #[derive(Debug)]
@@ -47,7 +49,7 @@
             sent.lock().unwrap().push(request);
             connection.send(if accepted { "UP 0123\r\n" } else { "BUSY\r\n" });
             if accepted {
-                connection.wait_for_end();
+                connection.wait_for_close();
                 *open.lock().unwrap() -= 1;
             }
         });
@@ -55,33 +57,33 @@
 }
 
 /// Two proxies of the old deployment and three of the new one.
-fn start_both_deployments(servers: &[Arc<FakeServer>]) -> Vec<(&'static str, Program)> {
+fn start_both_deployments(servers: &[Arc<FakeServer>]) -> Vec<(&'static str, ProxyProcess)> {
     let known: Vec<&FakeServer> = servers.iter().map(|server| &**server).collect();
     let kinds = [("old", OLD), ("old", OLD), ("new", NEW), ("new", NEW), ("new", NEW)];
-    kinds.into_iter().map(|(kind, settings)| (kind, Program::start(settings, &known))).collect()
+    kinds.into_iter().map(|(kind, settings)| (kind, ProxyProcess::start(settings, &known))).collect()
 }
 
 /// Has clients of four groups open sessions at one proxy after the other, each until it is established or was rejected ten
 /// times. Gives the established ones by the deployment of their proxy.
 fn open_sessions(
-    programs: &[(&'static str, Program)],
+    proxies: &[(&'static str, ProxyProcess)],
     clients: usize,
     name: &str,
 ) -> BTreeMap<&'static str, Vec<Connection>> {
     let mut up: BTreeMap<&str, Vec<Connection>> = BTreeMap::new();
     for i in 0..clients {
-        let (kind, program) = &programs[i % programs.len()];
+        let (kind, proxy) = &proxies[i % proxies.len()];
         for again in 0..10 {
             let more = format!(",d=3000,g=g{},again={}", i % 4, u8::from(again > 0));
-            let mut client = program.open_session(&format!("{name}-{i}"), &more);
-            let answer = client.read_line();
-            if answer.starts_with("UP ") {
+            let mut client = proxy.open_session(&format!("{name}-{i}"), &more);
+            let response = client.read_line();
+            if response.starts_with("UP ") {
                 up.entry(kind).or_default().push(client);
                 break;
             }
             // Only a rejection may end an attempt here, and nothing may follow it.
-            assert!(answer.starts_with("BUSY"), "{answer}");
-            assert_eq!(client.read_line(), "", "one final answer");
+            assert!(response.starts_with("BUSY"), "{response}");
+            assert_eq!(client.read_line(), "", "one final response");
         }
     }
     up
@@ -93,17 +95,17 @@
     let sent = Sent::default();
     // Each server has capacity for a quarter of all clients; the last one is not listed yet.
     servers.iter().for_each(|server| serve(server.clone(), 20, sent.clone()));
-    let programs = start_both_deployments(&servers[..4]);
-    let up = open_sessions(&programs, 60, "first");
+    let proxies = start_both_deployments(&servers[..4]);
+    let up = open_sessions(&proxies, 60, "first");
     // Two fifths and three fifths of sixty clients went to either deployment, and there is capacity for eighty.
     assert!(up["old"].len() >= 22 && up["new"].len() >= 34, "{} {}", up["old"].len(), up["new"].len());
 
     // One server drains, another joins; both deployments learn of it, and nothing new goes to the draining one.
     let update = [servers[0].endpoint("terminating"), servers[4].endpoint("in_service")];
-    let _calls: Vec<_> = programs.iter().map(|(_, program)| program.update_endpoints(&update)).collect();
+    let _calls: Vec<_> = proxies.iter().map(|(_, proxy)| proxy.update_endpoints(&update)).collect();
     let before = sent.lock().unwrap().len();
     assert!(sent.lock().unwrap().iter().any(|request| request.server == "s1"), "it had its share until then");
-    let more = open_sessions(&programs, 15, "second");
+    let more = open_sessions(&proxies, 15, "second");
     let sent = sent.lock().unwrap();
     assert!(sent[before..].iter().all(|request| request.server != "s1"), "{:?}", &sent[before..]);
     assert!(more["old"].len() >= 5 && more["new"].len() >= 8, "{} {}", more["old"].len(), more["new"].len());
@@ -117,7 +119,7 @@
     assert_eq!(accepted.len(), all);
     drop(sent);
     drop((up, more));
-    for (_, program) in programs {
-        program.shut_down();
+    for (_, proxy) in proxies {
+        proxy.shut_down();
     }
 }
--- a/crates/proxy/tests/sockets/readiness.rs
+++ b/crates/proxy/tests/sockets/readiness.rs
@@ -2,8 +2,8 @@
 
 use crate::descriptor_limits::IdleClients;
 use crate::harness::{
-    list_response, read_request, wait_for, Connection, FakeServer, Program, Settings, BINARY, DEFAULT,
-    PUSHED, TEST_TIMEOUT,
+    list_response, read_request, wait_for, Connection, FakeServer, ProxyProcess, Settings, BINARY, DEFAULT,
+    PUSHED_LIST, TEST_TIMEOUT,
 };
 use std::io::Write;
 use std::net::{Ipv4Addr, SocketAddr, UdpSocket};
@@ -16,13 +16,13 @@
 /// Nine in ten processes have to be ready within this time.
 const READY_WITHIN: Duration = Duration::from_secs(10);
 const PROCESSES: usize = 10;
-/// More than twice as many as find a descriptor at `sockets: 64`.
+/// More than twice as many as find a descriptor at `max_descriptors: 64`.
 const IDLE_CLIENTS: usize = 40;
 /// Ten processes at a time: the tests of this file take turns at the machine's cores.
 static CORES: Mutex<()> = Mutex::new(());
 
 /// An address of the test's own, with a port that the system assigns to nobody, so that it stays free between two
-/// incarnations. A free port assigned by the system could be held for a moment by a program that another test starts.
+/// incarnations. A free port assigned by the system could be held for a moment by a proxy that another test starts.
 pub fn own_address() -> SocketAddr {
     const PORT: u16 = 7400;
     static LAST: AtomicU8 = AtomicU8::new(1);
@@ -30,9 +30,9 @@
     (Ipv4Addr::new(127, 1 + high % 128, low, LAST.fetch_add(1, SeqCst)), PORT).into()
 }
 
-/// Whether the program answers a health check.
+/// Whether the proxy answers a health check.
 fn is_ready(at: SocketAddr) -> Option<()> {
-    let mut connection = Connection::to(at);
+    let mut connection = Connection::connect(at);
     // The connection may be closed before this is sent.
     let _ = connection.stream.write_all(b"PING\r\n");
     (connection.read_line() == "PONG").then_some(())
@@ -41,15 +41,15 @@
 /// Starts a process, kills it, and starts it again: how long the second start takes until it is ready.
 fn restart_time(discovery: Arc<FakeServer>, settings: Settings, with_idle_clients: bool) -> Duration {
     let server = FakeServer::new("s1");
-    let mut first = Program::start_with_discovery(discovery.clone(), settings, &[&server]);
+    let mut first = ProxyProcess::start_with_discovery(discovery.clone(), settings, &[&server]);
     let at = own_address();
-    let text = first.text.replace("\"listen\":\"127.0.0.1:0\"", &format!("\"listen\":\"{at}\""));
+    let text = first.startup_file.replace("\"listen\":\"127.0.0.1:0\"", &format!("\"listen\":\"{at}\""));
     first.child.kill().unwrap();
     first.child.wait().unwrap();
     // They connect before anything listens.
     let _crowd = with_idle_clients.then(|| IdleClients::start(at, IDLE_CLIENTS));
     let began = Instant::now();
-    let _second = Program::start_with_file(Command::new(BINARY), discovery, text);
+    let _second = ProxyProcess::start_with_startup_file(Command::new(BINARY), discovery, text);
     wait_for(READY_WITHIN * 2, || is_ready(at));
     began.elapsed()
 }
@@ -58,7 +58,10 @@
 fn expect_restarts_ready(discovery: &Arc<FakeServer>) {
     let _cores = CORES.lock().unwrap_or_else(PoisonError::into_inner);
     for with_idle_clients in [false, true] {
-        for settings in [|| Settings { sockets: 64, ..DEFAULT }, || Settings { sockets: 64, ..PUSHED }] {
+        for settings in [
+            || Settings { max_descriptors: 64, ..DEFAULT },
+            || Settings { max_descriptors: 64, ..PUSHED_LIST },
+        ] {
             let starts = (0..PROCESSES).map(|_| {
                 let discovery = discovery.clone();
                 thread::spawn(move || restart_time(discovery, settings(), with_idle_clients))
@@ -68,13 +71,13 @@
             let ready = took.iter().filter(|took| **took < READY_WITHIN).count();
             println!(
                 "{}, idle clients {with_idle_clients}: slowest {:?}",
-                settings().discovery,
+                settings().list_delivery,
                 took.iter().max().unwrap()
             );
             assert!(
                 ready * 10 >= PROCESSES * 9,
                 "{}, idle clients {with_idle_clients}: {took:?}",
-                settings().discovery
+                settings().list_delivery
             );
         }
     }
@@ -82,7 +85,7 @@
 
 #[test]
 fn restarts_are_ready_in_time_if_discovery_refuses_connections() {
-    expect_restarts_ready(&Arc::new(FakeServer::refusing("discovery")));
+    expect_restarts_ready(&Arc::new(FakeServer::refusing_connections("discovery")));
 }
 
 #[test]
@@ -128,13 +131,13 @@
 #[test]
 fn a_short_request_timeout_does_not_wait_for_a_tick_before_the_first_list() {
     let server = FakeServer::new("s1");
-    let program = Program::start(PUSHED, &[&server]);
-    let _never_answered = program.discovery.next_poll();
+    let proxy = ProxyProcess::start(PUSHED_LIST, &[&server]);
+    let _never_answered = proxy.discovery.next_poll();
     let answered_after = |i| {
         let came = Instant::now();
-        let mut client = program.open_session(&format!("lift-{i}"), ",d=20");
-        let answer = client.read_line();
-        assert!(answer == "ERR" || answer.starts_with("BUSY"), "{answer}");
+        let mut client = proxy.open_session(&format!("lift-{i}"), ",d=20");
+        let response = client.read_line();
+        assert!(response == "ERR" || response.starts_with("BUSY"), "{response}");
         came.elapsed()
     };
     let mut took: Vec<_> = (0..11).map(answered_after).collect();
@@ -154,16 +157,16 @@
     let mut command = Command::new(BINARY);
     command.env("SHELFGRADE_FLEET", file.path());
     let server = FakeServer::new("s1");
-    let program = Program::start_with_command(
+    let proxy = ProxyProcess::start_with_command(
         command,
-        Arc::new(FakeServer::refusing("discovery")),
+        Arc::new(FakeServer::refusing_connections("discovery")),
         DEFAULT,
         &[&server],
     );
-    wait_for(TEST_TIMEOUT, || is_ready(program.address));
-    let mut client = program.open_session("lift-1", ",d=3000");
+    wait_for(TEST_TIMEOUT, || is_ready(proxy.address));
+    let mut client = proxy.open_session("lift-1", ",d=3000");
     let _server = server.accept_session();
     assert_eq!(client.read_line(), "UP 0123");
     drop(client);
-    program.shut_down();
+    proxy.shut_down();
 }
--- a/crates/proxy/tests/sockets/session_migration.rs
+++ b/crates/proxy/tests/sockets/session_migration.rs
@@ -1,14 +1,14 @@
 //! Sessions that migrate, and health checks of servers.
 
-use crate::harness::{FakeServer, Program, Settings, DEFAULT};
+use crate::harness::{FakeServer, ProxyProcess, Settings, DEFAULT};
 use std::time::{Duration, Instant};
 
 #[test]
 fn no_request_is_sent_to_a_server_that_drains_while_its_connection_comes_up() {
     let (full, _first) = FakeServer::with_full_backlog("s1");
-    let program = Program::start(DEFAULT, &[&full]);
-    let mut client = program.open_session("lift-1", ",d=4000");
-    let _call = program.update_endpoints(&[full.endpoint("terminating")]);
+    let proxy = ProxyProcess::start(DEFAULT, &[&full]);
+    let mut client = proxy.open_session("lift-1", ",d=4000");
+    let _call = proxy.update_endpoints(&[full.endpoint("terminating")]);
     let _held = full.accept();
     // The connection comes up when the system next retries, or the attempt times out before.
     assert!(client.read_line().starts_with("BUSY "));
@@ -20,24 +20,24 @@
 #[test]
 fn sessions_of_a_draining_server_migrate_between_lines() {
     let server = FakeServer::new("s1");
-    let program = Program::start(DEFAULT, &[&server]);
-    let (mut client, mut at_server) = program.establish(&server);
-    at_server.send("NEWS one\r\n");
+    let proxy = ProxyProcess::start(DEFAULT, &[&server]);
+    let (mut client, mut upstream) = proxy.establish(&server);
+    upstream.send("NEWS one\r\n");
     assert_eq!(client.read_line(), "NEWS one");
-    at_server.send("NEWS t");
-    let _call = program.update_endpoints(&[server.endpoint("terminating")]);
+    upstream.send("NEWS t");
+    let _call = proxy.update_endpoints(&[server.endpoint("terminating")]);
     assert!(!client.is_silent(), "the line begun passes at once");
     std::thread::sleep(Duration::from_millis(300));
-    at_server.send("wo\r\nNEWS thr");
+    upstream.send("wo\r\nNEWS thr");
     assert_eq!((client.read_line(), client.read_line()), ("NEWS two".into(), "MOVE".into()));
-    assert_eq!((client.read_line(), at_server.read_line()), ("".into(), "".into()));
+    assert_eq!((client.read_line(), upstream.read_line()), ("".into(), "".into()));
 }
 
 #[test]
 fn a_session_of_a_silent_server_migrates_in_time() {
     let server = FakeServer::new("s1");
-    let program = Program::start(DEFAULT, &[&server]);
-    let (mut client, _at_server) = program.establish(&server);
+    let proxy = ProxyProcess::start(DEFAULT, &[&server]);
+    let (mut client, _upstream) = proxy.establish(&server);
     let began = Instant::now();
     client.send("M 1\r\n");
     assert_eq!(client.read_line(), "MOVE");
@@ -47,8 +47,8 @@
 #[test]
 fn a_slow_health_check_migrates_a_session() {
     let server = FakeServer::new("s1");
-    let program = Program::start(Settings { probes: true, ..DEFAULT }, &[&server]);
-    let (mut client, _at_server) = program.establish(&server);
+    let proxy = ProxyProcess::start(Settings { health_checks_allowed: true, ..DEFAULT }, &[&server]);
+    let (mut client, _upstream) = proxy.establish(&server);
     let mut probe = server.accept();
     assert_eq!(probe.read_line(), "PING");
     probe.send("PONG\r\n");
@@ -61,14 +61,17 @@
 #[test]
 fn a_message_latency_report_migrates_a_session_without_health_checks() {
     let server = FakeServer::new("s1");
-    let program = Program::start(Settings { probes: true, tells_delay: true, ..DEFAULT }, &[&server]);
-    let (mut client, mut at_server) = program.establish(&server);
-    at_server.send("LOAD 61234.5\r\n");
+    let proxy = ProxyProcess::start(
+        Settings { health_checks_allowed: true, servers_report_latency: true, ..DEFAULT },
+        &[&server],
+    );
+    let (mut client, mut upstream) = proxy.establish(&server);
+    upstream.send("LOAD 61234.5\r\n");
     assert_eq!(client.read_line(), "LOAD 61234.5");
     assert!(client.is_silent(), "a connection's load, and no cause to move");
     // Past the time in which a health check would have come.
     std::thread::sleep(Duration::from_millis(300));
-    at_server.send("LOAD 212.25\r\n");
+    upstream.send("LOAD 212.25\r\n");
     assert_eq!((client.read_line(), client.read_line()), ("LOAD 212.25".into(), "MOVE".into()));
     assert!(server.try_accept().is_none());
 }
@@ -77,14 +80,20 @@
 #[test]
 fn the_first_server_to_answer_a_health_check_gets_the_session_and_the_checks_close() {
     let servers = ["s1", "s2", "s3"].map(FakeServer::new);
-    let settings = Settings { probes: true, tells_delay: true, aim_ms: 5000, quota: "1", ..DEFAULT };
-    let program = Program::start(settings, &servers.each_ref());
-    let mut client = program.open_session("lift-1", ",d=20000,g=bank");
+    let settings = Settings {
+        health_checks_allowed: true,
+        servers_report_latency: true,
+        message_latency_objective_ms: 5000,
+        connection_quota: "1",
+        ..DEFAULT
+    };
+    let proxy = ProxyProcess::start(settings, &servers.each_ref());
+    let mut client = proxy.open_session("lift-1", ",d=20000,g=bank");
     let mut checks = servers.each_ref().map(FakeServer::accept);
     checks.iter_mut().for_each(|check| assert_eq!(check.read_line(), "PING"));
     assert!(servers.iter().all(|server| server.try_accept().is_none()), "nobody is connected to unasked");
     checks[1].send("PONG\r\n");
-    let (_at_server, line) = servers[1].accept_session();
+    let (_upstream, line) = servers[1].accept_session();
     assert!(line.contains(" lift-1 "), "{line}");
     assert_eq!((client.read_line(), checks[1].read_line()), ("UP 0123".into(), "".into()));
     checks[0].send("PONG\r\n");
--- a/crates/proxy/tests/sockets/shutdown_edge_cases.rs
+++ b/crates/proxy/tests/sockets/shutdown_edge_cases.rs
@@ -3,7 +3,7 @@
 //! Whatever is unanswered 0.7 s after the longest request timeout of the clients, three seconds at most, is lost with the
 //! kill.
 
-use crate::harness::{list_response, read_request, FakeServer, Program, Settings, DEFAULT, PUSHED};
+use crate::harness::{list_response, read_request, FakeServer, ProxyProcess, Settings, DEFAULT, PUSHED_LIST};
 use rustix::process::Signal;
 use std::io::Write;
 use std::time::{Duration, Instant};
@@ -15,13 +15,13 @@
 #[test]
 fn with_short_request_timeouts_all_sessions_are_answered_or_migrated_before_the_kill() {
     let server = FakeServer::new("s1");
-    let program = Program::start(HASTY, &[&server]);
-    let mut established: Vec<_> = (0..3).map(|_| program.establish(&server)).collect();
-    let mut asking = program.open_session("lift-2", ",d=1200");
+    let proxy = ProxyProcess::start(HASTY, &[&server]);
+    let mut established: Vec<_> = (0..3).map(|_| proxy.establish(&server)).collect();
+    let mut asking = proxy.open_session("lift-2", ",d=1200");
     let _never_answers = server.accept();
-    program.terminate();
+    proxy.terminate();
     let signalled_at = Instant::now();
-    let mut late = program.open_session("lift-3", ",d=1200");
+    let mut late = proxy.open_session("lift-3", ",d=1200");
     let _nor_here = server.accept();
     for (client, _) in &mut established {
         assert_eq!((client.read_line(), client.read_line()), ("MOVE".into(), "".into()));
@@ -32,11 +32,11 @@
         signalled_at.elapsed()
     );
     for client in [&mut asking, &mut late] {
-        let answer = client.read_line();
-        assert!(answer == "ERR" || answer.starts_with("BUSY"), "{answer}");
+        let response = client.read_line();
+        assert!(response == "ERR" || response.starts_with("BUSY"), "{response}");
     }
     drop((established, asking, late));
-    let (code, log) = program.wait_for_exit();
+    let (code, log) = proxy.wait_for_exit();
     assert!(code == Some(0) && log.contains("invariant violations 0"), "{code:?} {log}");
     assert!(signalled_at.elapsed() < Duration::from_millis(1900), "{:?}", signalled_at.elapsed());
 }
@@ -45,27 +45,27 @@
 #[test]
 fn connections_without_a_complete_first_line_are_served_during_shutdown() {
     let server = FakeServer::new("s1");
-    let program = Program::start(DEFAULT, &[&server]);
-    let mut silent = program.connect();
-    let mut half = program.connect();
+    let proxy = ProxyProcess::start(DEFAULT, &[&server]);
+    let mut silent = proxy.connect();
+    let mut half = proxy.connect();
     half.send("OPEN 0123456789abcdef li");
     // The answer to a health check shows that both are accepted.
-    let mut front = program.connect();
-    assert_eq!(front.send("PING\r\n").read_line(), "PONG");
-    program.terminate();
+    let mut front_end = proxy.connect();
+    assert_eq!(front_end.send("PING\r\n").read_line(), "PONG");
+    proxy.terminate();
     let signalled_at = Instant::now();
     // Past the moment at which an idle process ends.
     std::thread::sleep(Duration::from_millis(900));
     half.send("ft-1 c=alarm,d=2000\r\n");
-    let (mut at_server, _) = server.accept_session();
+    let (mut upstream, _) = server.accept_session();
     assert_eq!(half.read_line(), "UP 0123");
-    half.end_sending();
-    assert_eq!(at_server.read_line(), "");
-    at_server.end_sending();
-    let answer = silent.read_line();
-    assert!(answer == "ERR" || answer == "BUSY", "{answer}");
+    half.shut_down_write();
+    assert_eq!(upstream.read_line(), "");
+    upstream.shut_down_write();
+    let response = silent.read_line();
+    assert!(response == "ERR" || response == "BUSY", "{response}");
     drop((silent, half));
-    assert_eq!(program.wait_for_exit().0, Some(0));
+    assert_eq!(proxy.wait_for_exit().0, Some(0));
     assert!(signalled_at.elapsed() < Duration::from_millis(3700));
 }
 
@@ -73,14 +73,14 @@
 #[test]
 fn a_client_that_stops_reading_gets_complete_lines_and_a_migration_at_shutdown() {
     let server = FakeServer::new("s1");
-    let program = Program::start(DEFAULT, &[&server]);
-    let (mut deaf, at_server) = program.establish(&server);
-    at_server.stream.set_nonblocking(true).unwrap();
+    let proxy = ProxyProcess::start(DEFAULT, &[&server]);
+    let (mut deaf, upstream) = proxy.establish(&server);
+    upstream.stream.set_nonblocking(true).unwrap();
     let line = format!("NEWS {}\r\n", "x".repeat(90));
     // Until nothing has been accepted for a moment.
     let mut stuck = 0;
     while stuck < 50 {
-        match (&at_server.stream).write(line.repeat(10).as_bytes()) {
+        match (&upstream.stream).write(line.repeat(10).as_bytes()) {
             Ok(written) if written > 0 => stuck = 0,
             _ => {
                 stuck += 1;
@@ -88,7 +88,7 @@
             }
         }
     }
-    program.terminate();
+    proxy.terminate();
     // Sessions migrate from 1.9 s on, and wait for the end of a line for 0.8 s.
     std::thread::sleep(Duration::from_millis(3000));
     let mut last = String::new();
@@ -99,49 +99,49 @@
         }
     }
     assert_eq!(last, "MOVE");
-    drop((deaf, at_server));
-    assert_eq!(program.wait_for_exit().0, Some(0));
+    drop((deaf, upstream));
+    assert_eq!(proxy.wait_for_exit().0, Some(0));
 }
 
-/// The program is suspended until its time has run out, with connections in the backlog.
+/// The proxy is suspended until its time has run out, with connections in the backlog.
 #[test]
 fn clients_in_the_backlog_at_the_shutdown_deadline_are_rejected() {
     let server = FakeServer::new("s1");
-    let mut program = Program::start(HASTY, &[&server]);
-    program.terminate();
-    while !program.next_log_line().contains("shutdown requested") {}
-    program.suspend();
-    let mut waiting = program.open_session("lift-1", ",d=1200");
-    let mut silent = program.connect();
+    let mut proxy = ProxyProcess::start(HASTY, &[&server]);
+    proxy.terminate();
+    while !proxy.next_log_line().contains("shutdown requested") {}
+    proxy.suspend();
+    let mut waiting = proxy.open_session("lift-1", ",d=1200");
+    let mut silent = proxy.connect();
     std::thread::sleep(Duration::from_millis(1900));
-    program.resume();
+    proxy.resume();
     assert_eq!((waiting.read_line(), waiting.read_line()), ("BUSY".into(), "".into()));
     assert_eq!((silent.read_line(), silent.read_line()), ("BUSY".into(), "".into()));
     assert!(server.try_accept().is_none(), "nothing is sent on that late");
-    assert_eq!(program.wait_for_exit().0, Some(0));
+    assert_eq!(proxy.wait_for_exit().0, Some(0));
 }
 
 #[test]
 fn repeated_termination_and_reload_signals_do_not_change_the_shutdown() {
     let server = FakeServer::new("s1");
-    let program = Program::start(DEFAULT, &[&server]);
-    let (mut client, _at_server) = program.establish(&server);
-    program.terminate();
+    let proxy = ProxyProcess::start(DEFAULT, &[&server]);
+    let (mut client, _upstream) = proxy.establish(&server);
+    proxy.terminate();
     let signalled_at = Instant::now();
-    let mut asking = program.open_session("lift-2", ",d=3000");
-    let mut its_server = server.accept();
-    assert!(its_server.read_line().starts_with("OPEN"));
-    program.terminate();
-    program.reload(&program.start_file_with(&FakeServer::refusing("discovery")));
-    program.signal(Signal::TERM);
+    let mut asking = proxy.open_session("lift-2", ",d=3000");
+    let mut its_upstream = server.accept();
+    assert!(its_upstream.read_line().starts_with("OPEN"));
+    proxy.terminate();
+    proxy.reload(&proxy.startup_file_with_discovery(&FakeServer::refusing_connections("discovery")));
+    proxy.signal(Signal::TERM);
     std::thread::sleep(Duration::from_millis(300));
-    its_server.send("UP 0123\r\n");
+    its_upstream.send("UP 0123\r\n");
     assert_eq!(asking.read_line(), "UP 0123");
     assert_eq!(client.read_line(), "MOVE");
     assert!(signalled_at.elapsed() > Duration::from_millis(1500), "{:?}", signalled_at.elapsed());
     assert_eq!(asking.read_line(), "MOVE");
     drop((client, asking));
-    assert_eq!(program.wait_for_exit().0, Some(0));
+    assert_eq!(proxy.wait_for_exit().0, Some(0));
     assert!(signalled_at.elapsed() < Duration::from_millis(3700));
 }
 
@@ -149,21 +149,21 @@
 fn shutdown_before_the_first_endpoint_list_answers_waiting_clients() {
     for heard in [true, false] {
         let server = FakeServer::new("s1");
-        let program = Program::start(PUSHED, &[&server]);
-        let (mut call, _) = program.discovery.next_poll();
-        let mut client = program.open_session("lift-1", ",d=1500");
-        let mut front = program.connect();
-        assert!(front.send("PING\r\n").is_silent() && client.is_silent(), "the list is not heard yet");
-        program.terminate();
+        let proxy = ProxyProcess::start(PUSHED_LIST, &[&server]);
+        let (mut call, _) = proxy.discovery.next_poll();
+        let mut client = proxy.open_session("lift-1", ",d=1500");
+        let mut front_end = proxy.connect();
+        assert!(front_end.send("PING\r\n").is_silent() && client.is_silent(), "the list is not heard yet");
+        proxy.terminate();
         if heard {
             call.send(&list_response(9, true, &[server.endpoint("in_service")]));
             read_request(&mut call);
         }
-        let (_at_server, _) = server.accept_session();
+        let (_upstream, _) = server.accept_session();
         assert_eq!(client.read_line(), "UP 0123");
-        assert_eq!(front.read_line(), "PONG");
+        assert_eq!(front_end.read_line(), "PONG");
         assert_eq!(client.read_line(), "MOVE");
-        drop((client, front));
-        assert_eq!(program.wait_for_exit().0, Some(0));
+        drop((client, front_end));
+        assert_eq!(proxy.wait_for_exit().0, Some(0));
     }
 }
--- a/crates/proxy/tests/sockets/soak/mod.rs
+++ b/crates/proxy/tests/sockets/soak/mod.rs
@@ -6,7 +6,7 @@
 mod stand_ins;
 
 use crate::failure_injection::{Call, Failure, Plan};
-use crate::harness::{FakeServer, Program, Settings, DEFAULT};
+use crate::harness::{FakeServer, ProxyProcess, Settings, DEFAULT};
 use nanorand::{Rng, WyRand};
 use rustix::process::Signal;
 use stand_ins::{client, discovery, pause, rules, server, Run, WINDOW_MS};
@@ -46,45 +46,44 @@
 
 fn soak(seed: u64) -> Vec<String> {
     let mut rng = WyRand::new_seed(seed);
-    let effect = ["repeatable", "by_key", "once"][rng.generate_range(0..3_usize)];
+    let idempotency = ["repeatable", "by_key", "once"][rng.generate_range(0..3_usize)];
     let request_timeout_ms = [900, 1800, 3000][rng.generate_range(0..3_usize)];
     let has_idle_clients = rng.generate_range(0..3_u32) == 0;
-    let sockets = if has_idle_clients { 160 } else { 512 };
-    let places: Vec<_> = (0..SERVERS).map(|i| FakeServer::new(&format!("s{i}"))).collect();
+    let max_descriptors = if has_idle_clients { 160 } else { 512 };
+    let servers: Vec<_> = (0..SERVERS).map(|i| FakeServer::new(&format!("s{i}"))).collect();
     let settings = Settings {
-        effect,
+        idempotency,
         request_timeout_ms,
-        sockets,
-        window_ms: WINDOW_MS,
-        probes: rng.generate(),
-        tells_delay: rng.generate(),
-        discovery: if rng.generate() { "subscribe" } else { "automatic" },
-        balancers: "1",
-        quota: "200",
+        max_descriptors,
+        idempotency_window_ms: WINDOW_MS,
+        health_checks_allowed: rng.generate(),
+        servers_report_latency: rng.generate(),
+        list_delivery: if rng.generate() { "subscribe" } else { "automatic" },
+        proxy_count: "1",
+        connection_quota: "200",
         ..DEFAULT
     };
     let plan = Plan::new();
-    let program = plan.start(settings, &places.iter().collect::<Vec<_>>());
+    let proxy = plan.start(settings, &servers.iter().collect::<Vec<_>>());
     let run = Arc::new(Run {
         seed,
-        effect,
+        idempotency,
         request_timeout: Duration::from_millis(request_timeout_ms),
-        address: program.address,
+        address: proxy.address,
         seen: Mutex::default(),
         front_has_left: AtomicBool::new(false),
         over: AtomicBool::new(false),
     });
     let entries =
-        places.iter().map(|place| ["in_service", "terminating"].map(|health| place.endpoint(health)));
-    let (entries, discovers, place) = (entries.collect(), run.clone(), program.discovery.clone());
+        servers.iter().map(|place| ["in_service", "terminating"].map(|health| place.endpoint(health)));
+    let (entries, discovers, place) = (entries.collect(), run.clone(), proxy.discovery.clone());
     thread::spawn(move || discovery(discovers, place, entries));
-    for (index, place) in places.into_iter().enumerate() {
+    for (index, place) in servers.into_iter().enumerate() {
         let run = run.clone();
         thread::spawn(move || server(run, index, place));
     }
     inject_failures(&plan, &mut rng);
-    let idle_clients: Vec<_> =
-        (0..if has_idle_clients { 120 } else { 0 }).map(|_| program.connect()).collect();
+    let idle_clients: Vec<_> = (0..if has_idle_clients { 120 } else { 0 }).map(|_| proxy.connect()).collect();
     let clients: Vec<_> = (0..CLIENTS as u64)
         .map(|index| {
             let run = run.clone();
@@ -94,22 +93,22 @@
     for _ in 0..rng.generate_range(1..6_u32) {
         pause(rng.generate_range(100..400));
         if rng.generate() {
-            suspend_briefly(&program);
+            suspend_briefly(&proxy);
         }
         plan.step_wall_clock([0, 3_600_000, -3_600_000, 5000][rng.generate_range(0..4_usize)]);
     }
     for _ in 0..rng.generate_range(0..4_u32) {
-        program.signal(Signal::HUP);
+        proxy.signal(Signal::HUP);
         pause(rng.generate_range(0..30));
     }
-    shut_down(&run, program, &mut rng);
+    shut_down(&run, proxy, &mut rng);
     clients.into_iter().for_each(|client| client.join().unwrap());
     run.over.store(true, SeqCst);
     drop(idle_clients);
     rules(&run);
     let mut seen = run.seen.lock().unwrap();
     println!(
-        "seed {seed}: {effect}, {request_timeout_ms} ms, {sockets} sockets: {} requests sent on, {} ended by servers, {} drained, {} calls failed",
+        "seed {seed}: {idempotency}, {request_timeout_ms} ms, {max_descriptors} max_descriptors: {} requests sent on, {} ended by servers, {} drained, {} calls failed",
         seen.sent.len(),
         seen.ended_by_server.len(),
         seen.drains.len().min(1),
@@ -118,29 +117,29 @@
     std::mem::take(&mut seen.breaches)
 }
 
-/// Suspends the program for as long as the rules allow.
-fn suspend_briefly(program: &Program) {
-    program.signal(Signal::STOP);
+/// Suspends the proxy for as long as the rules allow.
+fn suspend_briefly(proxy: &ProxyProcess) {
+    proxy.signal(Signal::STOP);
     pause(150);
-    program.signal(Signal::CONT);
+    proxy.signal(Signal::CONT);
 }
 
 /// Sends signals in series, and kills the process at the earliest moment.
-fn shut_down(run: &Run, mut program: Program, rng: &mut WyRand) {
-    program.terminate();
+fn shut_down(run: &Run, mut proxy: ProxyProcess, rng: &mut WyRand) {
+    proxy.terminate();
     let signalled_at = Instant::now();
     for _ in 0..rng.generate_range(0..3_u32) {
         pause(rng.generate_range(0..60));
-        program.signal(if rng.generate() { Signal::HUP } else { Signal::TERM });
+        proxy.signal(if rng.generate() { Signal::HUP } else { Signal::TERM });
         if rng.generate() {
-            suspend_briefly(&program);
+            suspend_briefly(&proxy);
         }
     }
     thread::sleep(FRONT_NOTICES.saturating_sub(signalled_at.elapsed()));
     run.front_has_left.store(true, SeqCst);
     while signalled_at.elapsed() < run.request_timeout + KILLED_AFTER {
-        if program.child.try_wait().unwrap().is_some() {
-            let (code, log) = program.wait_for_exit();
+        if proxy.child.try_wait().unwrap().is_some() {
+            let (code, log) = proxy.wait_for_exit();
             if code != Some(0) || log.contains("panicked") || log.contains("invariant violated") {
                 run.breach(format!("ended with {code:?}: {log}"));
             }
--- a/crates/proxy/tests/sockets/soak/stand_ins.rs
+++ b/crates/proxy/tests/sockets/soak/stand_ins.rs
@@ -41,7 +41,7 @@
 /// One run.
 pub struct Run {
     pub seed: u64,
-    pub effect: &'static str,
+    pub idempotency: &'static str,
     pub request_timeout: Duration,
     pub address: SocketAddr,
     pub seen: Mutex<Seen>,
@@ -92,7 +92,7 @@
         2 => connection.reset(),
         3 => drop(send(&mut connection, "U")),
         // The server hangs.
-        4 => connection.wait_for_end(),
+        4 => connection.wait_for_close(),
         _ => {
             pause(rng.generate_range(0..40));
             send(&mut connection, "UP 0123\r\n");
@@ -142,7 +142,7 @@
             }
             calls += 1;
             pause(rng.generate_range(0..150));
-            let answer = match rng.generate_range(0..8_u32) {
+            let response = match rng.generate_range(0..8_u32) {
                 0 => "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n".to_owned(),
                 1 => break,
                 _ if calls > drains_after => {
@@ -158,8 +158,8 @@
                     )
                 }
             };
-            let tells = answer.contains("terminating");
-            if send(&mut connection, &answer) && tells {
+            let tells = response.contains("terminating");
+            if send(&mut connection, &response) && tells {
                 run.seen.lock().unwrap().drains.push((drained, Instant::now()));
             }
         }
@@ -181,9 +181,9 @@
         0 => {
             // The client stops inside its line, and stays connected.
             send(&mut connection, &line[..20]);
-            let answer = connection.read_line();
-            if !["ERR", "BUSY", ""].contains(&&*answer) {
-                run.breach(format!("half a line was answered {answer:?}"));
+            let response = connection.read_line();
+            if !["ERR", "BUSY", ""].contains(&&*response) {
+                run.breach(format!("half a line was answered {response:?}"));
             }
             return;
         }
@@ -204,16 +204,17 @@
         // The client aborts.
         return pause(rng.generate_range(0..60));
     }
-    let answer = connection.read_line();
+    let response = connection.read_line();
     let late = asked.elapsed() > request_timeout + ANSWER_SLACK;
-    let is_final = answer == "UP 0123" || answer == "ERR" || answer == "BUSY" || answer.starts_with("BUSY ");
+    let is_final =
+        response == "UP 0123" || response == "ERR" || response == "BUSY" || response.starts_with("BUSY ");
     if late || !is_final {
-        return run.breach(format!("{id}: {answer:?} after {:?}", asked.elapsed()));
+        return run.breach(format!("{id}: {response:?} after {:?}", asked.elapsed()));
     }
-    if answer != "UP 0123" {
+    if response != "UP 0123" {
         let rest = connection.read_line();
         if !rest.is_empty() {
-            run.breach(format!("{id}: {rest:?} behind {answer:?}"));
+            run.breach(format!("{id}: {rest:?} behind {response:?}"));
         }
         return;
     }
@@ -257,7 +258,7 @@
         let first = tries.iter().position(|sent| sent.may_have_run);
         let again = first.map(|first| &tries[first + 1..]).unwrap_or_default();
         let since = |sent: &Sent| sent.at - tries[first.unwrap_or(0)].at;
-        match run.effect {
+        match run.idempotency {
             "once" if !again.is_empty() => run.breach(format!("{id}: sent again after it may have run")),
             "by_key" if again.iter().any(|sent| since(sent) > Duration::from_millis(WINDOW_MS)) => {
                 run.breach(format!("{id}: sent again past its window"));
--- a/crates/proxy/tests/sockets/wall_clock.rs
+++ b/crates/proxy/tests/sockets/wall_clock.rs
@@ -1,8 +1,8 @@
 //! A machine whose wall clock is off by an hour, or is stepped: start times of servers are given in Unix time.
 
 use crate::failure_injection::Plan;
-use crate::harness::{list_response, read_request, FakeServer, Program, Settings, DEFAULT};
-use crate::start_file::start_file_text;
+use crate::harness::{list_response, read_request, FakeServer, ProxyProcess, Settings, DEFAULT};
+use crate::startup_file::startup_file_text;
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::Arc;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
@@ -11,12 +11,12 @@
 
 /// A slow start of four seconds from a tenth of the capacity.
 const COLD: Settings = Settings {
-    cold_ms: 4000,
-    cold_from: 0.1,
-    quota: "60",
-    balancers: "1",
-    sockets: 1024,
-    must_ask_ms: 10_000,
+    slow_start_ms: 4000,
+    slow_start_fraction: 0.1,
+    connection_quota: "60",
+    proxy_count: "1",
+    max_descriptors: 1024,
+    max_poll_interval_ms: 10_000,
     ..DEFAULT
 };
 
@@ -68,12 +68,12 @@
     let (first, second, cold) = (FakeServer::new("s1"), FakeServer::new("s2"), FakeServer::new("s3"));
     plan.step_wall_clock(ahead_ms);
     let discovery = Arc::new(FakeServer::new("discovery"));
-    let mut text = start_file_text(&COLD, discovery.address, &[&first, &second]);
+    let mut text = startup_file_text(&COLD, discovery.address, &[&first, &second]);
     if announced == Announced::InStartFile {
         text = text.replace(r#""hosts":["#, &format!(r#""hosts":[{},"#, started_now(&cold)));
     }
-    let program = Program::start_with_file(plan.command(), discovery, text);
-    let (mut watch, _) = program.discovery.next_poll();
+    let proxy = ProxyProcess::start_with_startup_file(plan.command(), discovery, text);
+    let (mut watch, _) = proxy.discovery.next_poll();
     let mut entries = vec![first.endpoint("in_service"), second.endpoint("in_service")];
     if announced == Announced::WhileWatched {
         watch.send(&list_response(8, true, &entries));
@@ -96,7 +96,7 @@
     let idle_clients = || {
         let (began, mut clients) = (Instant::now(), Vec::new());
         while began.elapsed() < Duration::from_millis(1200) {
-            clients.push(program.open_session(&format!("lift-{}", clients.len()), ",d=3000"));
+            clients.push(proxy.open_session(&format!("lift-{}", clients.len()), ",d=3000"));
             std::thread::sleep(Duration::from_millis(5));
         }
         clients.iter_mut().for_each(|client| drop(client.read_line()));
