--- a/crates/proxy/tests/sockets/client_abort_races.rs
+++ b/crates/proxy/tests/sockets/client_abort_races.rs
@@ -184,7 +184,7 @@
             health_checks_allowed: true,
             servers_report_latency: true,
             message_latency_objective_ms: 5000,
-            connection_quota: "1",
+            customer_quota: "1",
             ..DEFAULT
         };
         let proxy = ProxyProcess::start(settings, &servers.each_ref());
@@ -219,7 +219,7 @@
             health_checks_allowed: true,
             servers_report_latency: true,
             message_latency_objective_ms: 5000,
-            connection_quota: "1",
+            customer_quota: "1",
             ..DEFAULT
         };
         let proxy = ProxyProcess::start(settings, &servers.each_ref());
--- a/crates/proxy/tests/sockets/client_aborts.rs
+++ b/crates/proxy/tests/sockets/client_aborts.rs
@@ -88,7 +88,7 @@
     health_checks_allowed: true,
     servers_report_latency: true,
     message_latency_objective_ms: 5000,
-    connection_quota: "1",
+    customer_quota: "1",
     ..DEFAULT
 };
 
--- a/crates/proxy/tests/sockets/discovery_watches.rs
+++ b/crates/proxy/tests/sockets/discovery_watches.rs
@@ -1,7 +1,8 @@
-//! Watches that are silent, trickle, are reset or refused, alone and in a fleet before a slow discovery.
+//! Watches that get no response, a trickling one, a reset or a rejection, for a single proxy and for many proxies with a
+//! slow discovery service.
 //!
-//! The staleness limits: six seconds after a watch fell silent, four seconds after the reload that names a new discovery,
-//! and none for the agent of a pushed list.
+//! The staleness limits: six seconds after a watch became silent, four seconds after a reload with the address of a new
+//! discovery service, and no delay after the outage of the agent of a pushed list.
 
 use crate::harness::{
     list_response, read_request, wait_for, Connection, FakeServer, ProxyProcess, Settings, DEFAULT,
@@ -15,17 +16,18 @@
 const SERVICE_UNAVAILABLE: &str = "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n";
 const STALENESS_LIMIT: Duration = Duration::from_secs(6);
 
-/// Three hundred processes poll the same discovery, and this seed draws a long pause after a refusal.
-const MANY: Settings = Settings { proxy_count: "300", max_poll_interval_ms: 10_000, seed: "77", ..DEFAULT };
+/// The settings of one of three hundred proxies. With this seed, the delay after a rejected poll is long.
+const MANY_PROXIES: Settings =
+    Settings { proxy_count: "300", max_poll_interval_ms: 10_000, seed: "77", ..DEFAULT };
 
-/// The pauses after refusals fit into what the silent watch has left of the limit.
+/// The delays after rejected polls fit into the time that is left after the silent watch.
 #[test]
-fn refusals_after_a_silent_watch_stay_within_the_staleness_limit() {
+fn rejected_polls_after_a_silent_watch_stay_within_the_staleness_limit() {
     let (old, new) = (FakeServer::new("s1"), FakeServer::new("s2"));
-    let proxy = ProxyProcess::start(MANY, &[&old]);
-    let (_silent, path) = proxy.discovery.next_poll();
+    let proxy = ProxyProcess::start(MANY_PROXIES, &[&old]);
+    let (_silent_watch, path) = proxy.discovery.next_poll();
     assert!(path.contains("index=7"), "{path}");
-    let fell_silent = Instant::now();
+    let silent_since = Instant::now();
     for _ in 0..2 {
         let (mut call, _) = proxy.discovery.next_poll();
         call.send(SERVICE_UNAVAILABLE);
@@ -33,21 +35,21 @@
     let (mut call, _) = proxy.discovery.next_poll();
     call.send(&list_response(8, false, &[old.endpoint("terminating"), new.endpoint("in_service")]));
     read_request(&mut call);
-    assert!(fell_silent.elapsed() < STALENESS_LIMIT, "{:?}", fell_silent.elapsed());
+    assert!(silent_since.elapsed() < STALENESS_LIMIT, "{:?}", silent_since.elapsed());
     let mut client = proxy.open_session("lift-1", ",d=3000");
     let _server = new.accept_session();
     assert_eq!(client.read_line(), "UP 0123");
 }
 
-/// The pauses after refusals fit into the limit after a reload.
+/// The delays after rejected polls fit into the limit after a reload.
 #[test]
-fn refusals_by_a_changed_discovery_stay_within_the_staleness_limit() {
+fn rejected_polls_of_a_changed_discovery_stay_within_the_staleness_limit() {
     let (old, new) = (FakeServer::new("s1"), FakeServer::new("s2"));
-    let proxy = ProxyProcess::start(MANY, &[&old]);
+    let proxy = ProxyProcess::start(MANY_PROXIES, &[&old]);
     let _watch = proxy.discovery.next_poll();
     let next = FakeServer::new("discovery");
     proxy.reload(&proxy.startup_file_with_discovery(&next));
-    let signalled = Instant::now();
+    let reloaded_at = Instant::now();
     for _ in 0..3 {
         let (mut call, path) = next.next_poll();
         assert_eq!(path, "/catalog/members");
@@ -56,7 +58,7 @@
     let (mut call, _) = next.next_poll();
     call.send(&list_response(2, true, &[new.endpoint("in_service")]));
     read_request(&mut call);
-    assert!(signalled.elapsed() < Duration::from_secs(4), "{:?}", signalled.elapsed());
+    assert!(reloaded_at.elapsed() < Duration::from_secs(4), "{:?}", reloaded_at.elapsed());
 }
 
 #[test]
@@ -64,17 +66,17 @@
     let server = FakeServer::new("s1");
     let response =
         list_response(8, false, &[server.endpoint("terminating")]).replace("Length: ", "Length: 9");
-    let (half, _) = response.split_at(response.len() / 2);
+    let (first_half, _) = response.split_at(response.len() / 2);
     for trickles in [false, true] {
-        let proxy = ProxyProcess::start(MANY, &[&server]);
+        let proxy = ProxyProcess::start(MANY_PROXIES, &[&server]);
         let (mut call, _) = proxy.discovery.next_poll();
-        let began = Instant::now();
-        call.send(half);
-        let over = Arc::new(AtomicBool::new(false));
-        let ends = over.clone();
-        let trickle = thread::spawn(move || {
-            // This does not complete the response: its length is far more.
-            while trickles && !ends.load(Ordering::Relaxed) {
+        let started_at = Instant::now();
+        call.send(first_half);
+        let is_stopped = Arc::new(AtomicBool::new(false));
+        let stop_flag = is_stopped.clone();
+        let trickle_thread = thread::spawn(move || {
+            // These bytes never complete the response, as its declared length is much larger.
+            while trickles && !stop_flag.load(Ordering::Relaxed) {
                 if std::io::Write::write_all(&mut call.stream, b" ").is_err() {
                     break;
                 }
@@ -84,154 +86,165 @@
         });
         let (_next, path) = proxy.discovery.next_poll();
         assert!(path.contains("index=7"), "{path}");
-        assert!(began.elapsed() < Duration::from_millis(3500), "{trickles}: {:?}", began.elapsed());
-        over.store(true, Ordering::Relaxed);
-        drop(trickle.join());
+        assert!(
+            started_at.elapsed() < Duration::from_millis(3500),
+            "trickles: {trickles}, {:?}",
+            started_at.elapsed()
+        );
+        is_stopped.store(true, Ordering::Relaxed);
+        drop(trickle_thread.join());
     }
 }
 
-/// What discovery has written counts as received, so that a new poll may not wait for a refusal's pause.
+/// An update that discovery has written counts as received, so the next poll must not be delayed as after a rejection.
 #[test]
 fn an_unreadable_or_truncated_update_is_polled_again_at_once_with_backoff() {
     let server = FakeServer::new("s1");
-    let proxy = ProxyProcess::start(MANY, &[&server]);
+    let proxy = ProxyProcess::start(MANY_PROXIES, &[&server]);
     let (mut call, _) = proxy.discovery.next_poll();
     let update = list_response(8, false, &[server.endpoint("terminating")]);
-    let unlisted = list_response(8, false, &[r#"{"host":"s2","health":"in_service"}"#.to_owned()]);
-    for (bad, ends) in [(&*unlisted, false), (&update[..update.len() - 9], true)] {
+    let without_address = list_response(8, false, &[r#"{"host":"s2","health":"in_service"}"#.to_owned()]);
+    for (invalid_update, closes) in [(&*without_address, false), (&update[..update.len() - 9], true)] {
         call.send(&list_response(7, false, &[]));
         assert!(read_request(&mut call).contains("index=7"));
-        call.send(bad);
-        let written = Instant::now();
-        if ends {
+        call.send(invalid_update);
+        let written_at = Instant::now();
+        if closes {
             call.shut_down_write();
         }
         call = proxy.discovery.next_poll().0;
-        assert!(written.elapsed() < Duration::from_millis(150), "{:?}", written.elapsed());
+        assert!(written_at.elapsed() < Duration::from_millis(150), "{:?}", written_at.elapsed());
     }
-    let first = Instant::now();
-    let mut asked = 0;
-    while first.elapsed() < Duration::from_millis(2000) {
-        let _ = std::io::Write::write_all(&mut call.stream, unlisted.as_bytes());
+    let started_at = Instant::now();
+    let mut polls = 0;
+    while started_at.elapsed() < Duration::from_millis(2000) {
+        let _ = std::io::Write::write_all(&mut call.stream, without_address.as_bytes());
         call = proxy.discovery.next_poll().0;
-        asked += 1;
+        polls += 1;
     }
-    assert!((3..12).contains(&asked), "{asked}");
+    assert!((3..12).contains(&polls), "{polls}");
     call.send(&update);
     assert!(read_request(&mut call).contains("index=8"));
 }
 
-/// Neither a call nor a connection attempt from the outage delays the first poll after it.
+/// Neither a call nor a connection attempt during the outage delays the first poll after it.
 #[test]
-fn a_pushed_list_arrives_at_once_after_an_agent_outage_with_hung_calls() {
+fn a_pushed_list_arrives_at_once_after_an_agent_outage_with_unanswered_calls() {
     let (old, new) = (FakeServer::new("s1"), FakeServer::new("s2"));
     let proxy = ProxyProcess::start(PUSHED_LIST, &[&old]);
     let (mut call, _) = proxy.discovery.next_poll();
     call.send(&list_response(9, true, &[old.endpoint("in_service")]));
     read_request(&mut call);
-    // The outage: the watch ends, and what is polled then is never answered.
+    // The outage: the watch is reset, and the following polls get no response.
     call.reset();
-    let hung: Vec<_> = (0..4).map(|_| proxy.discovery.next_poll()).collect();
-    assert!(hung.iter().all(|(_, path)| path.contains("index=9")));
-    let back = Instant::now();
+    let unanswered: Vec<_> = (0..4).map(|_| proxy.discovery.next_poll()).collect();
+    assert!(unanswered.iter().all(|(_, path)| path.contains("index=9")));
+    let recovered_at = Instant::now();
     let (mut call, _) = proxy.discovery.next_poll();
     call.send(&list_response(10, false, &[old.endpoint("terminating"), new.endpoint("in_service")]));
     read_request(&mut call);
-    assert!(back.elapsed() < Duration::from_millis(600), "{:?}", back.elapsed());
+    assert!(recovered_at.elapsed() < Duration::from_millis(600), "{:?}", recovered_at.elapsed());
 }
 
-/// A discovery that answers in turn, a tenth of a second and more for each poll, and refuses polls that would wait for over
-/// a second.
-struct Slow {
-    silent: AtomicBool,
-    waiting: AtomicUsize,
-    turn: Mutex<()>,
-    /// When the update was written to each process.
+/// A discovery service that responds to one poll at a time, and rejects polls that would wait for about a second.
+struct SlowDiscovery {
+    /// Whether the watches get no more responses.
+    is_silent: AtomicBool,
+    queued_polls: AtomicUsize,
+    /// Held while a response is prepared.
+    response_lock: Mutex<()>,
+    /// When the update was written to each proxy.
     updated_at: Mutex<Vec<Instant>>,
-    held: AtomicUsize,
-    refused: AtomicUsize,
-    server: String,
+    /// The number of connections whose first request has been held as a watch.
+    watches: AtomicUsize,
+    rejected: AtomicUsize,
+    /// The entry of the update.
+    updated_endpoint: String,
 }
 
-impl Slow {
-    const EACH: Duration = Duration::from_millis(120);
-    const MOST: usize = 8;
+impl SlowDiscovery {
+    const RESPONSE_TIME: Duration = Duration::from_millis(120);
+    const MAX_QUEUED_POLLS: usize = 8;
 
     fn serve(self: &Arc<Self>, mut connection: Connection) {
-        let me = self.clone();
+        let discovery = self.clone();
         thread::spawn(move || {
-            let mut first = true;
+            let mut is_first_request = true;
             loop {
                 let path = read_request(&mut connection);
                 if path.is_empty() {
                     return;
                 }
                 let wait = path.split("wait=").nth(1).and_then(|ms| ms.parse().ok()).unwrap_or(0);
-                if !first || !me.silent.load(Ordering::SeqCst) {
-                    // Between updates a watch is answered when its wait is over, or never once it falls silent.
-                    me.held.fetch_add(usize::from(first), Ordering::SeqCst);
+                if !is_first_request || !discovery.is_silent.load(Ordering::SeqCst) {
+                    // A watch without an update gets a response at the end of its wait, or none once the service is silent.
+                    discovery.watches.fetch_add(usize::from(is_first_request), Ordering::SeqCst);
                     thread::sleep(Duration::from_millis(wait));
-                    if me.silent.load(Ordering::SeqCst) && path.contains("index=7") {
+                    if discovery.is_silent.load(Ordering::SeqCst) && path.contains("index=7") {
                         return connection.wait_for_close();
                     }
                     let seq = if path.contains("index=8") { 8 } else { 7 };
                     connection.send(&list_response(seq, false, &[]));
-                } else if me.waiting.fetch_add(1, Ordering::SeqCst) >= Self::MOST {
-                    me.waiting.fetch_sub(1, Ordering::SeqCst);
-                    me.refused.fetch_add(1, Ordering::SeqCst);
+                } else if discovery.queued_polls.fetch_add(1, Ordering::SeqCst) >= Self::MAX_QUEUED_POLLS {
+                    discovery.queued_polls.fetch_sub(1, Ordering::SeqCst);
+                    discovery.rejected.fetch_add(1, Ordering::SeqCst);
                     connection.send(SERVICE_UNAVAILABLE);
                     return;
                 } else {
-                    let turn = me.turn.lock().unwrap();
-                    thread::sleep(Self::EACH);
-                    drop(turn);
-                    me.waiting.fetch_sub(1, Ordering::SeqCst);
-                    connection.send(&list_response(8, false, std::slice::from_ref(&me.server)));
-                    me.updated_at.lock().unwrap().push(Instant::now());
+                    let responding = discovery.response_lock.lock().unwrap();
+                    thread::sleep(Self::RESPONSE_TIME);
+                    drop(responding);
+                    discovery.queued_polls.fetch_sub(1, Ordering::SeqCst);
+                    connection.send(&list_response(
+                        8,
+                        false,
+                        std::slice::from_ref(&discovery.updated_endpoint),
+                    ));
+                    discovery.updated_at.lock().unwrap().push(Instant::now());
                 }
-                first = false;
+                is_first_request = false;
             }
         });
     }
 }
 
-/// Watches that were answered at the same update and fall silent together must not all be retried in one instant.
+/// Watches that got the same update and become silent together must not all be retried at the same moment.
 #[test]
 fn many_silent_watches_all_recover_in_time_from_a_slow_discovery() {
     const PROXIES: usize = 24;
     let server = FakeServer::new("s1");
-    let discovery = Arc::new(FakeServer::new("discovery"));
-    let slow = Arc::new(Slow {
-        silent: AtomicBool::new(false),
-        waiting: AtomicUsize::new(0),
-        turn: Mutex::default(),
+    let listener = Arc::new(FakeServer::new("discovery"));
+    let discovery = Arc::new(SlowDiscovery {
+        is_silent: AtomicBool::new(false),
+        queued_polls: AtomicUsize::new(0),
+        response_lock: Mutex::default(),
         updated_at: Mutex::default(),
-        held: AtomicUsize::new(0),
-        refused: AtomicUsize::new(0),
-        server: server.endpoint("terminating"),
+        watches: AtomicUsize::new(0),
+        rejected: AtomicUsize::new(0),
+        updated_endpoint: server.endpoint("terminating"),
     });
-    let (taking, asked) = (slow.clone(), discovery.clone());
-    let over = Arc::new(AtomicBool::new(false));
-    let ends = over.clone();
-    let takes = thread::spawn(move || {
-        while !ends.load(Ordering::SeqCst) {
-            match asked.try_accept() {
-                Some(connection) => taking.serve(connection),
+    let (serving, accepting) = (discovery.clone(), listener.clone());
+    let is_stopped = Arc::new(AtomicBool::new(false));
+    let stop_flag = is_stopped.clone();
+    let accept_thread = thread::spawn(move || {
+        while !stop_flag.load(Ordering::SeqCst) {
+            match accepting.try_accept() {
+                Some(connection) => serving.serve(connection),
                 None => thread::sleep(Duration::from_millis(1)),
             }
         }
     });
     let settings = || Settings { proxy_count: "24", max_poll_interval_ms: 10_000, ..DEFAULT };
     let proxies: Vec<_> = (0..PROXIES)
-        .map(|_| ProxyProcess::start_with_discovery(discovery.clone(), settings(), &[&server]))
+        .map(|_| ProxyProcess::start_with_discovery(listener.clone(), settings(), &[&server]))
         .collect();
-    wait_for(TEST_TIMEOUT, || (slow.held.load(Ordering::SeqCst) >= PROXIES).then_some(()));
-    slow.silent.store(true, Ordering::SeqCst);
-    let fell_silent = Instant::now();
-    wait_for(TEST_TIMEOUT * 2, || (slow.updated_at.lock().unwrap().len() >= PROXIES).then_some(()));
-    let last = slow.updated_at.lock().unwrap().iter().map(|at| *at - fell_silent).max().unwrap();
-    assert!(last < STALENESS_LIMIT, "{last:?}, {} refused", slow.refused.load(Ordering::SeqCst));
-    over.store(true, Ordering::SeqCst);
-    takes.join().unwrap();
+    wait_for(TEST_TIMEOUT, || (discovery.watches.load(Ordering::SeqCst) >= PROXIES).then_some(()));
+    discovery.is_silent.store(true, Ordering::SeqCst);
+    let silent_since = Instant::now();
+    wait_for(TEST_TIMEOUT * 2, || (discovery.updated_at.lock().unwrap().len() >= PROXIES).then_some(()));
+    let last = discovery.updated_at.lock().unwrap().iter().map(|at| *at - silent_since).max().unwrap();
+    assert!(last < STALENESS_LIMIT, "{last:?}, {} rejected", discovery.rejected.load(Ordering::SeqCst));
+    is_stopped.store(true, Ordering::SeqCst);
+    accept_thread.join().unwrap();
     drop(proxies);
 }
--- a/crates/proxy/tests/sockets/mixed_deployment.rs
+++ b/crates/proxy/tests/sockets/mixed_deployment.rs
@@ -7,10 +7,10 @@
 
 /// Few proxies, customers with quotas, and servers that may be health-checked.
 const OLD: Settings =
-    Settings { health_checks_allowed: true, proxy_count: "3", connection_quota: "90", ..DEFAULT };
+    Settings { health_checks_allowed: true, proxy_count: "3", customer_quota: "90", ..DEFAULT };
 /// More proxies than servers, no quotas, no health checks, and servers that report message latencies.
 const NEW: Settings =
-    Settings { servers_report_latency: true, proxy_count: "60", connection_quota: "null", ..DEFAULT };
+    Settings { servers_report_latency: true, proxy_count: "60", customer_quota: "null", ..DEFAULT };
 
 /// A request that a server was sent.
 #[derive(Debug)]
--- a/crates/proxy/tests/sockets/session_migration.rs
+++ b/crates/proxy/tests/sockets/session_migration.rs
@@ -84,7 +84,7 @@
         health_checks_allowed: true,
         servers_report_latency: true,
         message_latency_objective_ms: 5000,
-        connection_quota: "1",
+        customer_quota: "1",
         ..DEFAULT
     };
     let proxy = ProxyProcess::start(settings, &servers.each_ref());
--- a/crates/proxy/tests/sockets/soak/mod.rs
+++ b/crates/proxy/tests/sockets/soak/mod.rs
@@ -60,7 +60,7 @@
         servers_report_latency: rng.generate(),
         list_delivery: if rng.generate() { "subscribe" } else { "automatic" },
         proxy_count: "1",
-        connection_quota: "200",
+        customer_quota: "200",
         ..DEFAULT
     };
     let plan = Plan::new();
--- a/crates/proxy/tests/sockets/startup_file.rs
+++ b/crates/proxy/tests/sockets/startup_file.rs
@@ -12,12 +12,12 @@
     pub servers_report_latency: bool,
     /// The maximum number of open file descriptors.
     pub max_descriptors: u64,
-    /// The connect timeout of attempts in milliseconds, or 0 for the default.
+    /// The connect timeout of attempts in milliseconds, or 0 for none.
     pub dial_timeout_ms: u64,
     /// The message latency objective in milliseconds.
     pub message_latency_objective_ms: u64,
-    /// The quota of connections to all servers; `"0"` and `"null"` set none.
-    pub connection_quota: &'static str,
+    /// The customer's quota of connections; `"null"` for no quota.
+    pub customer_quota: &'static str,
     /// The number of proxies in front of the servers; `"null"` if not configured.
     pub proxy_count: &'static str,
     /// How the endpoint list is delivered: `subscribe` if it is polled, `automatic` if it is pushed.
@@ -45,7 +45,7 @@
     max_descriptors: 256,
     dial_timeout_ms: 0,
     message_latency_objective_ms: 50,
-    connection_quota: "0",
+    customer_quota: "0",
     proxy_count: "null",
     list_delivery: "subscribe",
     request_timeout_ms: 3000,
@@ -70,7 +70,7 @@
         max_descriptors,
         dial_timeout_ms,
         message_latency_objective_ms,
-        connection_quota,
+        customer_quota,
         proxy_count,
         ..
     } = settings;
@@ -94,7 +94,7 @@
         "invariants":{{"overload_factor":4,"must_ask_in_ms":{max_poll_interval_ms},
         "cold_ms":{slow_start_ms},"cold_from":{slow_start_fraction}}},
         "extra":{{"message_aim_ms":[{message_latency_objective_ms}],"tells_delay":{servers_report_latency},
-        "tenant_quota_connections":[{connection_quota}]}}}}"#
+        "tenant_quota_connections":[{customer_quota}]}}}}"#
     );
     format!(
         r#"{{"name":"n0","listen":"127.0.0.1:0","discovery":"{discovery}","seed":"{seed}",
--- a/crates/proxy/tests/sockets/wall_clock.rs
+++ b/crates/proxy/tests/sockets/wall_clock.rs
@@ -13,7 +13,7 @@
 const COLD: Settings = Settings {
     slow_start_ms: 4000,
     slow_start_fraction: 0.1,
-    connection_quota: "60",
+    customer_quota: "60",
     proxy_count: "1",
     max_descriptors: 1024,
     max_poll_interval_ms: 10_000,
