--- a/crates/proxy/tests/sockets/failure_injection.rs
+++ b/crates/proxy/tests/sockets/failure_injection.rs
@@ -1,11 +1,12 @@
-//! A proxy whose system calls fail by a plan: the test's side of the library `failing_calls`.
+//! Fault injection: a proxy whose system calls fail as a plan specifies. This is the test's side of the preloaded library
+//! `failing_calls`.
 
 #[path = "../../examples/failing_calls/plan.rs"]
-mod layout;
+mod plan;
 
 use crate::harness::{FakeServer, ProxyProcess, Settings, BINARY};
-pub use layout::Call;
-use layout::{NAMED_BY, SIZE};
+pub use plan::Call;
+use plan::{PLAN_VARIABLE, SIZE};
 use std::fs::{File, OpenOptions};
 use std::os::unix::fs::FileExt;
 use std::path::Path;
@@ -13,31 +14,31 @@
 use std::sync::Arc;
 use tempfile::TempDir;
 
-/// How a call fails.
+/// How a system call fails.
 #[derive(Clone, Copy, Debug)]
 pub enum Failure {
-    /// With this error number.
+    /// It returns this error number.
     Error(i32),
-    /// It transfers one to three bytes of what was asked for.
+    /// It transfers only one to three bytes.
     Short,
 }
 
-/// Which system calls fail from now on; none does at first.
+/// Which system calls of a proxy fail, and how. Initially none fails.
 pub struct Plan {
     file: File,
-    folder: TempDir,
+    directory: TempDir,
 }
 
 impl Plan {
     pub fn new() -> Self {
-        let folder = tempfile::tempdir().unwrap();
-        let path = folder.path().join("plan");
+        let directory = tempfile::tempdir().unwrap();
+        let path = directory.path().join("plan");
         let file = OpenOptions::new().read(true).write(true).create_new(true).open(path).unwrap();
         file.set_len(SIZE as u64).unwrap();
-        Plan { file, folder }
+        Plan { file, directory }
     }
 
-    /// Has `per_mille` of a thousand of these calls fail.
+    /// Makes these calls fail at random, `per_mille` of a thousand.
     pub fn fail(&self, call: Call, per_mille: u32, failure: Failure) -> &Self {
         let error = match failure {
             Failure::Error(number) => number as u32,
@@ -46,42 +47,42 @@
         self.set(call, u64::from(per_mille) << 32 | u64::from(error))
     }
 
-    /// Has these calls succeed again.
+    /// Makes these calls succeed again.
     pub fn restore(&self, call: Call) -> &Self {
         self.set(call, 0)
     }
 
-    /// Sets the wall clock ahead of the machine's, or behind it if negative, in milliseconds.
+    /// Sets the proxy's wall clock ahead of the machine's by this many milliseconds, or behind it if negative.
     pub fn step_wall_clock(&self, ahead_ms: i64) -> &Self {
         self.set(Call::WallClock, ahead_ms as u64)
     }
 
-    fn set(&self, call: Call, cell: u64) -> &Self {
-        self.file.write_all_at(&cell.to_ne_bytes(), call.offset() as u64).unwrap();
+    fn set(&self, call: Call, rule: u64) -> &Self {
+        self.file.write_all_at(&rule.to_ne_bytes(), call.offset() as u64).unwrap();
         self
     }
 
-    /// How many of these calls have failed.
+    /// The number of these calls that have failed.
     pub fn failed(&self, call: Call) -> u64 {
         let mut count = [0; 8];
         self.file.read_exact_at(&mut count, call.offset() as u64 + 8).unwrap();
         u64::from_ne_bytes(count)
     }
 
-    /// The command that runs the proxy under this plan.
+    /// The command that runs the proxy with this plan.
     pub fn command(&self) -> Command {
         let library = Path::new(BINARY).with_file_name("examples").join("libfailing_calls.so");
         assert!(
             library.exists(),
-            "cargo test builds {} unless asked for certain targets to build",
+            "{} is missing: run cargo test without target selection, or build the example failing_calls first",
             library.display()
         );
         let mut command = Command::new(BINARY);
-        command.env("LD_PRELOAD", library).env(NAMED_BY, self.folder.path().join("plan"));
+        command.env("LD_PRELOAD", library).env(PLAN_VARIABLE, self.directory.path().join("plan"));
         command
     }
 
-    /// Starts the proxy under this plan, with a discovery of its own.
+    /// Starts a proxy with this plan, these known servers and a discovery service of its own.
     pub fn start(&self, settings: Settings, known: &[&FakeServer]) -> ProxyProcess {
         ProxyProcess::start_with_command(
             self.command(),
--- a/crates/proxy/tests/sockets/graceful_shutdown.rs
+++ b/crates/proxy/tests/sockets/graceful_shutdown.rs
@@ -1,23 +1,23 @@
-//! Graceful shutdown: new clients, unanswered sessions, and connections in every stage.
+//! Graceful shutdown: new clients, sessions without a server response, and connections in every state.
 
 use crate::harness::{FakeServer, ProxyProcess, DEFAULT};
 use std::time::{Duration, Instant};
 
 #[test]
-fn shutdown_serves_new_clients_and_migrates_sessions_late_and_spread_out() {
+fn shutdown_serves_new_clients_and_migrates_sessions_late_and_gradually() {
     let server = FakeServer::new("s1");
     let proxy = ProxyProcess::start(DEFAULT, &[&server]);
     let mut established: Vec<_> = (0..8).map(|_| proxy.establish(&server)).collect();
     proxy.terminate();
     let signalled_at = Instant::now();
     std::thread::sleep(Duration::from_millis(150));
-    let mut late = proxy.open_session("lift-2", ",d=3000");
+    let mut late_client = proxy.open_session("lift-2", ",d=3000");
     let (mut upstream, _) = server.accept_session();
-    assert_eq!(late.read_line(), "UP 0123");
-    late.send("M 1\r\n");
+    assert_eq!(late_client.read_line(), "UP 0123");
+    late_client.send("M 1\r\n");
     assert_eq!(upstream.read_line(), "M 1");
     upstream.send("M 1\r\n");
-    assert_eq!(late.read_line(), "M 1");
+    assert_eq!(late_client.read_line(), "M 1");
     let mut migrated: Vec<_> = established
         .iter_mut()
         .map(|(client, _)| {
@@ -26,12 +26,15 @@
         })
         .collect();
     migrated.sort();
-    assert!(migrated[0] > Duration::from_millis(1500), "as long as may be: {migrated:?}");
-    assert!(migrated[7] - migrated[0] > Duration::from_millis(400), "spread out: {migrated:?}");
-    assert_eq!(late.read_line(), "MOVE");
-    drop((established, late));
+    assert!(migrated[0] > Duration::from_millis(1500), "sessions are kept as long as possible: {migrated:?}");
+    assert!(
+        migrated[7] - migrated[0] > Duration::from_millis(400),
+        "sessions are migrated gradually: {migrated:?}"
+    );
+    assert_eq!(late_client.read_line(), "MOVE");
+    drop((established, late_client));
     assert!(proxy.shut_down().contains("sessions established 9"));
-    assert!(signalled_at.elapsed() < Duration::from_millis(3700), "before it is killed");
+    assert!(signalled_at.elapsed() < Duration::from_millis(3700), "the proxy exits before it is killed");
 }
 
 #[test]
@@ -39,45 +42,49 @@
     let server = FakeServer::new("s1");
     let proxy = ProxyProcess::start(DEFAULT, &[&server]);
     let mut client = proxy.open_session("lift-1", ",d=30000");
-    let _silent = server.accept();
+    let _unanswered = server.accept();
     proxy.terminate();
     assert_eq!(client.read_line(), "ERR");
     drop(client);
     assert_eq!(proxy.wait_for_exit().0, Some(0));
 }
 
-/// All connections have their answer or migration within 3.7 s, when the process is killed.
+/// Each connection must get its response or be migrated within 3.7 s, when the process would be killed.
 #[test]
-fn shutdown_settles_connections_in_every_stage_before_the_kill() {
+fn shutdown_answers_or_migrates_connections_in_every_state_before_the_kill() {
     let server = FakeServer::new("s1");
     let proxy = ProxyProcess::start(DEFAULT, &[&server]);
     let (mut established, _its_upstream) = proxy.establish(&server);
-    let (mut in_a_line, mut its_upstream) = proxy.establish(&server);
+    let (mut inside_a_line, mut its_upstream) = proxy.establish(&server);
     its_upstream.send("NEWS t");
-    let (mut deaf, mut talker) = proxy.establish(&server);
-    let mut silent = proxy.connect();
-    let mut asking = proxy.open_session("lift-2", ",d=3000");
-    let _never_answers = server.accept();
+    let (mut slow_reader, mut slow_readers_upstream) = proxy.establish(&server);
+    let mut idle = proxy.connect();
+    let mut waiting = proxy.open_session("lift-2", ",d=3000");
+    let _unanswered = server.accept();
     proxy.terminate();
     let signalled_at = Instant::now();
     let mut front_end = proxy.connect();
-    assert_eq!(front_end.send("PING\r\n").read_line(), "PONG", "its front_end may not have noticed yet");
+    assert_eq!(
+        front_end.send("PING\r\n").read_line(),
+        "PONG",
+        "a front-end load balancer may not have noticed the shutdown yet"
+    );
     let lines = 200;
     for i in 0..lines {
-        talker.send(&format!("M {i}\r\n"));
+        slow_readers_upstream.send(&format!("M {i}\r\n"));
     }
 
     assert_eq!((established.read_line(), established.read_line()), ("MOVE".into(), "".into()));
-    // The server ends its line as late as a migration waits for that.
+    // The server completes its line only while the migration waits for that.
     its_upstream.send("wo\r\n");
-    assert_eq!((in_a_line.read_line(), in_a_line.read_line()), ("NEWS two".into(), "MOVE".into()));
-    let response = asking.read_line();
+    assert_eq!((inside_a_line.read_line(), inside_a_line.read_line()), ("NEWS two".into(), "MOVE".into()));
+    let response = waiting.read_line();
     assert!(response.starts_with("BUSY") || response == "ERR", "{response}");
-    assert!(["", "ERR", "BUSY"].contains(&&*silent.read_line()));
+    assert!(["", "ERR", "BUSY"].contains(&&*idle.read_line()));
     let (code, log) = proxy.wait_for_exit();
     assert!(code == Some(0) && log.contains("invariant violations 0"), "{code:?} {log}");
     assert!(signalled_at.elapsed() < Duration::from_millis(3700), "{:?}", signalled_at.elapsed());
-    // A client that reads late gets all that was sent, and the migration behind it.
-    (0..lines).for_each(|i| assert_eq!(deaf.read_line(), format!("M {i}")));
-    assert_eq!((deaf.read_line(), deaf.read_line()), ("MOVE".into(), "".into()));
+    // A client that reads late gets all lines that were sent, and then the migration.
+    (0..lines).for_each(|i| assert_eq!(slow_reader.read_line(), format!("M {i}")));
+    assert_eq!((slow_reader.read_line(), slow_reader.read_line()), ("MOVE".into(), "".into()));
 }
