--- a/crates/proxy/tests/sockets/mixed_deployment.rs
+++ b/crates/proxy/tests/sockets/mixed_deployment.rs
@@ -1,4 +1,4 @@
-//! Proxies with the settings of two deployments before the same servers, as during a rolling change.
+//! Proxies with the settings of two deployments in front of the same servers, as during a rolling update.
 
 use crate::harness::{wait_for, Connection, FakeServer, ProxyProcess, Settings, DEFAULT, TEST_TIMEOUT};
 use std::collections::BTreeMap;
@@ -12,23 +12,23 @@
 const NEW: Settings =
     Settings { servers_report_latency: true, proxy_count: "60", customer_quota: "null", ..DEFAULT };
 
-/// A request that a server was sent.
+/// A request that a server has received.
 #[derive(Debug)]
-struct SentRequest {
+struct ReceivedRequest {
     server: String,
     id: String,
     was_accepted: bool,
 }
 
-/// All requests that the servers were sent, in their order.
-type Sent = Arc<Mutex<Vec<SentRequest>>>;
+/// All requests that the servers have received, in order.
+type ReceivedRequests = Arc<Mutex<Vec<ReceivedRequest>>>;
 
-/// Serves at this address with this capacity, for as long as the test lasts.
-fn serve(server: Arc<FakeServer>, capacity: usize, sent: Sent) {
+/// Serves connections with this capacity until the test ends.
+fn serve(server: Arc<FakeServer>, capacity: usize, received: ReceivedRequests) {
     let open = Arc::new(Mutex::new(0));
     thread::spawn(move || loop {
         let mut connection = wait_for(TEST_TIMEOUT * 10, || server.try_accept());
-        let (server, sent, open) = (server.clone(), sent.clone(), open.clone());
+        let (server, received, open) = (server.clone(), received.clone(), open.clone());
         thread::spawn(move || {
             let mut line = connection.read_line();
             while line == "PING" {
@@ -45,8 +45,8 @@
                 *open += usize::from(accepted);
                 accepted
             };
-            let request = SentRequest { server: server.name.clone(), id, was_accepted: accepted };
-            sent.lock().unwrap().push(request);
+            let request = ReceivedRequest { server: server.name.clone(), id, was_accepted: accepted };
+            received.lock().unwrap().push(request);
             connection.send(if accepted { "UP 0123\r\n" } else { "BUSY\r\n" });
             if accepted {
                 connection.wait_for_close();
@@ -56,69 +56,87 @@
     });
 }
 
-/// Two proxies of the old deployment and three of the new one.
+/// Starts two proxies of the old deployment and three of the new one.
 fn start_both_deployments(servers: &[Arc<FakeServer>]) -> Vec<(&'static str, ProxyProcess)> {
     let known: Vec<&FakeServer> = servers.iter().map(|server| &**server).collect();
-    let kinds = [("old", OLD), ("old", OLD), ("new", NEW), ("new", NEW), ("new", NEW)];
-    kinds.into_iter().map(|(kind, settings)| (kind, ProxyProcess::start(settings, &known))).collect()
+    let deployments = [("old", OLD), ("old", OLD), ("new", NEW), ("new", NEW), ("new", NEW)];
+    deployments
+        .into_iter()
+        .map(|(deployment, settings)| (deployment, ProxyProcess::start(settings, &known)))
+        .collect()
 }
 
-/// Has clients of four groups open sessions at one proxy after the other, each until it is established or was rejected ten
-/// times. Gives the established ones by the deployment of their proxy.
+/// Opens sessions of clients in four groups, alternating between the proxies. Each client tries until its session is
+/// established, ten times at most. Returns the established sessions by the deployment of their proxy.
 fn open_sessions(
     proxies: &[(&'static str, ProxyProcess)],
     clients: usize,
     name: &str,
 ) -> BTreeMap<&'static str, Vec<Connection>> {
-    let mut up: BTreeMap<&str, Vec<Connection>> = BTreeMap::new();
+    let mut established: BTreeMap<&str, Vec<Connection>> = BTreeMap::new();
     for i in 0..clients {
-        let (kind, proxy) = &proxies[i % proxies.len()];
-        for again in 0..10 {
-            let more = format!(",d=3000,g=g{},again={}", i % 4, u8::from(again > 0));
-            let mut client = proxy.open_session(&format!("{name}-{i}"), &more);
+        let (deployment, proxy) = &proxies[i % proxies.len()];
+        for retries in 0..10 {
+            let fields = format!(",d=3000,g=g{},again={}", i % 4, u8::from(retries > 0));
+            let mut client = proxy.open_session(&format!("{name}-{i}"), &fields);
             let response = client.read_line();
             if response.starts_with("UP ") {
-                up.entry(kind).or_default().push(client);
+                established.entry(deployment).or_default().push(client);
                 break;
             }
-            // Only a rejection may end an attempt here, and nothing may follow it.
+            // A session may only be rejected, not failed, and nothing may follow the rejection.
             assert!(response.starts_with("BUSY"), "{response}");
-            assert_eq!(client.read_line(), "", "one final response");
+            assert_eq!(client.read_line(), "", "only one final response");
         }
     }
-    up
+    established
 }
 
 #[test]
-fn old_and_new_deployments_keep_the_rules_and_share_servers() {
+fn old_and_new_deployments_keep_all_guarantees_and_share_servers() {
     let servers: Vec<_> = (1..=5).map(|i| Arc::new(FakeServer::new(&format!("s{i}")))).collect();
-    let sent = Sent::default();
+    let received = ReceivedRequests::default();
     // Each server has capacity for a quarter of all clients; the last one is not listed yet.
-    servers.iter().for_each(|server| serve(server.clone(), 20, sent.clone()));
+    servers.iter().for_each(|server| serve(server.clone(), 20, received.clone()));
     let proxies = start_both_deployments(&servers[..4]);
-    let up = open_sessions(&proxies, 60, "first");
-    // Two fifths and three fifths of sixty clients went to either deployment, and there is capacity for eighty.
-    assert!(up["old"].len() >= 22 && up["new"].len() >= 34, "{} {}", up["old"].len(), up["new"].len());
+    let established = open_sessions(&proxies, 60, "first");
+    // Of sixty clients, two fifths use the old deployment and three fifths the new one. The listed servers have capacity
+    // for eighty.
+    assert!(
+        established["old"].len() >= 22 && established["new"].len() >= 34,
+        "{} {}",
+        established["old"].len(),
+        established["new"].len()
+    );
 
-    // One server drains, another joins; both deployments learn of it, and nothing new goes to the draining one.
+    // One server starts draining and another is added. Once both deployments have this update, the draining server gets
+    // no new session.
     let update = [servers[0].endpoint("terminating"), servers[4].endpoint("in_service")];
     let _calls: Vec<_> = proxies.iter().map(|(_, proxy)| proxy.update_endpoints(&update)).collect();
-    let before = sent.lock().unwrap().len();
-    assert!(sent.lock().unwrap().iter().any(|request| request.server == "s1"), "it had its share until then");
-    let more = open_sessions(&proxies, 15, "second");
-    let sent = sent.lock().unwrap();
-    assert!(sent[before..].iter().all(|request| request.server != "s1"), "{:?}", &sent[before..]);
-    assert!(more["old"].len() >= 5 && more["new"].len() >= 8, "{} {}", more["old"].len(), more["new"].len());
+    let before = received.lock().unwrap().len();
+    assert!(
+        received.lock().unwrap().iter().any(|request| request.server == "s1"),
+        "it received requests before it was draining"
+    );
+    let later = open_sessions(&proxies, 15, "second");
+    let received = received.lock().unwrap();
+    assert!(received[before..].iter().all(|request| request.server != "s1"), "{:?}", &received[before..]);
+    assert!(
+        later["old"].len() >= 5 && later["new"].len() >= 8,
+        "{} {}",
+        later["old"].len(),
+        later["new"].len()
+    );
 
-    // No session was accepted twice, whichever deployment forwarded it.
+    // No request was accepted twice, whichever deployment forwarded it.
     let mut accepted: Vec<_> =
-        sent.iter().filter(|request| request.was_accepted).map(|request| &request.id).collect();
-    let all = accepted.len();
+        received.iter().filter(|request| request.was_accepted).map(|request| &request.id).collect();
+    let total = accepted.len();
     accepted.sort();
     accepted.dedup();
-    assert_eq!(accepted.len(), all);
-    drop(sent);
-    drop((up, more));
+    assert_eq!(accepted.len(), total);
+    drop(received);
+    drop((established, later));
     for (_, proxy) in proxies {
         proxy.shut_down();
     }
--- a/crates/proxy/tests/sockets/readiness.rs
+++ b/crates/proxy/tests/sockets/readiness.rs
@@ -1,4 +1,4 @@
-//! Restarts: whatever discovery and idle clients do, nine in ten processes are ready in time.
+//! Readiness after a restart: with any fault of discovery and with idle clients, nine in ten proxies are ready in time.
 
 use crate::descriptor_limits::IdleClients;
 use crate::harness::{
@@ -13,61 +13,62 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Nine in ten processes have to be ready within this time.
+/// Nine in ten proxies must be ready within this time.
 const READY_WITHIN: Duration = Duration::from_secs(10);
-const PROCESSES: usize = 10;
-/// More than twice as many as find a descriptor at `max_descriptors: 64`.
+const PROXIES: usize = 10;
+/// More than twice as many as get a descriptor with a limit of 64.
 const IDLE_CLIENTS: usize = 40;
-/// Ten processes at a time: the tests of this file take turns at the machine's cores.
+/// Held by the test that is running its proxies, so that no more than ten share the machine's cores.
 static CORES: Mutex<()> = Mutex::new(());
 
-/// An address of the test's own, with a port that the system assigns to nobody, so that it stays free between two
-/// incarnations. A free port assigned by the system could be held for a moment by a proxy that another test starts.
+/// A unique loopback address, with a port outside the range that the system assigns, so that it stays free between two
+/// incarnations of a proxy. A port assigned by the system could be taken by a proxy that another test starts.
 pub fn own_address() -> SocketAddr {
     const PORT: u16 = 7400;
-    static LAST: AtomicU8 = AtomicU8::new(1);
+    static NEXT: AtomicU8 = AtomicU8::new(1);
     let [_, _, high, low] = std::process::id().to_be_bytes();
-    (Ipv4Addr::new(127, 1 + high % 128, low, LAST.fetch_add(1, SeqCst)), PORT).into()
+    (Ipv4Addr::new(127, 1 + high % 128, low, NEXT.fetch_add(1, SeqCst)), PORT).into()
 }
 
-/// Whether the proxy answers a health check.
-fn is_ready(at: SocketAddr) -> Option<()> {
-    let mut connection = Connection::connect(at);
+/// Whether the proxy at this address reports that it is ready.
+fn is_ready(address: SocketAddr) -> Option<()> {
+    let mut connection = Connection::connect(address);
     // The connection may be closed before this is sent.
     let _ = connection.stream.write_all(b"PING\r\n");
     (connection.read_line() == "PONG").then_some(())
 }
 
-/// Starts a process, kills it, and starts it again: how long the second start takes until it is ready.
+/// Starts a proxy, kills it, and starts it again. Returns how long the second start took until the proxy was ready.
 fn restart_time(discovery: Arc<FakeServer>, settings: Settings, with_idle_clients: bool) -> Duration {
     let server = FakeServer::new("s1");
     let mut first = ProxyProcess::start_with_discovery(discovery.clone(), settings, &[&server]);
-    let at = own_address();
-    let text = first.startup_file.replace("\"listen\":\"127.0.0.1:0\"", &format!("\"listen\":\"{at}\""));
+    let address = own_address();
+    let text = first.startup_file.replace("\"listen\":\"127.0.0.1:0\"", &format!("\"listen\":\"{address}\""));
     first.child.kill().unwrap();
     first.child.wait().unwrap();
-    // They connect before anything listens.
-    let _crowd = with_idle_clients.then(|| IdleClients::start(at, IDLE_CLIENTS));
-    let began = Instant::now();
+    // The clients try to connect before the proxy listens.
+    let _idle_clients = with_idle_clients.then(|| IdleClients::start(address, IDLE_CLIENTS));
+    let started_at = Instant::now();
     let _second = ProxyProcess::start_with_startup_file(Command::new(BINARY), discovery, text);
-    wait_for(READY_WITHIN * 2, || is_ready(at));
-    began.elapsed()
+    wait_for(READY_WITHIN * 2, || is_ready(address));
+    started_at.elapsed()
 }
 
-/// Ten processes before one discovery, with a polled and with a pushed list, without and with idle clients.
+/// Restarts ten proxies with one discovery service, with a polled and a pushed list, without and with idle clients, and
+/// expects that nine of them are ready in time.
 fn expect_restarts_ready(discovery: &Arc<FakeServer>) {
-    let _cores = CORES.lock().unwrap_or_else(PoisonError::into_inner);
+    let _cores_in_use = CORES.lock().unwrap_or_else(PoisonError::into_inner);
     for with_idle_clients in [false, true] {
         for settings in [
             || Settings { max_descriptors: 64, ..DEFAULT },
             || Settings { max_descriptors: 64, ..PUSHED_LIST },
         ] {
-            let starts = (0..PROCESSES).map(|_| {
+            let restarts = (0..PROXIES).map(|_| {
                 let discovery = discovery.clone();
                 thread::spawn(move || restart_time(discovery, settings(), with_idle_clients))
             });
-            let starts: Vec<_> = starts.collect();
-            let took: Vec<_> = starts.into_iter().map(|start| start.join().unwrap()).collect();
+            let restarts: Vec<_> = restarts.collect();
+            let took: Vec<_> = restarts.into_iter().map(|restart| restart.join().unwrap()).collect();
             let ready = took.iter().filter(|took| **took < READY_WITHIN).count();
             println!(
                 "{}, idle clients {with_idle_clients}: slowest {:?}",
@@ -75,7 +76,7 @@
                 took.iter().max().unwrap()
             );
             assert!(
-                ready * 10 >= PROCESSES * 9,
+                ready * 10 >= PROXIES * 9,
                 "{}, idle clients {with_idle_clients}: {took:?}",
                 settings().list_delivery
             );
@@ -89,33 +90,33 @@
 }
 
 #[test]
-fn restarts_are_ready_in_time_if_discovery_never_answers() {
+fn restarts_are_ready_in_time_if_discovery_never_responds() {
     expect_restarts_ready(&Arc::new(FakeServer::new("discovery")));
 }
 
 #[test]
-fn restarts_are_ready_in_time_if_connections_to_discovery_never_come_up() {
-    let (full, _first) = FakeServer::with_full_backlog("discovery");
+fn restarts_are_ready_in_time_if_connections_to_discovery_are_never_established() {
+    let (full, _filler_client) = FakeServer::with_full_backlog("discovery");
     expect_restarts_ready(&Arc::new(full));
 }
 
-/// Discovery answers in turn, two seconds for each poll.
+/// Discovery responds to one poll at a time and takes two seconds for each.
 #[test]
 fn restarts_are_ready_in_time_if_discovery_is_slow() {
     let discovery = Arc::new(FakeServer::new("discovery"));
-    let (asked, over) = (discovery.clone(), Arc::new(AtomicBool::new(false)));
-    let (ends, turn) = (over.clone(), Arc::new(Mutex::new(())));
-    let takes = thread::spawn(move || {
-        while !ends.load(SeqCst) {
-            let Some(mut connection) = asked.try_accept() else {
+    let (accepting, is_stopped) = (discovery.clone(), Arc::new(AtomicBool::new(false)));
+    let (stop_flag, response_lock) = (is_stopped.clone(), Arc::new(Mutex::new(())));
+    let accept_thread = thread::spawn(move || {
+        while !stop_flag.load(SeqCst) {
+            let Some(mut connection) = accepting.try_accept() else {
                 thread::sleep(Duration::from_millis(1));
                 continue;
             };
-            let (turn, ends) = (turn.clone(), ends.clone());
+            let (response_lock, stop_flag) = (response_lock.clone(), stop_flag.clone());
             thread::spawn(move || {
                 connection.stream.set_read_timeout(None).unwrap();
-                while !read_request(&mut connection).is_empty() && !ends.load(SeqCst) {
-                    let _turn = turn.lock().unwrap();
+                while !read_request(&mut connection).is_empty() && !stop_flag.load(SeqCst) {
+                    let _responding = response_lock.lock().unwrap();
                     thread::sleep(Duration::from_millis(2000));
                     let _ = connection.stream.write_all(list_response(7, false, &[]).as_bytes());
                 }
@@ -123,31 +124,31 @@
         }
     });
     expect_restarts_ready(&discovery);
-    over.store(true, SeqCst);
-    takes.join().unwrap();
+    is_stopped.store(true, SeqCst);
+    accept_thread.join().unwrap();
 }
 
-/// A client of 20 ms is answered by a timer of its own, not by a tick up to 100 ms later.
+/// A client with a request timeout of 20 ms gets its response by a timer of its own, not by a tick up to 100 ms later.
 #[test]
 fn a_short_request_timeout_does_not_wait_for_a_tick_before_the_first_list() {
     let server = FakeServer::new("s1");
     let proxy = ProxyProcess::start(PUSHED_LIST, &[&server]);
-    let _never_answered = proxy.discovery.next_poll();
-    let answered_after = |i| {
-        let came = Instant::now();
+    let _unanswered = proxy.discovery.next_poll();
+    let response_time = |i| {
+        let started_at = Instant::now();
         let mut client = proxy.open_session(&format!("lift-{i}"), ",d=20");
         let response = client.read_line();
         assert!(response == "ERR" || response.starts_with("BUSY"), "{response}");
-        came.elapsed()
+        started_at.elapsed()
     };
-    let mut took: Vec<_> = (0..11).map(answered_after).collect();
+    let mut took: Vec<_> = (0..11).map(response_time).collect();
     took.sort();
-    assert!(took[5] < Duration::from_millis(50), "half of them: {took:?}");
+    assert!(took[5] < Duration::from_millis(50), "the median: {took:?}");
 }
 
-/// Servers that only the start-up file names can be dialled.
+/// In a fleet, servers that only the start-up file lists are used if no endpoint list is received in time.
 #[test]
-fn with_peers_and_no_list_in_time_the_start_files_servers_are_used() {
+fn in_a_fleet_without_a_list_in_time_the_startup_files_servers_are_used() {
     let peer = UdpSocket::bind("127.0.0.1:0").unwrap();
     let own = own_address();
     let file = tempfile::NamedTempFile::new().unwrap();
--- a/crates/proxy/tests/sockets/session_migration.rs
+++ b/crates/proxy/tests/sockets/session_migration.rs
@@ -1,19 +1,19 @@
-//! Sessions that migrate, and health checks of servers.
+//! Migration of sessions, and health checks of servers.
 
 use crate::harness::{FakeServer, ProxyProcess, Settings, DEFAULT};
 use std::time::{Duration, Instant};
 
 #[test]
-fn no_request_is_sent_to_a_server_that_drains_while_its_connection_comes_up() {
-    let (full, _first) = FakeServer::with_full_backlog("s1");
+fn no_request_is_sent_to_a_server_that_starts_draining_before_its_connection_is_established() {
+    let (full, _filler_client) = FakeServer::with_full_backlog("s1");
     let proxy = ProxyProcess::start(DEFAULT, &[&full]);
     let mut client = proxy.open_session("lift-1", ",d=4000");
     let _call = proxy.update_endpoints(&[full.endpoint("terminating")]);
-    let _held = full.accept();
-    // The connection comes up when the system next retries, or the attempt times out before.
+    let _filler = full.accept();
+    // The connection is established when the system next retries it, or the attempt times out before that.
     assert!(client.read_line().starts_with("BUSY "));
-    if let Some(mut late) = full.try_accept() {
-        assert_eq!(late.read_line(), "");
+    if let Some(mut upstream) = full.try_accept() {
+        assert_eq!(upstream.read_line(), "");
     }
 }
 
@@ -26,7 +26,7 @@
     assert_eq!(client.read_line(), "NEWS one");
     upstream.send("NEWS t");
     let _call = proxy.update_endpoints(&[server.endpoint("terminating")]);
-    assert!(!client.is_silent(), "the line begun passes at once");
+    assert!(!client.is_silent(), "the beginning of the line is forwarded at once");
     std::thread::sleep(Duration::from_millis(300));
     upstream.send("wo\r\nNEWS thr");
     assert_eq!((client.read_line(), client.read_line()), ("NEWS two".into(), "MOVE".into()));
@@ -34,14 +34,14 @@
 }
 
 #[test]
-fn a_session_of_a_silent_server_migrates_in_time() {
+fn a_session_of_an_unresponsive_server_migrates_in_time() {
     let server = FakeServer::new("s1");
     let proxy = ProxyProcess::start(DEFAULT, &[&server]);
     let (mut client, _upstream) = proxy.establish(&server);
-    let began = Instant::now();
+    let started_at = Instant::now();
     client.send("M 1\r\n");
     assert_eq!(client.read_line(), "MOVE");
-    assert!(began.elapsed() < Duration::from_secs(5));
+    assert!(started_at.elapsed() < Duration::from_secs(5));
 }
 
 #[test]
@@ -49,12 +49,12 @@
     let server = FakeServer::new("s1");
     let proxy = ProxyProcess::start(Settings { health_checks_allowed: true, ..DEFAULT }, &[&server]);
     let (mut client, _upstream) = proxy.establish(&server);
-    let mut probe = server.accept();
-    assert_eq!(probe.read_line(), "PING");
-    probe.send("PONG\r\n");
-    assert_eq!(probe.read_line(), "PING", "over the same connection");
+    let mut check = server.accept();
+    assert_eq!(check.read_line(), "PING");
+    check.send("PONG\r\n");
+    assert_eq!(check.read_line(), "PING", "over the same connection");
     std::thread::sleep(Duration::from_millis(400));
-    probe.send("PONG\r\n");
+    check.send("PONG\r\n");
     assert_eq!(client.read_line(), "MOVE");
 }
 
@@ -68,17 +68,17 @@
     let (mut client, mut upstream) = proxy.establish(&server);
     upstream.send("LOAD 61234.5\r\n");
     assert_eq!(client.read_line(), "LOAD 61234.5");
-    assert!(client.is_silent(), "a connection's load, and no cause to move");
-    // Past the time in which a health check would have come.
+    assert!(client.is_silent(), "the value is a connection load, which does not cause a migration");
+    // Longer than the time until the proxy would have sent a health check.
     std::thread::sleep(Duration::from_millis(300));
     upstream.send("LOAD 212.25\r\n");
     assert_eq!((client.read_line(), client.read_line()), ("LOAD 212.25".into(), "MOVE".into()));
     assert!(server.try_accept().is_none());
 }
 
-/// One of a hundred proxies knows no server's load: three are health-checked, and the first to answer gets the session.
+/// A proxy that knows no server's load sends health checks to three, and the first one to respond gets the session.
 #[test]
-fn the_first_server_to_answer_a_health_check_gets_the_session_and_the_checks_close() {
+fn the_first_server_to_respond_to_a_health_check_gets_the_session_and_the_checks_close() {
     let servers = ["s1", "s2", "s3"].map(FakeServer::new);
     let settings = Settings {
         health_checks_allowed: true,
@@ -91,7 +91,10 @@
     let mut client = proxy.open_session("lift-1", ",d=20000,g=bank");
     let mut checks = servers.each_ref().map(FakeServer::accept);
     checks.iter_mut().for_each(|check| assert_eq!(check.read_line(), "PING"));
-    assert!(servers.iter().all(|server| server.try_accept().is_none()), "nobody is connected to unasked");
+    assert!(
+        servers.iter().all(|server| server.try_accept().is_none()),
+        "no connection other than those of the health checks"
+    );
     checks[1].send("PONG\r\n");
     let (_upstream, line) = servers[1].accept_session();
     assert!(line.contains(" lift-1 "), "{line}");
--- a/crates/proxy/tests/sockets/shutdown_edge_cases.rs
+++ b/crates/proxy/tests/sockets/shutdown_edge_cases.rs
@@ -1,89 +1,89 @@
-//! Connections that are pending, in some stage, or in the backlog when the process is asked to shut down.
+//! Connections that are pending, established or in the backlog when the proxy is signalled to shut down.
 //!
-//! Whatever is unanswered 0.7 s after the longest request timeout of the clients, three seconds at most, is lost with the
-//! kill.
+//! The process is killed 0.7 s plus the longest request timeout of the clients, at most three seconds, after the signal.
+//! Clients without a response by then get none.
 
 use crate::harness::{list_response, read_request, FakeServer, ProxyProcess, Settings, DEFAULT, PUSHED_LIST};
 use rustix::process::Signal;
 use std::io::Write;
 use std::time::{Duration, Instant};
 
-/// Clients wait for 1.2 s at most, so that the process is killed 1.9 s after the signal.
-const HASTY: Settings = Settings { request_timeout_ms: 1200, ..DEFAULT };
+/// With request timeouts of at most 1.2 s the process is killed 1.9 s after the signal.
+const SHORT_TIMEOUTS: Settings = Settings { request_timeout_ms: 1200, ..DEFAULT };
 
-/// The shutdown's schedule follows from the settings' longest request timeout.
+/// The shutdown schedule follows from the longest request timeout in the settings.
 #[test]
 fn with_short_request_timeouts_all_sessions_are_answered_or_migrated_before_the_kill() {
     let server = FakeServer::new("s1");
-    let proxy = ProxyProcess::start(HASTY, &[&server]);
+    let proxy = ProxyProcess::start(SHORT_TIMEOUTS, &[&server]);
     let mut established: Vec<_> = (0..3).map(|_| proxy.establish(&server)).collect();
-    let mut asking = proxy.open_session("lift-2", ",d=1200");
-    let _never_answers = server.accept();
+    let mut waiting = proxy.open_session("lift-2", ",d=1200");
+    let _unanswered = server.accept();
     proxy.terminate();
     let signalled_at = Instant::now();
-    let mut late = proxy.open_session("lift-3", ",d=1200");
-    let _nor_here = server.accept();
+    let mut late_client = proxy.open_session("lift-3", ",d=1200");
+    let _also_unanswered = server.accept();
     for (client, _) in &mut established {
         assert_eq!((client.read_line(), client.read_line()), ("MOVE".into(), "".into()));
     }
     assert!(
         signalled_at.elapsed() > Duration::from_millis(600),
-        "not before it must: {:?}",
+        "sessions migrate no earlier than necessary: {:?}",
         signalled_at.elapsed()
     );
-    for client in [&mut asking, &mut late] {
+    for client in [&mut waiting, &mut late_client] {
         let response = client.read_line();
         assert!(response == "ERR" || response.starts_with("BUSY"), "{response}");
     }
-    drop((established, asking, late));
+    drop((established, waiting, late_client));
     let (code, log) = proxy.wait_for_exit();
     assert!(code == Some(0) && log.contains("invariant violations 0"), "{code:?} {log}");
     assert!(signalled_at.elapsed() < Duration::from_millis(1900), "{:?}", signalled_at.elapsed());
 }
 
-/// Connections without a first line keep the process from ending as soon as no session is left.
+/// Connections without a first line keep the process from exiting as soon as no session is left.
 #[test]
 fn connections_without_a_complete_first_line_are_served_during_shutdown() {
     let server = FakeServer::new("s1");
     let proxy = ProxyProcess::start(DEFAULT, &[&server]);
-    let mut silent = proxy.connect();
-    let mut half = proxy.connect();
-    half.send("OPEN 0123456789abcdef li");
-    // The answer to a health check shows that both are accepted.
+    let mut idle = proxy.connect();
+    let mut partial_line = proxy.connect();
+    partial_line.send("OPEN 0123456789abcdef li");
+    // The response to this health check shows that the proxy has accepted both connections.
     let mut front_end = proxy.connect();
     assert_eq!(front_end.send("PING\r\n").read_line(), "PONG");
     proxy.terminate();
     let signalled_at = Instant::now();
-    // Past the moment at which an idle process ends.
+    // Longer than the time after which a process without connections exits.
     std::thread::sleep(Duration::from_millis(900));
-    half.send("ft-1 c=alarm,d=2000\r\n");
+    partial_line.send("ft-1 c=alarm,d=2000\r\n");
     let (mut upstream, _) = server.accept_session();
-    assert_eq!(half.read_line(), "UP 0123");
-    half.shut_down_write();
+    assert_eq!(partial_line.read_line(), "UP 0123");
+    partial_line.shut_down_write();
     assert_eq!(upstream.read_line(), "");
     upstream.shut_down_write();
-    let response = silent.read_line();
+    let response = idle.read_line();
     assert!(response == "ERR" || response == "BUSY", "{response}");
-    drop((silent, half));
+    drop((idle, partial_line));
     assert_eq!(proxy.wait_for_exit().0, Some(0));
     assert!(signalled_at.elapsed() < Duration::from_millis(3700));
 }
 
-/// The buffer of a client that does not read is full, but has a reserve for `MOVE`.
+/// The buffer for a client that does not read fills up, but has reserved space for `MOVE`.
 #[test]
 fn a_client_that_stops_reading_gets_complete_lines_and_a_migration_at_shutdown() {
     let server = FakeServer::new("s1");
     let proxy = ProxyProcess::start(DEFAULT, &[&server]);
-    let (mut deaf, upstream) = proxy.establish(&server);
+    let (mut slow_reader, upstream) = proxy.establish(&server);
     upstream.stream.set_nonblocking(true).unwrap();
     let line = format!("NEWS {}\r\n", "x".repeat(90));
-    // Until nothing has been accepted for a moment.
-    let mut stuck = 0;
-    while stuck < 50 {
+    // Sends until nothing more is accepted for 250 ms.
+    let mut failed_writes = 0;
+    while failed_writes < 50 {
         match (&upstream.stream).write(line.repeat(10).as_bytes()) {
-            Ok(written) if written > 0 => stuck = 0,
+            Ok(written) if written > 0 => failed_writes = 0,
             _ => {
-                stuck += 1;
+                failed_writes += 1;
                 std::thread::sleep(Duration::from_millis(5));
             }
         }
@@ -93,31 +93,31 @@
     std::thread::sleep(Duration::from_millis(3000));
     let mut last = String::new();
     loop {
-        match deaf.read_line() {
-            heard if heard.is_empty() || heard == "reset" => break,
-            heard => last = heard,
+        match slow_reader.read_line() {
+            line if line.is_empty() || line == "reset" => break,
+            line => last = line,
         }
     }
     assert_eq!(last, "MOVE");
-    drop((deaf, upstream));
+    drop((slow_reader, upstream));
     assert_eq!(proxy.wait_for_exit().0, Some(0));
 }
 
-/// The proxy is suspended until its time has run out, with connections in the backlog.
+/// The proxy is suspended until after the shutdown deadline, with connections in the backlog.
 #[test]
 fn clients_in_the_backlog_at_the_shutdown_deadline_are_rejected() {
     let server = FakeServer::new("s1");
-    let mut proxy = ProxyProcess::start(HASTY, &[&server]);
+    let mut proxy = ProxyProcess::start(SHORT_TIMEOUTS, &[&server]);
     proxy.terminate();
     while !proxy.next_log_line().contains("shutdown requested") {}
     proxy.suspend();
     let mut waiting = proxy.open_session("lift-1", ",d=1200");
-    let mut silent = proxy.connect();
+    let mut idle = proxy.connect();
     std::thread::sleep(Duration::from_millis(1900));
     proxy.resume();
     assert_eq!((waiting.read_line(), waiting.read_line()), ("BUSY".into(), "".into()));
-    assert_eq!((silent.read_line(), silent.read_line()), ("BUSY".into(), "".into()));
-    assert!(server.try_accept().is_none(), "nothing is sent on that late");
+    assert_eq!((idle.read_line(), idle.read_line()), ("BUSY".into(), "".into()));
+    assert!(server.try_accept().is_none(), "no request is forwarded after the deadline");
     assert_eq!(proxy.wait_for_exit().0, Some(0));
 }
 
@@ -128,7 +128,7 @@
     let (mut client, _upstream) = proxy.establish(&server);
     proxy.terminate();
     let signalled_at = Instant::now();
-    let mut asking = proxy.open_session("lift-2", ",d=3000");
+    let mut waiting = proxy.open_session("lift-2", ",d=3000");
     let mut its_upstream = server.accept();
     assert!(its_upstream.read_line().starts_with("OPEN"));
     proxy.terminate();
@@ -136,26 +136,26 @@
     proxy.signal(Signal::TERM);
     std::thread::sleep(Duration::from_millis(300));
     its_upstream.send("UP 0123\r\n");
-    assert_eq!(asking.read_line(), "UP 0123");
+    assert_eq!(waiting.read_line(), "UP 0123");
     assert_eq!(client.read_line(), "MOVE");
     assert!(signalled_at.elapsed() > Duration::from_millis(1500), "{:?}", signalled_at.elapsed());
-    assert_eq!(asking.read_line(), "MOVE");
-    drop((client, asking));
+    assert_eq!(waiting.read_line(), "MOVE");
+    drop((client, waiting));
     assert_eq!(proxy.wait_for_exit().0, Some(0));
     assert!(signalled_at.elapsed() < Duration::from_millis(3700));
 }
 
 #[test]
 fn shutdown_before_the_first_endpoint_list_answers_waiting_clients() {
-    for heard in [true, false] {
+    for list_arrives in [true, false] {
         let server = FakeServer::new("s1");
         let proxy = ProxyProcess::start(PUSHED_LIST, &[&server]);
         let (mut call, _) = proxy.discovery.next_poll();
         let mut client = proxy.open_session("lift-1", ",d=1500");
         let mut front_end = proxy.connect();
-        assert!(front_end.send("PING\r\n").is_silent() && client.is_silent(), "the list is not heard yet");
+        assert!(front_end.send("PING\r\n").is_silent() && client.is_silent(), "there is no list yet");
         proxy.terminate();
-        if heard {
+        if list_arrives {
             call.send(&list_response(9, true, &[server.endpoint("in_service")]));
             read_request(&mut call);
         }
--- a/crates/proxy/tests/sockets/transient_syscall_errors.rs
+++ b/crates/proxy/tests/sockets/transient_syscall_errors.rs
@@ -1,11 +1,11 @@
-//! System calls that fail transiently, or transfer less than was asked for, as Linux documents.
+//! System calls that fail transiently or transfer fewer bytes than requested, as documented for Linux.
 
 use crate::failure_injection::{Call, Failure, Plan};
 use crate::harness::{wait_for, Connection, FakeServer, Settings, DEFAULT, TEST_TIMEOUT};
 use std::time::{Duration, Instant};
 
-/// Has a server answer each connection's first line with this, and close the connection, until the test is over.
-fn answer_all(server: FakeServer, response: &'static str) {
+/// Responds to the first line of each connection of the server and closes the connection, until the test ends.
+fn respond_to_all(server: FakeServer, response: &'static str) {
     std::thread::spawn(move || loop {
         match server.try_accept() {
             Some(mut connection) => {
@@ -18,16 +18,16 @@
     });
 }
 
-/// Expects a complete final response, and an orderly end behind it.
+/// Expects a complete final response, and an orderly close after it.
 #[track_caller]
-fn expect_final_answer(client: &mut Connection) {
+fn expect_final_response(client: &mut Connection) {
     let response = client.read_line();
     let is_final = response == "ERR" || response == "BUSY" || response.starts_with("BUSY ");
     assert!(is_final, "no final response: {response:?}");
     assert_eq!(client.read_line(), "", "after {response}");
 }
 
-/// Each short write is continued until the answer is complete.
+/// After a short write, the proxy writes the rest until the response is complete.
 #[test]
 fn short_writes_never_truncate_a_final_answer() {
     let plan = Plan::new();
@@ -35,38 +35,42 @@
     let entry = [server.endpoint("in_service")];
     let proxy = plan.start(Settings { idempotency: "once", ..DEFAULT }, &[&server]);
     plan.fail(Call::Send, 600, Failure::Short);
-    answer_all(server, "ERR\r\n");
+    respond_to_all(server, "ERR\r\n");
     let _watch = proxy.update_endpoints(&entry);
     for i in 0..40 {
-        expect_final_answer(&mut proxy.open_session(&format!("lift-{i}"), ",d=3000"));
-        expect_final_answer(proxy.connect().send("OPEN what\r\n"));
+        expect_final_response(&mut proxy.open_session(&format!("lift-{i}"), ",d=3000"));
+        expect_final_response(proxy.connect().send("OPEN what\r\n"));
         let mut front_end = proxy.connect();
         assert_eq!(front_end.send("PING\r\n").read_line(), "PONG");
         assert_eq!(front_end.send("PING\r\n").read_line(), "PONG");
     }
-    assert!(plan.failed(Call::Send) > 100, "writes were short");
+    assert!(plan.failed(Call::Send) > 100, "many writes must have been short");
     proxy.shut_down();
 }
 
-/// Accepting goes on past single failures.
+/// A single failure to accept must not stop the proxy from accepting further connections.
 #[test]
 fn transient_accept_errors_do_not_delay_clients() {
     for error in [libc::ECONNABORTED, libc::ENFILE, libc::ENOBUFS, libc::EPROTO, libc::ENETDOWN] {
         let plan = Plan::new();
         let server = FakeServer::new("s1");
         let proxy = plan.start(DEFAULT, &[&server]);
-        answer_all(server, "BUSY\r\n");
+        respond_to_all(server, "BUSY\r\n");
         plan.fail(Call::Accept, 300, Failure::Error(error));
-        let began = Instant::now();
+        let started_at = Instant::now();
         let mut clients: Vec<_> =
             (0..60).map(|i| proxy.open_session(&format!("lift-{i}"), ",d=1800")).collect();
-        clients.iter_mut().for_each(expect_final_answer);
-        assert!(began.elapsed() < Duration::from_millis(1500), "error {error}: {:?}", began.elapsed());
+        clients.iter_mut().for_each(expect_final_response);
+        assert!(
+            started_at.elapsed() < Duration::from_millis(1500),
+            "error {error}: {:?}",
+            started_at.elapsed()
+        );
         assert!(plan.failed(Call::Accept) > 10);
     }
 }
 
-/// A failure does not count as an empty backlog.
+/// A failure to accept must not be taken for an empty backlog.
 #[test]
 fn accept_errors_during_shutdown_leave_no_client_in_the_backlog() {
     for error in [libc::ENFILE, libc::ECONNABORTED] {
@@ -75,17 +79,17 @@
         // The process is killed 1.9 s after the signal.
         let proxy =
             plan.start(Settings { request_timeout_ms: 1200, max_descriptors: 1024, ..DEFAULT }, &[&server]);
-        answer_all(server, "BUSY\r\n");
+        respond_to_all(server, "BUSY\r\n");
         plan.fail(Call::Accept, 500, Failure::Error(error));
         proxy.terminate();
         let mut clients: Vec<_> =
             (0..240).map(|i| proxy.open_session(&format!("lift-{i}"), ",d=1200")).collect();
-        clients.iter_mut().for_each(expect_final_answer);
+        clients.iter_mut().for_each(expect_final_response);
         assert_eq!(proxy.wait_for_exit().0, Some(0));
     }
 }
 
-/// The rest of a `PING` is written after a short write.
+/// After a short write, the proxy writes the rest of the `PING`.
 #[test]
 fn short_writes_never_truncate_a_health_check() {
     let plan = Plan::new();
@@ -100,7 +104,7 @@
     }
 }
 
-/// A start that fails transiently is retried.
+/// A startup that fails transiently is retried.
 #[test]
 fn startup_survives_transient_syscall_errors() {
     let errors = [
@@ -122,7 +126,7 @@
     }
 }
 
-/// Options only improve a connection, and failing to set one does not close it.
+/// Socket options only improve a connection, so a failure to set one must not close it.
 #[test]
 fn a_client_is_served_if_socket_options_cannot_be_set() {
     let plan = Plan::new();
@@ -133,7 +137,7 @@
     assert!(plan.failed(Call::SetOption) > 0);
 }
 
-/// Lack of memory or buffers does not break a connection.
+/// A lack of memory or buffers leaves a connection intact.
 #[test]
 fn forwarding_resumes_after_buffer_shortages() {
     for (call, error) in [
@@ -146,13 +150,13 @@
         let server = FakeServer::new("s1");
         let proxy = plan.start(DEFAULT, &[&server]);
         let (mut client, mut upstream) = proxy.establish(&server);
-        let mut bad = proxy.connect();
-        assert_eq!(bad.send("PING\r\n").read_line(), "PONG");
+        let mut malformed = proxy.connect();
+        assert_eq!(malformed.send("PING\r\n").read_line(), "PONG");
         let before = plan.failed(call);
         plan.fail(call, 1000, Failure::Error(error));
         client.send("M 1\r\n");
         upstream.send("NEWS\r\n");
-        bad.send("NONSENSE\r\n");
+        malformed.send("NONSENSE\r\n");
         wait_for(TEST_TIMEOUT, || (plan.failed(call) > before + 3).then_some(()));
         std::thread::sleep(Duration::from_millis(100));
         plan.restore(call);
@@ -161,13 +165,17 @@
             ("M 1".into(), "NEWS".into()),
             "{call:?} {error}"
         );
-        assert_eq!((bad.read_line(), bad.read_line()), ("ERR".into(), "".into()), "{call:?} {error}");
+        assert_eq!(
+            (malformed.read_line(), malformed.read_line()),
+            ("ERR".into(), "".into()),
+            "{call:?} {error}"
+        );
         drop((client, upstream));
         proxy.shut_down();
     }
 }
 
-/// Lines and lists are reassembled whatever each read brings.
+/// Lines and endpoint lists are reassembled from reads of any length.
 #[test]
 fn short_reads_and_transient_errors_do_not_corrupt_lines() {
     let plan = Plan::new();
