--- a/crates/proxy/tests/sockets/soak/mod.rs
+++ b/crates/proxy/tests/sockets/soak/mod.rs
@@ -1,15 +1,15 @@
-//! A seeded soak test: a real process among servers that answer, refuse, hang, break and drain, a discovery that fails,
-//! system calls that fail, and clients that go on until the process is killed, at the earliest moment that is allowed.
+//! A seeded soak test of a real proxy process: servers accept, reject, hang, disconnect and drain, discovery and system
+//! calls fail, and clients continue until the process would be killed, at the earliest permitted time.
 //!
-//! `SOAK_SEEDS=60 cargo test -p shelfgrade-proxy --test sockets soak` plays more seeds than CI does.
+//! `SOAK_SEEDS=60 cargo test -p shelfgrade-proxy --test sockets soak` runs more seeds than CI does.
 
-mod stand_ins;
+mod fake_peers;
 
 use crate::failure_injection::{Call, Failure, Plan};
 use crate::harness::{FakeServer, ProxyProcess, Settings, DEFAULT};
+use fake_peers::{check_invariants, pause, run_client, run_discovery, run_server, Run, WINDOW_MS};
 use nanorand::{Rng, WyRand};
 use rustix::process::Signal;
-use stand_ins::{client, discovery, pause, rules, server, Run, WINDOW_MS};
 use std::sync::atomic::{AtomicBool, Ordering::SeqCst};
 use std::sync::{Arc, Mutex};
 use std::thread;
@@ -17,12 +17,13 @@
 
 const SERVERS: usize = 4;
 const CLIENTS: usize = 24;
-/// The process is killed this long after the signal and the clients' request timeout; new connections come for as long at
-/// most.
+/// The process would be killed this long plus the clients' request timeout after the signal. Clients open new connections
+/// for at most this long after the signal.
 const KILLED_AFTER: Duration = Duration::from_millis(700);
-const FRONT_NOTICES: Duration = Duration::from_millis(300);
+/// Time until the clients notice the shutdown and open no more connections.
+const SHUTDOWN_NOTICED_AFTER: Duration = Duration::from_millis(300);
 
-/// Has system calls fail at random rates.
+/// Makes system calls fail at random rates.
 fn inject_failures(plan: &Plan, rng: &mut WyRand) {
     let error =
         |numbers: &[i32], rng: &mut WyRand| Failure::Error(numbers[rng.generate_range(0..numbers.len())]);
@@ -39,11 +40,12 @@
         (Call::Socket, socket),
     ];
     for (call, failure) in calls {
-        let often = [0, 0, 50, 400][rng.generate_range(0..4_usize)];
-        plan.fail(call, often, failure);
+        let per_mille = [0, 0, 50, 400][rng.generate_range(0..4_usize)];
+        plan.fail(call, per_mille, failure);
     }
 }
 
+/// Runs the test with one seed. Returns the violations found.
 fn soak(seed: u64) -> Vec<String> {
     let mut rng = WyRand::new_seed(seed);
     let idempotency = ["repeatable", "by_key", "once"][rng.generate_range(0..3_usize)];
@@ -70,24 +72,24 @@
         idempotency,
         request_timeout: Duration::from_millis(request_timeout_ms),
         address: proxy.address,
-        seen: Mutex::default(),
-        front_has_left: AtomicBool::new(false),
-        over: AtomicBool::new(false),
+        observed: Mutex::default(),
+        clients_stop: AtomicBool::new(false),
+        peers_stop: AtomicBool::new(false),
     });
     let entries =
-        servers.iter().map(|place| ["in_service", "terminating"].map(|health| place.endpoint(health)));
-    let (entries, discovers, place) = (entries.collect(), run.clone(), proxy.discovery.clone());
-    thread::spawn(move || discovery(discovers, place, entries));
-    for (index, place) in servers.into_iter().enumerate() {
+        servers.iter().map(|server| ["in_service", "terminating"].map(|health| server.endpoint(health)));
+    let (entries, discovery_run, discovery) = (entries.collect(), run.clone(), proxy.discovery.clone());
+    thread::spawn(move || run_discovery(discovery_run, discovery, entries));
+    for (index, server) in servers.into_iter().enumerate() {
         let run = run.clone();
-        thread::spawn(move || server(run, index, place));
+        thread::spawn(move || run_server(run, index, server));
     }
     inject_failures(&plan, &mut rng);
     let idle_clients: Vec<_> = (0..if has_idle_clients { 120 } else { 0 }).map(|_| proxy.connect()).collect();
     let clients: Vec<_> = (0..CLIENTS as u64)
         .map(|index| {
             let run = run.clone();
-            thread::spawn(move || client(run, index))
+            thread::spawn(move || run_client(run, index))
         })
         .collect();
     for _ in 0..rng.generate_range(1..6_u32) {
@@ -103,28 +105,28 @@
     }
     shut_down(&run, proxy, &mut rng);
     clients.into_iter().for_each(|client| client.join().unwrap());
-    run.over.store(true, SeqCst);
+    run.peers_stop.store(true, SeqCst);
     drop(idle_clients);
-    rules(&run);
-    let mut seen = run.seen.lock().unwrap();
+    check_invariants(&run);
+    let mut observed = run.observed.lock().unwrap();
     println!(
-        "seed {seed}: {idempotency}, {request_timeout_ms} ms, {max_descriptors} max_descriptors: {} requests sent on, {} ended by servers, {} drained, {} calls failed",
-        seen.sent.len(),
-        seen.ended_by_server.len(),
-        seen.drains.len().min(1),
+        "seed {seed}: {idempotency}, {request_timeout_ms} ms, {max_descriptors} descriptors: {} requests forwarded, {} sessions ended by servers, {} servers drained, {} calls failed",
+        observed.received.len(),
+        observed.ended_by_server.len(),
+        observed.drains.len().min(1),
         [Call::Accept, Call::Connect, Call::Send, Call::Receive, Call::Socket].map(|call| plan.failed(call)).iter().sum::<u64>()
     );
-    std::mem::take(&mut seen.breaches)
+    std::mem::take(&mut observed.violations)
 }
 
-/// Suspends the proxy for as long as the rules allow.
+/// Suspends the proxy for 150 ms, the longest pause in which it must still meet its time limits.
 fn suspend_briefly(proxy: &ProxyProcess) {
     proxy.signal(Signal::STOP);
     pause(150);
     proxy.signal(Signal::CONT);
 }
 
-/// Sends signals in series, and kills the process at the earliest moment.
+/// Sends a series of signals, and expects that the proxy exits before the earliest time at which it would be killed.
 fn shut_down(run: &Run, mut proxy: ProxyProcess, rng: &mut WyRand) {
     proxy.terminate();
     let signalled_at = Instant::now();
@@ -135,31 +137,31 @@
             suspend_briefly(&proxy);
         }
     }
-    thread::sleep(FRONT_NOTICES.saturating_sub(signalled_at.elapsed()));
-    run.front_has_left.store(true, SeqCst);
+    thread::sleep(SHUTDOWN_NOTICED_AFTER.saturating_sub(signalled_at.elapsed()));
+    run.clients_stop.store(true, SeqCst);
     while signalled_at.elapsed() < run.request_timeout + KILLED_AFTER {
         if proxy.child.try_wait().unwrap().is_some() {
             let (code, log) = proxy.wait_for_exit();
             if code != Some(0) || log.contains("panicked") || log.contains("invariant violated") {
-                run.breach(format!("ended with {code:?}: {log}"));
+                run.report_violation(format!("the proxy exited with {code:?}: {log}"));
             }
             return;
         }
         pause(2);
     }
-    run.breach("it had to be killed".to_owned());
+    run.report_violation("the proxy did not exit before it would be killed".to_owned());
 }
 
 #[test]
-fn every_request_is_answered_and_no_rule_breaks_under_random_faults() {
-    const IN_CI: u64 = 12;
-    const SIDE_BY_SIDE: usize = 4;
-    let seeds = std::env::var("SOAK_SEEDS").ok().and_then(|seeds| seeds.parse().ok()).unwrap_or(IN_CI);
+fn every_request_is_answered_and_no_invariant_is_violated_under_random_faults() {
+    const SEEDS_IN_CI: u64 = 12;
+    const PARALLEL_RUNS: usize = 4;
+    let seeds = std::env::var("SOAK_SEEDS").ok().and_then(|seeds| seeds.parse().ok()).unwrap_or(SEEDS_IN_CI);
     let first: u64 = std::env::var("SOAK_FIRST").ok().and_then(|seed| seed.parse().ok()).unwrap_or(1);
-    let mut breaches = Vec::new();
-    for group in (first..first + seeds).collect::<Vec<_>>().chunks(SIDE_BY_SIDE) {
+    let mut violations = Vec::new();
+    for group in (first..first + seeds).collect::<Vec<_>>().chunks(PARALLEL_RUNS) {
         let runs: Vec<_> = group.iter().copied().map(|seed| thread::spawn(move || soak(seed))).collect();
-        runs.into_iter().for_each(|run| breaches.extend(run.join().unwrap()));
+        runs.into_iter().for_each(|run| violations.extend(run.join().unwrap()));
     }
-    assert!(breaches.is_empty(), "{} breaches:\n{}", breaches.len(), breaches.join("\n"));
+    assert!(violations.is_empty(), "{} violations:\n{}", violations.len(), violations.join("\n"));
 }
