--- a/crates/proxy/examples/failing_calls/main.rs
+++ b/crates/proxy/examples/failing_calls/main.rs
@@ -1,5 +1,6 @@
-//! A library to preload into the proxy under test. It makes system calls fail, or transfer fewer bytes than requested, at
-//! the rates given by the plan in the file that `SHELFGRADE_FAILING_CALLS` names. Without the variable no call fails.
+//! A library to preload into the proxy under test. It makes system calls fail, or transfer fewer bytes than requested,
+//! at the rates given by the plan in the file that `SHELFGRADE_FAILING_CALLS` names. Without the variable no call
+//! fails.
 //!
 //! Only calls through the C library are intercepted. The event loop makes its system calls directly.
 //!
@@ -92,15 +93,15 @@
 
 /// Defines a function that fails as planned, and otherwise calls the C library's function of the same name.
 macro_rules! failing {
-    ($call:ident, $symbol:literal, fn $name:ident($($argument:ident: $type:ty),*) -> $result:ty) => {
+    ($call:ident, $symbol:literal, fn $name:ident($($argument:ident: $argument_type:ty),*) -> $result:ty) => {
         /// # Safety
         /// The same as for the C library's function of this name.
         #[no_mangle]
-        pub unsafe extern "C" fn $name($($argument: $type),*) -> $result {
+        pub unsafe extern "C" fn $name($($argument: $argument_type),*) -> $result {
             match draw_outcome(Call::$call) {
                 Outcome::Fails => -1,
                 Outcome::Succeeds | Outcome::Short => {
-                    next!($symbol as unsafe extern "C" fn($($type),*) -> $result)($($argument),*)
+                    next!($symbol as unsafe extern "C" fn($($argument_type),*) -> $result)($($argument),*)
                 }
             }
         }
@@ -116,7 +117,8 @@
 failing!(Sync, c"fsync", fn fsync(file: c_int) -> c_int);
 failing!(Rename, c"rename", fn rename(old: *const c_char, new: *const c_char) -> c_int);
 
-/// Defines a function that transfers bytes on a connection, and as planned fails or transfers fewer bytes than requested.
+/// Defines a function that transfers bytes on a connection, and as planned fails or transfers fewer bytes than
+/// requested.
 macro_rules! transferring {
     ($call:ident, $symbol:literal, fn $name:ident($bytes:ty)) => {
         /// # Safety
--- a/crates/proxy/examples/failing_calls/plan.rs
+++ b/crates/proxy/examples/failing_calls/plan.rs
@@ -1,8 +1,8 @@
 //! The plan of which system calls fail, how often and how: a file that a test writes and the preloaded library reads.
 //!
-//! The file is an array of 64-bit words, two for each call. The first is the call's rule: the probability of a failure in
-//! thousandths in the upper 32 bits, and in the lower 32 bits the error number, or 0 for a short transfer. The second
-//! counts the failures.
+//! The file is an array of 64-bit words, two for each call. The first is the call's rule: the probability of a failure
+//! in thousandths in the upper 32 bits, and in the lower 32 bits the error number, or 0 for a short transfer. The
+//! second counts the failures.
 
 /// The environment variable with the path of the file.
 pub const PLAN_VARIABLE: &str = "SHELFGRADE_FAILING_CALLS";
--- a/crates/proxy/tests/sockets/client_abort_races.rs
+++ b/crates/proxy/tests/sockets/client_abort_races.rs
@@ -1,6 +1,6 @@
-//! Clients that disconnect at the moment when something else happens to their session, and other coinciding events after
-//! which the client must get exactly one final response. Both events occur while the proxy is suspended, in either order,
-//! and the proxy finds them together when it resumes.
+//! Clients that disconnect at the moment when something else happens to their session, and other coinciding events
+//! after which the client must get exactly one final response. Both events occur while the proxy is suspended, in
+//! either order, and the proxy finds them together when it resumes.
 
 use crate::harness::{
     list_response, wait_for, Connection, FakeServer, ProxyProcess, Settings, DEFAULT, PUSHED_LIST,
@@ -158,8 +158,8 @@
 #[test]
 fn no_request_for_a_client_that_disconnects_as_its_server_connection_is_established() {
     for client_first in [true, false] {
-        let (full, _filler_client) = FakeServer::with_full_backlog("s1");
-        let proxy = ProxyProcess::start(DEFAULT, &[&full]);
+        let (full_server, _filler_client) = FakeServer::with_full_backlog("s1");
+        let proxy = ProxyProcess::start(DEFAULT, &[&full_server]);
         let mut client = proxy.open_session("lift-1", ",d=6000");
         assert!(client.is_silent(), "the attempt is still connecting");
         proxy.suspend();
@@ -167,8 +167,8 @@
         if client_first {
             client.take();
         }
-        let _filler = full.accept();
-        let mut upstream = full.accept();
+        let _filler = full_server.accept();
+        let mut upstream = full_server.accept();
         client.take();
         proxy.resume();
         assert_eq!(upstream.read_line(), "");
@@ -210,7 +210,8 @@
     }
 }
 
-/// The server has started draining since the health check was sent. Its current state decides, not the one at that time.
+/// The server has started draining since the health check was sent. Its current state decides, not the one at that
+/// time.
 #[test]
 fn a_health_check_response_from_a_draining_server_gets_it_no_session() {
     for update_first in [true, false] {
@@ -268,19 +269,21 @@
     }
 }
 
-/// A server that closed the connection before any byte was written cannot have run the request, so requests of any class
-/// may be retried.
+/// A server that closed the connection before any byte was written cannot have run the request, so requests of any
+/// class may be retried.
 #[test]
 fn an_attempt_closed_before_its_first_line_was_written_is_safe_to_retry() {
     for by_reset in [true, false] {
-        let (full, _filler_client) = FakeServer::with_full_backlog("s1");
-        let proxy =
-            ProxyProcess::start(Settings { idempotency: "once", max_attempts: 1, ..DEFAULT }, &[&full]);
+        let (full_server, _filler_client) = FakeServer::with_full_backlog("s1");
+        let proxy = ProxyProcess::start(
+            Settings { idempotency: "once", max_attempts: 1, ..DEFAULT },
+            &[&full_server],
+        );
         let mut client = proxy.open_session("lift-1", ",d=6000");
         assert!(client.is_silent(), "the attempt is still connecting");
         proxy.suspend();
-        let _filler = full.accept();
-        let upstream = full.accept();
+        let _filler = full_server.accept();
+        let upstream = full_server.accept();
         if by_reset {
             upstream.reset();
         } else {
--- a/crates/proxy/tests/sockets/client_aborts.rs
+++ b/crates/proxy/tests/sockets/client_aborts.rs
@@ -1,6 +1,6 @@
-//! Clients that have disconnected at each point where a session waits between two turns of the event loop: no attempt may
-//! start for them. A half-close counts as a disconnect, since it is indistinguishable from a close; a client that still
-//! reads gets its final response.
+//! Clients that have disconnected at each point where a session waits between two turns of the event loop: no attempt
+//! may start for them. A half-close counts as a disconnect, since it is indistinguishable from a close; a client that
+//! still reads gets its final response.
 
 use crate::client_abort_races::{accept_attempt, got_connection_without_request, wait_for_event_loop};
 use crate::harness::{
@@ -60,7 +60,7 @@
 /// Guards against a reset instead of a FIN after the final response, which the system sends if a connection with unread
 /// client data is closed.
 #[test]
-fn a_final_answer_is_followed_by_fin_not_reset_after_excess_client_data() {
+fn a_final_response_is_followed_by_fin_not_reset_after_excess_client_data() {
     let excess_data = "M 1\r\n".repeat(8000);
     let server = FakeServer::new("s1");
     let proxy = ProxyProcess::start(DEFAULT, &[&server]);
@@ -163,7 +163,8 @@
     }
 }
 
-/// A session waits for the first list for at most half of its request timeout, which passes while the proxy is suspended.
+/// A session waits for the first list for at most half of its request timeout, which passes while the proxy is
+/// suspended.
 #[test]
 fn no_attempt_for_a_client_that_disconnected_before_its_list_wait_ended() {
     for how in ALL_DISCONNECTS {
@@ -211,8 +212,8 @@
 #[test]
 fn a_connecting_attempt_is_closed_when_its_client_disconnects() {
     for how in ALL_DISCONNECTS {
-        let (full, _filler_client) = FakeServer::with_full_backlog("s1");
-        let proxy = ProxyProcess::start(DEFAULT, &[&full]);
+        let (full_server, _filler_client) = FakeServer::with_full_backlog("s1");
+        let proxy = ProxyProcess::start(DEFAULT, &[&full_server]);
         let _watch = proxy.discovery.next_poll();
         let before = proxy.open_descriptors();
         let mut client = proxy.open_session("lift-1", ",d=6000");
--- a/crates/proxy/tests/sockets/concurrent_events.rs
+++ b/crates/proxy/tests/sockets/concurrent_events.rs
@@ -9,21 +9,21 @@
 #[test]
 fn no_request_is_sent_to_a_server_that_starts_draining_as_its_connection_is_established() {
     for update_first in [true, false] {
-        let (full, _filler_client) = FakeServer::with_full_backlog("s1");
-        let proxy = ProxyProcess::start(DEFAULT, &[&full]);
+        let (full_server, _filler_client) = FakeServer::with_full_backlog("s1");
+        let proxy = ProxyProcess::start(DEFAULT, &[&full_server]);
         let (mut watch, _) = proxy.discovery.next_poll();
         let mut client = proxy.open_session("lift-1", ",d=6000");
         assert!(client.is_silent(), "the attempt is still connecting");
         proxy.suspend();
         let mut send_update = || {
-            watch.send(&list_response(8, false, &[full.endpoint("terminating")]));
+            watch.send(&list_response(8, false, &[full_server.endpoint("terminating")]));
         };
         if update_first {
             send_update();
         }
         // The system retries the connection on its own.
-        let _filler = full.accept();
-        let mut upstream = full.accept();
+        let _filler = full_server.accept();
+        let mut upstream = full_server.accept();
         if !update_first {
             send_update();
         }
@@ -40,7 +40,7 @@
 #[test]
 fn no_retry_is_sent_after_the_idempotency_window_has_passed_while_connecting() {
     let first = FakeServer::new("s1");
-    let (full, _filler_client) = FakeServer::with_full_backlog("s2");
+    let (full_server, _filler_client) = FakeServer::with_full_backlog("s2");
     let proxy = ProxyProcess::start(
         Settings { idempotency: "by_key", idempotency_window_ms: 700, ..DEFAULT },
         &[&first],
@@ -49,13 +49,13 @@
     let mut client = proxy.open_session("lift-1", ",d=6000");
     let mut first_upstream = first.accept();
     assert!(first_upstream.read_line().starts_with("OPEN"));
-    watch.send(&list_response(8, false, &[full.endpoint("in_service")]));
+    watch.send(&list_response(8, false, &[full_server.endpoint("in_service")]));
     assert!(read_request(&mut watch).contains("index=8"));
     first_upstream.reset();
     assert!(client.is_silent(), "the second attempt is still connecting");
     std::thread::sleep(Duration::from_millis(800));
-    let _filler = full.accept();
-    let mut upstream = full.accept();
+    let _filler = full_server.accept();
+    let mut upstream = full_server.accept();
     assert_eq!(
         upstream.read_line(),
         "",
@@ -123,26 +123,26 @@
 /// The server that is listed again under the same id is another process at another address.
 #[test]
 fn a_server_relisted_under_its_id_gets_no_request_over_an_earlier_connection() {
-    let (full, _filler_client) = FakeServer::with_full_backlog("s1");
+    let (full_server, _filler_client) = FakeServer::with_full_backlog("s1");
     let relisted = FakeServer::new("s1");
-    let proxy = ProxyProcess::start(DEFAULT, &[&full]);
+    let proxy = ProxyProcess::start(DEFAULT, &[&full_server]);
     let (mut watch, _) = proxy.discovery.next_poll();
     let mut client = proxy.open_session("lift-1", ",d=6000");
     assert!(client.is_silent(), "the attempt is still connecting");
-    watch.send(&list_response(8, false, &[full.endpoint("terminated")]));
+    watch.send(&list_response(8, false, &[full_server.endpoint("terminated")]));
     assert!(read_request(&mut watch).contains("index=8"));
     watch.send(&list_response(9, false, &[relisted.endpoint("in_service")]));
     assert!(read_request(&mut watch).contains("index=9"));
-    let _filler = full.accept();
-    let mut upstream = full.accept();
+    let _filler = full_server.accept();
+    let mut upstream = full_server.accept();
     assert_eq!(upstream.read_line(), "");
     // The request was not sent, so it may be sent to the server that is listed now.
     let _server = relisted.accept_session();
     assert_eq!(client.read_line(), "UP 0123");
 }
 
-/// The server's response, in one case with the client's disconnect, has not been read yet when the shutdown deadline has
-/// passed.
+/// The server's response, in one case with the client's disconnect, has not been read yet when the shutdown deadline
+/// has passed.
 #[test]
 fn a_server_response_received_at_the_shutdown_deadline_is_the_final_response() {
     for client_disconnects in [false, true] {
--- a/crates/proxy/tests/sockets/descriptor_limits.rs
+++ b/crates/proxy/tests/sockets/descriptor_limits.rs
@@ -5,7 +5,7 @@
     list_response, read_request, wait_for, Connection, FakeServer, ProxyProcess, Settings, BINARY, DEFAULT,
     TEST_TIMEOUT,
 };
-use crate::readiness::own_address;
+use crate::readiness::unique_address;
 use std::io::{ErrorKind, Write};
 use std::net::{SocketAddr, TcpStream, UdpSocket};
 use std::process::Command;
@@ -21,8 +21,8 @@
 /// The flags `MSG_PEEK` and `MSG_DONTWAIT`.
 const PEEK_NONBLOCKING: i32 = 0x42;
 
-/// How long servers take to respond to a health check: much longer than the scheduling delays on a busy machine, so that
-/// the measured differences between servers stay small.
+/// How long servers take to respond to a health check: much longer than the scheduling delays on a busy machine, so
+/// that the measured differences between servers stay small.
 const HEALTH_CHECK_DELAY: Duration = Duration::from_millis(60);
 
 /// Which of the two descriptor limits is the lower one.
@@ -50,9 +50,9 @@
 }
 
 impl Servers {
-    fn start(number: usize) -> Arc<Self> {
+    fn start(count: usize) -> Arc<Self> {
         let servers = Arc::new(Servers {
-            listeners: (0..number).map(|i| FakeServer::new(&format!("s{i}"))).collect(),
+            listeners: (0..count).map(|i| FakeServer::new(&format!("s{i}"))).collect(),
             open_requests: AtomicUsize::new(0),
             health_check_connections: AtomicUsize::new(0),
             is_stopped: AtomicBool::new(false),
@@ -160,7 +160,7 @@
 
 /// Opens sessions until one is rejected for lack of descriptors; only that response has no retry delay. Returns the
 /// established sessions.
-fn open_until_full(proxy: &ProxyProcess) -> Vec<Connection> {
+fn open_until_rejected(proxy: &ProxyProcess) -> Vec<Connection> {
     let (mut established, mut last_response, started_at) = (Vec::new(), String::new(), Instant::now());
     loop {
         match try_open(proxy) {
@@ -229,7 +229,7 @@
             idle_clients: None,
         };
         if held_by != HeldBy::PendingConnections {
-            exhausted.established.extend(open_until_full(&exhausted.proxy));
+            exhausted.established.extend(open_until_rejected(&exhausted.proxy));
         }
         if held_by != HeldBy::Sessions {
             exhausted.idle_clients = Some(IdleClients::exhaust_descriptors(exhausted.proxy.address));
@@ -329,7 +329,7 @@
         for held_by in [HeldBy::PendingConnections, HeldBy::Sessions, HeldBy::Both] {
             let peer = UdpSocket::bind("127.0.0.1:0").unwrap();
             peer.set_read_timeout(Some(TEST_TIMEOUT)).unwrap();
-            let own = own_address();
+            let own = unique_address();
             let file = tempfile::NamedTempFile::new().unwrap();
             let other = peer.local_addr().unwrap();
             let text =
@@ -346,8 +346,8 @@
     }
 }
 
-/// Health check connections outlive the sessions that they were opened for, and count against the descriptor limit until
-/// they are closed.
+/// Health check connections outlive the sessions that they were opened for, and count against the descriptor limit
+/// until they are closed.
 #[test]
 fn health_checks_of_closed_sessions_free_their_descriptors() {
     let servers = Servers::start(60);
--- a/crates/proxy/tests/sockets/discovery_watches.rs
+++ b/crates/proxy/tests/sockets/discovery_watches.rs
@@ -1,5 +1,5 @@
-//! Watches that get no response, a trickling one, a reset or a rejection, for a single proxy and for many proxies with a
-//! slow discovery service.
+//! Watches that get no response, a trickling one, a reset or a rejection, for a single proxy and for many proxies with
+//! a slow discovery service.
 //!
 //! The staleness limits: six seconds after a watch became silent, four seconds after a reload with the address of a new
 //! discovery service, and no delay after the outage of the agent of a pushed list.
@@ -177,7 +177,8 @@
                 }
                 let wait = path.split("wait=").nth(1).and_then(|ms| ms.parse().ok()).unwrap_or(0);
                 if !is_first_request || !discovery.is_silent.load(Ordering::SeqCst) {
-                    // A watch without an update gets a response at the end of its wait, or none once the service is silent.
+                    // A watch without an update gets a response at the end of its wait, or none once the service is
+                    // silent.
                     discovery.watches.fetch_add(usize::from(is_first_request), Ordering::SeqCst);
                     thread::sleep(Duration::from_millis(wait));
                     if discovery.is_silent.load(Ordering::SeqCst) && path.contains("index=7") {
--- a/crates/proxy/tests/sockets/failure_injection.rs
+++ b/crates/proxy/tests/sockets/failure_injection.rs
@@ -1,5 +1,5 @@
-//! Fault injection: a proxy whose system calls fail as a plan specifies. This is the test's side of the preloaded library
-//! `failing_calls`.
+//! Fault injection: a proxy whose system calls fail as a plan specifies. This is the test's side of the preloaded
+//! library `failing_calls`.
 
 #[path = "../../examples/failing_calls/plan.rs"]
 mod plan;
--- a/crates/proxy/tests/sockets/file_errors.rs
+++ b/crates/proxy/tests/sockets/file_errors.rs
@@ -2,7 +2,7 @@
 
 use crate::failure_injection::{Call, Failure, Plan};
 use crate::harness::{wait_for, FakeServer, ProxyProcess, DEFAULT, TEST_TIMEOUT};
-use crate::readiness::own_address;
+use crate::readiness::unique_address;
 use std::fs;
 use std::path::Path;
 use std::sync::Arc;
@@ -11,7 +11,7 @@
 /// Starts a proxy with a fleet file and this state directory.
 fn start_with_state_dir(plan: &Plan, directory: &Path, known: &[&FakeServer]) -> ProxyProcess {
     let file = directory.join("fleet.toml");
-    let (own, other) = (own_address(), own_address());
+    let (own, other) = (unique_address(), unique_address());
     let text = format!(
         "fleet = \"f\"\nstate_dir = \"{}\"\nsave_every_ms = 100\nlist_wait_ms = 100\n[fellows]\nn0 = \"{own}\"\nn1 = \"{other}\"\n",
         directory.display()
--- a/crates/proxy/tests/sockets/forwarding.rs
+++ b/crates/proxy/tests/sockets/forwarding.rs
@@ -93,9 +93,9 @@
 
 #[test]
 fn an_attempt_that_times_out_while_connecting_is_safe_to_retry() {
-    let (full, _filler_client) = FakeServer::with_full_backlog("s1");
+    let (full_server, _filler_client) = FakeServer::with_full_backlog("s1");
     let once = Settings { idempotency: "once", dial_timeout_ms: 100, ..DEFAULT };
-    let proxy = ProxyProcess::start(once, &[&full]);
+    let proxy = ProxyProcess::start(once, &[&full_server]);
     let started_at = Instant::now();
     let mut client = proxy.open_session("lift-1", ",d=3000");
     let response = client.read_line();
--- a/crates/proxy/tests/sockets/graceful_shutdown.rs
+++ b/crates/proxy/tests/sockets/graceful_shutdown.rs
@@ -75,7 +75,7 @@
     }
 
     assert_eq!((established.read_line(), established.read_line()), ("MOVE".into(), "".into()));
-    // The server completes its line only while the migration waits for that.
+    // The server completes its line late, but within the time that the migration waits for it.
     its_upstream.send("wo\r\n");
     assert_eq!((inside_a_line.read_line(), inside_a_line.read_line()), ("NEWS two".into(), "MOVE".into()));
     let response = waiting.read_line();
--- a/crates/proxy/tests/sockets/harness.rs
+++ b/crates/proxy/tests/sockets/harness.rs
@@ -315,9 +315,9 @@
     /// Resumes the proxy once everything sent before is delivered. A busy system may delay the delivery of data, a FIN
     /// or a reset, but not beyond the end of a round trip that starts later.
     pub fn resume(&self) {
-        let echo = FakeServer::new("echo");
-        let mut round_trip = Connection::connect(echo.address);
-        echo.accept().send("done\r\n");
+        let peer = FakeServer::new("peer");
+        let mut round_trip = Connection::connect(peer.address);
+        peer.accept().send("done\r\n");
         assert_eq!(round_trip.read_line(), "done");
         let mut all = CpuSet::new();
         (0..CpuSet::MAX_CPU).for_each(|core| all.set(core));
--- a/crates/proxy/tests/sockets/mixed_deployment.rs
+++ b/crates/proxy/tests/sockets/mixed_deployment.rs
@@ -6,10 +6,10 @@
 use std::thread;
 
 /// Few proxies, customers with quotas, and servers that may be health-checked.
-const OLD: Settings =
+const OLD_DEPLOYMENT: Settings =
     Settings { health_checks_allowed: true, proxy_count: "3", customer_quota: "90", ..DEFAULT };
 /// More proxies than servers, no quotas, no health checks, and servers that report message latencies.
-const NEW: Settings =
+const NEW_DEPLOYMENT: Settings =
     Settings { servers_report_latency: true, proxy_count: "60", customer_quota: "null", ..DEFAULT };
 
 /// A request that a server has received.
@@ -59,7 +59,13 @@
 /// Starts two proxies of the old deployment and three of the new one.
 fn start_both_deployments(servers: &[Arc<FakeServer>]) -> Vec<(&'static str, ProxyProcess)> {
     let known: Vec<&FakeServer> = servers.iter().map(|server| &**server).collect();
-    let deployments = [("old", OLD), ("old", OLD), ("new", NEW), ("new", NEW), ("new", NEW)];
+    let deployments = [
+        ("old", OLD_DEPLOYMENT),
+        ("old", OLD_DEPLOYMENT),
+        ("new", NEW_DEPLOYMENT),
+        ("new", NEW_DEPLOYMENT),
+        ("new", NEW_DEPLOYMENT),
+    ];
     deployments
         .into_iter()
         .map(|(deployment, settings)| (deployment, ProxyProcess::start(settings, &known)))
@@ -100,8 +106,8 @@
     servers.iter().for_each(|server| serve(server.clone(), 20, received.clone()));
     let proxies = start_both_deployments(&servers[..4]);
     let established = open_sessions(&proxies, 60, "first");
-    // Of sixty clients, two fifths use the old deployment and three fifths the new one. The listed servers have capacity
-    // for eighty.
+    // Of sixty clients, two fifths use the old deployment and three fifths the new one. The listed servers have
+    // capacity for eighty.
     assert!(
         established["old"].len() >= 22 && established["new"].len() >= 34,
         "{} {}",
--- a/crates/proxy/tests/sockets/protocol_errors.rs
+++ b/crates/proxy/tests/sockets/protocol_errors.rs
@@ -111,8 +111,8 @@
     wait_for(remaining, || (proxy.open_descriptors() <= before + 3).then_some(()));
 }
 
-/// A connection that has sent a health check is closed after it was idle for two seconds. The requests arrive just before
-/// that, at the same time, and just after.
+/// A connection that has sent a health check is closed after it was idle for two seconds. The requests arrive just
+/// before that, at the same time, and just after.
 #[test]
 fn a_request_that_races_an_idle_timeout_gets_a_complete_response() {
     let server = FakeServer::new("s1");
@@ -133,18 +133,18 @@
         assert_eq!(client.send("PING\r\n").read_line(), "PONG");
         (client, Instant::now() + Duration::from_millis(1990 + 3 * i), i)
     };
-    let mut answers = [0, 0];
+    let mut response_counts = [0, 0];
     let idle_sessions: Vec<_> = (0..48).map(connect_idle).collect();
     for (mut client, at, i) in idle_sessions {
         std::thread::sleep(at.saturating_duration_since(Instant::now()));
         let _ = client.stream.write_all(format!("OPEN 9b1f03bb{i:08x} lift-1 c=alarm,d=3000\r\n").as_bytes());
         match client.read_line().as_str() {
-            "UP 0123" => answers[0] += 1,
-            "ERR" => answers[1] += 1,
+            "UP 0123" => response_counts[0] += 1,
+            "ERR" => response_counts[1] += 1,
             response => panic!("{response:?} {i}"),
         }
     }
-    assert!(answers[0] > 0 && answers[1] > 0, "before and after: {answers:?}");
+    assert!(response_counts[0] > 0 && response_counts[1] > 0, "before and after: {response_counts:?}");
 }
 
 #[test]
@@ -152,8 +152,8 @@
     let server = FakeServer::new("s1");
     let proxy = ProxyProcess::start(Settings { max_descriptors: 48, ..DEFAULT }, &[&server]);
     let before = proxy.open_descriptors();
-    // Of the 48 descriptors, 20 are used by these sessions, 3 are reserved for pending connections, 1 is for a health check
-    // and 24 are for everything else.
+    // Of the 48 descriptors, 20 are used by these sessions, 3 are reserved for pending connections, 1 is for a health
+    // check, and 24 are for the listener, discovery, the event loop and the log.
     let established: Vec<_> = (0..10).map(|_| proxy.establish(&server)).collect();
     let mut one_more = proxy.open_session("lift-9", ",d=3000");
     assert_eq!((one_more.read_line(), one_more.read_line()), ("BUSY".into(), "".into()));
--- a/crates/proxy/tests/sockets/readiness.rs
+++ b/crates/proxy/tests/sockets/readiness.rs
@@ -23,7 +23,7 @@
 
 /// A unique loopback address, with a port outside the range that the system assigns, so that it stays free between two
 /// incarnations of a proxy. A port assigned by the system could be taken by a proxy that another test starts.
-pub fn own_address() -> SocketAddr {
+pub fn unique_address() -> SocketAddr {
     const PORT: u16 = 7400;
     static NEXT: AtomicU8 = AtomicU8::new(1);
     let [_, _, high, low] = std::process::id().to_be_bytes();
@@ -42,7 +42,7 @@
 fn restart_time(discovery: Arc<FakeServer>, settings: Settings, with_idle_clients: bool) -> Duration {
     let server = FakeServer::new("s1");
     let mut first = ProxyProcess::start_with_discovery(discovery.clone(), settings, &[&server]);
-    let address = own_address();
+    let address = unique_address();
     let text = first.startup_file.replace("\"listen\":\"127.0.0.1:0\"", &format!("\"listen\":\"{address}\""));
     first.child.kill().unwrap();
     first.child.wait().unwrap();
@@ -96,8 +96,8 @@
 
 #[test]
 fn restarts_are_ready_in_time_if_connections_to_discovery_are_never_established() {
-    let (full, _filler_client) = FakeServer::with_full_backlog("discovery");
-    expect_restarts_ready(&Arc::new(full));
+    let (full_server, _filler_client) = FakeServer::with_full_backlog("discovery");
+    expect_restarts_ready(&Arc::new(full_server));
 }
 
 /// Discovery responds to one poll at a time and takes two seconds for each.
@@ -150,7 +150,7 @@
 #[test]
 fn in_a_fleet_without_a_list_in_time_the_startup_files_servers_are_used() {
     let peer = UdpSocket::bind("127.0.0.1:0").unwrap();
-    let own = own_address();
+    let own = unique_address();
     let file = tempfile::NamedTempFile::new().unwrap();
     let other = peer.local_addr().unwrap();
     let text = format!("fleet = \"f\"\nlist_wait_ms = 100\n[fellows]\nn0 = \"{own}\"\nn1 = \"{other}\"\n");
--- a/crates/proxy/tests/sockets/session_migration.rs
+++ b/crates/proxy/tests/sockets/session_migration.rs
@@ -5,14 +5,14 @@
 
 #[test]
 fn no_request_is_sent_to_a_server_that_starts_draining_before_its_connection_is_established() {
-    let (full, _filler_client) = FakeServer::with_full_backlog("s1");
-    let proxy = ProxyProcess::start(DEFAULT, &[&full]);
+    let (full_server, _filler_client) = FakeServer::with_full_backlog("s1");
+    let proxy = ProxyProcess::start(DEFAULT, &[&full_server]);
     let mut client = proxy.open_session("lift-1", ",d=4000");
-    let _call = proxy.update_endpoints(&[full.endpoint("terminating")]);
-    let _filler = full.accept();
+    let _call = proxy.update_endpoints(&[full_server.endpoint("terminating")]);
+    let _filler = full_server.accept();
     // The connection is established when the system next retries it, or the attempt times out before that.
     assert!(client.read_line().starts_with("BUSY "));
-    if let Some(mut upstream) = full.try_accept() {
+    if let Some(mut upstream) = full_server.try_accept() {
         assert_eq!(upstream.read_line(), "");
     }
 }
--- a/crates/proxy/tests/sockets/shutdown_edge_cases.rs
+++ b/crates/proxy/tests/sockets/shutdown_edge_cases.rs
@@ -1,7 +1,7 @@
 //! Connections that are pending, established or in the backlog when the proxy is signalled to shut down.
 //!
-//! The process is killed 0.7 s plus the longest request timeout of the clients, at most three seconds, after the signal.
-//! Clients without a response by then get none.
+//! The process is killed 0.7 s plus the longest request timeout of the clients, at most three seconds, after the
+//! signal. Clients without a response by then get none.
 
 use crate::harness::{list_response, read_request, FakeServer, ProxyProcess, Settings, DEFAULT, PUSHED_LIST};
 use rustix::process::Signal;
--- a/crates/proxy/tests/sockets/soak/fake_peers.rs
+++ b/crates/proxy/tests/sockets/soak/fake_peers.rs
@@ -1,4 +1,5 @@
-//! The fake servers, discovery service and clients of the soak test, and the invariants that their observations must meet.
+//! The fake servers, discovery service and clients of the soak test, and the invariants that their observations must
+//! meet.
 
 use crate::harness::{list_response, read_request, Connection, FakeServer};
 use nanorand::{Rng, WyRand};
@@ -259,8 +260,8 @@
     }
 }
 
-/// Reports each violation of an invariant in the observations: a non-idempotent request that was retried after it may have
-/// run, a keyed request that was retried after its idempotency window, and a request sent to a draining server.
+/// Reports each violation of an invariant in the observations: a non-idempotent request that was retried after it may
+/// have run, a keyed request that was retried after its idempotency window, and a request sent to a draining server.
 pub fn check_invariants(run: &Run) {
     let (received, drains) = {
         let observed = run.observed.lock().unwrap();
--- a/crates/proxy/tests/sockets/soak/mod.rs
+++ b/crates/proxy/tests/sockets/soak/mod.rs
@@ -17,8 +17,8 @@
 
 const SERVERS: usize = 4;
 const CLIENTS: usize = 24;
-/// The process would be killed this long plus the clients' request timeout after the signal. Clients open new connections
-/// for at most this long after the signal.
+/// The process would be killed this long plus the clients' request timeout after the signal. Clients open new
+/// connections for at most this long after the signal.
 const KILLED_AFTER: Duration = Duration::from_millis(700);
 /// Time until the clients notice the shutdown and open no more connections.
 const SHUTDOWN_NOTICED_AFTER: Duration = Duration::from_millis(300);
@@ -110,11 +110,15 @@
     check_invariants(&run);
     let mut observed = run.observed.lock().unwrap();
     println!(
-        "seed {seed}: {idempotency}, {request_timeout_ms} ms, {max_descriptors} descriptors: {} requests forwarded, {} sessions ended by servers, {} servers drained, {} calls failed",
+        "seed {seed}: {idempotency}, {request_timeout_ms} ms, {max_descriptors} descriptors: \
+        {} requests forwarded, {} sessions ended by servers, {} servers drained, {} calls failed",
         observed.received.len(),
         observed.ended_by_server.len(),
         observed.drains.len().min(1),
-        [Call::Accept, Call::Connect, Call::Send, Call::Receive, Call::Socket].map(|call| plan.failed(call)).iter().sum::<u64>()
+        [Call::Accept, Call::Connect, Call::Send, Call::Receive, Call::Socket]
+            .map(|call| plan.failed(call))
+            .iter()
+            .sum::<u64>()
     );
     std::mem::take(&mut observed.violations)
 }
--- a/crates/proxy/tests/sockets/transient_syscall_errors.rs
+++ b/crates/proxy/tests/sockets/transient_syscall_errors.rs
@@ -29,7 +29,7 @@
 
 /// After a short write, the proxy writes the rest until the response is complete.
 #[test]
-fn short_writes_never_truncate_a_final_answer() {
+fn short_writes_never_truncate_a_final_response() {
     let plan = Plan::new();
     let server = FakeServer::new("s1");
     let entry = [server.endpoint("in_service")];
--- a/crates/proxy/tests/sockets/wall_clock.rs
+++ b/crates/proxy/tests/sockets/wall_clock.rs
@@ -1,4 +1,5 @@
-//! Slow start on a machine whose wall clock is wrong by up to an hour: the start times of servers are given in Unix time.
+//! Slow start on a machine whose wall clock is wrong by up to an hour: the start times of servers are given in Unix
+//! time.
 
 use crate::failure_injection::Plan;
 use crate::harness::{list_response, read_request, FakeServer, ProxyProcess, Settings, DEFAULT};
@@ -61,9 +62,9 @@
     InStartFile,
 }
 
-/// The percentage of sessions that a server receives, besides two servers after their slow start: first in the 1.2 s after
-/// its start, then after its slow start. The proxy's wall clock is ahead by `ahead_ms` when it starts.
-fn sessions_received(ahead_ms: i64, announced: Announced) -> [usize; 2] {
+/// The percentage of sessions that a server receives, besides two servers after their slow start: first in the 1.2 s
+/// after its start, then after its slow start. The proxy's wall clock is ahead by `ahead_ms` when it starts.
+fn percentages_received(ahead_ms: i64, announced: Announced) -> [usize; 2] {
     let plan = Plan::new();
     let (first_warm, second_warm, started) =
         (FakeServer::new("s1"), FakeServer::new("s2"), FakeServer::new("s3"));
@@ -111,7 +112,7 @@
 /// Expects a slow start with each of these wall clock offsets, in parallel.
 fn expect_slow_start<const N: usize>(ahead_ms: [i64; N], announced: Announced) {
     let measured =
-        ahead_ms.map(|ahead_ms| std::thread::spawn(move || sessions_received(ahead_ms, announced)));
+        ahead_ms.map(|ahead_ms| std::thread::spawn(move || percentages_received(ahead_ms, announced)));
     for (measured, ahead_ms) in measured.into_iter().zip(ahead_ms) {
         let [during, after] = measured.join().unwrap();
         let context =
--- a/crates/proxy/tests/unit/clock.rs
+++ b/crates/proxy/tests/unit/clock.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn the_clock_reads_unix_time_and_goes_forward() {
+fn the_clock_reads_unix_time_and_advances() {
     let clock = Clock::start();
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_secs_f64() * 1000.0;
     let first = clock.now();
