--- a/crates/testkit/tests/customers.rs
+++ b/crates/testkit/tests/customers.rs
@@ -1,4 +1,4 @@
-//! Customers' namespaces in a fleet of real processes.
+//! Namespaces and grants of customers in a fleet of real processes.
 
 use rustix::process::Signal;
 use shelfgrade_testkit::clients::{ALARM, CUSTOMERS};
@@ -39,103 +39,150 @@
 name = "all"
 "#;
 
-/// One trial at a time: each wants the machine's cores for its processes.
-static CORES: tokio::sync::Mutex<()> = tokio::sync::Mutex::const_new(());
+/// Serializes the tests: each trial needs the machine's cores for its processes.
+static TRIAL_LOCK: tokio::sync::Mutex<()> = tokio::sync::Mutex::const_new(());
 
-/// The servers that a customer's sessions of some request classes were sent to since a moment.
-fn servers(trial: &Trial, customer: usize, class: Option<usize>, since: Duration) -> BTreeSet<usize> {
-    let seen = trial.recorder.observations();
-    let its = |id: &u64| {
-        seen.requests.get(id).is_some_and(|t| {
-            t.customer == customer && class.is_none_or(|class| t.class == class) && t.at >= since
+/// The servers that received a customer's requests sent since `since`; those of one class only, if given.
+fn servers_used(trial: &Trial, customer: usize, class: Option<usize>, since: Duration) -> BTreeSet<usize> {
+    let observations = trial.recorder.observations();
+    let is_selected = |id: &u64| {
+        observations.requests.get(id).is_some_and(|request| {
+            request.customer == customer
+                && class.is_none_or(|class| request.class == class)
+                && request.at >= since
         })
     };
-    seen.forwarded.iter().filter(|sent| its(&sent.id)).map(|sent| sent.server).collect()
+    observations
+        .forwarded
+        .iter()
+        .filter(|forwarded| is_selected(&forwarded.id))
+        .map(|forwarded| forwarded.server)
+        .collect()
 }
 
-/// Tries of a customer's since a moment: how many stood, and how many did not.
-fn fared(trial: &Trial, customer: usize, since: Duration) -> (usize, usize) {
-    let seen = trial.recorder.observations();
-    let its =
-        seen.requests.values().filter(|t| t.customer == customer && t.at >= since && !t.answers.is_empty());
-    let up =
+/// Of a customer's answered requests since `since`: how many established a session, and how many did not.
+fn count_outcomes(trial: &Trial, customer: usize, since: Duration) -> (usize, usize) {
+    let observations = trial.recorder.observations();
+    let answered = observations
+        .requests
+        .values()
+        .filter(|request| request.customer == customer && request.at >= since && !request.answers.is_empty());
+    let is_established =
         |answers: &[(Duration, String)]| answers.first().is_some_and(|(_, answer)| answer.starts_with("UP"));
-    its.fold((0, 0), |(stood, not), t| if up(&t.answers) { (stood + 1, not) } else { (stood, not + 1) })
+    answered.fold((0, 0), |(established, not_established), request| {
+        if is_established(&request.answers) {
+            (established + 1, not_established)
+        } else {
+            (established, not_established + 1)
+        }
+    })
 }
 
-/// One process has the files and all go by them; one customer's storm, and its bad rules, are nobody else's.
+/// Namespace files that only one process has apply to the whole fleet. A burst of requests from one customer and an
+/// invalid version of its file do not affect the other customers.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn one_customers_rules_and_storm_leave_all_others_as_they_were() {
-    let _cores = CORES.lock().await;
+async fn one_customers_rules_and_request_burst_do_not_affect_other_customers() {
+    let _guard = TRIAL_LOCK.lock().await;
     let mut trial = Trial::new(TrialConfig { seed: 6, clients: 160, ..SMALL }).await;
     trial.write_namespaces(2, &[("grants.toml", GRANTS), ("msasani.toml", MSASANI), ("upanga.toml", UPANGA)]);
     (0..SMALL.processes).for_each(|index| trial.start(index));
     trial.wait_until_ready(SMALL.processes).await;
-    let in_force = |trial: &mut Trial| {
+    let are_active = |trial: &mut Trial| {
         trial.processes.iter().all(|process| {
             ["msasani", "upanga"]
                 .iter()
                 .all(|name| process.log().contains(&format!("namespace of {name}: version 1 is in")))
         })
     };
-    trial.wait_until(Duration::from_secs(10), "namespaces are in force everywhere", in_force).await;
+    trial.wait_until(Duration::from_secs(10), "the namespaces are active in all processes", are_active).await;
     trial.start_clients(Duration::from_millis(1500));
-    let most = trial.config.clients * 98 / 100;
+    let most_clients = trial.config.clients * 98 / 100;
     trial
-        .wait_until(Duration::from_secs(20), "all clients stand", |trial| trial.session_count() >= most)
+        .wait_until(Duration::from_secs(20), "98% of the clients have a session", |trial| {
+            trial.session_count() >= most_clients
+        })
         .await;
-    let began = Duration::ZERO;
-    assert_eq!(servers(&trial, 0, Some(ALARM), began), BTreeSet::from([0]), "msasani's alarms");
-    assert!(servers(&trial, 0, None, began).iter().all(|server| *server < 4), "and the rest");
-    assert!(servers(&trial, 2, None, began).iter().all(|server| *server >= 6), "upanga");
-    assert!(servers(&trial, 1, None, began).len() >= 6, "posta has no namespace, and goes anywhere");
+    let start = Duration::ZERO;
+    assert_eq!(
+        servers_used(&trial, 0, Some(ALARM), start),
+        BTreeSet::from([0]),
+        "alarms of msasani go to server 0"
+    );
+    assert!(
+        servers_used(&trial, 0, None, start).iter().all(|server| *server < 4),
+        "msasani uses servers 0 to 3 only"
+    );
+    assert!(
+        servers_used(&trial, 2, None, start).iter().all(|server| *server >= 6),
+        "upanga uses servers 6 and 7 only"
+    );
+    assert!(
+        servers_used(&trial, 1, None, start).len() >= 6,
+        "posta has no namespace and may use all servers"
+    );
 
-    // Four hundred of upanga's come at once, where there is room for sixty; and somebody breaks upanga's file.
-    let bad = UPANGA.replace("version = 1", "version = 2").replace("\"all\"", "\"all\"\nroom = 900");
-    trial.write_namespaces(2, &[("upanga.toml", &bad)]);
+    // 400 clients of upanga connect at once, although it is granted 60 connections; and a new version of its file is
+    // invalid.
+    let invalid = UPANGA.replace("version = 1", "version = 2").replace("\"all\"", "\"all\"\nroom = 900");
+    trial.write_namespaces(2, &[("upanga.toml", &invalid)]);
     trial.processes[2].signal(Signal::HUP);
-    let storm = trial.recorder.now();
-    let crowd = trial.start_client_burst(2, 400);
+    let burst_began = trial.recorder.now();
+    let burst = trial.start_client_burst(2, 400);
     sleep(Duration::from_millis(6000)).await;
-    let held = trial.servers[6].connection_count() + trial.servers[7].connection_count();
-    assert!(held <= 80, "their room: {held}");
-    assert!(servers(&trial, 2, None, storm).iter().all(|server| *server >= 6), "nowhere else");
+    let connections = trial.servers[6].connection_count() + trial.servers[7].connection_count();
+    assert!(connections <= 80, "the grant limits upanga: {connections} connections");
+    assert!(
+        servers_used(&trial, 2, None, burst_began).iter().all(|server| *server >= 6),
+        "upanga uses servers 6 and 7 only during the burst"
+    );
     for customer in [0, 1] {
-        let (stood, not) = fared(&trial, customer, storm);
-        assert!(not <= stood.max(4), "{}: {stood} stood, {not} did not", CUSTOMERS[customer].0);
+        let (established, not_established) = count_outcomes(&trial, customer, burst_began);
+        assert!(
+            not_established <= established.max(4),
+            "{}: {established} sessions established, {not_established} requests without one",
+            CUSTOMERS[customer].0
+        );
     }
-    let told = |trial: &mut Trial| trial.processes[2].log().contains("rule all, room: more than the 60");
-    trial.wait_until(Duration::from_secs(5), "the bad file is named", told).await;
+    let is_reported =
+        |trial: &mut Trial| trial.processes[2].log().contains("rule all, room: more than the 60");
+    trial.wait_until(Duration::from_secs(5), "the invalid file is reported", is_reported).await;
     assert!(!trial.processes.iter().any(|process| process.log().contains("upanga: version 2 is in force")));
-    crowd.stop();
+    burst.stop();
 
-    // A good one comes into force by itself, everywhere; who stands stays.
-    let moved = MSASANI.replace("version = 1", "version = 2").replace("[\"s-000\"]", "[\"s-001\"]");
-    trial.write_namespaces(2, &[("msasani.toml", &moved)]);
-    let stood = trial.servers[0].connection_count();
+    // A valid new version becomes active in all processes by itself, and established sessions stay where they are.
+    let updated = MSASANI.replace("version = 1", "version = 2").replace("[\"s-000\"]", "[\"s-001\"]");
+    trial.write_namespaces(2, &[("msasani.toml", &updated)]);
+    let connections_before = trial.servers[0].connection_count();
     trial.processes[2].signal(Signal::HUP);
-    let in_force = |trial: &mut Trial| {
+    let is_active = |trial: &mut Trial| {
         trial
             .processes
             .iter()
             .all(|process| process.log().contains("namespace of msasani: version 2 is in force"))
     };
-    trial.wait_until(Duration::from_secs(10), "the new version is in force everywhere", in_force).await;
-    let since = trial.recorder.now();
-    assert!(trial.servers[0].connection_count() >= stood.saturating_sub(2), "nobody is moved for it");
-    let more = trial.start_client_burst(0, 30);
+    trial.wait_until(Duration::from_secs(10), "the new version is active in all processes", is_active).await;
+    let updated_at = trial.recorder.now();
+    assert!(
+        trial.servers[0].connection_count() >= connections_before.saturating_sub(2),
+        "a new version must not migrate sessions"
+    );
+    let new_clients = trial.start_client_burst(0, 30);
     sleep(Duration::from_millis(2500)).await;
-    assert!(!servers(&trial, 0, Some(ALARM), since).contains(&0), "new ones go by the new version");
-    more.stop();
+    assert!(
+        !servers_used(&trial, 0, Some(ALARM), updated_at).contains(&0),
+        "new sessions follow the new version"
+    );
+    new_clients.stop();
     trial.finish().await;
 }
 
-/// Two customers share all servers, and others go there too: a cold server is one cold server, with one share.
+/// Two customers are granted all servers, which other customers use too: the slow start of a server limits the requests
+/// of all customers together.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
-async fn after_a_loss_of_power_customers_that_share_servers_do_not_push_them_over() {
-    let _cores = CORES.lock().await;
+async fn customers_that_share_servers_do_not_overload_them_after_a_power_loss() {
+    let _guard = TRIAL_LOCK.lock().await;
     let mut trial = Trial::new(TrialConfig { seed: 8, clients: 220, ..SMALL }).await;
-    let shared = r#"
+    let shared_grants = r#"
 version = 1
 others = 70
 [[grant]]
@@ -145,21 +192,38 @@
 customer = "upanga"
 room = 70
 "#;
-    let all = MSASANI.split("[[rule]]").next().unwrap().to_owned() + "[[rule]]\nname = \"all\"\n";
-    trial.write_namespaces(0, &[("grants.toml", shared), ("msasani.toml", &all), ("upanga.toml", UPANGA)]);
+    let msasani = MSASANI.split("[[rule]]").next().unwrap().to_owned() + "[[rule]]\nname = \"all\"\n";
+    trial.write_namespaces(
+        0,
+        &[("grants.toml", shared_grants), ("msasani.toml", &msasani), ("upanga.toml", UPANGA)],
+    );
     (0..SMALL.processes).for_each(|index| trial.start(index));
     trial.wait_until_ready(SMALL.processes).await;
     trial.start_clients(Duration::from_millis(1500));
-    let most = trial.config.clients * 95 / 100;
-    trial.wait_until(Duration::from_secs(25), "clients stand", |trial| trial.session_count() >= most).await;
+    let most_clients = trial.config.clients * 95 / 100;
+    trial
+        .wait_until(Duration::from_secs(25), "95% of the clients have a session", |trial| {
+            trial.session_count() >= most_clients
+        })
+        .await;
     sleep(Duration::from_millis(1500)).await;
     trial.cut_power();
     sleep(Duration::from_millis(800)).await;
     trial.restore_servers();
     (0..SMALL.processes).for_each(|index| trial.start(index));
-    let in_force =
+    let is_active_again =
         |trial: &mut Trial| trial.processes[3].log().matches("namespace of upanga: version 1").count() >= 2;
-    trial.wait_until(Duration::from_secs(10), "namespaces outlive it", in_force).await;
-    trial.wait_until(Duration::from_secs(30), "service is back", |trial| trial.session_count() >= most).await;
+    trial
+        .wait_until(
+            Duration::from_secs(10),
+            "the namespaces are active again after the power loss",
+            is_active_again,
+        )
+        .await;
+    trial
+        .wait_until(Duration::from_secs(30), "95% of the clients have a session again", |trial| {
+            trial.session_count() >= most_clients
+        })
+        .await;
     trial.finish().await;
 }
