--- a/crates/testkit/tests/slopes.rs
+++ b/crates/testkit/tests/slopes.rs
@@ -1,5 +1,6 @@
-//! How what a process sends, knows and waits for grows with the fleet: hollow processes in 6 regions and 16 zones, small
-//! enough for every change. The shape is looked at, and no time of the machine's. `examples/hollow.rs` has the sizes.
+//! How traffic, state and convergence times grow with the size of a fleet: hollow nodes in 6 regions and 16 zones, in
+//! fleets small enough to test on every change. Only growth is checked, not times measured on the machine.
+//! `examples/hollow.rs` measures large fleets.
 
 use shelfgrade::time::DurationExt;
 use shelfgrade_testkit::hollow_node::{node_name, roster, HollowNode};
@@ -11,32 +12,34 @@
 use std::net::UdpSocket;
 use std::time::{Duration, Instant};
 
-const USUAL: NetworkConditions = NetworkConditions { lost_percent: 2, duplicated_percent: 1 };
-const STEP: Duration = Duration::from_millis(100);
+const TYPICAL_NETWORK: NetworkConditions = NetworkConditions { lost_percent: 2, duplicated_percent: 1 };
+/// The interval between two checks of a condition.
+const CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-fn started(size: usize) -> Simulation<HollowNode> {
-    let mut all = Simulation::new(Topology::new(&SIX_REGIONS, size, 7), USUAL, 2, 7);
+fn start_fleet(size: usize) -> Simulation<HollowNode> {
+    let mut simulation = Simulation::new(Topology::new(&SIX_REGIONS, size, 7), TYPICAL_NETWORK, 2, 7);
     let roster = roster(size);
-    all.start(0..size, move |process, now| HollowNode::new(&roster, &node_name(process), 1, now));
-    all
+    simulation.start(0..size, move |process, now| HollowNode::new(&roster, &node_name(process), 1, now));
+    simulation
 }
 
-fn until(
-    all: &mut Simulation<HollowNode>,
-    most_ms: f64,
+/// Runs until `holds` is true, and returns how many milliseconds that took; panics after `limit_ms`.
+fn run_until(
+    simulation: &mut Simulation<HollowNode>,
+    limit_ms: f64,
     holds: impl Fn(&Simulation<HollowNode>) -> bool,
 ) -> f64 {
-    let began = all.now();
-    while !holds(all) {
-        all.run_for(STEP);
-        assert!(all.now().since(began).as_ms() <= most_ms, "not within {most_ms} ms");
+    let began = simulation.now();
+    while !holds(simulation) {
+        simulation.run_for(CHECK_INTERVAL);
+        assert!(simulation.now().since(began).as_ms() <= limit_ms, "condition not met within {limit_ms} ms");
     }
-    all.now().since(began).as_ms()
+    simulation.now().since(began).as_ms()
 }
 
-/// Bytes and datagrams that one process sends on the mean, since the beginning.
-fn sent(all: &Simulation<HollowNode>) -> (f64, f64) {
-    let usage = all.usage();
+/// The mean numbers of bytes and datagrams that a process has sent since the start.
+fn mean_sent(simulation: &Simulation<HollowNode>) -> (f64, f64) {
+    let usage = simulation.usage();
     let sum =
         |of: fn(&shelfgrade_testkit::simulation::Usage) -> u64| usage.iter().map(of).sum::<u64>() as f64;
     (
@@ -45,18 +48,18 @@
     )
 }
 
-fn put(all: &mut Simulation<HollowNode>, process: usize, number: usize, kind: &'static str) {
-    all.with_core(process, move |hollow, _, out| {
-        for i in 0..number {
-            hollow
-                .with_fleet(out, |fleet, environment| fleet.put(&format!("{kind}/{i}"), &i, environment))
-                .expect("put");
+fn put_entries(simulation: &mut Simulation<HollowNode>, process: usize, count: usize, prefix: &'static str) {
+    simulation.with_core(process, move |node, _, out| {
+        for i in 0..count {
+            node.with_fleet(out, |fleet, environment| fleet.put(&format!("{prefix}/{i}"), &i, environment))
+                .expect("entry is accepted");
         }
     });
 }
 
-fn agree(all: &Simulation<HollowNode>) -> bool {
-    all.map_running(|_, hollow| hollow.fleet.state_digest())
+fn has_converged(simulation: &Simulation<HollowNode>) -> bool {
+    simulation
+        .map_running(|_, node| node.fleet.state_digest())
         .into_iter()
         .map(|(_, state)| state)
         .collect::<BTreeSet<_>>()
@@ -65,13 +68,13 @@
 }
 
 #[test]
-fn at_rest_a_process_sends_as_much_in_a_fleet_four_times_the_size() {
+fn idle_traffic_per_process_is_constant_when_the_fleet_quadruples() {
     let figures = [64, 256].map(|size| {
-        let mut all = started(size);
-        all.run_for(Duration::from_millis(30_000));
-        let before = sent(&all);
-        all.run_for(Duration::from_millis(10_000));
-        let after = sent(&all);
+        let mut simulation = start_fleet(size);
+        simulation.run_for(Duration::from_millis(30_000));
+        let before = mean_sent(&simulation);
+        simulation.run_for(Duration::from_millis(10_000));
+        let after = mean_sent(&simulation);
         ((after.0 - before.0) / 10.0, (after.1 - before.1) / 10.0)
     });
     let [small, large] = figures;
@@ -80,84 +83,93 @@
 }
 
 #[test]
-fn a_change_takes_a_few_rounds_more_in_a_fleet_four_times_the_size() {
+fn change_propagates_in_a_few_more_gossip_rounds_when_the_fleet_quadruples() {
     let figures = [64, 256].map(|size| {
-        let mut all = started(size);
-        all.run_for(Duration::from_millis(10_000));
-        put(&mut all, 3, 1, "change");
-        until(&mut all, 20_000.0, |all| {
-            all.map_running(|_, hollow| hollow.fleet.version("change/0").is_some())
+        let mut simulation = start_fleet(size);
+        simulation.run_for(Duration::from_millis(10_000));
+        put_entries(&mut simulation, 3, 1, "change");
+        run_until(&mut simulation, 20_000.0, |simulation| {
+            simulation
+                .map_running(|_, node| node.fleet.version("change/0").is_some())
                 .iter()
                 .all(|(_, known)| *known)
         })
     });
-    // Two gossips twice a second reach twice as many or more in each round: two further doublings, and what was lost.
+    // Each process gossips with two peers twice a second, so each round at least doubles the number of processes
+    // reached. A fleet of four times the size needs two more rounds, plus some for lost datagrams.
     assert!(figures[1] <= figures[0] + 2000.0, "{figures:?}");
 }
 
 #[test]
-fn a_fleet_that_starts_at_once_sends_no_more_than_in_step_with_its_size() {
+fn startup_traffic_per_process_grows_at_most_linearly_with_the_fleet() {
     let figures = [64, 256].map(|size| {
-        let mut all = started(size);
-        let met = until(&mut all, 20_000.0, |all| {
-            all.map_running(|_, hollow| hollow.fleet.alive().len())
+        let mut simulation = start_fleet(size);
+        let discovered_ms = run_until(&mut simulation, 20_000.0, |simulation| {
+            simulation
+                .map_running(|_, node| node.fleet.alive().len())
                 .iter()
                 .all(|(_, alive)| *alive * 100 >= size * 99)
         });
-        (met, sent(&all).0)
+        (discovered_ms, mean_sent(&simulation).0)
     });
     let [small, large] = figures;
     assert!(large.1 < 4.0 * small.1 && large.0 < small.0 + 3000.0, "{figures:?}");
 }
 
-/// Two regions that were apart know the same soon after they meet, and the sum of rights was never over the whole.
+/// A region that was cut off agrees with the others soon after the partition heals, and the quota fractions never add
+/// up to more than 1.
 #[test]
-fn a_region_that_was_cut_off_agrees_again_and_nobody_had_more_than_the_whole() {
-    let mut all = started(96);
-    all.run_for(Duration::from_millis(15_000));
-    all.isolate_region(2);
-    let whole = |all: &Simulation<HollowNode>| {
-        let now = all.now();
-        all.map_running(move |_, hollow| hollow.fleet.quota_fraction(now))
+fn isolated_region_converges_after_healing_and_quota_is_never_exceeded() {
+    let mut simulation = start_fleet(96);
+    simulation.run_for(Duration::from_millis(15_000));
+    simulation.isolate_region(2);
+    let total_quota = |simulation: &Simulation<HollowNode>| {
+        let now = simulation.now();
+        simulation
+            .map_running(move |_, node| node.fleet.quota_fraction(now))
             .into_iter()
-            .map(|(_, part)| part)
+            .map(|(_, fraction)| fraction)
             .sum::<f64>()
     };
     for step in 0..100 {
         match step {
-            50 => put(&mut all, 0, 3, "without"),
-            51 => put(&mut all, 50, 3, "within"),
-            _ => all.run_for(Duration::from_millis(200)),
+            50 => put_entries(&mut simulation, 0, 3, "outside"),
+            51 => put_entries(&mut simulation, 50, 3, "inside"),
+            _ => simulation.run_for(Duration::from_millis(200)),
         }
-        assert!(whole(&all) <= 1.0 + 1e-9, "{}", whole(&all));
+        assert!(total_quota(&simulation) <= 1.0 + 1e-9, "{}", total_quota(&simulation));
     }
-    assert!(!agree(&all), "they cannot hear each other");
-    all.heal();
-    until(&mut all, 30_000.0, |all| {
-        assert!(whole(all) <= 1.0 + 1e-9, "{}", whole(all));
-        agree(all)
+    assert!(!has_converged(&simulation), "the isolated region cannot exchange datagrams with the others");
+    simulation.heal();
+    run_until(&mut simulation, 30_000.0, |simulation| {
+        assert!(total_quota(simulation) <= 1.0 + 1e-9, "{}", total_quota(simulation));
+        has_converged(simulation)
     });
 }
 
-/// On sockets, with no more sent for three times as many.
+/// The same on real sockets: traffic per node must not grow when the fleet triples.
 #[test]
-fn hollow_processes_with_sockets_of_their_own_meet_agree_and_send_no_more_for_three_times_as_many() {
+fn hollow_nodes_on_real_sockets_converge_and_send_no_more_when_the_fleet_triples() {
     let figures = [8, 24].map(|size| {
         let sockets: Vec<_> =
-            (0..size).map(|_| UdpSocket::bind(loopback_address()).expect("a socket")).collect();
-        let address = |socket: &UdpSocket| socket.local_addr().expect("an address");
-        let all: Vec<_> =
+            (0..size).map(|_| UdpSocket::bind(loopback_address()).expect("socket is bound")).collect();
+        let address = |socket: &UdpSocket| socket.local_addr().expect("address is available");
+        let members: Vec<_> =
             sockets.iter().enumerate().map(|(i, socket)| (node_name(i), address(socket))).collect();
-        let mut all = SocketFleet::new(sockets, &all);
-        let long = Duration::from_secs(60);
-        assert!(all.run_until(long, |all| all.mean_alive_members() == size as f64).is_some(), "all meet");
-        all.put_entries(20, "change");
-        assert!(all
-            .run_until(long, |all| all.count_with_entry("change/19") == size && all.distinct_states() == 1)
+        let mut fleet = SocketFleet::new(sockets, &members);
+        let limit = Duration::from_secs(60);
+        assert!(
+            fleet.run_until(limit, |fleet| fleet.mean_alive_members() == size as f64).is_some(),
+            "all see each other alive"
+        );
+        fleet.put_entries(20, "change");
+        assert!(fleet
+            .run_until(limit, |fleet| fleet.count_with_entry("change/19") == size
+                && fleet.distinct_states() == 1)
             .is_some());
-        let (sent, began) = (all.sent, Instant::now());
-        all.run_for(Duration::from_secs(4));
-        (all.sent.datagrams - sent.datagrams) as f64 / size as f64 / began.elapsed().as_secs_f64()
+        let (sent, began) = (fleet.sent, Instant::now());
+        fleet.run_for(Duration::from_secs(4));
+        (fleet.sent.datagrams - sent.datagrams) as f64 / size as f64 / began.elapsed().as_secs_f64()
     });
     assert!(figures[1] < 2.0 * figures[0], "{figures:?}");
 }
