--- a/crates/testkit/tests/customers.rs
+++ b/crates/testkit/tests/customers.rs
@@ -176,8 +176,8 @@
     trial.finish().await;
 }
 
-/// Two customers are granted all servers, which other customers use too: the slow start of a server limits the requests
-/// of all customers together.
+/// Two customers are granted all servers, which other customers use too: the slow start of a server limits the
+/// requests of all customers together.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn customers_that_share_servers_do_not_overload_them_after_a_power_loss() {
     let _guard = TRIAL_LOCK.lock().await;
--- a/crates/testkit/tests/processes.rs
+++ b/crates/testkit/tests/processes.rs
@@ -226,8 +226,8 @@
     trial.finish().await;
 }
 
-/// Two processes run under the same name at different addresses, so that neither is accepted for good by the peers of the
-/// other: the duplicate is reported, and service continues.
+/// Two processes run under the same name at different addresses, so that neither is accepted for good by the peers of
+/// the other: the duplicate is reported, and service continues.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn duplicate_process_name_is_reported_and_service_continues() {
     let _guard = TRIAL_LOCK.lock().await;
