--- a/crates/testkit/examples/cells.rs
+++ b/crates/testkit/examples/cells.rs
@@ -24,8 +24,9 @@
 }
 
 impl Trial {
-    /// Prints what was sent and used in the last `ms` milliseconds, and resets the counters.
-    fn print_point(&mut self, name: &str, ms: u64, more: &str) {
+    /// Prints the traffic and CPU time of the last `ms` milliseconds with `extra_fields`, which are JSON, and resets the
+    /// counters.
+    fn print_point(&mut self, name: &str, ms: u64, extra_fields: &str) {
         let duration = Duration::from_millis(ms);
         let (mean, busiest, max_in_second) = self.simulation.send_rates(duration);
         let (replica_mean, busiest_replica) = self.simulation.replica_send_rates(duration);
@@ -39,7 +40,7 @@
             "{{\"point\":\"{name}\",\"processes\":{},\"bytes_s\":{mean:.0},\"busiest_bytes_s\":{busiest:.0},\
              \"most_bytes_in_a_second\":{max_in_second},\"replica_bytes_s\":{replica_mean:.0},\
              \"busiest_replica_bytes_s\":{busiest_replica:.0},\"core_percent\":{mean_percent:.4},\"most_core_percent\":{max_percent:.4}\
-             {more},\"real_s\":{:.0}}}",
+             {extra_fields},\"real_s\":{:.0}}}",
             self.size,
             self.began.elapsed().as_secs_f64()
         );
@@ -48,30 +49,30 @@
 
     /// Writes `count` entries, one after the other, and measures how long each takes to reach the processes.
     fn measure_changes(&mut self, name: &str, first: u64, count: u64) {
-        let (mut all, mut same_region, mut never) = (Vec::new(), Vec::new(), 0);
+        let (mut propagation_ms, mut same_region_ms, mut never_reached) = (Vec::new(), Vec::new(), 0);
         let before = self.simulation.now;
         for id in first..first + count {
             let at = (id % 5) as usize;
             let region = self.simulation.nodes[at].location.region;
             for (process_region, ms) in self.simulation.measure_propagation(id, at, 30_000) {
-                never += usize::from(ms.is_infinite());
-                all.push(ms);
+                never_reached += usize::from(ms.is_infinite());
+                propagation_ms.push(ms);
                 if process_region == region {
-                    same_region.push(ms);
+                    same_region_ms.push(ms);
                 }
             }
             self.simulation.run_for_ms(1000 + id * 37 % 500);
         }
         let ms = self.simulation.now.since(before).as_ms() as u64;
-        let more = format!(
+        let extra_fields = format!(
             ",\"changes\":{count},\"p50_ms\":{:.0},\"p99_ms\":{:.0},\"max_ms\":{:.0},\"own_region_p99_ms\":{:.0},\
-             \"never\":{never}",
-            percentile(&mut all, 50.0),
-            percentile(&mut all, 99.0),
-            percentile(&mut all, 100.0),
-            percentile(&mut same_region, 99.0)
+             \"never\":{never_reached}",
+            percentile(&mut propagation_ms, 50.0),
+            percentile(&mut propagation_ms, 99.0),
+            percentile(&mut propagation_ms, 100.0),
+            percentile(&mut same_region_ms, 99.0)
         );
-        self.print_point(name, ms, &more);
+        self.print_point(name, ms, &extra_fields);
     }
 
     /// The numbers of unreachable members and of records, as JSON.
@@ -84,43 +85,43 @@
         format!(",\"most_unmet\":{unreachable},\"records_least\":{least},\"records_most\":{most},\"replica_records\":{replica}")
     }
 
-    /// Replaces `count` processes, one every `interval_ms`, and measures how long each takes until it is up to date, its
-    /// own record included.
+    /// Replaces `count` processes, one every `interval_ms`, and measures how long each takes until it is up to date,
+    /// including its own record.
     fn measure_replacements(&mut self, name: &str, first: u64, count: usize, interval_ms: u64) {
         let nodes = self.simulation.nodes.len() - self.simulation.replicas;
-        let (mut took, mut waiting) = (Vec::new(), Vec::new());
+        let (mut update_times_ms, mut waiting) = (Vec::new(), Vec::new());
         let before = self.simulation.now;
         for start in 0..count {
             let node = self.simulation.replicas + start * 7919 % nodes;
             self.simulation.replace_process(first + start as u64, node, 300.min(interval_ms / 2));
             waiting.push((node, self.simulation.now));
-            let mut left = interval_ms - 300.min(interval_ms / 2);
+            let mut remaining_ms = interval_ms - 300.min(interval_ms / 2);
             if start + 1 == count {
-                left += 20_000;
+                remaining_ms += 20_000;
             }
-            while left > 0 {
-                let step = left.min(20);
-                self.simulation.run_for_ms(step);
-                left -= step;
+            while remaining_ms > 0 {
+                let step_ms = remaining_ms.min(20);
+                self.simulation.run_for_ms(step_ms);
+                remaining_ms -= step_ms;
                 let simulation = &self.simulation;
                 waiting.retain(|(node, at)| {
                     let is_active = simulation.process(*node).is_some_and(|process| process.is_active());
                     if is_active {
-                        took.push(simulation.now.since(*at).as_ms());
+                        update_times_ms.push(simulation.now.since(*at).as_ms());
                     }
                     !is_active
                 });
             }
         }
-        took.extend(waiting.iter().map(|_| f64::INFINITY));
+        update_times_ms.extend(waiting.iter().map(|_| f64::INFINITY));
         let ms = self.simulation.now.since(before).as_ms() as u64;
-        let (p50, p99) = (percentile(&mut took, 50.0), percentile(&mut took, 99.0));
-        let most = percentile(&mut took, 100.0);
+        let (p50, p99) = (percentile(&mut update_times_ms, 50.0), percentile(&mut update_times_ms, 99.0));
+        let max = percentile(&mut update_times_ms, 100.0);
         let counts = self.record_counts();
-        let more = format!(
-            ",\"starts\":{count},\"has_all_p50_ms\":{p50:.0},\"has_all_p99_ms\":{p99:.0},\"has_all_max_ms\":{most:.0}{counts}"
+        let extra_fields = format!(
+            ",\"starts\":{count},\"has_all_p50_ms\":{p50:.0},\"has_all_p99_ms\":{p99:.0},\"has_all_max_ms\":{max:.0}{counts}"
         );
-        self.print_point(name, ms, &more);
+        self.print_point(name, ms, &extra_fields);
     }
 }
 
@@ -142,8 +143,8 @@
     trial.simulation.reset_measurements();
     trial.simulation.run_for_ms(30_000);
     let memory = (resident_bytes() - memory_before) / trial.size as f64 / 1024.0;
-    let more = format!(",\"memory_kb_each\":{memory:.0}{}", trial.record_counts());
-    trial.print_point("at rest", 30_000, &more);
+    let extra_fields = format!(",\"memory_kb_each\":{memory:.0}{}", trial.record_counts());
+    trial.print_point("at rest", 30_000, &extra_fields);
     trial.measure_changes("one change at a time", 1, 20);
     trial.measure_replacements("starts", 2000, 100, 1000);
 
@@ -194,12 +195,12 @@
     trial.simulation.reset_measurements();
     trial.simulation.run_for_ms(20_000);
     let grown = (resident_bytes() - before) / 1024.0 / trial.size as f64;
-    let more = format!(
+    let extra_fields = format!(
         ",\"grown_kb_each\":{grown:.1},\"agree\":{}{}",
         trial.simulation.has_converged(),
         trial.record_counts()
     );
-    trial.print_point("after the replacements", 20_000, &more);
+    trial.print_point("after the replacements", 20_000, &extra_fields);
     println!(
         "{{\"point\":\"rejected datagrams\",\"processes\":{size},\"counts\":\"{:?}\"}}",
         trial.simulation.rejected
--- a/crates/testkit/examples/faults.rs
+++ b/crates/testkit/examples/faults.rs
@@ -61,7 +61,7 @@
     }
 }
 
-/// Cuts and restores the power of everything, which also starts all killed processes.
+/// Simulates a power loss of all processes, servers and discovery, and its end. Killed processes are started too.
 async fn lose_power(trial: &mut Trial, down: &mut Vec<usize>) {
     trial.cut_power();
     down.clear();
--- a/crates/testkit/examples/hollow.rs
+++ b/crates/testkit/examples/hollow.rs
@@ -146,8 +146,8 @@
             has_key.into_iter().filter(|(_, has)| *has).count()
         };
         let began = self.simulation.now().as_ms();
-        let most = (self.size * 99).div_ceil(100);
-        let most_ms = self.run_until(limit_s, |trial| count_with_key(trial) >= most);
+        let ninety_nine_percent = (self.size * 99).div_ceil(100);
+        let most_ms = self.run_until(limit_s, |trial| count_with_key(trial) >= ninety_nine_percent);
         let all_ms = self.run_until(limit_s, |trial| count_with_key(trial) == trial.size);
         let all_ms =
             if all_ms == "null" { all_ms } else { format!("{:.0}", self.simulation.now().as_ms() - began) };
@@ -191,8 +191,8 @@
         resident_bytes().saturating_sub(self.resident_before) / 1024 / self.size as u64
     }
 
-    /// Prints what the processes sent and used per second since `since`.
-    fn print_point(&self, point: &str, since: &Counters, more: &str) {
+    /// Prints what the processes sent and used per second since `since`, with `extra_fields`, which are JSON.
+    fn print_point(&self, point: &str, since: &Counters, extra_fields: &str) {
         let seconds = (self.simulation.now().as_ms() - since.at_ms) / 1000.0;
         let usage = self.simulation.usage();
         let used: Vec<_> = usage.iter().zip(&since.usage).collect();
@@ -206,7 +206,7 @@
             used.iter().filter_map(|(now, then)| Some(now.cpu_ms? - then.cpu_ms.unwrap_or(0.0))).collect();
         let cpu_percent = |ms: f64| ms / 10.0 / seconds;
         println!(
-            r#"{{"trial":"hollow","seed":{},"size":{},"point":"{point}","seconds":{seconds:.1},"bytes_a_second":{:.0},"bytes_a_second_worst":{:.0},"datagrams_a_second":{:.1},"datagrams_a_second_worst":{:.1},"heard_bytes_a_second":{:.0},"processor_percent":{:.4},"processor_percent_worst":{:.4}{}{more},"real_s":{:.1}}}"#,
+            r#"{{"trial":"hollow","seed":{},"size":{},"point":"{point}","seconds":{seconds:.1},"bytes_a_second":{:.0},"bytes_a_second_worst":{:.0},"datagrams_a_second":{:.1},"datagrams_a_second_worst":{:.1},"heard_bytes_a_second":{:.0},"processor_percent":{:.4},"processor_percent_worst":{:.4}{}{extra_fields},"real_s":{:.1}}}"#,
             self.seed,
             self.size,
             mean(&|usage| usage.bytes_sent),
@@ -216,7 +216,7 @@
             mean(&|usage| usage.bytes_received),
             cpu_percent(cpu_ms.iter().sum::<f64>() / cpu_ms.len().max(1) as f64),
             cpu_percent(cpu_ms.iter().copied().fold(0.0, f64::max)),
-            if more.is_empty() { "" } else { "," },
+            if extra_fields.is_empty() { "" } else { "," },
             self.began.elapsed().as_secs_f64(),
         );
     }
--- a/crates/testkit/examples/power_loss.rs
+++ b/crates/testkit/examples/power_loss.rs
@@ -27,7 +27,7 @@
         let time = checks::time_to_sessions(&trial.recorder.observations(), restored_at, before * part);
         time.map_or_else(|| "never".to_owned(), |time| format!("{:.1} s", time.as_secs_f64()))
     };
-    let (half, most, all) = (recovered_after(0.5), recovered_after(0.9), recovered_after(0.98));
+    let (after_50, after_90, after_98) = (recovered_after(0.5), recovered_after(0.9), recovered_after(0.98));
     let alarms = |from, to| {
         let (established, in_time, rejected) = checks::alarm_outcomes(
             &trial.recorder.observations(),
@@ -47,7 +47,7 @@
         .map(|(n, limit)| *n as f64 / limit)
         .fold(0.0, f64::max);
     println!("{}:", if config.fleet_enabled { "with a fleet file" } else { "without a fleet file" });
-    println!("  {before:.0} sessions before; 50% again after {half}, 90% after {most}, 98% after {all}");
+    println!("  {before:.0} sessions before; 50% again after {after_50}, 90% after {after_90}, 98% after {after_98}");
     println!("  alarm requests, from second 1 to 6: {early}; from second 6 to 25: {late}");
     println!(
         "  {discovery_calls} calls to discovery; {} violations; {overloads} servers overloaded in slow start \
--- a/crates/testkit/examples/sockets.rs
+++ b/crates/testkit/examples/sockets.rs
@@ -49,21 +49,20 @@
     let processes: Vec<_> = (0..real).map(|index| Process::new(index, config)).collect();
     let sockets: Vec<_> =
         (0..hollow).map(|_| UdpSocket::bind(loopback_address()).expect("socket is bound")).collect();
-    let mut all: Vec<(String, SocketAddr)> =
+    let mut members: Vec<(String, SocketAddr)> =
         processes.iter().map(|process| (process.name.clone(), free_address())).collect();
     let hollow_members = sockets.iter().enumerate().map(|(i, socket)| {
         (format!("hollow-{}", node_name(i)), socket.local_addr().expect("address is available"))
     });
-    all.extend(hollow_members);
-    processes.iter().for_each(|process| process.write_files(config, &all));
-    let mut trial = Trial { fleet: SocketFleet::new(sockets, &all), processes };
+    members.extend(hollow_members);
+    processes.iter().for_each(|process| process.write_files(config, &members));
+    let mut trial = Trial { fleet: SocketFleet::new(sockets, &members), processes };
     trial.processes.iter_mut().for_each(|process| process.start(config));
 
     let began = trial.counters();
-    let discovered_ms =
-        json_ms(trial.fleet.run_until(Duration::from_secs(30), |fleet| {
-            fleet.mean_alive_members() >= 0.99 * all.len() as f64
-        }));
+    let discovered_ms = json_ms(trial.fleet.run_until(Duration::from_secs(30), |fleet| {
+        fleet.mean_alive_members() >= 0.99 * members.len() as f64
+    }));
     trial.print_point(
         "all start at once",
         &began,
@@ -79,10 +78,10 @@
     }
     let change = trial.counters();
     trial.fleet.put_entries(1, "change");
-    let most = (hollow * 99).div_ceil(100);
-    let most_ms = json_ms(
-        trial.fleet.run_until(Duration::from_secs(30), |fleet| fleet.count_with_entry("change/0") >= most),
-    );
+    let ninety_nine_percent = (hollow * 99).div_ceil(100);
+    let most_ms = json_ms(trial.fleet.run_until(Duration::from_secs(30), |fleet| {
+        fleet.count_with_entry("change/0") >= ninety_nine_percent
+    }));
     let all_ms = json_ms(
         trial.fleet.run_until(Duration::from_secs(30), |fleet| fleet.count_with_entry("change/0") == hollow),
     );
@@ -141,7 +140,8 @@
         }
     }
 
-    fn print_point(&self, point: &str, since: &Counters, more: &str) {
+    /// Prints the traffic, CPU time and memory per node since `since`, with `extra_fields`, which are JSON.
+    fn print_point(&self, point: &str, since: &Counters, extra_fields: &str) {
         let (now, real) = (self.counters(), &self.processes);
         let seconds = now.at.duration_since(since.at).as_secs_f64();
         let hollow_seconds = self.fleet.nodes.len() as f64 * seconds;
@@ -155,7 +155,7 @@
             .map(|(after, before)| (after.0.saturating_sub(before.0)).as_secs_f64());
         let memory = now.real.iter().map(|real| real.1).sum::<u64>() / 1024 / real.len().max(1) as u64;
         println!(
-            r#"{{"trial":"sockets","hollow":{},"real":{},"point":"{point}","seconds":{seconds:.1},"bytes_a_second":{:.0},"datagrams_a_second":{:.1},"processor_percent":{:.4},"real_bytes_a_second":{:.0},"real_datagrams_a_second":{:.1},"real_processor_percent":{:.3},"real_memory_kb":{memory},"alive_mean":{:.1},"went":{}{}{more}}}"#,
+            r#"{{"trial":"sockets","hollow":{},"real":{},"point":"{point}","seconds":{seconds:.1},"bytes_a_second":{:.0},"datagrams_a_second":{:.1},"processor_percent":{:.4},"real_bytes_a_second":{:.0},"real_datagrams_a_second":{:.1},"real_processor_percent":{:.3},"real_memory_kb":{memory},"alive_mean":{:.1},"went":{}{}{extra_fields}}}"#,
             self.fleet.nodes.len(),
             real.len(),
             (now.sent.bytes - since.sent.bytes) as f64 / hollow_seconds,
@@ -166,7 +166,7 @@
             cpu_seconds.sum::<f64>() * 100.0 / real_seconds,
             self.fleet.mean_alive_members(),
             self.fleet.nodes.iter().map(|node| node.events.members_left).sum::<u64>(),
-            if more.is_empty() { "" } else { "," },
+            if extra_fields.is_empty() { "" } else { "," },
         );
     }
 }
