--- a/crates/testkit/tests/processes.rs
+++ b/crates/testkit/tests/processes.rs
@@ -76,7 +76,8 @@
 }
 
 /// Power loss: all processes are killed at the same time, and every server restarts in slow start. Each process finds
-/// another fault in its state directory: truncated, empty, unsupported or foreign snapshots, or no directory.
+/// a different fault in its state directory: truncated or empty snapshots, snapshots of a newer format or of another
+/// process, or no directory. The fifth process has its own valid snapshots.
 #[tokio::test(flavor = "multi_thread", worker_threads = 4)]
 async fn fleet_recovers_from_a_power_loss_with_damaged_snapshots() {
     let _guard = TRIAL_LOCK.lock().await;
@@ -89,10 +90,10 @@
         let valid = fs::read(snapshot_path(&trial, 0, generation)).expect("each generation has a snapshot");
         fs::write(snapshot_path(&trial, 0, generation), &valid[..valid.len() / 2]).unwrap();
         fs::write(snapshot_path(&trial, 1, generation), []).unwrap();
-        let mut unsupported = valid.clone();
-        // The format version.
-        unsupported[8] = 99;
-        fs::write(snapshot_path(&trial, 2, generation), unsupported).unwrap();
+        let mut newer = valid.clone();
+        // The format version starts at byte 8; a newer one cannot be read.
+        newer[8] = 99;
+        fs::write(snapshot_path(&trial, 2, generation), newer).unwrap();
         // The fourth process has the snapshot of the fifth, as if its disk had been cloned.
         fs::copy(snapshot_path(&trial, 4, generation), snapshot_path(&trial, 3, generation)).unwrap();
     }
--- a/crates/testkit/tests/shared.rs
+++ b/crates/testkit/tests/shared.rs
@@ -80,7 +80,8 @@
 }
 
 /// Injects faults: kills, suspensions, partitions and blocked links. Asserts throughout that the quota fractions of
-/// all processes add up to no more than 1.
+/// all processes add up to no more than 1. Each step is a fault, the node that it affects, and how many milliseconds to
+/// run after it.
 fn check_total_quota(size: usize, seed: u64, steps: &[(u8, usize, u64)]) {
     let mut fleet = SimulatedFleet::<Fleet>::running(
         size,
