--- a/crates/testkit/examples/hollow.rs
+++ b/crates/testkit/examples/hollow.rs
@@ -146,8 +146,8 @@
             has_key.into_iter().filter(|(_, has)| *has).count()
         };
         let began = self.simulation.now().as_ms();
-        let most = (self.size * 99).div_ceil(100);
-        let most_ms = self.run_until(limit_s, |trial| count_with_key(trial) >= most);
+        let ninety_nine_percent = (self.size * 99).div_ceil(100);
+        let most_ms = self.run_until(limit_s, |trial| count_with_key(trial) >= ninety_nine_percent);
         let all_ms = self.run_until(limit_s, |trial| count_with_key(trial) == trial.size);
         let all_ms =
             if all_ms == "null" { all_ms } else { format!("{:.0}", self.simulation.now().as_ms() - began) };
@@ -191,7 +191,7 @@
         resident_bytes().saturating_sub(self.resident_before) / 1024 / self.size as u64
     }
 
-    /// Prints what the processes sent and used per second since `since`.
+    /// Prints what the processes sent and used per second since `since`, with `extra_fields`, which are JSON.
     fn print_point(&self, point: &str, since: &Counters, extra_fields: &str) {
         let seconds = (self.simulation.now().as_ms() - since.at_ms) / 1000.0;
         let usage = self.simulation.usage();
--- a/crates/testkit/examples/sockets.rs
+++ b/crates/testkit/examples/sockets.rs
@@ -49,21 +49,20 @@
     let processes: Vec<_> = (0..real).map(|index| Process::new(index, config)).collect();
     let sockets: Vec<_> =
         (0..hollow).map(|_| UdpSocket::bind(loopback_address()).expect("socket is bound")).collect();
-    let mut all: Vec<(String, SocketAddr)> =
+    let mut members: Vec<(String, SocketAddr)> =
         processes.iter().map(|process| (process.name.clone(), free_address())).collect();
     let hollow_members = sockets.iter().enumerate().map(|(i, socket)| {
         (format!("hollow-{}", node_name(i)), socket.local_addr().expect("address is available"))
     });
-    all.extend(hollow_members);
-    processes.iter().for_each(|process| process.write_files(config, &all));
-    let mut trial = Trial { fleet: SocketFleet::new(sockets, &all), processes };
+    members.extend(hollow_members);
+    processes.iter().for_each(|process| process.write_files(config, &members));
+    let mut trial = Trial { fleet: SocketFleet::new(sockets, &members), processes };
     trial.processes.iter_mut().for_each(|process| process.start(config));
 
     let began = trial.counters();
-    let discovered_ms =
-        json_ms(trial.fleet.run_until(Duration::from_secs(30), |fleet| {
-            fleet.mean_alive_members() >= 0.99 * all.len() as f64
-        }));
+    let discovered_ms = json_ms(trial.fleet.run_until(Duration::from_secs(30), |fleet| {
+        fleet.mean_alive_members() >= 0.99 * members.len() as f64
+    }));
     trial.print_point(
         "all start at once",
         &began,
@@ -79,10 +78,10 @@
     }
     let change = trial.counters();
     trial.fleet.put_entries(1, "change");
-    let most = (hollow * 99).div_ceil(100);
-    let most_ms = json_ms(
-        trial.fleet.run_until(Duration::from_secs(30), |fleet| fleet.count_with_entry("change/0") >= most),
-    );
+    let ninety_nine_percent = (hollow * 99).div_ceil(100);
+    let most_ms = json_ms(trial.fleet.run_until(Duration::from_secs(30), |fleet| {
+        fleet.count_with_entry("change/0") >= ninety_nine_percent
+    }));
     let all_ms = json_ms(
         trial.fleet.run_until(Duration::from_secs(30), |fleet| fleet.count_with_entry("change/0") == hollow),
     );
@@ -141,6 +140,7 @@
         }
     }
 
+    /// Prints the traffic, CPU time and memory per node since `since`, with `extra_fields`, which are JSON.
     fn print_point(&self, point: &str, since: &Counters, extra_fields: &str) {
         let (now, real) = (self.counters(), &self.processes);
         let seconds = now.at.duration_since(since.at).as_secs_f64();
