--- a/crates/cells/tests/stored_bytes.rs
+++ b/crates/cells/tests/stored_bytes.rs
@@ -1,5 +1,4 @@
-//! Datagrams of the cells and what their processes store keep their bytes: they are compared with what an earlier
-//! release wrote.
+//! Compatibility of the encoding: datagrams and stored data are compared with bytes recorded from an earlier release.
 
 use recorded::{hex, Recorded};
 use serde::{de::DeserializeOwned, Serialize};
@@ -15,37 +14,37 @@
 const RECORDED: Recorded = Recorded(include_str!("fixtures/stored.hex"));
 const BALLOT: Ballot = Ballot { round: 300, proposer: 4 };
 
-/// One of each kind of change.
+/// A batch with each kind of change.
 fn batch() -> Vec<Change> {
     let (cell, name, address) = (CellId(300), || "n1".to_owned(), "127.0.0.1:7400".parse().unwrap());
     let actions = [
-        Action::AddCell { cell, region: 2, places: 40, quota: 100_000 },
-        Action::Add { cell, name: name(), address, incarnation: 70_000 },
-        Action::Replace { cell, name: name(), address, incarnation: 70_001 },
-        Action::Remove { cell, name: name() },
-        Action::Ended { cell, name: name(), incarnation: 70_001 },
-        Action::Put { key: "k".into(), value: vec![1, 255] },
-        Action::Delete { key: "k".into() },
-        Action::Grow { cell, by: 5 },
-        Action::Shrink { cell, by: 6 },
-        Action::Release { cell, at: Version::at(9, 2) },
+        Action::AddCell { cell, region: 2, capacity: 40, quota: 100_000 },
+        Action::AddMember { cell, name: name(), address, incarnation: 70_000 },
+        Action::ReplaceMember { cell, name: name(), address, incarnation: 70_001 },
+        Action::RemoveMember { cell, name: name() },
+        Action::RecordMemberEnd { cell, name: name(), incarnation: 70_001 },
+        Action::PutEntry { key: "k".into(), value: vec![1, 255] },
+        Action::DeleteEntry { key: "k".into() },
+        Action::GrowQuota { cell, units: 5 },
+        Action::ShrinkQuota { cell, units: 6 },
+        Action::ReleaseEscrow { cell, shrink_version: Version::at(9, 2) },
     ];
     actions.into_iter().zip(1 << 40..).map(|(action, id)| Change { id, action }).collect()
 }
 
-/// One of each kind of record.
+/// A list with each kind of record.
 fn records() -> Vec<Record> {
     let address = "[::1]:7400".parse().unwrap();
     let cell = Cell {
         region: 2,
         quota: 100_000,
         escrow: 6,
-        shrunk_at: Version::at(9, 2),
-        places: 40,
+        shrink_version: Version::at(9, 2),
+        capacity: 40,
         members: 1,
         contacts: vec![address],
     };
-    let member = Member { address, incarnation: 70_000, place: 3, removed: true };
+    let member = Member { address, incarnation: 70_000, index: 3, removed: true };
     let values = [
         (Key::Cell(CellId(300)), Some(Value::Cell(cell))),
         (Key::Applied(1 << 40), Some(Value::Applied)),
@@ -56,7 +55,7 @@
     values
         .into_iter()
         .zip(1..)
-        .map(|((key, value), place)| Record { key, version: Version::at(9, place), value })
+        .map(|((key, value), index)| Record { key, version: Version::at(9, index), value })
         .collect()
 }
 
@@ -72,7 +71,7 @@
 }
 
 #[test]
-fn each_kind_of_datagram_is_written_and_read_as_an_earlier_release_wrote_it() {
+fn each_kind_of_datagram_is_encoded_and_decoded_as_by_an_earlier_release() {
     let slot = 70_000;
     let kinds = [
         ("swim", Message::Swim(vec![1, 2, 255])),
@@ -104,34 +103,39 @@
         ("accepted", Message::Paxos(Paxos::Accepted { slot, ballot: BALLOT })),
         ("conflict", Message::Paxos(Paxos::Conflict { slot, promised: BALLOT })),
         ("chosen", Message::Paxos(Paxos::Chosen { slot, batch: batch() })),
-        ("ask part", Message::Paxos(Paxos::AskHighestSlot { recovery: 300 })),
+        ("ask part", Message::Paxos(Paxos::QueryHighestSlot { recovery: 300 })),
         ("took part", Message::Paxos(Paxos::HighestSlot { recovery: 300, slot })),
     ];
-    let dar = fleet_id("dar");
+    let fleet = fleet_id("dar");
     for (name, message) in kinds {
-        assert_eq!(hex(&encode(dar, &message)), RECORDED.digits(name), "{name}");
-        assert_eq!(decode(dar, &RECORDED.bytes(name)), Ok(message), "{name}");
+        assert_eq!(hex(&encode(fleet, &message)), RECORDED.digits(name), "{name}");
+        assert_eq!(decode(fleet, &RECORDED.bytes(name)), Ok(message), "{name}");
     }
 }
 
-fn assert_bytes_kept<T: Serialize + DeserializeOwned + Debug>(name: &str, value: &T) {
+fn assert_bytes_unchanged<T: Serialize + DeserializeOwned + Debug>(name: &str, value: &T) {
     assert_eq!(hex(&postcard::to_stdvec(value).unwrap()), RECORDED.digits(name), "{name}");
-    let read = postcard::from_bytes::<T>(&RECORDED.bytes(name)).unwrap();
-    assert_eq!(format!("{read:?}"), format!("{value:?}"), "{name}");
+    let decoded = postcard::from_bytes::<T>(&RECORDED.bytes(name)).unwrap();
+    assert_eq!(format!("{decoded:?}"), format!("{value:?}"), "{name}");
 }
 
 #[test]
-fn what_is_stored_is_written_and_read_as_an_earlier_release_wrote_it() {
+fn stored_data_is_encoded_and_decoded_as_by_an_earlier_release() {
     let vote = || Vote { slot: 70_000, promised: BALLOT, accepted: Some((BALLOT, batch())) };
     let (to, horizon) = (Version::end_of(9), Version::at(3, 0));
-    assert_bytes_kept("stored founded", &Stored::Founded);
-    assert_bytes_kept("stored recovering", &Stored::Recovering);
-    assert_bytes_kept("stored votes from", &Stored::VotesFrom(70_000));
-    assert_bytes_kept("stored vote", &Stored::Vote(vote()));
-    assert_bytes_kept("stored chosen", &Stored::Chosen { slot: 70_000, batch: batch() });
+    assert_bytes_unchanged("stored founded", &Stored::Initialized);
+    assert_bytes_unchanged("stored recovering", &Stored::Recovering);
+    assert_bytes_unchanged("stored votes from", &Stored::FirstVotingSlot(70_000));
+    assert_bytes_unchanged("stored vote", &Stored::Vote(vote()));
+    assert_bytes_unchanged("stored chosen", &Stored::Chosen { slot: 70_000, batch: batch() });
     let records = records();
-    let checkpoint =
-        Stored::Checkpoint { records: records.clone(), to, horizon, votes_from: Some(7), vote: vote() };
-    assert_bytes_kept("stored checkpoint", &checkpoint);
-    assert_bytes_kept("kept", &ProcessSnapshot { records, to, horizon });
+    let checkpoint = Stored::Checkpoint {
+        records: records.clone(),
+        to,
+        horizon,
+        first_voting_slot: Some(7),
+        vote: vote(),
+    };
+    assert_bytes_unchanged("stored checkpoint", &checkpoint);
+    assert_bytes_unchanged("kept", &ProcessSnapshot { records, to, horizon });
 }
