--- a/src/balancer/attempt_timeout.rs
+++ b/src/balancer/attempt_timeout.rs
@@ -23,7 +23,7 @@
         }
         match self.state.establish_latencies.suspicion_timeout() {
             None => half,
-            // Long silences are usual at all servers, so that another server would not respond sooner.
+            // Long silences are usual at all servers, so another server would not respond sooner.
             Some(suspicion) if suspicion > half => time_left,
             Some(suspicion) => half.scaled(0.5).max(suspicion),
         }
--- a/src/balancer/concurrency_limit.rs
+++ b/src/balancer/concurrency_limit.rs
@@ -19,7 +19,7 @@
 /// The size of the window at its last change.
 #[derive(Clone, Copy, Debug)]
 struct WindowSize {
-    /// How many attempts may be pending. Below one, it is the probability that a single attempt may be.
+    /// How many attempts may be pending. A value below one is the probability that a single attempt may be pending.
     attempts: f64,
     updated_at: Timestamp,
 }
--- a/src/balancer/failure_domains.rs
+++ b/src/balancer/failure_domains.rs
@@ -18,8 +18,9 @@
         self.count += 1.0;
     }
 
-    /// Returns by how much the mean of these scores exceeds the mean of the other scores in `all`. One fully trusted
-    /// server is added to these, because the score of a single server says as much about itself as about its domain.
+    /// Returns by how much the mean of this sum exceeds the mean of the other scores in `all`. The first mean includes
+    /// one additional, fully trusted server, because the score of a single server says as much about the server itself
+    /// as about its domain.
     fn excess_over_others(self, all: ScoreSum) -> f64 {
         self.total / (self.count + 1.0) - (all.total - self.total) / (all.count - self.count).max(1.0)
     }
--- a/src/balancer/health_checks.rs
+++ b/src/balancer/health_checks.rs
@@ -35,9 +35,9 @@
 }
 
 impl LoadBalancer {
-    /// Starts the periodic checks, which reschedule themselves from then on. For hosts that run on sockets. Each
-    /// round migrates clients away from draining servers and, if `with_health_checks`, health-checks the servers to
-    /// which this proxy has connections.
+    /// Runs a round of periodic checks and schedules the next round, which `on_timer` runs. Called at startup by hosts
+    /// that use sockets, but not by the simulator's host. Each round migrates clients away from draining servers and,
+    /// if `with_health_checks`, health-checks the servers to which this proxy has connections.
     pub fn start_periodic_checks(&mut self, with_health_checks: bool, now: Timestamp, host: &mut dyn Host) {
         let at = now + ROUND_INTERVAL;
         self.next_check = Some(PeriodicCheck { at, with_health_checks });
--- a/src/balancer/poll_schedule.rs
+++ b/src/balancer/poll_schedule.rs
@@ -10,8 +10,8 @@
 const MIN_PAUSE: Duration = Duration::from_millis(200);
 /// The time over which first polls are spread, per proxy.
 const SPREAD_PER_PROXY: Duration = Duration::from_millis(40);
-/// The longest time over which first polls are spread. A change must be applied within six seconds: four to spread
-/// the polls over, and the rest for a retry.
+/// The longest time over which first polls are spread. A change must be applied within six seconds: just under four
+/// of them are for spreading the polls, and the rest is for a retry.
 const MAX_SPREAD: Duration = Duration::from_millis(3800);
 /// The longest pause between two polls.
 const MAX_PAUSE: Duration = Duration::from_millis(1400);
--- a/src/balancer/rebalancing.rs
+++ b/src/balancer/rebalancing.rs
@@ -19,7 +19,7 @@
 /// A session that may be migrated.
 struct MigrationCandidate {
     session: Rc<Session>,
-    /// Whether its server is not one of its group's servers.
+    /// Whether the session's server is not one of its group's servers.
     is_misplaced: bool,
 }
 
@@ -33,7 +33,7 @@
         host: &mut dyn Host,
     ) {
         let Some(session) = self.sessions.get(&session) else { return };
-        // Its server failed silently or makes no progress.
+        // The session's server failed silently or makes no progress.
         if latency > MESSAGE_LOST_AFTER && session.established.get() && !session.closing.replace(true) {
             host.migrate(session.id);
         }
--- a/src/balancer/slow_start.rs
+++ b/src/balancer/slow_start.rs
@@ -10,7 +10,8 @@
     pub initial_fraction: f64,
     /// How long a server takes to warm up.
     pub duration: Duration,
-    /// How many times its capacity a server can be sent per warm-up period before it is overloaded.
+    /// The number of attempts that a server can be sent per warm-up period before it is overloaded, as a multiple of
+    /// its capacity.
     pub overload_factor: f64,
     /// The window over which attempts to a warming server are counted.
     pub overload_window: Duration,
@@ -29,9 +30,9 @@
     pub(super) quota: f64,
     /// The number of sessions that arrived recently.
     pub(super) recent_arrivals: f64,
-    /// The largest fraction of sessions that may be admitted.
+    /// Upper bound on the fraction of sessions that a warming server is sent.
     pub(super) max_fraction: f64,
-    /// The number of servers.
+    /// The number of servers that the session may be sent to.
     pub(super) server_count: f64,
 }
 
@@ -79,10 +80,10 @@
         quota * window.ratio_to(self.duration) * self.overload_factor * capacity_fraction
     }
 
-    /// Whether a key is among those that are placed as if this proxy observed no server's inputs. These keys are the
+    /// Whether a key is among those that are placed as if this proxy observed no server's load. These keys are the
     /// same at every proxy. Their fraction of all keys equals the fraction of servers at which a proxy holds fewer
     /// than two connections (Poisson distribution), because a single connection shows its own latency rather than its
-    /// server's inputs.
+    /// server's load.
     pub(super) fn is_load_unobserved(&self, key: u64, server_count: usize) -> bool {
         let mean_connections = self.proxy_capacity(server_count) / server_count as f64;
         let key_fraction = (key >> 32) as f64 / 2_f64.powi(32);
--- a/src/host.rs
+++ b/src/host.rs
@@ -84,9 +84,9 @@
     pub group: Option<&'a str>,
     /// When the session must have its final answer, unless it is established by then.
     pub deadline: Timestamp,
-    /// The arrival consists of packets of a connection that some server already holds.
+    /// Whether the arrival consists of packets of a connection that some server already holds.
     pub mid_flow: bool,
-    /// The client reconnects after its connection broke or was migrated.
+    /// Whether the client reconnects after its connection broke or was migrated.
     pub reconnected: bool,
     /// The session's admission turn while many clients reconnect at once, if the host orders admission.
     pub admission_turn: Option<AdmissionTurn>,
@@ -107,12 +107,12 @@
 /// Whether a server may be sent sessions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum EndpointState {
-    /// It may be sent sessions.
+    /// The server may be sent sessions.
     #[default]
     Active,
-    /// It may not be sent sessions, and its clients are to be migrated.
+    /// The server may not be sent sessions, and its clients are to be migrated.
     Draining,
-    /// It is no longer in the endpoint list.
+    /// The server is no longer in the endpoint list.
     Removed,
 }
 
@@ -123,9 +123,9 @@
     pub server: ServerId,
     /// The server's zone, a failure domain.
     pub zone: String,
-    /// The kind of machine that it runs on, a failure domain.
+    /// The kind of machine that the server runs on, a failure domain.
     pub kind: String,
-    /// The cell within which it shares its record of idempotency keys.
+    /// The cell within which the server shares its record of idempotency keys.
     pub cell: u64,
     /// When the server last started; `None` if it started long ago.
     pub started: Option<Timestamp>,
--- a/src/state/server.rs
+++ b/src/state/server.rs
@@ -95,7 +95,7 @@
 
     /// Records the latency of a health check and returns it as a multiple of the shortest recent latency.
     pub(crate) fn record_health_check(&self, latency: Duration) -> f64 {
-        // Bounds how many health checks an unusually short latency remains the reference for.
+        // An unusually short latency remains the reference for this many health checks.
         const MAX_SAMPLES: usize = 32;
         let mut latencies = self.health_check_latencies.borrow_mut();
         push_bounded(&mut latencies, latency, MAX_SAMPLES);
--- a/src/state/session.rs
+++ b/src/state/session.rs
@@ -25,7 +25,7 @@
     /// Hash of the group.
     pub(crate) group: Option<u64>,
     pub(crate) idempotency: Idempotency,
-    /// The time within which its connection should be established.
+    /// The time within which the connection should be established.
     pub(crate) connect_latency_objective: Option<Duration>,
     pub(crate) deadline: Timestamp,
     pub(crate) mid_flow: bool,
@@ -33,15 +33,17 @@
     pub(crate) admission_turn: Option<AdmissionTurn>,
     pub(crate) allowed_servers: Option<Rc<[ServerId]>>,
     pub(crate) established: Cell<bool>,
-    /// Its client has closed the connection or been asked to migrate, so it is neither retried nor migrated again.
+    /// Whether the client has closed the connection or was asked to migrate. The session is then neither retried nor
+    /// migrated again.
     pub(crate) closing: Cell<bool>,
-    /// It waits until the first of its candidate servers answers a health check.
+    /// Whether the session waits until the first of its candidate servers answers a health check.
     pub(crate) awaits_health_check: Cell<bool>,
-    /// Its candidate servers have been health-checked since its last attempt.
+    /// Whether the session's candidate servers have been health-checked since its last attempt.
     pub(crate) health_checked: Cell<bool>,
-    /// A server has answered it with an error.
+    /// Whether a server has answered the session with an error.
     pub(crate) errored: Cell<bool>,
-    /// Load that its connection causes, in microseconds of work per second, once its server has reported it.
+    /// The load that the session's connection causes, in microseconds of work per second, once the server has reported
+    /// it.
     pub(crate) load: Cell<f64>,
     pub(crate) attempts: RefCell<Vec<Attempt>>,
 }
