--- a/crates/fleet/src/anti_entropy.rs
+++ b/crates/fleet/src/anti_entropy.rs
@@ -60,7 +60,7 @@
         datagrams.map(Message::Entries).collect()
     }
 
-    /// The entry digests of a bucket. If they do not fit in one datagram, a randomly chosen contiguous part of them.
+    /// The entry digests of a bucket; if they do not fit in one datagram, as many as fit, from a random one on.
     fn bucket_summary(&self, bucket: usize, rng: &mut WyRand) -> Message {
         let mut entries: Vec<_> = self.in_bucket(bucket).map(Entry::digest).collect();
         if entries.len() > MAX_DIGESTS {
--- a/crates/fleet/src/clock_skew.rs
+++ b/crates/fleet/src/clock_skew.rs
@@ -3,7 +3,7 @@
 use crate::roster::MemberId;
 use std::collections::BTreeMap;
 
-/// Smaller offsets are ignored: they can be caused by network latency, and do no harm.
+/// Offsets up to this many milliseconds are ignored: they may be caused by network latency, or do no harm.
 const TOLERANCE_MS: i64 = 2000;
 /// Maximum number of peers whose clock offsets are kept.
 const MAX_CLOCKS: usize = 32;
--- a/crates/fleet/src/entry.rs
+++ b/crates/fleet/src/entry.rs
@@ -23,13 +23,13 @@
 /// A key-value pair of the replicated map. Encoded by field position.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Entry {
-    /// At most [`MAX_KEY_BYTES`] long.
+    /// The key, at most [`MAX_KEY_BYTES`] long.
     pub key: String,
     /// Determines which of two states of the entry is newer.
     pub version: Version,
     /// The member that wrote this version.
     pub owner: MemberId,
-    /// At most [`MAX_VALUE_BYTES`] long; `None` is the tombstone of a deleted entry.
+    /// The encoded value, at most [`MAX_VALUE_BYTES`] long; `None` is the tombstone of a deleted entry.
     pub value: Option<Vec<u8>>,
 }
 
--- a/crates/fleet/src/fleet/datagrams.rs
+++ b/crates/fleet/src/fleet/datagrams.rs
@@ -97,8 +97,8 @@
         outbox.renewed
     }
 
-    /// The replies to a peer's bucket digests. The local digests are only included if the peer's message was not a reply
-    /// itself, so that two members do not reply to each other forever.
+    /// The replies to a peer's bucket digests. The local digests are only included if the peer's message was not a
+    /// reply itself, so that two members do not reply to each other forever.
     fn replies_to_digest(&mut self, peer_digests: &[u64], is_reply: bool) -> Vec<Message> {
         let replica = self.replica.borrow();
         let differing = replica.map.differing_buckets(peer_digests);
--- a/crates/fleet/src/fleet/map_access.rs
+++ b/crates/fleet/src/fleet/map_access.rs
@@ -11,7 +11,8 @@
 pub enum PutError {
     /// The key exceeds [`MAX_KEY_BYTES`] or the value exceeds [`MAX_VALUE_BYTES`].
     #[error(
-        "{key}: {length} bytes exceed the limit of {MAX_VALUE_BYTES}: shorten the value, or split it over several keys"
+        "{key}: the key exceeds {MAX_KEY_BYTES} bytes, or its value of {length} bytes exceeds {MAX_VALUE_BYTES}: \
+         shorten them, or split the value over several keys"
     )]
     TooLong {
         /// The key.
@@ -124,8 +125,8 @@
         }
     }
 
-    /// Merges the entries of an earlier incarnation without gossiping them or reporting changes. Anti-entropy sends them
-    /// to peers that lack them.
+    /// Merges the entries of an earlier incarnation without gossiping them or reporting changes. Anti-entropy sends
+    /// them to peers that lack them.
     pub fn restore(&mut self, entries: Vec<Entry>) {
         let mut replica = self.replica.borrow_mut();
         for entry in entries {
--- a/crates/fleet/src/quota_leases/grantor.rs
+++ b/crates/fleet/src/quota_leases/grantor.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// A voter waits this much longer than the lease duration, to allow for clock drift between two machines.
+/// A voter counts a lease for the lease duration times this factor, to allow for clock drift between two machines.
 const CLOCK_DRIFT_FACTOR: f64 = 1.05;
 
 /// The leases that this member has granted.
--- a/crates/fleet/src/replicated_map.rs
+++ b/crates/fleet/src/replicated_map.rs
@@ -3,8 +3,8 @@
 //!
 //! Of two entries with the same key, the one with the greater version wins; with equal versions, the one with the
 //! greater value, and then the one with the greater owner. A merge thus takes the maximum, and is commutative,
-//! associative and idempotent. A full map keeps the
-//! keys with the lowest hashes, which does not depend on the order of arrival either.
+//! associative and idempotent. A full map keeps the keys with the lowest hashes, which does not depend on the order of
+//! arrival either.
 
 use crate::entry::{key_hash, short_key_hash, Entry};
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/fleet/src/roster.rs
+++ b/crates/fleet/src/roster.rs
@@ -13,8 +13,8 @@
 pub struct Incarnation {
     /// The member.
     pub member: MemberId,
-    /// The Unix time of its start in microseconds, or a later time: greater than in every earlier incarnation of the
-    /// member.
+    /// The Unix time in microseconds at which the process started, or a later time: greater than in every earlier
+    /// incarnation of the member.
     pub started_at: u64,
 }
 
--- a/crates/fleet/src/swim/identity.rs
+++ b/crates/fleet/src/swim/identity.rs
@@ -3,7 +3,8 @@
 use crate::roster::{Incarnation, MemberId};
 use foca::Identity;
 
-/// How much a renewed incarnation is later, in microseconds: six hours, more than a clock is expected to be off.
+/// How much later a renewed incarnation is than the previous one, in microseconds: six hours, more than a clock is
+/// expected to be off.
 const RENEWAL_STEP_US: u64 = 6 * 3_600_000_000;
 
 impl Identity for Incarnation {
--- a/crates/maintenance/src/occurrence.rs
+++ b/crates/maintenance/src/occurrence.rs
@@ -42,7 +42,7 @@
 /// Computes the occurrences of a window, numbered from 0 for the first one.
 pub(crate) struct Recurrence<'a> {
     window: &'a Window,
-    zone: &'a TimeZone,
+    time_zone: &'a TimeZone,
     first: DateTime,
 }
 
@@ -50,12 +50,12 @@
     /// # Errors
     ///
     /// [`ScheduleError::Window`] if the window's beginning is not a date and time.
-    pub(crate) fn new(window: &'a Window, zone: &'a TimeZone) -> Result<Self, ScheduleError> {
+    pub(crate) fn new(window: &'a Window, time_zone: &'a TimeZone) -> Result<Self, ScheduleError> {
         let first = window.begins.parse().map_err(|_| {
             let problem = format!("{} is not a date and time", window.begins);
             ScheduleError::Window { window: window.name.clone(), key: "begins", problem }
         })?;
-        Ok(Recurrence { window, zone, first })
+        Ok(Recurrence { window, time_zone, first })
     }
 
     /// Returns all occurrences that overlap the period, in order.
@@ -111,7 +111,7 @@
         };
         let days = number * self.window.repeats.period_days().unwrap_or(0);
         let local = self.first.checked_add(days.days()).map_err(error)?;
-        let zoned = self.zone.to_ambiguous_zoned_datetime(local).compatible().map_err(error)?;
+        let zoned = self.time_zone.to_ambiguous_zoned_datetime(local).compatible().map_err(error)?;
         Ok(zoned.timestamp().as_millisecond())
     }
 }
--- a/crates/maintenance/src/schedule.rs
+++ b/crates/maintenance/src/schedule.rs
@@ -26,12 +26,12 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Repeat {
-    /// It occurs once.
+    /// The window occurs once.
     #[default]
     Once,
-    /// Every day at the same local time.
+    /// The window occurs every day at the same local time.
     Daily,
-    /// Every seventh day at the same local time.
+    /// The window occurs every seventh day at the same local time.
     Weekly,
 }
 
@@ -57,18 +57,18 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Window {
-    /// Unique in its schedule.
+    /// Name of the window, unique in its schedule.
     pub name: String,
     /// Zone of the servers that will have no traffic.
     pub site: String,
-    /// Local date and time at which it first begins, such as 2026-12-05T01:00.
+    /// Local date and time at which the window first begins, such as 2026-12-05T01:00.
     pub begins: String,
     /// Duration in seconds.
     #[serde(rename = "lasts_s")]
     pub duration_s: u32,
     /// Lead time in seconds: how long the site drains before the window begins.
     pub lead_s: u32,
-    /// How often it occurs.
+    /// How often the window occurs.
     #[serde(default)]
     pub repeats: Repeat,
 }
@@ -119,7 +119,7 @@
     ///
     /// Any [`ScheduleError`] except [`ScheduleError::Malformed`].
     pub fn check(&self, now_ms: i64) -> Result<(), ScheduleError> {
-        self.zone()?;
+        self.parsed_time_zone()?;
         self.check_limits()?;
         let mut names = BTreeSet::new();
         for window in &self.windows {
@@ -129,7 +129,7 @@
         self.check_overlaps(now_ms)
     }
 
-    fn zone(&self) -> Result<TimeZone, ScheduleError> {
+    fn parsed_time_zone(&self) -> Result<TimeZone, ScheduleError> {
         TimeZone::get(&self.time_zone).map_err(|_| ScheduleError::UnknownTimeZone(self.time_zone.clone()))
     }
 
@@ -162,7 +162,7 @@
         occurrence: &Occurrence,
         earlier: &[Occurrence],
     ) -> Result<(), ScheduleError> {
-        // Upper bound for how long an earlier occurrence can overlap this one; those that begin before need no check.
+        // An occurrence that begins at least this long before another one cannot overlap it.
         const MAX_REACH_MS: i64 = (MAX_DURATION_S + MAX_LEAD_S) as i64 * SECOND_MS + 2 * CLOCK_MARGIN_MS;
         let recent =
             earlier.iter().rev().take_while(|other| occurrence.begins_ms - other.begins_ms < MAX_REACH_MS);
@@ -193,10 +193,10 @@
         from_ms: i64,
         to_ms: i64,
     ) -> Result<Vec<Occurrence>, ScheduleError> {
-        let zone = self.zone()?;
+        let time_zone = self.parsed_time_zone()?;
         let mut occurrences = Vec::new();
         for window in windows {
-            occurrences.extend(Recurrence::new(window, &zone)?.occurrences(from_ms, to_ms)?);
+            occurrences.extend(Recurrence::new(window, &time_zone)?.occurrences(from_ms, to_ms)?);
         }
         occurrences.sort();
         Ok(occurrences)
--- a/crates/namespaces/src/rules.rs
+++ b/crates/namespaces/src/rules.rs
@@ -12,7 +12,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Rule {
-    /// Unique in its namespace.
+    /// Name of the rule, unique in its namespace.
     pub name: String,
     /// Request classes that the rule matches; all if empty.
     #[serde(default, rename = "offerings")]
@@ -109,7 +109,7 @@
     pub customer: String,
     /// Increased with each change.
     pub version: u64,
-    /// In the order in which they are matched.
+    /// The rules, in the order in which they are matched.
     #[serde(default, rename = "rule")]
     pub rules: Vec<Rule>,
 }
--- a/crates/recovery/src/admission.rs
+++ b/crates/recovery/src/admission.rs
@@ -125,13 +125,13 @@
         now: Timestamp,
     ) -> Option<AdmissionTurn> {
         self.arrivals.expire(now);
-        let before = match self.state {
+        let fraction_ahead = match self.state {
             RecoveryState::Serving => return None,
             RecoveryState::AwaitingList => NOT_ADMITTED,
             RecoveryState::RampingUp => self.turn_among_expected(requester, key, now),
         };
         self.arrivals.push(requester, now);
-        Some(AdmissionTurn { fraction_ahead: before, retry_after: self.retry_after(random_unit, now) })
+        Some(AdmissionTurn { fraction_ahead, retry_after: self.retry_after(random_unit, now) })
     }
 
     /// Records that the request of the last call to [`RecoveryRamp::admission_turn`] was admitted.
@@ -147,7 +147,7 @@
         self.turn_among_recent(requester, is_full_window, key) * ARRIVAL_WINDOW.ratio_to(observed).max(1.0)
     }
 
-    /// The fraction of recent arrivals that take precedence over such a request, from 0 to 1.
+    /// The fraction of recent arrivals that take precedence over a request of this requester and key, from 0 to 1.
     fn turn_among_recent(&self, requester: Requester, is_full_window: bool, key: u64) -> f64 {
         if is_full_window && self.is_below_guarantee(requester.customer) {
             return 0.0;
--- a/crates/recovery/src/environment.rs
+++ b/crates/recovery/src/environment.rs
@@ -20,7 +20,7 @@
 pub struct EndpointAddress {
     /// The endpoint as passed to the load balancer.
     pub endpoint: Endpoint,
-    /// `None` if the endpoint list does not contain it.
+    /// `None` if neither the endpoint list nor the start-up file states an address.
     pub address: Option<SocketAddr>,
 }
 
@@ -33,8 +33,8 @@
     fn set_polling(&mut self, is_poller: bool);
     /// Called when the recovery state has changed or was confirmed; `reason` is for the log.
     fn state_changed(&mut self, state: RecoveryState, reason: &str);
-    /// Restores the flow table entry for a key hash. The flow was on `server`, which started at `started_ms` (Unix time
-    /// in milliseconds) and has not been restarted since.
+    /// Restores the flow table entry for a key hash. The connection was on `server`, which started at `started_ms`
+    /// (Unix time in milliseconds) and has not been restarted since.
     fn restore_flow(&mut self, key: u64, server: &str, started_ms: f64);
     /// Called when an endpoint list was rejected, or part of it could not be shared with the peers; `reason` is for the
     /// log.
--- a/crates/recovery/src/node/agreement.rs
+++ b/crates/recovery/src/node/agreement.rs
@@ -30,7 +30,7 @@
         }
         self.applied_correction_ms = self.fleet.clock_correction_ms();
         let endpoints = self.endpoints(now);
-        let starts = || endpoints.iter().map(|known| known.endpoint.started);
+        let starts = || endpoints.iter().map(|listed| listed.endpoint.started);
         let reason = format!(
             "{source}: {} servers, {} of them with a known start time",
             endpoints.len(),
--- a/crates/recovery/src/node/startup.rs
+++ b/crates/recovery/src/node/startup.rs
@@ -73,10 +73,10 @@
     }
 
     /// Adds the servers of the start-up file that are not in the snapshot to the fallback endpoints.
-    pub fn add_startup_endpoints(&mut self, known: impl Iterator<Item = EndpointAddress>, now: Timestamp) {
+    pub fn add_startup_endpoints(&mut self, listed: impl Iterator<Item = EndpointAddress>, now: Timestamp) {
         let restored: BTreeSet<_> =
             self.fallback_endpoints.iter().map(|endpoint| endpoint.server.clone()).collect();
-        for EndpointAddress { endpoint, address } in known {
+        for EndpointAddress { endpoint, address } in listed {
             if let Some(address) = address {
                 self.startup_addresses.insert(endpoint.server.clone(), address);
             }
@@ -99,7 +99,7 @@
         let endpoints: Vec<_> = self.fallback_endpoints.iter().map(with_address).collect();
         let reason =
             format!("no list in time; using {} restored servers, all treated as warming up", endpoints.len());
-        self.ramp.on_endpoint_list(endpoints.iter().map(|known| known.endpoint.started), now);
+        self.ramp.on_endpoint_list(endpoints.iter().map(|fallback| fallback.endpoint.started), now);
         environment.apply_endpoints(endpoints, true);
         environment.state_changed(self.ramp.state(), &reason);
     }
--- a/crates/recovery/src/poller_election.rs
+++ b/crates/recovery/src/poller_election.rs
@@ -29,9 +29,9 @@
 pub struct Heartbeat {
     /// The epoch of the poller's endpoint list.
     pub epoch: u64,
-    /// The version number of its list.
+    /// The version number of the poller's list.
     pub seq: u64,
-    /// [`list_digest`](crate::list_digest) of its list.
+    /// [`list_digest`](crate::list_digest) of the poller's list.
     pub digest: u32,
     /// Whether discovery has answered the poller within the last few seconds.
     pub is_answered: bool,
@@ -42,7 +42,7 @@
     /// Incremented with each heartbeat of a poller.
     number: u64,
     heartbeat: Heartbeat,
-    /// When it was received; `None` if it may have been sent before the poller's last restart.
+    /// When the heartbeat was received; `None` if it may have been sent before the poller's last restart.
     live_at: Option<Timestamp>,
 }
 
--- a/crates/recovery/src/server_record.rs
+++ b/crates/recovery/src/server_record.rs
@@ -19,11 +19,11 @@
     pub zone: String,
     /// The machine type.
     pub kind: String,
-    /// The number of its cell.
+    /// The number of the server's cell.
     pub cell: u64,
-    /// Its stage in the life cycle.
+    /// The server's stage in its life cycle.
     pub health: ServerHealth,
-    /// Its start time as Unix time in milliseconds; 0 if it started earlier than any member knows.
+    /// The server's start time as Unix time in milliseconds; 0 if it started earlier than any member knows.
     pub started_ms: f64,
 }
 
--- a/crates/recovery/src/snapshot.rs
+++ b/crates/recovery/src/snapshot.rs
@@ -30,7 +30,7 @@
     pub name: String,
     /// Incremented with each snapshot.
     pub sequence: u64,
-    /// When it was written, as Unix time in milliseconds by the writer's clock. Informational.
+    /// When the snapshot was written, as Unix time in milliseconds by the writer's clock. Informational.
     pub written_at_ms: u64,
     /// The highest incarnation number of the process so far, as Unix time in microseconds.
     pub started_at: u64,
--- a/crates/recovery/tests/unit/restore.rs
+++ b/crates/recovery/tests/unit/restore.rs
@@ -40,7 +40,7 @@
     let fallback_endpoints: Vec<_> = restored
         .fallback_endpoints
         .iter()
-        .map(|known| (&*known.server, known.started, known.state))
+        .map(|endpoint| (&*endpoint.server, endpoint.started, endpoint.state))
         .collect();
     assert_eq!(
         fallback_endpoints,
--- a/crates/settings/src/build.rs
+++ b/crates/settings/src/build.rs
@@ -10,8 +10,8 @@
 use std::num::NonZeroUsize;
 use std::time::Duration;
 
-/// Number of proxies that share the servers, if not set. High, because a proxy that assumes more proxies sends fewer
-/// sessions to a warming server.
+/// Number of proxies that share the servers, if `balancers` is not set. High, because a proxy that assumes more proxies
+/// sends fewer sessions to a warming server.
 const DEFAULT_PROXIES: usize = 100;
 
 /// Capacity of a server if neither `server_connections` nor a quota for every customer is set.
--- a/crates/settings/src/file.rs
+++ b/crates/settings/src/file.rs
@@ -67,10 +67,10 @@
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DiscoverySetting {
-    /// An agent pushes it.
+    /// An agent pushes the list.
     #[serde(rename = "automatic")]
     Pushed,
-    /// The proxy polls discovery for it.
+    /// The proxy polls discovery for the list.
     #[serde(rename = "subscribe")]
     Polled,
 }
