--- a/crates/proxy/src/discovery/client.rs
+++ b/crates/proxy/src/discovery/client.rs
@@ -25,7 +25,7 @@
 /// Client of one discovery service. The outcome of each call is reported to `E`.
 pub struct Discovery<E: DiscoveryEvents> {
     address: Cell<SocketAddr>,
-    /// Version of the endpoint list last received; none if there is none or it must be requested in full.
+    /// Version of the last endpoint list; none if the next request must be for the complete list.
     version: Cell<Option<u64>>,
     socket: RefCell<Option<Rc<Socket<E>>>>,
     request: RefCell<RingBuffer>,
@@ -62,11 +62,11 @@
     /// next request is for the complete list.
     pub fn switch_to(self: &Rc<Self>, address: SocketAddr, events: &mut E) -> bool {
         self.read_pending(events);
-        let is_other = self.address.replace(address) != address;
-        if is_other {
+        let has_changed = self.address.replace(address) != address;
+        if has_changed {
             self.reset(events);
         }
-        is_other
+        has_changed
     }
 
     /// Requests a list newer than the current version, or the complete list if there is none. Does nothing while a call
--- a/crates/proxy/src/downstream/listener.rs
+++ b/crates/proxy/src/downstream/listener.rs
@@ -121,8 +121,8 @@
         let handle = owner.handle();
         let _ = handle.disable(&owner.listener().registration);
         let timer = Timer::from_duration(ACCEPT_PAUSE);
-        let set = handle.insert_source(timer, |_, _, owner| Self::resume(owner));
-        owner.metrics().check_invariant(set.is_ok(), "a timer can be set");
+        let registered = handle.insert_source(timer, |_, _, owner| Self::resume(owner));
+        owner.metrics().check_invariant(registered.is_ok(), "a timer can be set");
     }
 
     /// Resumes accepting after a pause. If the event loop cannot register the listener yet, this timer is repeated and
--- a/crates/proxy/src/executor.rs
+++ b/crates/proxy/src/executor.rs
@@ -1,5 +1,5 @@
 //! Executes the load balancer's decisions on sockets and timers: attempts, final responses, migrations, health checks
-//! and wake-ups.
+//! and wakeups.
 
 use crate::descriptor_budget::DescriptorBudget;
 use crate::downstream::lingering::LingeringCloses;
@@ -47,7 +47,7 @@
 
 /// Executes decisions, and owns the servers and sessions that they concern.
 pub struct Executor {
-    /// The event loop.
+    /// Handle of the event loop, for registering sockets and timers.
     pub handle: LoopHandle<'static, Proxy>,
     /// Counters and rate-limited warnings.
     pub metrics: Rc<Metrics>,
@@ -73,7 +73,7 @@
     pub list_received: Cell<bool>,
     /// Whether the load balancer has requested a poll of the endpoint list.
     pub poll_requested: Cell<bool>,
-    /// The time for which the load balancer last requested a wake-up.
+    /// The time for which the load balancer last requested a wakeup.
     pub next_wakeup: Timestamp,
     /// Attempts that ended during a call of the load balancer, to be reported to it after it has returned.
     pub deferred_outcomes: VecDeque<EndedAttempt>,
@@ -108,7 +108,7 @@
     }
 
     /// The number of health check connections that are always allowed: only servers that hold a session are checked
-    /// periodically, and at most three servers for each new session.
+    /// periodically, and at most three servers are checked for each new session.
     fn min_health_checks(&self) -> usize {
         self.servers.len().min(3 * (self.sessions.len() + 1))
     }
@@ -205,19 +205,19 @@
 impl Host for Executor {
     fn connect(&mut self, session: SessionId, server: &ServerId, timeout: Duration) {
         log::debug!("session {}: connecting to {server}, timeout {} ms", session.0, timeout.as_ms());
-        let (found, server) = (self.sessions.get(session).cloned(), self.servers.get(server).cloned());
-        let exist = found.is_some() && server.is_some();
+        let (entry, server) = (self.sessions.get(session).cloned(), self.servers.get(server).cloned());
+        let exist = entry.is_some() && server.is_some();
         self.metrics.check_invariant(exist, "the session and the server of an attempt exist");
-        let Some(found) = found else {
+        let Some(entry) = entry else {
             return self.defer_outcome(session, AttemptOutcome::NotSent, false);
         };
-        if !found.client_is_waiting(self) {
+        if !entry.client_is_waiting(self) {
             return self.defer_outcome(session, AttemptOutcome::Cancelled, true);
         }
         let Some(server) = server else {
             return self.defer_outcome(session, AttemptOutcome::NotSent, false);
         };
-        if let Err(error) = self.start_attempt(&found, server, timeout) {
+        if let Err(error) = self.start_attempt(&entry, server, timeout) {
             log::warn!("session {}: cannot connect to server: {error}", session.0);
             let is_refused = error.kind() == ErrorKind::ConnectionRefused;
             let outcome = if is_refused { AttemptOutcome::Unreachable } else { AttemptOutcome::NotSent };
--- a/crates/proxy/src/fleet/peers.rs
+++ b/crates/proxy/src/fleet/peers.rs
@@ -111,7 +111,8 @@
         self.deliver_notifications(events);
     }
 
-    /// Delivers the events that the node has reported, and schedules its next wakeup.
+    /// Delivers the events that the node has reported, updates the quota fraction, and schedules the node's next
+    /// wakeup.
     pub fn deliver_notifications(self: &Rc<Self>, events: &mut impl PeerEvents) {
         loop {
             let notifications = std::mem::take(&mut *self.notifications.borrow_mut());
--- a/crates/proxy/src/main.rs
+++ b/crates/proxy/src/main.rs
@@ -31,7 +31,8 @@
 
 /// Runs the proxy, and starts it again after transient errors.
 fn run_with_retries() -> Result<(), RunError> {
-    // A process that is not ready after 30 s is considered crashed, and starting it can take most of that time.
+    // A process that is not ready after 30 s is considered crashed. A start can take most of that time, so retries may
+    // use only a part of it.
     const RETRY_FOR: Duration = Duration::from_secs(8);
     const RETRY_INTERVAL: Duration = Duration::from_millis(20);
     let started_at = Instant::now();
--- a/crates/proxy/src/net/open_request.rs
+++ b/crates/proxy/src/net/open_request.rs
@@ -8,8 +8,8 @@
 const OPEN: &str = "OPEN";
 /// Number of hexadecimal digits of a request id.
 const REQUEST_ID_DIGITS: usize = 16;
-/// Maximum request timeout in milliseconds: the range of 32 bits, as restored sessions without a deadline send up to
-/// that.
+/// Maximum request timeout in milliseconds: the largest 32-bit number, which restored sessions without a deadline
+/// send.
 const MAX_REQUEST_TIMEOUT_MS: f64 = u32::MAX as f64;
 
 /// Field names on the wire.
@@ -21,7 +21,7 @@
     pub const SERVER: &str = "at";
     pub const MID_FLOW: &str = "mid";
     pub const RECONNECTED: &str = "again";
-    pub const IS_REPLAYABLE: &str = "r";
+    pub const REPLAYABLE: &str = "r";
 }
 
 /// A parsed request to open a session: the first line of a client.
@@ -57,7 +57,7 @@
         let id = parse_request_id(id)?;
         let fields = Fields::parse(fields)?;
         let request_timeout = fields.request_timeout()?;
-        fields.flag(field::IS_REPLAYABLE)?;
+        fields.flag(field::REPLAYABLE)?;
         let request = OpenRequest {
             line: line.to_owned(),
             id,
--- a/crates/proxy/src/net/socket.rs
+++ b/crates/proxy/src/net/socket.rs
@@ -260,13 +260,13 @@
         let Some((handle, token)) = self.registration.take() else { return };
         if !self.retry_is_scheduled.replace(true) {
             let (on_ready, is_scheduled) = (Rc::downgrade(&self.on_ready), self.retry_is_scheduled.clone());
-            let set = handle.insert_source(Timer::from_duration(RETRY_DELAY), move |_, _, data| {
+            let registered = handle.insert_source(Timer::from_duration(RETRY_DELAY), move |_, _, data| {
                 is_scheduled.set(false);
                 let callback = on_ready.upgrade().map(|on_ready| on_ready.borrow().clone());
                 callback.inspect(|callback| callback(data));
                 TimeoutAction::Drop
             });
-            self.retry_is_scheduled.set(set.is_ok());
+            self.retry_is_scheduled.set(registered.is_ok());
         }
         self.registration.set(Some((handle, token)));
     }
--- a/crates/proxy/src/proxy/admission.rs
+++ b/crates/proxy/src/proxy/admission.rs
@@ -12,7 +12,8 @@
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Retry delay of a session that is rejected because its namespace is over quota. Some connections end every second.
+/// Retry delay of a session that is rejected because its namespace is over quota. Within a second some of the
+/// namespace's connections end.
 const RETRY_AFTER_OVER_QUOTA: Duration = Duration::from_millis(1000);
 /// A value of [`AdmissionTurn::fraction_ahead`] with which a session is never admitted: any above 1.
 const NOT_ADMITTED: f64 = 2.0;
@@ -25,11 +26,11 @@
         let max_hold = session.open_request.request_timeout.scaled(MAX_HOLD_FRACTION);
         self.startup_gate.hold(session, session.stage_entered_at.get(), max_hold);
         let timer = Timer::from_duration(max_hold);
-        let set = self.executor.handle.insert_source(timer, |_, _, proxy| {
+        let registered = self.executor.handle.insert_source(timer, |_, _, proxy| {
             proxy.release_held_sessions();
             TimeoutAction::Drop
         });
-        self.executor.metrics.check_invariant(set.is_ok(), "a timer can be set");
+        self.executor.metrics.check_invariant(registered.is_ok(), "a timer can be set");
     }
 
     /// Opens the startup gate: admits the held sessions in the order of their arrival, and answers pending health
@@ -100,32 +101,32 @@
     /// The session's admission turn during a recovery; none otherwise.
     fn admission_turn(&mut self, session: &Session) -> Option<AdmissionTurn> {
         let peers = self.peers.clone()?;
-        let opening = &session.open_request;
-        let name = opening.customer.as_ref();
+        let request = &session.open_request;
+        let name = request.customer.as_ref();
         let customer = name.and_then(|name| self.customer_names.iter().position(|customer| customer == name));
-        let requester = Requester { class: Some(opening.class), customer };
-        peers.admission_turn(requester, xxh3_64(opening.key.as_bytes()), self)
+        let requester = Requester { class: Some(request.class), customer };
+        peers.admission_turn(requester, xxh3_64(request.key.as_bytes()), self)
     }
 
     /// The decision of the customer's namespace about a session; none if the customer has no namespace.
     fn rule_for(&mut self, session: &Session) -> Option<RuleDecision> {
-        let opening = &session.open_request;
-        let class = self.class_names.get(opening.class).map_or("", String::as_str);
-        self.namespaces.decide(opening.customer.as_deref(), class, opening.group.as_deref())
+        let request = &session.open_request;
+        let class = self.class_names.get(request.class).map_or("", String::as_str);
+        self.namespaces.decide(request.customer.as_deref(), class, request.group.as_deref())
     }
 }
 
 /// Describes a session's request to the load balancer.
 pub fn arrival(session: &Session, deadline: Timestamp) -> Arrival<'_> {
-    let opening = &session.open_request;
+    let request = &session.open_request;
     Arrival {
         session: session.id,
-        class: Some(opening.class),
-        key: Some(&opening.key),
-        group: opening.group.as_deref(),
+        class: Some(request.class),
+        key: Some(&request.key),
+        group: request.group.as_deref(),
         deadline,
-        mid_flow: opening.mid_flow,
-        reconnected: opening.reconnected,
+        mid_flow: request.mid_flow,
+        reconnected: request.reconnected,
         admission_turn: None,
         allowed_servers: None,
     }
--- a/crates/proxy/src/proxy/fleet_endpoints.rs
+++ b/crates/proxy/src/proxy/fleet_endpoints.rs
@@ -27,7 +27,7 @@
         self.apply_with_maintenance(endpoints, is_complete);
     }
 
-    /// Evaluates the maintenance schedule, applies changes of endpoint states, and migrates sessions away from servers
+    /// Evaluates the maintenance schedule, applies changes of endpoint states, and migrates sessions away from zones
     /// whose maintenance window has begun. Called once a second and on each change of the endpoint list.
     pub fn apply_maintenance_windows(&mut self) {
         let Some(peers) = self.peers.clone().filter(|_| self.maintenance_windows.has_schedule()) else {
--- a/crates/proxy/src/proxy/reload.rs
+++ b/crates/proxy/src/proxy/reload.rs
@@ -15,8 +15,8 @@
     }
 
     /// Attempts a pending reload. Also called on each tick, so that a reload is retried after transient read errors. An
-    /// invalid file changes nothing. Only `discovery` of the start-up file is applied; its other values take effect
-    /// when the process is started again.
+    /// invalid start-up file changes nothing, and an invalid fleet file leaves the previous one in use. Only
+    /// `discovery` of the start-up file is applied; its other values take effect when the process is started again.
     pub fn reload_if_requested(&mut self) {
         let Some(requested_at) = self.reload_requested_at else { return };
         let config = match StartupConfig::from_environment() {
@@ -31,7 +31,9 @@
         match peers.map_or(Ok(()), |peers| peers.reload_file(&self.name)) {
             Ok(()) => {}
             Err(error) if error.is_transient() => return log::debug!("reload will be retried: {error}"),
-            Err(error) => log::error!("reload of the fleet file failed, nothing changes: {error}"),
+            Err(error) => {
+                log::error!("reload of the fleet file failed, the previous one stays in use: {error}")
+            }
         }
         self.reload_requested_at = None;
         self.reload_tenant_files();
--- a/crates/proxy/src/proxy/session_events.rs
+++ b/crates/proxy/src/proxy/session_events.rs
@@ -13,10 +13,11 @@
 
 impl Proxy {
     /// Opens the session of a client that has sent its first line.
-    pub fn open_session(&mut self, open: OpenRequest, client: Rc<Socket<Proxy>>) {
-        log::trace!("{open:?}");
+    pub fn open_session(&mut self, request: OpenRequest, client: Rc<Socket<Proxy>>) {
+        log::trace!("{request:?}");
         let now = self.now();
-        let session = Session::new(self.executor.sessions.allocate_id(), open, client, self.ring_size, now);
+        let session =
+            Session::new(self.executor.sessions.allocate_id(), request, client, self.ring_size, now);
         let weak = session.weak_self.clone();
         session.client.set_on_ready(move |proxy| {
             weak.upgrade().inspect(|session| session.on_ready(proxy));
@@ -35,7 +36,7 @@
                 self.admit(&session);
             }
         }
-        // Bytes that arrived together with the first line trigger no further readiness event.
+        // Bytes that arrived after the first line was read may trigger no readiness event of their own.
         session.on_ready(self);
         self.evict_pending_connections();
     }
@@ -67,7 +68,7 @@
         self.on_attempt_ended(session, AttemptOutcome::Cancelled, true);
     }
 
-    /// Called when a health check was answered, or was given up after `latency`.
+    /// Called when a health check was answered, or has timed out, after `latency`.
     pub fn on_health_check(&mut self, server: &Server<Proxy>, latency: Duration) {
         self.executor.metrics.count("health checks");
         log::debug!("health check of {} took {} ms", server.id, latency.as_ms());
--- a/crates/proxy/src/session.rs
+++ b/crates/proxy/src/session.rs
@@ -70,7 +70,7 @@
     pub migrating_since: Cell<Option<Timestamp>>,
     /// When the client sent the oldest line without a reply; none while no reply is outstanding.
     pub awaiting_reply_since: Cell<Option<Timestamp>>,
-    /// The reserved share of its namespace's capacity, released when the session is closed.
+    /// Counts the session towards the connections of its namespace rule until it is closed.
     pub namespace_slot: RefCell<Option<Rc<()>>>,
     /// A weak reference to the session itself, for callbacks.
     pub weak_self: Weak<Session>,
--- a/crates/proxy/src/tenants/tenant_balancers.rs
+++ b/crates/proxy/src/tenants/tenant_balancers.rs
@@ -45,7 +45,7 @@
     /// The customers of sessions that are not handled by the default load balancer.
     session_tenants: BTreeMap<SessionId, Rc<str>>,
     endpoints: BTreeMap<ServerId, Endpoint>,
-    /// Kept for customers whose load balancer is built later.
+    /// Restored flow entries, kept for customers whose load balancer is built later.
     restored_flows: Vec<RestoredFlow>,
     health_checks_enabled: bool,
     /// The last value passed to [`Self::set_quota_fraction`]; 0 before the first call.
