--- a/crates/testkit/src/cells.rs
+++ b/crates/testkit/src/cells.rs
@@ -76,7 +76,7 @@
         simulation
     }
 
-    /// Sets the horizon of all replicas, also of those that start later.
+    /// Sets the horizon of all replicas, including those that start later.
     pub fn with_horizon(mut self, slots: u64) -> Self {
         self.horizon = slots;
         for node in &mut self.nodes[..self.replicas] {
--- a/crates/testkit/src/decisions.rs
+++ b/crates/testkit/src/decisions.rs
@@ -147,13 +147,13 @@
         decisions
     }
 
-    /// Builds the request of session `id`. The largest group has this proxy's proportion of its sessions, and the other
-    /// groups share the rest evenly.
+    /// Calls `operation` with the request of session `id`. The largest group has this proxy's proportion of its
+    /// sessions, and the other groups share the rest evenly.
     fn with_request<T>(
         &mut self,
         id: u64,
         reconnected: bool,
-        with: impl FnOnce(&mut Self, &Arrival) -> T,
+        operation: impl FnOnce(&mut Self, &Arrival) -> T,
     ) -> T {
         let in_largest = LARGEST_GROUP * self.size.sessions / TOTAL_CONNECTIONS.max(1);
         let index = id as usize % self.size.sessions.max(1);
@@ -170,7 +170,7 @@
             admission_turn: None,
             allowed_servers: None,
         };
-        with(self, &arrival)
+        operation(self, &arrival)
     }
 
     /// Ends `count` sessions, one after the other, and establishes a new one for each; every second one is a
--- a/crates/testkit/src/discovery.rs
+++ b/crates/testkit/src/discovery.rs
@@ -41,7 +41,7 @@
         self.entries.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Publishes this health of these servers under one new version.
+    /// Publishes `health` as the state of these servers, under one new version.
     pub fn publish(&self, servers: &[&Server], health: &str) {
         let version = {
             let mut entries = self.entries();
--- a/crates/testkit/src/process.rs
+++ b/crates/testkit/src/process.rs
@@ -148,7 +148,8 @@
     pub fn cpu_time_and_memory(&self) -> Option<(Duration, u64)> {
         let directory = PathBuf::from(format!("/proc/{}", self.child.as_ref()?.id()));
         let stat = fs::read_to_string(directory.join("stat")).ok()?;
-        // The name may contain spaces; the fields after it do not.
+        // The name may contain spaces; the fields after it do not. Of these, 11 and 12 are the ticks in user and system
+        // mode, and 21 is the number of resident pages.
         let fields: Vec<&str> = stat.rsplit_once(") ")?.1.split(' ').collect();
         let ticks = fields.get(11)?.parse::<u64>().ok()? + fields.get(12)?.parse::<u64>().ok()?;
         let pages = fields.get(21)?.parse::<u64>().ok()?;
--- a/crates/testkit/src/recorder.rs
+++ b/crates/testkit/src/recorder.rs
@@ -16,7 +16,7 @@
     pub request_timeout: Duration,
     /// Whether this is the client's first request since its last session, or since it started.
     pub is_first: bool,
-    /// Every line received before the session was established, and after a final answer.
+    /// The answer, and any line that follows a final answer, with the time at which each arrived.
     pub answers: Vec<(Duration, String)>,
     /// When the connection broke or the client left.
     pub ended_at: Option<Duration>,
--- a/crates/testkit/src/region.rs
+++ b/crates/testkit/src/region.rs
@@ -53,7 +53,7 @@
     pub now: Timestamp,
     pub cores: Vec<Option<C>>,
     pub usage: Vec<Usage>,
-    /// The next wake-up time of each process, `NEVER` if it has none; `timers` holds the others in order.
+    /// The next wakeup time of each process, `NEVER` if it has none; `timers` holds the others in order.
     wakeups: Vec<Timestamp>,
     timers: BTreeSet<(Timestamp, usize)>,
     in_flight: BinaryHeap<Reverse<Arrival>>,
--- a/crates/testkit/src/server.rs
+++ b/crates/testkit/src/server.rs
@@ -45,7 +45,7 @@
     recent_requests: VecDeque<Duration>,
     /// When the slow start began; `None` for a server that is past it from the beginning.
     started: Option<Duration>,
-    /// The limit was exceeded: the server rejects all requests until it is switched off and on.
+    /// Whether the overload limit was exceeded; the server then rejects all requests until it is switched off and on.
     overloaded: bool,
     /// When all queued set-ups will be done.
     busy_until: Duration,
--- a/crates/testkit/src/session_load.rs
+++ b/crates/testkit/src/session_load.rs
@@ -95,6 +95,7 @@
         let ticks = |field: usize| {
             after_name.split_whitespace().nth(field).and_then(|n| n.parse().ok()).unwrap_or_default()
         };
+        // The fields are counted from the one after the name.
         CpuUsage { ns: ns.sum(), user_ticks: ticks(11), system_ticks: ticks(12) }
     }
 }
--- a/crates/testkit/src/simulated_fleet.rs
+++ b/crates/testkit/src/simulated_fleet.rs
@@ -86,7 +86,7 @@
     pub is_polling: bool,
     /// The recovery states that it has entered, with the time of each.
     pub recovery_states: Vec<(Timestamp, RecoveryState)>,
-    /// Suspended: nothing reaches it, and time goes on.
+    /// Whether it is suspended: it receives no datagrams and runs no timers, while its clock goes on.
     suspended: bool,
     /// How far its wall clock is ahead, in milliseconds.
     pub clock_ahead_ms: i64,
@@ -146,7 +146,7 @@
     pub blocked: BTreeSet<(MemberId, MemberId)>,
     names: Vec<String>,
     timers: BTreeSet<(Timestamp, usize)>,
-    /// The next wake-up time of each member, `NEVER` if it has none; `timers` holds the others in order.
+    /// The next wakeup time of each member, `NEVER` if it has none; `timers` holds the others in order.
     wakeups: Vec<Timestamp>,
     /// Datagrams in flight, by arrival time; a sequence number orders those that arrive at the same time.
     in_flight: BTreeMap<(Timestamp, u64), (MemberId, Vec<u8>)>,
--- a/crates/testkit/src/sockets.rs
+++ b/crates/testkit/src/sockets.rs
@@ -24,7 +24,7 @@
     members: BTreeMap<SocketAddr, usize>,
     epoll_fd: rustix::fd::OwnedFd,
     timers: BTreeSet<(Timestamp, usize)>,
-    /// The next wake-up time of each node; `timers` holds the same times in order.
+    /// The next wakeup time of each node; `timers` holds the same times in order.
     wakeups: Vec<Timestamp>,
     /// The wall clock and the monotonic clock at the start.
     started: (f64, Instant),
--- a/crates/testkit/src/topology.rs
+++ b/crates/testkit/src/topology.rs
@@ -15,9 +15,11 @@
     pub duplicated_percent: u32,
 }
 
+/// Delay within a zone.
 const ZONE_DELAY_MS: f64 = 1.0;
+/// Delay between two zones of a region.
 const REGION_DELAY_MS: f64 = 2.0;
-/// Between two regions, drawn at random for each pair.
+/// Delay between two regions, drawn at random for each pair.
 const INTER_REGION_DELAY_MS: Range<u64> = 40..150;
 /// The most that random jitter adds to a delay, as a fraction of it. More jitter reorders more datagrams.
 const JITTER_FRACTION: f64 = 0.2;
--- a/crates/testkit/src/trial.rs
+++ b/crates/testkit/src/trial.rs
@@ -166,7 +166,7 @@
     pub async fn wait_until(
         &mut self,
         limit: Duration,
-        what: &str,
+        condition: &str,
         mut holds: impl FnMut(&mut Self) -> bool,
     ) {
         let began = self.recorder.now();
@@ -177,7 +177,7 @@
             );
             assert!(
                 diagnostics.is_none(),
-                "timed out waiting until {what}; {sessions} sessions\n{}",
+                "timed out waiting until {condition}; {sessions} sessions\n{}",
                 diagnostics.unwrap_or_default()
             );
             sleep(Duration::from_millis(20)).await;
