--- a/crates/cells/src/apply.rs
+++ b/crates/cells/src/apply.rs
@@ -12,6 +12,7 @@
 const CONTACTS: usize = 2;
 /// Versions reserved for each change: up to three records, then the record of the change ID.
 const VERSIONS_PER_CHANGE: u64 = 4;
+/// Index of the record of the change ID among the versions of a change.
 const ID_VERSION: u64 = VERSIONS_PER_CHANGE - 1;
 
 /// Number of slots between two compactions; must be the same at each replica.
--- a/crates/cells/src/change.rs
+++ b/crates/cells/src/change.rs
@@ -4,7 +4,8 @@
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// Maximum number of changes in a batch. Bounded so that [`Version`] has an index for each record they write.
+/// Maximum number of changes in a batch. Bounded so that [`Version`] has an index for each
+/// record that the changes write.
 pub(crate) const MAX_BATCH_CHANGES: usize = 255;
 /// Maximum length of a member name.
 pub const MAX_NAME_BYTES: usize = 64;
--- a/crates/cells/src/process/log_sync.rs
+++ b/crates/cells/src/process/log_sync.rs
@@ -24,8 +24,8 @@
 const REPLICA_PULL_TIMEOUT: Duration = Duration::from_millis(400);
 /// Shorter than for replicas: a member responds immediately, or does not respond because its send budget is used up.
 const MEMBER_PULL_TIMEOUT: Duration = Duration::from_millis(100);
-/// Number of pulls that may time out before another replica is used. More than one, as a single lost datagram should
-/// not make a process switch to a replica in another region.
+/// Number of consecutive pulls that time out before another replica is used. More than one, as a single lost datagram
+/// should not make a process switch to a replica in another region.
 const MAX_TIMED_OUT_PULLS: u32 = 2;
 /// Time after switching to another replica until the nearest one is tried again.
 const NEAREST_RETRY_INTERVAL: Duration = Duration::from_millis(10_000);
