--- a/crates/testkit/src/clients.rs
+++ b/crates/testkit/src/clients.rs
@@ -206,7 +206,7 @@
     }
 
     /// Sends a line at random intervals and reads what arrives, until the connection ends or the client is told to
-    /// move.
+    /// reconnect.
     async fn hold_session(
         &mut self,
         lines: &mut Lines<BufReader<OwnedReadHalf>>,
--- a/crates/testkit/src/session_load.rs
+++ b/crates/testkit/src/session_load.rs
@@ -30,9 +30,9 @@
     getrlimit(Resource::Nofile).current.unwrap_or(1 << 20)
 }
 
-/// The most sessions that a process accepts with this limit of sockets: it needs two for each session, one for the
-/// health checks of each server, some for itself, and reserves one sixteenth for pending connections, which have not
-/// sent their first line yet.
+/// The most sessions that a process accepts with a limit of `sockets` descriptors: it needs two for each session, one
+/// for the health checks of each server, some for itself, and reserves one sixteenth for pending connections, which
+/// have not sent their first line yet.
 pub fn max_sessions(sockets: u64, servers: usize) -> usize {
     const OWN_SOCKETS: usize = 26;
     let sockets = sockets as usize;
@@ -327,7 +327,7 @@
 }
 
 /// Sends messages when they are due, even if earlier ones are not answered yet, and records the latency of each answer,
-/// until the connection ends or the client is told to move. A message contains the time at which it was due.
+/// until the connection ends or the client is told to reconnect. A message contains the time at which it was due.
 async fn run_session(
     (lines, write): &mut Session,
     (phase, due): (f64, &mut Option<Instant>),
